--- a/lib/src/gateway/choice.rs
+++ b/lib/src/gateway/choice.rs
@@ -18,20 +18,20 @@
 
 /// A time to the first event that counts twice: it is close to the objectives, which are
 /// 1.5 s and more.
-const WAIT_TWICE_AS_BAD_MS: f64 = 1_000.0;
+const FIRST_EVENT_DOUBLING_MS: f64 = 1_000.0;
 /// Milliseconds that one more running stream adds to the cost of an engine: each makes
 /// every step a little longer, and is one more to move when the engine leaves.
 const COST_PER_RUN_MS: f64 = 25.0;
 /// Cost of a call in another hall: its bytes are priced.
-const COST_OTHER_HALL_MS: f64 = 12.0;
+const COST_CROSS_HALL_CALL_MS: f64 = 12.0;
 /// Cost of a generation in another hall: where a link between halls loses 3 packets in 100, a
 /// stream that crosses it stalls within a second or two. With more, halls fill unevenly and more
 /// generations are lost when engines are taken away (docs/BENCHMARKS.md).
-const COST_FAR_STREAM_MS: f64 = 150.0;
+const COST_CROSS_HALL_STREAM_MS: f64 = 150.0;
 /// Part of an engine's memory that expected use may reach without a cost.
-const MEMORY_AT_EASE: f64 = 0.7;
+const MAX_FILL_WITHOUT_COST: f64 = 0.7;
 /// The same for generations that move: the links' time is scarcer than the memory.
-const MEMORY_AT_EASE_FOR_MOVES: f64 = 0.85;
+const MAX_FILL_WITHOUT_COST_FOR_MOVES: f64 = 0.85;
 /// Part of an engine's memory that is expected to be used at the most after a new generation is admitted. The
 /// rest is for what hints leave out and for those that move when other engines leave, which are worth more:
 /// their callers have waited already. On modelled engines whose memory holds six long streams
@@ -39,18 +39,18 @@
 /// 18,997 with 0.95, 111 of 19,145 with 1.0; 0, 0 and 11 generations a day are preempted, and 32, 87 and 125 of all broken.
 pub const PEAK_UP_TO: f64 = 0.95;
 /// The same by what is in use and some seconds' growth, where the peak does not decide.
-const ADMITS_UP_TO: f64 = 0.9;
+const MAX_ADMISSION_FILL: f64 = 0.9;
 /// Part of an engine's memory that moving generations may fill.
-const MOVES_UP_TO: f64 = 1.0;
+const MAX_MOVE_FILL: f64 = 1.0;
 /// Cost of expecting to fill all of the memory beyond that, growing with the square.
 const COST_FULL_MEMORY_MS: f64 = 4_000.0;
-/// Cost of one request in flight at a plain replica, against [`COST_OTHER_HALL_MS`].
+/// Cost of one request in flight at a plain replica, against [`COST_CROSS_HALL_CALL_MS`].
 const COST_PER_CALL_MS: f64 = 30.0;
 /// Cost of a move to another hall, in times that a copy takes within one: it takes twice as long,
 /// on the links of both engines, and others wait for these.
-const FAR_MOVE_COPIES: f64 = 3.0;
+const CROSS_HALL_MOVE_COPIES: f64 = 3.0;
 /// Random part of a cost, so that nodes which know the same don't all choose the same.
-const SPREAD_MS: f64 = 8.0;
+const COST_JITTER_MS: f64 = 8.0;
 /// Cost of a plain replica all of whose answers are errors, growing with the square of their share:
 /// some replicas fail one request in seven for reasons of the request.
 const COST_ALL_ERRORS_MS: f64 = 600.0;
@@ -66,8 +66,9 @@
     all_errors: f64,
 }
 
-const PLAIN_COSTS: Costs = Costs { other_hall: COST_OTHER_HALL_MS, all_errors: COST_ALL_ERRORS_MS };
-const ENGINE_COSTS: Costs = Costs { other_hall: COST_FAR_STREAM_MS, all_errors: COST_ENGINE_ERRORS_MS };
+const PLAIN_COSTS: Costs = Costs { other_hall: COST_CROSS_HALL_CALL_MS, all_errors: COST_ALL_ERRORS_MS };
+const ENGINE_COSTS: Costs =
+    Costs { other_hall: COST_CROSS_HALL_STREAM_MS, all_errors: COST_ENGINE_ERRORS_MS };
 
 /// An engine with what speaks for and against it.
 #[derive(Clone, Copy, Debug)]
@@ -111,7 +112,7 @@
         now: Timestamp,
         rng: &mut R,
     ) -> Option<EngineChoice<'a>> {
-        let choices = candidates.map(|replica| self.consider(replica, request, now, rng));
+        let choices = candidates.map(|replica| self.evaluate(replica, request, now, rng));
         let fitting = choices.filter(|choice| choice.fits);
         fitting.min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
@@ -120,19 +121,19 @@
     /// only asked whether they would have had memory.
     pub fn choose_engine_soon<'a, R: Rng>(
         &self,
-        soon: Vec<&'a Replica>,
-        later: Vec<&'a Replica>,
+        available: Vec<&'a Replica>,
+        backlogged: Vec<&'a Replica>,
         request: &EngineRequest<'_>,
         now: Timestamp,
         rng: &mut R,
     ) -> Result<EngineChoice<'a>, Shortage> {
-        if soon.is_empty() && later.is_empty() {
+        if available.is_empty() && backlogged.is_empty() {
             return Err(Shortage::Engines);
         }
-        if let Some(choice) = self.choose_engine(soon.into_iter(), request, now, rng) {
+        if let Some(choice) = self.choose_engine(available.into_iter(), request, now, rng) {
             return Ok(choice);
         }
-        Err(if self.has_memory(later, request) { Shortage::Reading } else { Shortage::Memory })
+        Err(if self.has_memory(backlogged, request) { Shortage::Reading } else { Shortage::Memory })
     }
 
     fn has_memory(&self, engines: Vec<&Replica>, request: &EngineRequest<'_>) -> bool {
@@ -151,11 +152,11 @@
         if load.runs == 0 {
             true
         } else if request.moves {
-            load.fill(request.engine) <= MOVES_UP_TO
+            load.fill(request.engine) <= MAX_MOVE_FILL
         } else if self.policy.admit_by_peak {
             load.peak(request.engine) <= PEAK_UP_TO
         } else {
-            load.fill(request.engine) <= ADMITS_UP_TO
+            load.fill(request.engine) <= MAX_ADMISSION_FILL
         }
     }
 
@@ -174,7 +175,7 @@
         costs.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, replica)| replica)
     }
 
-    fn consider<'a, R: Rng>(
+    fn evaluate<'a, R: Rng>(
         &self,
         replica: &'a Replica,
         request: &EngineRequest<'_>,
@@ -186,23 +187,23 @@
         let load = self.load_with(replica, request);
         let (runs, arriving, fill) = (load.runs, load.arriving, load.fill(request.engine));
         let fits = self.fits(load, request);
-        let far = moves && replica.record.hall != *request.hall;
+        let crosses_halls = moves && replica.record.hall != *request.hall;
         let wait = self.reading.wait(id, now);
         // A copy goes ahead of the prompts that wait there.
-        let way = if moves {
+        let delay_cost = if moves {
             let copy = millis(request.engine.copy_time(request.size.prompt + request.produced));
-            let copies = arriving as f64 + if far { FAR_MOVE_COPIES } else { 0.0 };
+            let copies = arriving as f64 + if crosses_halls { CROSS_HALL_MOVE_COPIES } else { 0.0 };
             copies * copy
         } else {
-            let own_time = self.reading.reading_time(replica, request.size.prompt, now);
-            let first_event = millis(wait + own_time);
-            first_event + first_event * first_event / WAIT_TWICE_AS_BAD_MS
+            let prefill = self.reading.prefill_time(replica, request.size.prompt, now);
+            let first_event = millis(wait + prefill);
+            first_event + first_event * first_event / FIRST_EVENT_DOUBLING_MS
         };
-        let at_ease = if moves { MEMORY_AT_EASE_FOR_MOVES } else { MEMORY_AT_EASE };
-        let beyond = (fill - at_ease).max(0.0) / (1.0 - at_ease);
-        let cost = way
+        let max_free_fill = if moves { MAX_FILL_WITHOUT_COST_FOR_MOVES } else { MAX_FILL_WITHOUT_COST };
+        let excess = (fill - max_free_fill).max(0.0) / (1.0 - max_free_fill);
+        let cost = delay_cost
             + runs as f64 * COST_PER_RUN_MS
-            + beyond * beyond * COST_FULL_MEMORY_MS
+            + excess * excess * COST_FULL_MEMORY_MS
             + self.general_cost(replica, request.hall, &ENGINE_COSTS, now, rng);
         EngineChoice { replica, runs, fill, fits, wait, cost }
     }
@@ -215,11 +216,11 @@
         now: Timestamp,
         rng: &mut R,
     ) -> f64 {
-        let is_near = replica.record.hall == *hall || !self.policy.stay_in_hall;
-        let elsewhere = if is_near { 0.0 } else { costs.other_hall };
+        let is_local = replica.record.hall == *hall || !self.policy.stay_in_hall;
+        let hall_cost = if is_local { 0.0 } else { costs.other_hall };
         let failures = f64::from(replica.failures()) * COST_PER_FAILURE_MS;
         let errors = if self.policy.avoid_errors { replica.errors(now) } else { 0.0 };
-        elsewhere + failures + errors * errors * costs.all_errors + rng.random::<f64>() * SPREAD_MS
+        hall_cost + failures + errors * errors * costs.all_errors + rng.random::<f64>() * COST_JITTER_MS
     }
 }
 
--- a/lib/src/gateway/cold_start.rs
+++ b/lib/src/gateway/cold_start.rs
@@ -19,14 +19,14 @@
 use crate::rendezvous;
 
 /// Part of what is allowed that shares add up to.
-const SHARED_PART: f64 = 0.5;
+const SHARED_FRACTION: f64 = 0.5;
 /// Requests that are given within this may arrive within one second: a connection takes up to a quarter of
 /// one.
-const WINDOW: Duration = Duration::from_millis(1_250);
+const RATE_WINDOW: Duration = Duration::from_millis(1_250);
 /// A share is worked out anew after this, as nodes come and go.
-const SHARE_LASTS: Duration = Duration::from_secs(1);
+const SHARE_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 /// As many nodes share at least: a node that has just started, or was cut off, knows of few others.
-const LEAST_NODES: usize = 6;
+const MIN_NODES: usize = 6;
 
 /// What a fleet may give to one cold replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,7 +41,7 @@
     /// Requests in a second that all shares make together, for a service whose cold replicas bear
     /// `per_second`.
     pub fn shared(&self, per_second: f64) -> u32 {
-        ((per_second * self.overshoot + self.slack) * SHARED_PART).max(0.0) as u32
+        ((per_second * self.overshoot + self.slack) * SHARED_FRACTION).max(0.0) as u32
     }
 }
 
@@ -56,10 +56,10 @@
 
 /// What this node gives to one replica.
 #[derive(Debug, Default)]
-struct Given {
+struct ReplicaBudget {
     share: u32,
-    shared_at: Timestamp,
-    at: VecDeque<Timestamp>,
+    computed_at: Timestamp,
+    sent_at: VecDeque<Timestamp>,
 }
 
 /// What this node gives to cold replicas.
@@ -68,13 +68,13 @@
     own: VmId,
     /// The other nodes that are alive.
     nodes: Vec<VmId>,
-    given: HashMap<UpstreamId, Given>,
+    budgets: HashMap<UpstreamId, ReplicaBudget>,
 }
 
 impl ColdStarts {
     /// None is known yet.
     pub fn new(own: VmId) -> Self {
-        ColdStarts { own, nodes: Vec::new(), given: HashMap::new() }
+        ColdStarts { own, nodes: Vec::new(), budgets: HashMap::new() }
     }
 
     /// The other nodes that are alive now.
@@ -85,39 +85,40 @@
 
     /// Whether a cold replica may get one more request from this node; `shared` is what all shares make
     /// together in a second.
-    pub fn allows(&mut self, replica: &UpstreamId, giver: Giver, shared: u32, now: Timestamp) -> bool {
-        let is_known = self.given.get(replica).is_some_and(|given| given.shared_at + SHARE_LASTS > now);
-        let new_share = (!is_known).then(|| self.share(replica, shared));
-        let given = self.given.entry(replica.clone()).or_default();
+    pub fn allows(&mut self, replica: &UpstreamId, placed_by: Giver, shared: u32, now: Timestamp) -> bool {
+        let is_fresh =
+            self.budgets.get(replica).is_some_and(|budget| budget.computed_at + SHARE_REFRESH_INTERVAL > now);
+        let new_share = (!is_fresh).then(|| self.compute_share(replica, shared));
+        let budget = self.budgets.entry(replica.clone()).or_default();
         if let Some(share) = new_share {
-            (given.share, given.shared_at) = (share, now);
+            (budget.share, budget.computed_at) = (share, now);
         }
-        while given.at.front().is_some_and(|at| *at + WINDOW <= now) {
-            given.at.pop_front();
+        while budget.sent_at.front().is_some_and(|at| *at + RATE_WINDOW <= now) {
+            budget.sent_at.pop_front();
         }
-        let most = if giver == Giver::Lead { shared } else { given.share };
-        given.at.len() < most as usize
+        let limit = if placed_by == Giver::Lead { shared } else { budget.share };
+        budget.sent_at.len() < limit as usize
     }
 
     /// A cold replica was given a request.
     pub fn on_given(&mut self, replica: &str, now: Timestamp) {
-        if let Some(given) = self.given.get_mut(replica) {
-            given.at.push_back(now);
+        if let Some(budget) = self.budgets.get_mut(replica) {
+            budget.sent_at.push_back(now);
         }
     }
 
     /// Forgets replicas that are warm or gone.
     pub fn retain(&mut self, is_cold: impl Fn(&str) -> bool) {
-        self.given.retain(|replica, _| is_cold(replica));
+        self.budgets.retain(|replica, _| is_cold(replica));
     }
 
     /// This node's share: all nodes have as many, but for what is left over, which goes to the first by a
     /// hash.
-    fn share(&self, replica: &str, shared: u32) -> u32 {
+    fn compute_share(&self, replica: &str, shared: u32) -> u32 {
         let weight = |node: &VmId| rendezvous::weight(replica, node);
         let own = weight(&self.own);
         let rank = self.nodes.iter().filter(|node| weight(node) > own).count() as u32;
-        let nodes = (self.nodes.len() + 1).max(LEAST_NODES) as u32;
+        let nodes = (self.nodes.len() + 1).max(MIN_NODES) as u32;
         shared / nodes + u32::from(rank < shared % nodes)
     }
 }
--- a/lib/src/gateway/evacuation.rs
+++ b/lib/src/gateway/evacuation.rs
@@ -12,15 +12,15 @@
 use crate::gateway::load::GenerationSize;
 
 /// A generation that should end within this is left alone at first.
-const ENDS_SOON: Duration = Duration::from_millis(800);
+const NEAR_END: Duration = Duration::from_millis(800);
 /// How long one that should end soon is given.
-const SOON_DELAY: Duration = Duration::from_millis(600);
+const NEAR_END_DELAY: Duration = Duration::from_millis(600);
 /// The delay of one that is worth nothing; wide enough that the ways of orders to other
 /// nodes, about 1 ms, matter little, and short against a copy.
-const LONGEST_DELAY: Duration = Duration::from_millis(30);
+const MAX_START_DELAY: Duration = Duration::from_millis(30);
 /// Tokens from which on a generation starts without delay: prompt and ten times the output,
 /// which is how the users weigh a generation; some 2,200 tokens are the most out.
-const MOST_WORTH: f64 = 25_000.0;
+const MAX_WORTH_TOKENS: f64 = 25_000.0;
 
 /// Copies that may be under way from one engine: one that runs and one that follows it
 /// without a pause.
@@ -39,14 +39,14 @@
 /// What a generation is worth, 0 to 1.
 fn worth(size: GenerationSize, produced: u32) -> f64 {
     let tokens = f64::from(size.prompt) + 10.0 * f64::from(size.expected.max(produced));
-    (tokens / MOST_WORTH).min(1.0)
+    (tokens / MAX_WORTH_TOKENS).min(1.0)
 }
 
 /// How long after its engine's notice a generation's move starts.
 pub fn start_delay(size: GenerationSize, produced: u32, tokens_per_second: f64) -> Duration {
     let remaining = f64::from(size.expected.saturating_sub(produced)) / tokens_per_second;
-    if remaining < ENDS_SOON.as_secs_f64() && produced > 0 && size.expected > produced {
-        return SOON_DELAY;
+    if remaining < NEAR_END.as_secs_f64() && produced > 0 && size.expected > produced {
+        return NEAR_END_DELAY;
     }
-    LONGEST_DELAY.mul_f64(1.0 - worth(size, produced))
+    MAX_START_DELAY.mul_f64(1.0 - worth(size, produced))
 }
--- a/lib/src/gateway/load.rs
+++ b/lib/src/gateway/load.rs
@@ -24,9 +24,9 @@
 use crate::ids::VmId;
 
 /// Seconds for which a generation is taken to grow, at most: beyond them others have ended.
-const MOST_GROWTH_S: f64 = 3.0;
+const MAX_GROWTH_S: f64 = 3.0;
 /// Seconds for which one is taken to grow that should have ended already.
-const LEAST_GROWTH_S: f64 = 0.7;
+const MIN_GROWTH_S: f64 = 0.7;
 /// Reading that an engine may have ahead when a generation that can wait is given to it. So much keeps
 /// it at work until the next one comes, some tens of milliseconds after one was read. What would wait
 /// there longer waits at the lead, which can still let others go first and choose another engine.
@@ -68,7 +68,7 @@
     /// The requests at each replica, together: a choice looks at all of some tens of engines.
     by_replica: BTreeMap<UpstreamId, Vec<(RunKey, Run)>>,
     /// Where each one is, by node: each of hundreds tells a lead of its own some times a second.
-    places: HashMap<VmId, BTreeMap<RunId, UpstreamId>>,
+    placements: HashMap<VmId, BTreeMap<RunId, UpstreamId>>,
     /// The services of the replicas that were given requests.
     services: HashMap<UpstreamId, ServiceId>,
     /// When engines will have read what they were given.
@@ -94,14 +94,14 @@
     }
 
     fn insert(&mut self, key: RunKey, run: Run) {
-        self.take_out(&key);
-        self.places.entry(key.entry.clone()).or_default().insert(key.run, run.replica.clone());
+        self.remove_run(&key);
+        self.placements.entry(key.entry.clone()).or_default().insert(key.run, run.replica.clone());
         self.by_replica.entry(run.replica.clone()).or_default().push((key, run));
     }
 
     /// A generation's first event came.
     pub fn on_first_event(&mut self, key: &RunKey, now: Timestamp) {
-        let replica = self.places.get(&key.entry).and_then(|places| places.get(&key.run));
+        let replica = self.placements.get(&key.entry).and_then(|placements| placements.get(&key.run));
         if let Some(replica) = replica {
             self.reading.on_first_event(key, replica, now);
         }
@@ -115,8 +115,8 @@
 
     /// A replica has started again: nothing of what it was given is there, nor of what was copied from it.
     pub fn on_restarted(&mut self, replica: &str) {
-        let there: Vec<RunKey> = self.at(replica).map(|(key, _)| key.clone()).collect();
-        there.iter().for_each(|key| {
+        let runs: Vec<RunKey> = self.at(replica).map(|(key, _)| key.clone()).collect();
+        runs.iter().for_each(|key| {
             self.remove(key);
         });
         self.reading.retain(|engine| engine != replica);
@@ -130,19 +130,19 @@
     pub fn remove(&mut self, key: &RunKey) -> Option<Run> {
         self.reading.forget(key);
         self.paces.forget(key);
-        self.take_out(key)
+        self.remove_run(key)
     }
 
-    fn take_out(&mut self, key: &RunKey) -> Option<Run> {
-        let places = self.places.get_mut(&key.entry)?;
-        let replica = places.remove(&key.run)?;
-        if places.is_empty() {
-            self.places.remove(&key.entry);
+    fn remove_run(&mut self, key: &RunKey) -> Option<Run> {
+        let placements = self.placements.get_mut(&key.entry)?;
+        let replica = placements.remove(&key.run)?;
+        if placements.is_empty() {
+            self.placements.remove(&key.entry);
         }
-        let there = self.by_replica.get_mut(&replica)?;
-        let at = there.iter().position(|(other, _)| other == key)?;
-        let (_, run) = there.remove(at);
-        if there.is_empty() {
+        let runs = self.by_replica.get_mut(&replica)?;
+        let at = runs.iter().position(|(other, _)| other == key)?;
+        let (_, run) = runs.remove(at);
+        if runs.is_empty() {
             self.by_replica.remove(&replica);
         }
         Some(run)
@@ -155,10 +155,10 @@
         };
         run.produced = produced;
         let replica = run.replica.clone();
-        self.note_pace(key, &replica, produced, now);
+        self.record_pace(key, &replica, produced, now);
     }
 
-    fn note_pace(&mut self, key: &RunKey, replica: &str, produced: u32, now: Timestamp) {
+    fn record_pace(&mut self, key: &RunKey, replica: &str, produced: u32, now: Timestamp) {
         if let Some(service) = self.services.get(replica).filter(|_| self.policy.learn) {
             self.paces.on_progress(key, service, produced, now);
         }
@@ -171,14 +171,14 @@
 
     /// Tokens of memory that a generation of a service is expected to take soon.
     pub fn memory_of(&self, service: &str, size: GenerationSize, produced: u32) -> f64 {
-        soon(size, produced, self.paces.tokens_per_second(service))
+        near_term_memory(size, produced, self.paces.tokens_per_second(service))
     }
 
     /// Tokens of memory that a request is expected to take soon.
     pub fn memory(&self, run: &Run) -> f64 {
         let service = self.services.get(&run.replica);
         let pace = service.map_or(GUESSED_TOKENS_PER_SECOND, |service| self.paces.tokens_per_second(service));
-        run.size.map_or(0.0, |size| soon(size, run.produced, pace))
+        run.size.map_or(0.0, |size| near_term_memory(size, run.produced, pace))
     }
 
     /// A copy is complete.
@@ -202,16 +202,17 @@
         runs: Vec<(RunId, Run)>,
         now: Timestamp,
     ) {
-        let named: HashSet<RunId> = runs.iter().map(|(run, _)| *run).collect();
-        let known = self.places.get(entry).into_iter().flat_map(|places| places.range(*ids.start()..));
+        let reported: HashSet<RunId> = runs.iter().map(|(run, _)| *run).collect();
+        let known =
+            self.placements.get(entry).into_iter().flat_map(|placements| placements.range(*ids.start()..));
         let known = known.map(|(run, _)| *run).take_while(|run| ids.contains(run));
-        let ended: Vec<RunId> = known.filter(|run| !named.contains(run)).collect();
+        let ended: Vec<RunId> = known.filter(|run| !reported.contains(run)).collect();
         for run in ended {
             self.remove(&RunKey { entry: entry.clone(), run });
         }
         for (run, report) in runs {
             let key = RunKey { entry: entry.clone(), run };
-            self.note_pace(&key, &report.replica, report.produced, now);
+            self.record_pace(&key, &report.replica, report.produced, now);
             self.insert(key, report);
         }
     }
@@ -223,19 +224,19 @@
 
     /// A request.
     pub fn get(&self, key: &RunKey) -> Option<&Run> {
-        let replica = self.places.get(&key.entry)?.get(&key.run)?;
+        let replica = self.placements.get(&key.entry)?.get(&key.run)?;
         self.at(replica).find(|(other, _)| *other == key).map(|(_, run)| run)
     }
 
     fn get_mut(&mut self, key: &RunKey) -> Option<&mut Run> {
-        let replica = self.places.get(&key.entry)?.get(&key.run)?;
-        let there = self.by_replica.get_mut(replica)?;
-        there.iter_mut().find(|(other, _)| other == key).map(|(_, run)| run)
+        let replica = self.placements.get(&key.entry)?.get(&key.run)?;
+        let runs = self.by_replica.get_mut(replica)?;
+        runs.iter_mut().find(|(other, _)| other == key).map(|(_, run)| run)
     }
 
     /// The requests of a node.
     pub fn of_entry(&self, entry: &VmId) -> impl Iterator<Item = (RunId, &Run)> {
-        let keys = self.places.get(entry).into_iter().flat_map(BTreeMap::keys);
+        let keys = self.placements.get(entry).into_iter().flat_map(BTreeMap::keys);
         keys.filter_map(|run| {
             let key = RunKey { entry: entry.clone(), run: *run };
             Some((*run, self.get(&key)?))
@@ -268,11 +269,11 @@
     /// up by its name, and 161 to 225 us with a pass for each figure (decision bench, beside other load).
     pub fn engine_load(&self, replica: &Replica) -> EngineLoad {
         let pace = self.paces.tokens_per_second(&replica.record.service);
-        let there = self.by_replica.get(&replica.record.id).map_or(&[][..], Vec::as_slice);
+        let runs = self.by_replica.get(&replica.record.id).map_or(&[][..], Vec::as_slice);
         // One more is weighed with those that are there.
-        let growths = Vec::with_capacity(there.len() + 1);
+        let growths = Vec::with_capacity(runs.len() + 1);
         let mut load = EngineLoad { pace, growths, ..EngineLoad::default() };
-        for (_, run) in there {
+        for (_, run) in runs {
             load.runs += 1;
             load.arriving += usize::from(run.copied_from.is_some());
             if let Some(size) = run.size {
@@ -292,20 +293,20 @@
     pub arriving: usize,
     /// Tokens that a generation makes in a second.
     pace: f64,
-    soon: f64,
+    near_term_memory: f64,
     growths: Vec<Growth>,
 }
 
 impl EngineLoad {
     /// A further generation, which runs there or would.
     pub fn add(&mut self, size: GenerationSize, produced: u32) {
-        self.soon += soon(size, produced, self.pace);
+        self.near_term_memory += near_term_memory(size, produced, self.pace);
         self.growths.push(growth(size, produced, self.pace));
     }
 
     /// The part of the engine's memory that is expected to be used soon.
     pub fn fill(&self, engine: &EngineTraits) -> f64 {
-        self.soon / f64::from(engine.memory_tokens.max(1))
+        self.near_term_memory / f64::from(engine.memory_tokens.max(1))
     }
 
     /// The part that is expected to be used at the most until what is there has ended.
@@ -318,32 +319,32 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Growth {
     /// Tokens that it has there.
-    pub now: f64,
+    pub held: f64,
     /// Tokens that it is expected to add before it ends.
-    pub to_come: f64,
+    pub remaining: f64,
 }
 
 /// The most tokens that generations are expected to hold together at any time. All make tokens equally fast, so
 /// each time one ends, those that go on have grown by what it had to come.
 pub fn expected_peak(mut growths: Vec<Growth>) -> f64 {
-    growths.sort_by(|a, b| b.to_come.total_cmp(&a.to_come));
+    growths.sort_by(|a, b| b.remaining.total_cmp(&a.remaining));
     let mut held = 0.0;
     let peaks = growths.iter().enumerate().map(|(before, growth)| {
-        held += growth.now;
-        held + (before + 1) as f64 * growth.to_come
+        held += growth.held;
+        held + (before + 1) as f64 * growth.remaining
     });
     peaks.fold(0.0, f64::max)
 }
 
 /// A generation's growth. One that should have ended already goes on for a while.
 fn growth(size: GenerationSize, produced: u32, tokens_per_second: f64) -> Growth {
-    let to_come = f64::from(size.expected.saturating_sub(produced)).max(LEAST_GROWTH_S * tokens_per_second);
-    Growth { now: f64::from(size.prompt) + f64::from(produced), to_come }
+    let remaining = f64::from(size.expected.saturating_sub(produced)).max(MIN_GROWTH_S * tokens_per_second);
+    Growth { held: f64::from(size.prompt) + f64::from(produced), remaining }
 }
 
 /// Tokens of memory that a generation takes within the horizon.
-fn soon(size: GenerationSize, produced: u32, tokens_per_second: f64) -> f64 {
+fn near_term_memory(size: GenerationSize, produced: u32, tokens_per_second: f64) -> f64 {
     let remaining = f64::from(size.expected.saturating_sub(produced));
-    let growth = remaining.clamp(LEAST_GROWTH_S * tokens_per_second, MOST_GROWTH_S * tokens_per_second);
+    let growth = remaining.clamp(MIN_GROWTH_S * tokens_per_second, MAX_GROWTH_S * tokens_per_second);
     f64::from(size.prompt) + f64::from(produced) + growth
 }
--- a/lib/src/gateway/rebalance.rs
+++ b/lib/src/gateway/rebalance.rs
@@ -17,18 +17,18 @@
 use crate::ids::UpstreamId;
 
 /// An engine takes one only up to this, so that none is passed on and on.
-const TAKES_UP_TO: f64 = 0.8;
+const MAX_TARGET_FILL: f64 = 0.8;
 /// An engine with so many more generations than another one gives one away even if both
 /// have room: each running generation makes every step of its neighbours longer.
-const RUNS_APART: usize = 4;
+const MIN_RUN_DIFFERENCE: usize = 4;
 /// Time between two looks, for each engine: a lead of a few looks at each of its ticks, one
 /// of 3,000 every 2.4 s, so that its work does not grow with them.
-const LOOK_PER_ENGINE: Duration = Duration::from_micros(800);
+const PASS_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(800);
 /// A generation is asked to move once within this: the time of a copy on a busy link.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const REQUEST_INTERVAL: Duration = Duration::from_secs(2);
 /// Tokens that a generation must still be expected to make for a move to pay: the time
 /// that it takes to copy a large one, at the usual pace.
-const LEAST_REMAINING: u32 = 100;
+const MIN_REMAINING_TOKENS: u32 = 100;
 
 /// A generation that should move away from its engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,8 +42,8 @@
 /// Decides which generations move for balance.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
-    asked: HashMap<RunKey, Timestamp>,
-    next: Timestamp,
+    requested: HashMap<RunKey, Timestamp>,
+    next_pass: Timestamp,
 }
 
 /// An engine's load.
@@ -58,10 +58,10 @@
 }
 
 impl<'a> Load<'a> {
-    fn new(book: &LoadBook, replica: &'a Replica, traits: &EngineTraits) -> Self {
-        let load = book.engine_load(replica);
+    fn new(tracker: &LoadBook, replica: &'a Replica, traits: &EngineTraits) -> Self {
+        let load = tracker.engine_load(replica);
         let (runs, arriving, fill) = (load.runs, load.arriving > 0, load.fill(traits));
-        let peak = if book.policy.admit_by_peak { load.peak(traits) } else { fill };
+        let peak = if tracker.policy.admit_by_peak { load.peak(traits) } else { fill };
         Load { replica, fill, peak, runs, arriving }
     }
 }
@@ -70,53 +70,59 @@
     /// The generations that should move now, one for each pair of engines.
     pub fn reliefs<'a>(
         &mut self,
-        book: &LoadBook,
+        tracker: &LoadBook,
         engines: impl Iterator<Item = &'a Replica>,
         traits: &EngineTraits,
         now: Timestamp,
     ) -> Vec<Relief> {
-        if now < self.next {
+        if now < self.next_pass {
             return Vec::new();
         }
-        self.asked.retain(|_, at| *at + ASK_AGAIN > now);
-        let mut loads: Vec<Load<'_>> = engines.map(|replica| Load::new(book, replica, traits)).collect();
-        self.next = now + LOOK_PER_ENGINE * loads.len() as u32;
+        self.requested.retain(|_, at| *at + REQUEST_INTERVAL > now);
+        let mut loads: Vec<Load<'_>> = engines.map(|replica| Load::new(tracker, replica, traits)).collect();
+        self.next_pass = now + PASS_INTERVAL_PER_ENGINE * loads.len() as u32;
         loads.sort_by(|a, b| a.fill.total_cmp(&b.fill));
-        let mut takers = loads.iter().filter(|load| !load.arriving && load.fill < TAKES_UP_TO);
-        let mut reliefs = Vec::new();
-        for giver in loads.iter().rev() {
-            let Some(taker) = takers.next() else { break };
-            let apart = giver.runs >= taker.runs + RUNS_APART;
-            if giver.peak <= PEAK_UP_TO && !apart {
+        let mut targets = loads.iter().filter(|load| !load.arriving && load.fill < MAX_TARGET_FILL);
+        let mut moves = Vec::new();
+        for source in loads.iter().rev() {
+            let Some(target) = targets.next() else { break };
+            let is_imbalanced = source.runs >= target.runs + MIN_RUN_DIFFERENCE;
+            if source.peak <= PEAK_UP_TO && !is_imbalanced {
                 continue;
             }
-            if self.is_giving(book, &giver.replica.record.id) {
+            if self.has_pending_move(tracker, &source.replica.record.id) {
                 continue;
             }
-            let room = TAKES_UP_TO - taker.fill;
-            if let Some(key) = self.pick(book, &giver.replica.record.id, room, traits) {
-                self.asked.insert(key.clone(), now);
-                reliefs.push(Relief { key, from: giver.replica.record.id.clone() });
+            let room = MAX_TARGET_FILL - target.fill;
+            if let Some(key) = self.pick_generation(tracker, &source.replica.record.id, room, traits) {
+                self.requested.insert(key.clone(), now);
+                moves.push(Relief { key, from: source.replica.record.id.clone() });
             }
         }
-        reliefs
+        moves
     }
 
-    fn is_giving(&self, book: &LoadBook, engine: &UpstreamId) -> bool {
-        book.at(engine).any(|(key, _)| self.asked.contains_key(key))
+    fn has_pending_move(&self, tracker: &LoadBook, engine: &UpstreamId) -> bool {
+        tracker.at(engine).any(|(key, _)| self.requested.contains_key(key))
     }
 
     /// The generation with the longest to go that fits.
-    fn pick(&self, book: &LoadBook, engine: &UpstreamId, room: f64, traits: &EngineTraits) -> Option<RunKey> {
+    fn pick_generation(
+        &self,
+        tracker: &LoadBook,
+        engine: &UpstreamId,
+        room: f64,
+        traits: &EngineTraits,
+    ) -> Option<RunKey> {
         let memory = f64::from(traits.memory_tokens.max(1));
-        let runs = book.at(engine).filter(|(key, run)| {
+        let runs = tracker.at(engine).filter(|(key, run)| {
             run.produced > 0
                 && run.copied_from.is_none()
-                && !self.asked.contains_key(*key)
-                && book.memory(run) / memory <= room
+                && !self.requested.contains_key(*key)
+                && tracker.memory(run) / memory <= room
         });
         let remaining = runs.map(|(key, run)| (run.remaining(), key));
         let longest = remaining.max_by_key(|(remaining, _)| *remaining)?;
-        (longest.0 >= LEAST_REMAINING).then(|| longest.1.clone())
+        (longest.0 >= MIN_REMAINING_TOKENS).then(|| longest.1.clone())
     }
 }
--- a/lib/src/gateway/shortage.rs
+++ b/lib/src/gateway/shortage.rs
@@ -44,12 +44,12 @@
     }
 
     fn add(&mut self, shortage: Shortage, time: Duration) {
-        let part = match shortage {
+        let total = match shortage {
             Shortage::Engines => &mut self.engines,
             Shortage::Reading => &mut self.reading,
             Shortage::Memory => &mut self.memory,
         };
-        *part += time;
+        *total += time;
     }
 }
 
@@ -57,20 +57,20 @@
 #[derive(Debug, Default)]
 pub struct ShortageClock {
     times: ShortageTimes,
-    short: Option<(Shortage, Timestamp)>,
+    current: Option<(Shortage, Timestamp)>,
 }
 
 impl ShortageClock {
     /// From now on this is short.
     pub fn set(&mut self, shortage: Shortage, now: Timestamp) {
         self.times = self.times(now);
-        self.short = Some((shortage, now));
+        self.current = Some((shortage, now));
     }
 
     /// The times until now.
     pub fn times(&self, now: Timestamp) -> ShortageTimes {
         let mut times = self.times;
-        if let Some((shortage, since)) = self.short {
+        if let Some((shortage, since)) = self.current {
             times.add(shortage, now.saturating_sub(since));
         }
         times
--- a/lib/src/gateway/start_reading.rs
+++ b/lib/src/gateway/start_reading.rs
@@ -12,15 +12,15 @@
 use crate::ids::Timestamp;
 
 /// Other nodes are waited for so long: a seed that runs answers within some tens of milliseconds.
-const OTHERS_FIRST: Duration = Duration::from_millis(150);
+const PEER_GRACE: Duration = Duration::from_millis(150);
 /// Nodes that begin to read between two looks, of all that there are.
-const READERS_PER_LOOK: f64 = 2.0;
+const READERS_PER_CHECK: f64 = 2.0;
 /// Time between two looks.
 pub const LOOK: Duration = Duration::from_millis(100);
 
 /// Whether a node reads now that lacks everything. `is_seed` tells whether it is one that others ask first, `nodes` how
 /// many there are, as far as it knows.
 pub fn reads_now<R: Rng>(is_seed: bool, nodes: usize, since_start: Timestamp, rng: &mut R) -> bool {
-    let chance = READERS_PER_LOOK / nodes.max(1) as f64;
-    is_seed || (since_start >= OTHERS_FIRST && rng.random_bool(chance.min(1.0)))
+    let chance = READERS_PER_CHECK / nodes.max(1) as f64;
+    is_seed || (since_start >= PEER_GRACE && rng.random_bool(chance.min(1.0)))
 }
--- a/lib/src/gateway/token_pace.rs
+++ b/lib/src/gateway/token_pace.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::learned::Learned;
+use crate::gateway::learned::Estimate;
 use crate::gateway::routing::ServiceId;
 use crate::gateway::run_key::RunKey;
 use crate::ids::Timestamp;
@@ -14,10 +14,10 @@
 const NEWEST_WEIGHT: f64 = 0.01;
 /// Least time between two observations of one generation: an event holds some tokens, and a
 /// shorter span would count them as all or none.
-const LEAST_SPAN: Duration = Duration::from_millis(400);
+const MIN_SPAN: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Sample {
     tokens: u32,
     at: Timestamp,
 }
@@ -25,8 +25,8 @@
 /// The paces of all services.
 #[derive(Debug, Default)]
 pub struct TokenPaces {
-    services: HashMap<ServiceId, Learned>,
-    seen: HashMap<RunKey, Seen>,
+    services: HashMap<ServiceId, Estimate>,
+    samples: HashMap<RunKey, Sample>,
 }
 
 impl TokenPaces {
@@ -36,29 +36,29 @@
         if tokens == 0 {
             return;
         }
-        let seen = Seen { tokens, at: now };
-        let Some(before) = self.seen.get_mut(key) else {
-            self.seen.insert(key.clone(), seen);
+        let sample = Sample { tokens, at: now };
+        let Some(previous) = self.samples.get_mut(key) else {
+            self.samples.insert(key.clone(), sample);
             return;
         };
-        let span = now.saturating_sub(before.at);
-        if span < LEAST_SPAN {
+        let span = now.saturating_sub(previous.at);
+        if span < MIN_SPAN {
             return;
         }
-        let made = f64::from(tokens.saturating_sub(before.tokens));
-        *before = seen;
-        let guess = Learned::new(GUESSED_TOKENS_PER_SECOND, NEWEST_WEIGHT);
+        let made = f64::from(tokens.saturating_sub(previous.tokens));
+        *previous = sample;
+        let guess = Estimate::new(GUESSED_TOKENS_PER_SECOND, NEWEST_WEIGHT);
         self.services.entry(service.clone()).or_insert(guess).observe(made / span.as_secs_f64());
     }
 
     /// A generation is gone.
     pub fn forget(&mut self, key: &RunKey) {
-        self.seen.remove(key);
+        self.samples.remove(key);
     }
 
     /// Tokens that a generation of a service makes in a second.
     pub fn tokens_per_second(&self, service: &str) -> f64 {
-        self.services.get(service).map_or(GUESSED_TOKENS_PER_SECOND, Learned::value)
+        self.services.get(service).map_or(GUESSED_TOKENS_PER_SECOND, Estimate::value)
     }
 
     /// All that was learned.
--- a/lib/tests/test_gateway_cold_start.rs
+++ b/lib/tests/test_gateway_cold_start.rs
@@ -14,11 +14,11 @@
 
 const BOUNDS: ColdBounds = ColdBounds { overshoot: 1.5, slack: 5.0 };
 /// What a cold replica bears in a second.
-const RATE: f64 = 27.0;
+const COLD_RATE: f64 = 27.0;
 /// Arrivals in one second that break what is promised.
-const MOST: usize = 45;
+const MAX_ARRIVALS_PER_SECOND: usize = 45;
 /// A placed request arrives within this.
-const WAY: Duration = Duration::from_millis(250);
+const MAX_TRANSIT: Duration = Duration::from_millis(250);
 
 struct Case {
     name: &'static str,
@@ -40,7 +40,7 @@
 /// A hall of four replicas comes back cold for 4.5 s, in a burst of 600 requests a second: 150 for each, over
 /// three times what it bears. Returns the most
 /// arrivals of any replica in any second, and how many were given in all.
-fn play(case: &Case, seed: u64) -> (usize, usize) {
+fn simulate(case: &Case, seed: u64) -> (usize, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let ids: Vec<VmId> = (0..case.nodes).map(|n| format!("10.0.0.{n}:1").into()).collect();
     let mut nodes: Vec<ColdStarts> = ids.iter().map(|id| ColdStarts::new(id.clone())).collect();
@@ -52,13 +52,13 @@
     let mut arrivals: BTreeMap<UpstreamId, Vec<Duration>> = BTreeMap::new();
     for n in 0..2_700_u32 {
         let now = Duration::from_millis(u64::from(n) * 5 / 3);
-        let asked_lead = case.has_leads && rng.random::<f64>() < 0.5;
-        let (node, giver) =
-            if asked_lead { (0, Giver::Lead) } else { (rng.random_range(0..case.nodes), Giver::Node) };
+        let via_lead = case.has_leads && rng.random::<f64>() < 0.5;
+        let (node, placed_by) =
+            if via_lead { (0, Giver::Lead) } else { (rng.random_range(0..case.nodes), Giver::Node) };
         let replica = &replicas[rng.random_range(0..replicas.len())];
-        if nodes[node].allows(replica, giver, BOUNDS.shared(RATE), now) {
+        if nodes[node].allows(replica, placed_by, BOUNDS.shared(COLD_RATE), now) {
             nodes[node].on_given(replica, now);
-            arrivals.entry(replica.clone()).or_default().push(now + WAY.mul_f64(rng.random()));
+            arrivals.entry(replica.clone()).or_default().push(now + MAX_TRANSIT.mul_f64(rng.random()));
         }
     }
     let mut most = 0;
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn test_a_cold_hall_gets_no_more_than_it_bears() {
+fn test_cold_replicas_are_not_overloaded() {
     for case in &CASES {
         for seed in 0..8 {
-            let (most, given) = play(case, seed);
-            assert!(most <= MOST, "{}: {most} arrivals in a second", case.name);
+            let (most, sent) = simulate(case, seed);
+            assert!(most <= MAX_ARRIVALS_PER_SECOND, "{}: {most} arrivals in a second", case.name);
             // It is used meanwhile, so that not all comes to it at once. Of 300 nodes 22 give it something.
-            assert!(given >= 80, "{}: {given} in 4.5 s", case.name);
+            assert!(sent >= 80, "{}: {sent} in 4.5 s", case.name);
         }
     }
 }
@@ -89,15 +89,15 @@
     let ids: Vec<VmId> = (0..66).map(|n| format!("n-{n}").into()).collect();
     for (rate, shared) in [(27.0, 22), (400.0, 302), (0.5, 2)] {
         assert_eq!(BOUNDS.shared(rate), shared);
-        let mut given = 0;
+        let mut sent = 0;
         for own in &ids {
             let mut node = ColdStarts::new(own.clone());
             node.set_nodes(ids.iter().filter(|id| *id != own).cloned());
             while node.allows(&"i-1".into(), Giver::Node, shared, Duration::ZERO) {
                 node.on_given("i-1", Duration::ZERO);
-                given += 1;
+                sent += 1;
             }
         }
-        assert_eq!(given, shared, "{rate} a second");
+        assert_eq!(sent, shared, "{rate} a second");
     }
 }
--- a/lib/tests/test_gateway_full_engines.rs
+++ b/lib/tests/test_gateway_full_engines.rs
@@ -32,12 +32,12 @@
 
 const ENGINES: usize = 20;
 /// Prompt tokens that an engine reads in a millisecond beside some streams.
-const READS_PER_MS: f64 = 7.2;
-const TOKEN_EVERY: Duration = Duration::from_millis(14);
+const PREFILL_TOKENS_PER_MS: f64 = 7.2;
+const TOKEN_INTERVAL: Duration = Duration::from_millis(14);
 /// Too many prompts come for so long, then a little fewer than engines read.
-const PEAK: Duration = Duration::from_secs(15);
+const PEAK_END: Duration = Duration::from_secs(15);
 const AFTER_PEAK: f64 = 0.8;
-const ENDS: Duration = Duration::from_secs(30);
+const ARRIVALS_END: Duration = Duration::from_secs(30);
 const START: Duration = Duration::from_secs(100);
 const TICK: Duration = Duration::from_millis(100);
 
@@ -81,8 +81,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(Kind),
-    Read { engine: usize, run: u64 },
+    Arrival(Kind),
+    PrefillDone { engine: usize, run: u64 },
     Ends { run: u64 },
     Tick,
 }
@@ -92,19 +92,19 @@
     run: u64,
     kind: Kind,
     size: GenerationSize,
-    came: Timestamp,
+    arrived_at: Timestamp,
 }
 
 /// What became of the callers of a kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
+struct Outcomes {
     in_time: usize,
     late: usize,
     left: usize,
     longest: Duration,
 }
 
-impl Got {
+impl Outcomes {
     fn all(&self) -> usize {
         self.in_time + self.late + self.left
     }
@@ -117,11 +117,11 @@
     book: LoadBook,
     queue: LeadQueue<Caller>,
     /// What each engine was given and has not read, in order.
-    given: Vec<VecDeque<Caller>>,
+    prompts: Vec<VecDeque<Caller>>,
     now: Timestamp,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     count: u64,
-    got: [Got; 2],
+    outcomes: [Outcomes; 2],
     rng: SmallRng,
 }
 
@@ -152,14 +152,14 @@
             table,
             book: LoadBook::default(),
             queue: LeadQueue::new(Policy::default()),
-            given: vec![VecDeque::new(); ENGINES],
+            prompts: vec![VecDeque::new(); ENGINES],
             now: START,
             events: BinaryHeap::new(),
             count: 0,
-            got: [Got::default(); 2],
+            outcomes: [Outcomes::default(); 2],
             rng: SmallRng::seed_from_u64(seed),
         };
-        for event in [Event::Arrives(Kind::Chat), Event::Arrives(Kind::Verdict), Event::Tick] {
+        for event in [Event::Arrival(Kind::Chat), Event::Arrival(Kind::Verdict), Event::Tick] {
             model.push(START, event);
         }
         model
@@ -174,12 +174,12 @@
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
             match event {
-                Event::Arrives(kind) => self.arrives(kind),
-                Event::Read { engine, run } => self.read(engine, run),
+                Event::Arrival(kind) => self.on_arrival(kind),
+                Event::PrefillDone { engine, run } => self.on_prefill_done(engine, run),
                 Event::Ends { run } => {
                     self.book.remove(&key(run));
                 }
-                Event::Tick if at < START + 2 * ENDS => {
+                Event::Tick if at < START + 2 * ARRIVALS_END => {
                     self.settle();
                     self.push(at + TICK, Event::Tick);
                 }
@@ -188,28 +188,28 @@
         }
     }
 
-    fn arrives(&mut self, kind: Kind) {
+    fn on_arrival(&mut self, kind: Kind) {
         let since = self.now - START;
-        if since > ENDS {
+        if since > ARRIVALS_END {
             return;
         }
-        let load = if since < PEAK { self.load } else { AFTER_PEAK };
+        let load = if since < PEAK_END { self.load } else { AFTER_PEAK };
         // Chats are six of ten prompt tokens.
         let (part, tokens) = if kind == Kind::Chat { (0.6, 3_050.0) } else { (0.4, 2_550.0) };
-        let per_ms = load * ENGINES as f64 * READS_PER_MS * part / tokens;
+        let per_ms = load * ENGINES as f64 * PREFILL_TOKENS_PER_MS * part / tokens;
         let pause = -(1.0 - self.rng.random::<f64>()).ln() / per_ms;
-        self.push(self.now + Duration::from_secs_f64(pause / 1_000.0), Event::Arrives(kind));
+        self.push(self.now + Duration::from_secs_f64(pause / 1_000.0), Event::Arrival(kind));
         let size = kind.size(&mut self.rng);
-        let caller = Caller { run: self.count, kind, size, came: self.now };
+        let caller = Caller { run: self.count, kind, size, arrived_at: self.now };
         if self.lead == Lead::Never {
             assert!(self.grant(caller, false), "memory is ample");
             return;
         }
         let priority = kind as u8;
-        let reading = self.book.reading.usual_time("m", size.prompt);
-        let may_wait = kind.leaves_after() - reading;
+        let prefill = self.book.reading.usual_time("m", size.prompt);
+        let may_wait = kind.leaves_after() - prefill;
         let in_time = match self.lead {
-            Lead::ByTurn => (kind.objective() - reading).saturating_sub(READS_AHEAD),
+            Lead::ByTurn => (kind.objective() - prefill).saturating_sub(READS_AHEAD),
             _ => may_wait,
         };
         let terms = Terms { priority, in_time, may_wait, tokens: 0.0 };
@@ -229,7 +229,7 @@
         let settled = queue.settle(self, self.now);
         self.queue = queue;
         for caller in settled.into_iter().filter(|settled| settled.outcome.is_err()) {
-            self.got[caller.item.kind as usize].left += 1;
+            self.outcomes[caller.item.kind as usize].left += 1;
         }
     }
 
@@ -250,44 +250,45 @@
         let id = replica.record.id.clone();
         let run = Run { replica: id, size: Some(caller.size), produced: 0, copied_from: None };
         self.book.add(key(caller.run), run, &replica, self.now);
-        self.given[at].push_back(caller);
-        if self.given[at].len() == 1 {
-            self.begin_reading(at);
+        self.prompts[at].push_back(caller);
+        if self.prompts[at].len() == 1 {
+            self.start_prefill(at);
         }
         true
     }
 
-    fn begin_reading(&mut self, engine: usize) {
-        while let Some(next) = self.given[engine].front().copied() {
-            if self.now <= next.came + next.kind.leaves_after() {
-                let takes = Duration::from_secs_f64(f64::from(next.size.prompt) / READS_PER_MS / 1_000.0);
-                self.push(self.now + takes, Event::Read { engine, run: next.run });
+    fn start_prefill(&mut self, engine: usize) {
+        while let Some(next) = self.prompts[engine].front().copied() {
+            if self.now <= next.arrived_at + next.kind.leaves_after() {
+                let duration =
+                    Duration::from_secs_f64(f64::from(next.size.prompt) / PREFILL_TOKENS_PER_MS / 1_000.0);
+                self.push(self.now + duration, Event::PrefillDone { engine, run: next.run });
                 return;
             }
             // Its caller has left.
-            self.given[engine].pop_front();
+            self.prompts[engine].pop_front();
             self.book.remove(&key(next.run));
-            self.got[next.kind as usize].left += 1;
+            self.outcomes[next.kind as usize].left += 1;
         }
     }
 
-    fn read(&mut self, engine: usize, run: u64) {
-        let caller = self.given[engine].pop_front().expect("it was being read");
+    fn on_prefill_done(&mut self, engine: usize, run: u64) {
+        let caller = self.prompts[engine].pop_front().expect("it was being read");
         let id = format!("e{engine:02}").into();
         let id: leadstage_lib::ids::UpstreamId = id;
         self.book.reading.on_first_event(&key(run), &id, self.now);
-        let took = self.now - caller.came;
-        let got = &mut self.got[caller.kind as usize];
-        got.longest = got.longest.max(took);
+        let took = self.now - caller.arrived_at;
+        let outcomes = &mut self.outcomes[caller.kind as usize];
+        outcomes.longest = outcomes.longest.max(took);
         if took <= caller.kind.objective() {
-            got.in_time += 1;
+            outcomes.in_time += 1;
         } else if took <= caller.kind.leaves_after() {
-            got.late += 1;
+            outcomes.late += 1;
         } else {
-            got.left += 1;
+            outcomes.left += 1;
         }
-        self.push(self.now + TOKEN_EVERY * caller.size.expected, Event::Ends { run });
-        self.begin_reading(engine);
+        self.push(self.now + TOKEN_INTERVAL * caller.size.expected, Event::Ends { run });
+        self.start_prefill(engine);
         self.settle();
     }
 }
@@ -305,16 +306,16 @@
     }
 }
 
-fn play(lead: Lead, load: f64) -> [Got; 2] {
-    let mut sums = [Got::default(); 2];
+fn simulate(lead: Lead, load: f64) -> [Outcomes; 2] {
+    let mut sums = [Outcomes::default(); 2];
     for seed in 0..4 {
         let mut model = Model::new(lead, load, seed);
         model.run();
-        for (sum, got) in sums.iter_mut().zip(model.got) {
-            sum.in_time += got.in_time;
-            sum.late += got.late;
-            sum.left += got.left;
-            sum.longest = sum.longest.max(got.longest);
+        for (sum, outcomes) in sums.iter_mut().zip(model.outcomes) {
+            sum.in_time += outcomes.in_time;
+            sum.late += outcomes.late;
+            sum.left += outcomes.left;
+            sum.longest = sum.longest.max(outcomes.longest);
         }
     }
     sums
@@ -325,10 +326,10 @@
     let mut text = String::new();
     for load in [0.7, 0.95, 1.1, 1.3] {
         for lead in [Lead::Never, Lead::ByArrival, Lead::ByTurn] {
-            let got = play(lead, load);
+            let outcomes = simulate(lead, load);
             write!(text, "load {load}, {lead:?}:").unwrap();
             for kind in [Kind::Verdict, Kind::Chat] {
-                let Got { in_time, late, left, longest } = got[kind as usize];
+                let Outcomes { in_time, late, left, longest } = outcomes[kind as usize];
                 write!(
                     text,
                     " {kind:?} {in_time} in time, {late} late, {left} left, {} ms at most;",
@@ -345,13 +346,15 @@
 /// A peak of 1.1 times what engines read: the queue by turns has fewer begin late than both others, has
 /// nobody leave, and the more urgent kind is served no less.
 #[test]
-fn test_a_peak_makes_few_late() {
+fn test_few_callers_are_late_in_a_peak() {
     let [never, by_arrival, by_turn] =
-        [Lead::Never, Lead::ByArrival, Lead::ByTurn].map(|lead| play(lead, 1.1));
-    let late = |got: &[Got; 2]| got.iter().map(|got| got.late + got.left).sum::<usize>();
+        [Lead::Never, Lead::ByArrival, Lead::ByTurn].map(|lead| simulate(lead, 1.1));
+    let late = |outcomes: &[Outcomes; 2]| {
+        outcomes.iter().map(|outcomes| outcomes.late + outcomes.left).sum::<usize>()
+    };
     assert!(2 * late(&by_turn) < late(&never), "{by_turn:?} {never:?}");
     assert!(late(&by_turn) < late(&by_arrival), "{by_turn:?} {by_arrival:?}");
-    assert_eq!(by_turn.map(|got| got.left), [0, 0]);
-    let share = |got: &Got| got.in_time as f64 / got.all() as f64;
+    assert_eq!(by_turn.map(|outcomes| outcomes.left), [0, 0]);
+    let share = |outcomes: &Outcomes| outcomes.in_time as f64 / outcomes.all() as f64;
     assert!(share(&by_turn[0]) >= share(&by_turn[1]), "{by_turn:?}");
 }
--- a/lib/tests/test_gateway_learned.rs
+++ b/lib/tests/test_gateway_learned.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::learned::Learned;
+use leadstage_lib::gateway::learned::Estimate;
 use leadstage_lib::gateway::reading::ReadingClocks;
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::replicas::ReplicaTable;
@@ -14,7 +14,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 /// What a prompt token is guessed to take, in milliseconds.
-const GUESS_MS: f64 = 0.14;
+const MS_PER_TOKEN: f64 = 0.14;
 
 fn key(run: u64) -> RunKey {
     RunKey { entry: "n".into(), run }
@@ -34,7 +34,7 @@
 }
 
 /// Has an engine read prompts one after another, `ms_per_token` each; returns when it is done.
-fn read(
+fn prefill_prompts(
     clocks: &mut ReadingClocks,
     engine: &Replica,
     keys: std::ops::Range<u64>,
@@ -51,51 +51,51 @@
     now
 }
 
-fn ms_for_1000(clocks: &ReadingClocks, engine: &Replica, now: Duration) -> f64 {
-    clocks.reading_time(engine, 1_000, now).as_secs_f64() * 1_000.0
+fn ms_per_1000_tokens(clocks: &ReadingClocks, engine: &Replica, now: Duration) -> f64 {
+    clocks.prefill_time(engine, 1_000, now).as_secs_f64() * 1_000.0
 }
 
 proptest! {
     /// Whatever an engine's speed, ten prompts tell it to within a fifth, and another engine of the
     /// service is taken to be like it before it has read anything.
     #[test]
-    fn test_speed_of_reading_is_learned(times in 0.3_f64..4.0) {
+    fn test_prefill_speed_is_learned(times in 0.3_f64..4.0) {
         let mut clocks = ReadingClocks::default();
         let (first, fresh) = (warm("e1"), warm("e2"));
-        let now = read(&mut clocks, &first, 0..10, GUESS_MS * times, NOW);
-        let actual = 1_000.0 * GUESS_MS * times;
-        let known = ms_for_1000(&clocks, &first, now);
+        let now = prefill_prompts(&mut clocks, &first, 0..10, MS_PER_TOKEN * times, NOW);
+        let actual = 1_000.0 * MS_PER_TOKEN * times;
+        let known = ms_per_1000_tokens(&clocks, &first, now);
         prop_assert!((known / actual - 1.0).abs() < 0.2, "{} instead of {}", known, actual);
-        let assumed = ms_for_1000(&clocks, &fresh, now);
+        let assumed = ms_per_1000_tokens(&clocks, &fresh, now);
         prop_assert!((assumed / actual - 1.0).abs() < 0.35, "{} instead of {}", assumed, actual);
     }
 
     /// An engine that slows down to a third is taken for at least half as slow after five prompts,
     /// and the others of its service for no more than half as slow again.
     #[test]
-    fn test_an_engine_that_slows_down_is_noticed(times in 0.3_f64..4.0) {
+    fn test_engine_slowdown_is_detected(times in 0.3_f64..4.0) {
         let mut clocks = ReadingClocks::default();
         let (slows, stays) = (warm("e1"), warm("e2"));
         let mut now = NOW;
         for round in 0..10 {
-            now = read(&mut clocks, &slows, 4 * round..4 * round + 2, GUESS_MS * times, now);
-            now = read(&mut clocks, &stays, 4 * round + 2..4 * round + 4, GUESS_MS * times, now);
+            now = prefill_prompts(&mut clocks, &slows, 4 * round..4 * round + 2, MS_PER_TOKEN * times, now);
+            now = prefill_prompts(&mut clocks, &stays, 4 * round + 2..4 * round + 4, MS_PER_TOKEN * times, now);
         }
-        let before = ms_for_1000(&clocks, &slows, now);
-        now = read(&mut clocks, &slows, 100..105, 3.0 * GUESS_MS * times, now);
-        prop_assert!(ms_for_1000(&clocks, &slows, now) > 1.5 * before);
-        prop_assert!(ms_for_1000(&clocks, &stays, now) < 1.5 * before);
+        let before = ms_per_1000_tokens(&clocks, &slows, now);
+        now = prefill_prompts(&mut clocks, &slows, 100..105, 3.0 * MS_PER_TOKEN * times, now);
+        prop_assert!(ms_per_1000_tokens(&clocks, &slows, now) > 1.5 * before);
+        prop_assert!(ms_per_1000_tokens(&clocks, &stays, now) < 1.5 * before);
         let another = warm("e3");
-        prop_assert!(ms_for_1000(&clocks, &another, now) < 1.5 * before);
+        prop_assert!(ms_per_1000_tokens(&clocks, &another, now) < 1.5 * before);
     }
 
     /// One odd observation moves a quantity by no more than its weight allows.
     #[test]
-    fn test_odd_observations_count_little(odd in prop_oneof![Just(f64::NAN), Just(0.0), Just(-1.0), Just(f64::INFINITY), 1e-9_f64..1e9]) {
-        let mut learned = Learned::new(10.0, 0.1);
-        (0..50).for_each(|_| learned.observe(10.0));
-        learned.observe(odd);
-        prop_assert!((8.7..=11.5).contains(&learned.value()), "{}", learned.value());
+    fn test_outliers_have_little_weight(outlier in prop_oneof![Just(f64::NAN), Just(0.0), Just(-1.0), Just(f64::INFINITY), 1e-9_f64..1e9]) {
+        let mut estimate = Estimate::new(10.0, 0.1);
+        (0..50).for_each(|_| estimate.observe(10.0));
+        estimate.observe(outlier);
+        prop_assert!((8.7..=11.5).contains(&estimate.value()), "{}", estimate.value());
     }
 
     /// The pace of generations is learned from their progress, and a pause says nothing of it.
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn test_clock_moves_with_late_events() {
+fn test_late_first_events_delay_the_clock() {
     let mut clocks = ReadingClocks::default();
     let engine = warm("e1");
     clocks.on_given(&key(1), &engine, 1_000, NOW);
@@ -132,20 +132,20 @@
 /// How much slower engines are that have just started differs from fleet to fleet. It is guessed
 /// until one was seen, and has no say in how fast engines are that have warmed up.
 #[test]
-fn test_engines_that_have_just_started_are_known_by_others() {
+fn test_cold_factor_is_learned_from_other_engines() {
     let mut clocks = ReadingClocks::default();
-    let now = read(&mut clocks, &warm("old"), 0..10, GUESS_MS, NOW);
+    let now = prefill_prompts(&mut clocks, &warm("old"), 0..10, MS_PER_TOKEN, NOW);
     let cold = Duration::from_secs(60);
     let rows: Vec<String> = [(1.0, 100), (3.0, 200)]
         .into_iter()
         .map(|(factor, first)| {
-            let before = ms_for_1000(&clocks, &engine("next", cold), now);
+            let before = ms_per_1000_tokens(&clocks, &engine("next", cold), now);
             for n in 0..8 {
                 let started = engine(&format!("new-{first}-{n}"), cold);
-                read(&mut clocks, &started, first + n..first + n + 1, factor * GUESS_MS, now);
+                prefill_prompts(&mut clocks, &started, first + n..first + n + 1, factor * MS_PER_TOKEN, now);
             }
-            let after = ms_for_1000(&clocks, &engine("next", cold), now);
-            let warm = ms_for_1000(&clocks, &warm("next"), now);
+            let after = ms_per_1000_tokens(&clocks, &engine("next", cold), now);
+            let warm = ms_per_1000_tokens(&clocks, &warm("next"), now);
             format!("{factor} times: {before:.0} before, {after:.0} after, {warm:.0} warm")
         })
         .collect();
--- a/lib/tests/test_gateway_load.rs
+++ b/lib/tests/test_gateway_load.rs
@@ -61,7 +61,7 @@
 }
 
 /// A request is at its replica from now on.
-fn give(book: &mut LoadBook, table: &ReplicaTable, key: RunKey, run: Run) {
+fn assign(book: &mut LoadBook, table: &ReplicaTable, key: RunKey, run: Run) {
     let replica = table.get(&run.replica).expect("it is known").clone();
     book.add(key, run, &replica, NOW);
 }
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn test_prompts_spread_over_engines_as_they_are_read_one_after_another() {
+fn test_prompts_spread_over_engines() {
     let table = table(&[("e1", "a"), ("e2", "a"), ("e3", "a")]);
     let mut book = LoadBook::default();
     let mut chosen = Vec::new();
     for n in 0..6 {
         let engine = choose(&book, &table, 3_000, false).expect("there is room");
-        give(&mut book, &table, key(n), run(&engine, 3_000, 900, 0));
+        assign(&mut book, &table, key(n), run(&engine, 3_000, 900, 0));
         chosen.push(engine);
     }
     for engine in ["e1", "e2", "e3"] {
@@ -92,11 +92,11 @@
 }
 
 #[test]
-fn test_full_engines_take_no_new_generation_but_one_that_moves() {
+fn test_full_engines_admit_moves_but_no_new_generations() {
     let table = table(&[("e1", "a")]);
     let mut book = LoadBook::default();
     for n in 0..9 {
-        give(&mut book, &table, key(n), run("e1", 3_000, 300, 200));
+        assign(&mut book, &table, key(n), run("e1", 3_000, 300, 200));
     }
     let fill = book.engine_load(table.get("e1").expect("it is listed")).fill(&traits());
     assert!((0.80..0.90).contains(&fill), "{fill}");
@@ -107,12 +107,12 @@
 /// Four that end one after the other leave room for a fifth, which four that end together don't: all five would
 /// have grown by then. What each holds now is the same.
 #[test]
-fn test_a_generation_is_admitted_by_the_most_memory_that_is_expected_to_be_used() {
+fn test_generations_are_admitted_by_expected_peak() {
     let table = table(&[("e1", "a")]);
     let admits = |expected: [u32; 4]| {
         let mut book = LoadBook::default();
         for (n, expected) in expected.into_iter().enumerate() {
-            give(&mut book, &table, key(n as u64), run("e1", 5_900, expected, 200));
+            assign(&mut book, &table, key(n as u64), run("e1", 5_900, expected, 200));
         }
         choose(&book, &table, 5_900, false)
     };
@@ -122,7 +122,7 @@
 
 fn peak_of(growths: &[(u32, u32)]) -> f64 {
     let growths =
-        growths.iter().map(|(now, to_come)| Growth { now: (*now).into(), to_come: (*to_come).into() });
+        growths.iter().map(|(now, remaining)| Growth { held: (*now).into(), remaining: (*remaining).into() });
     expected_peak(growths.collect())
 }
 
@@ -138,9 +138,9 @@
 proptest! {
     /// The peak is what a count of the tokens in each step shows.
     #[test]
-    fn test_expected_peak_is_what_steps_show(growths in proptest::collection::vec((0..5_000_u32, 0..300_u32), 0..24)) {
+    fn test_expected_peak_matches_a_step_by_step_count(growths in proptest::collection::vec((0..5_000_u32, 0..300_u32), 0..24)) {
         let held = |step: u32| -> u32 {
-            let there = growths.iter().filter(|(_, to_come)| *to_come >= step);
+            let there = growths.iter().filter(|(_, remaining)| *remaining >= step);
             there.map(|(now, _)| now + step).sum()
         };
         let most = (0..=300).map(held).max().unwrap_or_default();
@@ -151,15 +151,15 @@
 /// Links between halls lose packets now and then, and a stream that crosses one then stalls: a
 /// somewhat busier engine of the caller's hall is better, a much busier one is not.
 #[test]
-fn test_generations_stay_in_the_hall_that_they_came_to() {
+fn test_generations_prefer_their_own_hall() {
     let table = table(&[("far", "b"), ("near", "a")]);
     let mut book = LoadBook::default();
     for n in 0..3 {
-        give(&mut book, &table, key(n), run("near", 2_000, 900, 100));
+        assign(&mut book, &table, key(n), run("near", 2_000, 900, 100));
     }
     assert_eq!(choose(&book, &table, 3_000, false), Some("near".to_owned()));
     for n in 3..10 {
-        give(&mut book, &table, key(n), run("near", 2_000, 900, 100));
+        assign(&mut book, &table, key(n), run("near", 2_000, 900, 100));
     }
     assert_eq!(choose(&book, &table, 3_000, false), Some("far".to_owned()));
 }
@@ -167,11 +167,11 @@
 /// An engine that failed some of its last generations gets none while others have room, even
 /// if they are busier; one that has been well since is used again.
 #[test]
-fn test_engines_that_failed_lately_are_avoided() {
+fn test_engines_with_recent_failures_are_avoided() {
     let mut table = table(&[("e1", "a"), ("e2", "a")]);
     let mut book = LoadBook::default();
     for n in 0..4 {
-        give(&mut book, &table, key(n), run("e2", 2_000, 900, 100));
+        assign(&mut book, &table, key(n), run("e2", 2_000, 900, 100));
     }
     assert_eq!(choose(&book, &table, 3_000, false), Some("e1".to_owned()));
     let before = NOW - Duration::from_millis(400);
@@ -187,11 +187,11 @@
 }
 
 #[test]
-fn test_moves_stay_in_their_hall_and_off_busy_links() {
+fn test_moves_prefer_their_own_hall_and_idle_links() {
     let table = table(&[("far", "b"), ("near1", "a"), ("near2", "a")]);
     let mut book = LoadBook::default();
     let copy = Run { copied_from: Some("gone".into()), ..run("near1", 3_000, 900, 400) };
-    give(&mut book, &table, key(1), copy);
+    assign(&mut book, &table, key(1), copy);
     assert_eq!(choose(&book, &table, 3_000, true), Some("near2".to_owned()));
     assert_eq!(book.copies_from("gone"), 1);
     book.on_copied(&key(1));
@@ -204,7 +204,7 @@
     let engines = table(&[("e1", "a"), ("e2", "a"), ("e3", "a")]);
     let mut book = LoadBook::default();
     for n in 1..=3 {
-        give(&mut book, &engines, key(n), run("e1", 100, 100, 0));
+        assign(&mut book, &engines, key(n), run("e1", 100, 100, 0));
     }
     let entry: VmId = "n".into();
     book.on_inventory(&entry, 0..=2, vec![(1, run("e2", 100, 100, 40))], NOW);
@@ -221,13 +221,13 @@
 proptest! {
     /// The book's two indexes agree, whatever comes.
     #[test]
-    fn test_book_stays_consistent(steps in proptest::collection::vec((0u8..4, 0u64..6, 0u8..3), 1..60)) {
+    fn test_indexes_of_the_load_tracker_agree(steps in proptest::collection::vec((0u8..4, 0u64..6, 0u8..3), 1..60)) {
         let engines = table(&[("e0", "a"), ("e1", "a"), ("e2", "a")]);
         let mut book = LoadBook::default();
         for (what, n, engine) in steps {
             let engine = format!("e{engine}");
             match what {
-                0 => give(&mut book, &engines, key(n), run(&engine, 100, 100, 0)),
+                0 => assign(&mut book, &engines, key(n), run(&engine, 100, 100, 0)),
                 1 => { book.remove(&key(n)); }
                 2 => {
                     let runs = vec![(n, run(&engine, 100, 100, 4))];
@@ -242,22 +242,22 @@
 }
 
 #[test]
-fn test_full_engines_give_generations_to_empty_ones_once() {
+fn test_full_engines_move_generations_to_empty_ones_once() {
     let table = table(&[("empty", "a"), ("full", "a")]);
     let mut book = LoadBook::default();
     for n in 0..9 {
-        give(&mut book, &table, key(n), run("full", 3_400, 500 + n as u32, 100));
+        assign(&mut book, &table, key(n), run("full", 3_400, 500 + n as u32, 100));
     }
     let mut rebalancer = Rebalancer::default();
-    let reliefs = rebalancer.reliefs(&book, table.iter(), &traits(), NOW);
-    assert_eq!(reliefs.len(), 1);
-    assert_eq!((reliefs[0].key.run, &*reliefs[0].from), (8, "full"), "the one with the longest to go");
+    let moves = rebalancer.reliefs(&book, table.iter(), &traits(), NOW);
+    assert_eq!(moves.len(), 1);
+    assert_eq!((moves[0].key.run, &*moves[0].from), (8, "full"), "the one with the longest to go");
     let soon = NOW + Duration::from_millis(100);
     assert_eq!(rebalancer.reliefs(&book, table.iter(), &traits(), soon), []);
 }
 
 #[test]
-fn test_order_of_an_evacuation() {
+fn test_evacuation_order() {
     let long = GenerationSize { prompt: 3_000, expected: 2_200 };
     let short = GenerationSize { prompt: 3_000, expected: 200 };
     assert!(evacuation::rank(long, 100) < evacuation::rank(short, 10));
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn test_silent_lead_is_passed_over_for_a_while() {
+fn test_silent_lead_is_skipped_for_a_while() {
     let own: VmId = "a".into();
     let others: Vec<VmId> = ["b", "c", "d"].map(VmId::from).into();
     let mut leads = Leads::default();
@@ -287,7 +287,7 @@
     /// A lead that is told in parts, in any order, knows what one knows that is told all at once. A
     /// part that is lost leaves what was known of its requests, and nothing else.
     #[test]
-    fn test_parts_of_an_inventory_make_up_the_whole(
+    fn test_inventory_parts_match_the_whole(
         before in proptest::collection::btree_set(0u64..60, 0..40),
         now in proptest::collection::btree_set(0u64..60, 0..40),
         last in 0u64..60,
@@ -298,33 +298,33 @@
         let engines = table(&[("e1", "a")]);
         let entry: VmId = "n".into();
         let runs: Vec<_> = now.iter().map(|n| (*n, run("e1", 100, 100, 40))).collect();
-        let told = |parts: &[Inventory]| {
+        let known_after = |parts: &[Inventory]| {
             let mut book = LoadBook::default();
             for n in &before {
-                give(&mut book, &engines, key(*n), run("e1", 100, 100, 0));
+                assign(&mut book, &engines, key(*n), run("e1", 100, 100, 0));
             }
             for part in parts {
                 book.on_inventory(&entry, part.ids.clone(), part.runs.clone(), NOW);
             }
             book.of_entry(&entry).map(|(n, run)| (n, run.produced)).collect::<Vec<_>>()
         };
-        let whole = told(&[Inventory { runs: runs.clone(), ids: 0..=last }]);
+        let whole = known_after(&[Inventory { runs: runs.clone(), ids: 0..=last }]);
         let mut parts = Inventory::parts(runs, last, most_bytes);
         parts.shuffle(&mut SmallRng::seed_from_u64(order));
-        prop_assert_eq!(&told(&parts), &whole);
+        prop_assert_eq!(&known_after(&parts), &whole);
         let lost = parts.remove(lost % parts.len());
         let is_lost = |n: &u64| lost.ids.contains(n) || lost.runs.iter().any(|(run, _)| run == n);
         let mut expected: Vec<_> = whole.into_iter().filter(|(n, _)| !is_lost(n)).collect();
         expected.extend(before.iter().filter(|n| is_lost(n)).map(|n| (*n, 0)));
         expected.sort();
-        prop_assert_eq!(told(&parts), expected);
+        prop_assert_eq!(known_after(&parts), expected);
     }
 }
 
 /// 3,000 generations at engines with long names: each part fits into what a datagram holds, as it
 /// is encoded.
 #[test]
-fn test_each_part_of_an_inventory_is_as_small_as_asked() {
+fn test_inventory_parts_respect_the_size_limit() {
     let from = Some("e".repeat(80).into());
     let largest = Run { copied_from: from, ..run(&"e".repeat(90), u32::MAX, u32::MAX, u32::MAX) };
     let runs: Vec<_> = (0..3_000).map(|n| (u64::MAX - 3_000 + n, largest.clone())).collect();
--- a/lib/tests/test_gateway_shortage.rs
+++ b/lib/tests/test_gateway_shortage.rs
@@ -12,7 +12,7 @@
 
 /// Who comes later waits for less, and time before anything was short is nobody's.
 #[test]
-fn test_times_are_split_by_what_was_short() {
+fn test_wait_times_are_split_by_shortage() {
     let mut clock = ShortageClock::default();
     assert_eq!(clock.times(ms(500)), ShortageTimes::default());
     clock.set(Shortage::Reading, ms(1_000));
