--- a/lib/src/gateway/choice.rs
+++ b/lib/src/gateway/choice.rs
@@ -1,8 +1,8 @@
-//! The choice of a replica by the load.
+//! Chooses a replica by its load.
 //!
-//! For engines a request costs time until its first event (prompts are read one after
-//! another), what it takes from the streams that run beside it, and the risk that the
-//! engine's memory overflows. For plain services only the requests in flight count.
+//! An engine's cost consists of the time until the first event (an engine prefills one prompt after
+//! another), the slowdown of the streams that run beside the new one, and the risk that the engine's
+//! memory overflows. For plain services only the requests in flight count.
 
 use rand::Rng;
 use rand::RngExt;
@@ -16,51 +16,55 @@
 use crate::ids::HallId;
 use crate::ids::Timestamp;
 
-/// A time to the first event that counts twice: it is close to the objectives, which are
-/// 1.5 s and more.
+/// Time to the first event at which its cost is doubled. It is close to the objectives, which are 1.5 s
+/// and more.
 const FIRST_EVENT_DOUBLING_MS: f64 = 1_000.0;
-/// Milliseconds that one more running stream adds to the cost of an engine: each makes
-/// every step a little longer, and is one more to move when the engine leaves.
+/// Cost of each running stream, in milliseconds: every stream makes each step of the engine a little
+/// longer, and is one more to move when the engine leaves.
 const COST_PER_RUN_MS: f64 = 25.0;
-/// Cost of a call in another hall: its bytes are priced.
+/// Cost of a plain call to another hall: traffic between halls is charged for.
 const COST_CROSS_HALL_CALL_MS: f64 = 12.0;
-/// Cost of a generation in another hall: where a link between halls loses 3 packets in 100, a
-/// stream that crosses it stalls within a second or two. With more, halls fill unevenly and more
+/// Cost of a generation in another hall. Where a link between halls loses 3 packets in 100, a stream
+/// that crosses it stalls within a second or two. With a higher cost, halls fill unevenly and more
 /// generations are lost when engines are taken away (docs/BENCHMARKS.md).
 const COST_CROSS_HALL_STREAM_MS: f64 = 150.0;
 /// Part of an engine's memory that expected use may reach without a cost.
 const MAX_FILL_WITHOUT_COST: f64 = 0.7;
-/// The same for generations that move: the links' time is scarcer than the memory.
+/// The same for generations that move: bandwidth of the links is scarcer than memory.
 const MAX_FILL_WITHOUT_COST_FOR_MOVES: f64 = 0.85;
-/// Part of an engine's memory that is expected to be used at the most after a new generation is admitted. The
-/// rest is for what hints leave out and for those that move when other engines leave, which are worth more:
-/// their callers have waited already. On modelled engines whose memory holds six long streams
-/// (`test_fleet_model`), 20 days of each load: with 0.9 793 of 18,994 long streams are late at the usual load, 122 of
-/// 18,997 with 0.95, 111 of 19,145 with 1.0; 0, 0 and 11 generations a day are preempted, and 32, 87 and 125 of all broken.
+/// Largest expected peak of an engine's memory, as a part of it, up to which a new generation is
+/// admitted. The rest is a reserve for requests whose length hints are too low and for generations that
+/// move when other engines leave; these matter more, as their callers have waited already. In the fleet
+/// model (`test_fleet_model`), with engines whose memory holds six long streams and 20 days of each
+/// load: at the usual load 793 of 18,994 long streams are late with 0.9, 122 of 18,997 with 0.95, and
+/// 111 of 19,145 with 1.0. 0, 0 and 11 generations a day are preempted, and 32, 87 and 125 of all
+/// broken.
 pub const PEAK_UP_TO: f64 = 0.95;
-/// The same by what is in use and some seconds' growth, where the peak does not decide.
+/// Largest near-term fill of an engine's memory up to which a new generation is admitted, if the
+/// expected peak does not decide.
 const MAX_ADMISSION_FILL: f64 = 0.9;
-/// Part of an engine's memory that moving generations may fill.
+/// Largest near-term fill of an engine's memory up to which a moving generation is admitted.
 const MAX_MOVE_FILL: f64 = 1.0;
-/// Cost of expecting to fill all of the memory beyond that, growing with the square.
+/// Cost of an engine whose memory is expected to be full. Beyond the fill without a cost, it grows with
+/// the square.
 const COST_FULL_MEMORY_MS: f64 = 4_000.0;
-/// Cost of one request in flight at a plain replica, against [`COST_CROSS_HALL_CALL_MS`].
+/// Cost of one request in flight at a plain replica, to be compared with [`COST_CROSS_HALL_CALL_MS`].
 const COST_PER_CALL_MS: f64 = 30.0;
-/// Cost of a move to another hall, in times that a copy takes within one: it takes twice as long,
-/// on the links of both engines, and others wait for these.
+/// Cost of a move to another hall, in multiples of the time of a copy within a hall: the copy takes
+/// twice as long, occupies the links of both engines, and delays other copies on them.
 const CROSS_HALL_MOVE_COPIES: f64 = 3.0;
-/// Random part of a cost, so that nodes which know the same don't all choose the same.
+/// Random part of a cost. Without it, nodes with the same knowledge would all choose the same replica.
 const COST_JITTER_MS: f64 = 8.0;
-/// Cost of a plain replica all of whose answers are errors, growing with the square of their share:
-/// some replicas fail one request in seven for reasons of the request.
+/// Cost of a plain replica whose answers are all errors; it grows with the square of their share. Some
+/// replicas fail one request in seven because of the request itself.
 const COST_ALL_ERRORS_MS: f64 = 600.0;
-/// The same for an engine: a generation that it fails is lost, unlike a call that can be
-/// repeated. One failure among its last answers outweighs five running streams.
+/// The same for an engine. A generation that fails there is lost, unlike a call, which can be repeated.
+/// One failure among its last answers outweighs five running streams.
 const COST_ENGINE_ERRORS_MS: f64 = 8_000.0;
-/// Cost for each failure in a row that a replica had lately.
+/// Cost of each recent consecutive failure of a replica.
 const COST_PER_FAILURE_MS: f64 = 100.0;
 
-/// What differs between engines and plain replicas, in milliseconds.
+/// Costs that differ between engines and plain replicas, in milliseconds.
 struct Costs {
     other_hall: f64,
     all_errors: f64,
@@ -70,41 +74,41 @@
 const ENGINE_COSTS: Costs =
     Costs { other_hall: COST_CROSS_HALL_STREAM_MS, all_errors: COST_ENGINE_ERRORS_MS };
 
-/// An engine with what speaks for and against it.
+/// An engine with the figures that decide whether it is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineChoice<'a> {
     /// The engine.
     pub replica: &'a Replica,
-    /// Requests there.
+    /// Number of requests at the engine.
     pub runs: usize,
-    /// Part of its memory that is expected to be used soon, with the request.
+    /// Part of its memory that is expected to be used soon, including the request.
     pub fill: f64,
-    /// Whether its memory takes the request.
+    /// Whether its memory admits the request.
     pub fits: bool,
-    /// Time until it has read the prompts that it was given.
+    /// Time until it has prefilled the prompts that were assigned to it.
     pub wait: Timestamp,
-    /// The cost, in milliseconds; lower is better.
+    /// Its cost in milliseconds; lower is better.
     pub cost: f64,
 }
 
-/// A generation that wants an engine, or another one.
+/// A generation that needs an engine, or a different one.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineRequest<'a> {
     /// Its size.
     pub size: GenerationSize,
-    /// What the service's engines are.
+    /// The traits of the service's engines.
     pub engine: &'a EngineTraits,
-    /// The hall where it came in; for one that moves, where it runs.
+    /// The hall where it arrived; for a generation that moves, the hall where it runs.
     pub hall: &'a HallId,
-    /// Tokens made so far.
+    /// Number of tokens produced so far.
     pub produced: u32,
     /// Whether it runs on another engine and moves.
     pub moves: bool,
 }
 
 impl LoadBook {
-    /// The cheapest replica for a generation, among usable ones; `None` where it would
-    /// overfill each.
+    /// Returns the cheapest of the given usable engines for a generation, or `None` if none of them
+    /// admits it.
     pub fn choose_engine<'a, R: Rng>(
         &self,
         candidates: impl Iterator<Item = &'a Replica>,
@@ -117,8 +121,9 @@
         fitting.min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    /// The cheapest engine for a generation among those that read it soon, or what is short. The others are
-    /// only asked whether they would have had memory.
+    /// Returns the cheapest engine for a generation among `available` ones, which can start its prefill
+    /// soon, or what is short. Engines in `backlogged` are only checked for whether their memory would
+    /// admit it.
     pub fn choose_engine_soon<'a, R: Rng>(
         &self,
         available: Vec<&'a Replica>,
@@ -140,14 +145,15 @@
         engines.into_iter().any(|engine| self.fits(self.load_with(engine, request), request))
     }
 
-    /// What runs at an engine, and the memory that it takes together with a generation.
+    /// Load of an engine with a further generation.
     fn load_with(&self, replica: &Replica, request: &EngineRequest<'_>) -> EngineLoad {
         let mut load = self.engine_load(replica);
         load.add(request.size, request.produced);
         load
     }
 
-    /// Whether the memory of an engine takes what it would have. One that runs nothing takes any generation.
+    /// Whether the memory of an engine admits this load. An engine that runs nothing admits any
+    /// generation.
     fn fits(&self, load: EngineLoad, request: &EngineRequest<'_>) -> bool {
         if load.runs == 0 {
             true
@@ -160,7 +166,7 @@
         }
     }
 
-    /// The cheapest replica for a plain call, among usable ones.
+    /// Returns the cheapest of the given usable replicas for a plain call.
     pub fn choose_plain<'a, R: Rng>(
         &self,
         candidates: impl Iterator<Item = &'a Replica>,
@@ -189,7 +195,7 @@
         let fits = self.fits(load, request);
         let crosses_halls = moves && replica.record.hall != *request.hall;
         let wait = self.reading.wait(id, now);
-        // A copy goes ahead of the prompts that wait there.
+        // A copy does not wait for the prompts that are queued there.
         let delay_cost = if moves {
             let copy = millis(request.engine.copy_time(request.size.prompt + request.produced));
             let copies = arriving as f64 + if crosses_halls { CROSS_HALL_MOVE_COPIES } else { 0.0 };
--- a/lib/src/gateway/cold_start.rs
+++ b/lib/src/gateway/cold_start.rs
@@ -1,13 +1,16 @@
-//! How many requests a cold replica is given.
+//! Limits the rate of requests to cold replicas.
 //!
-//! A replica that has just started, or was told to rest, bears a few requests a second, over all nodes, and
-//! falls over at well above that. Two ways were weighed, for calls that each node places by itself: an
-//! owner of each cold replica, which alone of 66 nodes gives it anything, or a share of what it bears for
-//! each node. Shares are taken: an owner gives it what comes to one node only, and where that one is gone
-//! nobody does. A replica that bears fewer than there are nodes is shared among as many of them, by a hash.
+//! A replica that has just started, or resumes after a back-off, can serve a few requests per second,
+//! summed over all nodes, and fails well above that. For calls that each node places by itself there
+//! are two ways to keep to this rate: one node of, say, 66 owns each cold replica and is the only one
+//! that sends requests to it, or every node gets a share of the rate. This module uses shares: an owner
+//! can only send the requests that arrive at it, and when it is gone nobody sends any. If a replica can
+//! serve fewer requests per second than there are nodes, its rate is shared by as many nodes, selected
+//! by a hash.
 //!
-//! Nodes may see different fleets, and generations are placed by a lead beside nodes that it does not answer:
-//! so shares add up to half of what is allowed, and the lead has as much for itself.
+//! Nodes may see different fleets, and a lead places generations in addition to nodes that its answers
+//! do not reach. Shares therefore add up to half of the allowed rate, and the lead may use the same
+//! amount.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -18,43 +21,44 @@
 use crate::ids::VmId;
 use crate::rendezvous;
 
-/// Part of what is allowed that shares add up to.
+/// Fraction of the allowed rate that all shares add up to.
 const SHARED_FRACTION: f64 = 0.5;
-/// Requests that are given within this may arrive within one second: a connection takes up to a quarter of
-/// one.
+/// Requests sent within this time may arrive within one second: connecting takes up to a quarter of a
+/// second.
 const RATE_WINDOW: Duration = Duration::from_millis(1_250);
-/// A share is worked out anew after this, as nodes come and go.
+/// Shares are recomputed after this time, as nodes come and go.
 const SHARE_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// As many nodes share at least: a node that has just started, or was cut off, knows of few others.
+/// Minimum number of nodes that a rate is divided by: a node that has just started or was partitioned
+/// knows of few others.
 const MIN_NODES: usize = 6;
 
-/// What a fleet may give to one cold replica.
+/// Bounds on the requests that the whole fleet sends to one cold replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBounds {
-    /// Times that a service's own rate may be exceeded.
+    /// Factor by which the rate of the service may be exceeded.
     pub overshoot: f64,
-    /// Requests in a second beyond that.
+    /// Requests per second that are allowed beyond that.
     pub slack: f64,
 }
 
 impl ColdBounds {
-    /// Requests in a second that all shares make together, for a service whose cold replicas bear
-    /// `per_second`.
+    /// Requests per second that the shares of all nodes add up to, for a service whose cold replicas
+    /// can serve `per_second`.
     pub fn shared(&self, per_second: f64) -> u32 {
         ((per_second * self.overshoot + self.slack) * SHARED_FRACTION).max(0.0) as u32
     }
 }
 
-/// Who gives a cold replica requests.
+/// The kind of node that places a request at a cold replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Giver {
-    /// The lead of its service.
+    /// The lead of the service.
     Lead,
-    /// One of the nodes.
+    /// Any other node, for a request that arrived at it.
     Node,
 }
 
-/// What this node gives to one replica.
+/// This node's share of one replica's rate and the times of recent requests to it.
 #[derive(Debug, Default)]
 struct ReplicaBudget {
     share: u32,
@@ -62,7 +66,7 @@
     sent_at: VecDeque<Timestamp>,
 }
 
-/// What this node gives to cold replicas.
+/// Limits the requests that this node sends to cold replicas.
 #[derive(Debug)]
 pub struct ColdStarts {
     own: VmId,
@@ -72,19 +76,19 @@
 }
 
 impl ColdStarts {
-    /// None is known yet.
+    /// Creates a limiter that knows no other nodes and no replicas.
     pub fn new(own: VmId) -> Self {
         ColdStarts { own, nodes: Vec::new(), budgets: HashMap::new() }
     }
 
-    /// The other nodes that are alive now.
+    /// Replaces the set of other nodes that are alive.
     pub fn set_nodes(&mut self, nodes: impl Iterator<Item = VmId>) {
         self.nodes.clear();
         self.nodes.extend(nodes);
     }
 
-    /// Whether a cold replica may get one more request from this node; `shared` is what all shares make
-    /// together in a second.
+    /// Whether this node may send one more request to a cold replica; `shared` is the number of
+    /// requests per second that the shares of all nodes add up to.
     pub fn allows(&mut self, replica: &UpstreamId, placed_by: Giver, shared: u32, now: Timestamp) -> bool {
         let is_fresh =
             self.budgets.get(replica).is_some_and(|budget| budget.computed_at + SHARE_REFRESH_INTERVAL > now);
@@ -100,20 +104,20 @@
         budget.sent_at.len() < limit as usize
     }
 
-    /// A cold replica was given a request.
+    /// Records that a request was sent to a cold replica.
     pub fn on_given(&mut self, replica: &str, now: Timestamp) {
         if let Some(budget) = self.budgets.get_mut(replica) {
             budget.sent_at.push_back(now);
         }
     }
 
-    /// Forgets replicas that are warm or gone.
+    /// Drops replicas that are warm or gone.
     pub fn retain(&mut self, is_cold: impl Fn(&str) -> bool) {
         self.budgets.retain(|replica, _| is_cold(replica));
     }
 
-    /// This node's share: all nodes have as many, but for what is left over, which goes to the first by a
-    /// hash.
+    /// This node's share. All nodes have equal shares; the remainder goes to the first nodes in the
+    /// order of a hash.
     fn compute_share(&self, replica: &str, shared: u32) -> u32 {
         let weight = |node: &VmId| rendezvous::weight(replica, node);
         let own = weight(&self.own);
--- a/lib/src/gateway/learned.rs
+++ b/lib/src/gateway/learned.rs
@@ -1,30 +1,31 @@
-//! Quantities that are learned from what is seen, beginning with a guess.
+//! Quantities that are estimated from observations, starting from an initial guess.
 
-/// One odd observation counts as at most this many times the value, or this part of it: an engine
-/// that pauses once is not taken for one that is a hundred times slower.
+/// Largest factor by which one observation may differ from the current value; outliers are clamped to
+/// it. An engine that pauses once is not considered a hundred times slower.
 const MAX_CHANGE_FACTOR: f64 = 4.0;
 
-/// A positive quantity, learned as a geometric mean in which old observations fade.
+/// Estimate of a positive quantity: a geometric mean in which the weight of old observations decays.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Estimate {
+pub struct DecayingMean {
     value: f64,
     observations: u32,
     newest_weight: f64,
 }
 
-impl Estimate {
-    /// Begins with a guess that counts as one observation. `newest_weight` is the weight of the
-    /// newest observation once there are many: its inverse is about the number that count.
+impl DecayingMean {
+    /// Starts from a guess that counts as one observation. `newest_weight` is the weight of the newest
+    /// observation once there are many; its inverse is about the number of observations that count.
     pub fn new(guess: f64, newest_weight: f64) -> Self {
-        Estimate { value: guess, observations: 1, newest_weight }
+        DecayingMean { value: guess, observations: 1, newest_weight }
     }
 
-    /// Begins with what was learned of others like it; observations count at once.
-    pub fn from_prior(other: &Estimate, newest_weight: f64) -> Self {
-        Estimate { value: other.value, observations: u32::MAX, newest_weight }
+    /// Starts from the estimate of a similar quantity. New observations have their final weight at
+    /// once.
+    pub fn from_prior(other: &DecayingMean, newest_weight: f64) -> Self {
+        DecayingMean { value: other.value, observations: u32::MAX, newest_weight }
     }
 
-    /// Takes an observation in; what is not above zero is no observation.
+    /// Adds an observation. Values that are not positive and finite are ignored.
     pub fn observe(&mut self, observed: f64) {
         if !(observed > 0.0 && observed.is_finite()) {
             return;
@@ -35,7 +36,7 @@
         self.value *= factor.powf(weight);
     }
 
-    /// The quantity as far as it is known.
+    /// The current estimate.
     pub fn value(&self) -> f64 {
         self.value
     }
--- a/lib/src/gateway/load.rs
+++ b/lib/src/gateway/load.rs
@@ -1,5 +1,5 @@
-//! The load of the replicas as a node knows it: the requests there, how fast prompts are read, and
-//! how fast generations make tokens.
+//! A node's view of the load of the replicas: the requests there, how fast prompts are prefilled, and
+//! how fast generations produce tokens.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,20 +23,23 @@
 use crate::ids::UpstreamId;
 use crate::ids::VmId;
 
-/// Seconds for which a generation is taken to grow, at most: beyond them others have ended.
+/// Longest time, in seconds, for which the growth of a generation is counted. Beyond it, others will
+/// have ended.
 const MAX_GROWTH_S: f64 = 3.0;
-/// Seconds for which one is taken to grow that should have ended already.
+/// Shortest time, in seconds, for which growth is counted, also for a generation that should have ended
+/// already.
 const MIN_GROWTH_S: f64 = 0.7;
-/// Reading that an engine may have ahead when a generation that can wait is given to it. So much keeps
-/// it at work until the next one comes, some tens of milliseconds after one was read. What would wait
-/// there longer waits at the lead, which can still let others go first and choose another engine.
+/// Longest prefill that may be queued at an engine when a generation that can wait is assigned to it.
+/// This much keeps the engine busy until the next generation arrives, some tens of milliseconds after a
+/// prefill has ended. A generation that would wait longer there waits at the lead, which can still let
+/// others go first and choose another engine.
 pub const READS_AHEAD: Duration = Duration::from_millis(300);
 /// The size of a generation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct GenerationSize {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens that are expected out.
+    /// Expected number of output tokens.
     pub expected: u32,
 }
 
@@ -47,42 +50,44 @@
     pub replica: UpstreamId,
     /// Set for generations.
     pub size: Option<GenerationSize>,
-    /// Tokens made so far.
+    /// Number of tokens produced so far.
     pub produced: u32,
-    /// The engine that it runs on while its memory is being copied here.
+    /// While its memory is being copied to the replica: the engine on which it still runs.
     pub copied_from: Option<UpstreamId>,
 }
 
 impl Run {
-    /// Tokens that it is still expected to make.
+    /// Number of tokens that it is still expected to produce.
     pub fn remaining(&self) -> u32 {
         self.size.unwrap_or_default().expected.saturating_sub(self.produced)
     }
 }
 
-/// What a node knows of the requests at the replicas.
+/// Tracks the requests at the replicas, as far as a node knows them.
 #[derive(Debug, Default)]
 pub struct LoadBook {
-    /// What is switched on.
+    /// The mechanisms that are enabled.
     pub policy: Policy,
-    /// The requests at each replica, together: a choice looks at all of some tens of engines.
+    /// The requests of each replica, stored together: a choice looks at all requests of some tens of
+    /// engines.
     by_replica: BTreeMap<UpstreamId, Vec<(RunKey, Run)>>,
-    /// Where each one is, by node: each of hundreds tells a lead of its own some times a second.
+    /// The replica of each request, by entry node. Each of hundreds of nodes reports its own requests
+    /// to a lead several times a second.
     placements: HashMap<VmId, BTreeMap<RunId, UpstreamId>>,
-    /// The services of the replicas that were given requests.
+    /// The services of the replicas that requests were assigned to.
     services: HashMap<UpstreamId, ServiceId>,
-    /// When engines will have read what they were given.
+    /// When engines will have prefilled the prompts assigned to them.
     pub reading: ReadingClocks,
     paces: TokenPaces,
 }
 
 impl LoadBook {
-    /// A book without requests.
+    /// Creates a tracker without requests.
     pub fn new(policy: Policy) -> Self {
         LoadBook { policy, reading: ReadingClocks::new(policy), ..LoadBook::default() }
     }
 
-    /// A request was given to a replica.
+    /// Records that a request was assigned to a replica.
     pub fn add(&mut self, key: RunKey, run: Run, replica: &Replica, now: Timestamp) {
         if let Some(size) = run.size {
             self.services.insert(run.replica.clone(), replica.record.service.clone());
@@ -99,7 +104,7 @@
         self.by_replica.entry(run.replica.clone()).or_default().push((key, run));
     }
 
-    /// A generation's first event came.
+    /// Handles the first event of a generation.
     pub fn on_first_event(&mut self, key: &RunKey, now: Timestamp) {
         let replica = self.placements.get(&key.entry).and_then(|placements| placements.get(&key.run));
         if let Some(replica) = replica {
@@ -107,13 +112,14 @@
         }
     }
 
-    /// Forgets what it learnt of replicas that are gone.
+    /// Drops what is known of replicas that are gone.
     pub fn retain_replicas(&mut self, is_known: impl Fn(&str) -> bool) {
         self.services.retain(|replica, _| is_known(replica));
         self.reading.retain(is_known);
     }
 
-    /// A replica has started again: nothing of what it was given is there, nor of what was copied from it.
+    /// Handles the restart of a replica: the requests assigned to it are gone, and so are copies from
+    /// it that had not finished.
     pub fn on_restarted(&mut self, replica: &str) {
         let runs: Vec<RunKey> = self.at(replica).map(|(key, _)| key.clone()).collect();
         runs.iter().for_each(|key| {
@@ -126,7 +132,7 @@
         }
     }
 
-    /// A request has ended, or was never sent.
+    /// Removes a request that has ended or was never sent.
     pub fn remove(&mut self, key: &RunKey) -> Option<Run> {
         self.reading.forget(key);
         self.paces.forget(key);
@@ -148,7 +154,7 @@
         Some(run)
     }
 
-    /// A generation made tokens.
+    /// Records how many tokens a generation has produced.
     pub fn on_progress(&mut self, key: &RunKey, produced: u32, now: Timestamp) {
         let Some(run) = self.get_mut(key) else {
             return;
@@ -164,37 +170,37 @@
         }
     }
 
-    /// How fast the generations of each service make tokens.
+    /// How fast the generations of each service produce tokens.
     pub fn paces(&self) -> &TokenPaces {
         &self.paces
     }
 
-    /// Tokens of memory that a generation of a service is expected to take soon.
+    /// Tokens of memory that a generation of a service is expected to use soon.
     pub fn memory_of(&self, service: &str, size: GenerationSize, produced: u32) -> f64 {
         near_term_memory(size, produced, self.paces.tokens_per_second(service))
     }
 
-    /// Tokens of memory that a request is expected to take soon.
+    /// Tokens of memory that a request is expected to use soon.
     pub fn memory(&self, run: &Run) -> f64 {
         let service = self.services.get(&run.replica);
         let pace = service.map_or(GUESSED_TOKENS_PER_SECOND, |service| self.paces.tokens_per_second(service));
         run.size.map_or(0.0, |size| near_term_memory(size, run.produced, pace))
     }
 
-    /// A copy is complete.
+    /// Records that the copy of a generation's memory is complete.
     pub fn on_copied(&mut self, key: &RunKey) {
         if let Some(run) = self.get_mut(key) {
             run.copied_from = None;
         }
     }
 
-    /// Copies that are under way from an engine.
+    /// Number of copies that are under way from an engine.
     pub fn copies_from(&self, engine: &str) -> usize {
         self.iter().map(|(_, run)| run).filter(|run| run.copied_from.as_deref() == Some(engine)).count()
     }
 
-    /// All requests of a node with the given ids, as it reports them: those that it does not name
-    /// have ended. It may name some with other ids beside them.
+    /// Takes in a node's report of its requests with the given ids. Known requests in this range that
+    /// the report omits have ended. It may also contain requests with ids outside the range.
     pub fn on_inventory(
         &mut self,
         entry: &VmId,
@@ -217,12 +223,12 @@
         }
     }
 
-    /// A node is gone, and its requests with it.
+    /// Drops a node that is gone, and its requests.
     pub fn on_entry_gone(&mut self, entry: &VmId) {
         self.on_inventory(entry, 0..=RunId::MAX, Vec::new(), Timestamp::ZERO);
     }
 
-    /// A request.
+    /// The request with this key.
     pub fn get(&self, key: &RunKey) -> Option<&Run> {
         let replica = self.placements.get(&key.entry)?.get(&key.run)?;
         self.at(replica).find(|(other, _)| *other == key).map(|(_, run)| run)
@@ -234,7 +240,7 @@
         runs.iter_mut().find(|(other, _)| other == key).map(|(_, run)| run)
     }
 
-    /// The requests of a node.
+    /// The requests that arrived at a node.
     pub fn of_entry(&self, entry: &VmId) -> impl Iterator<Item = (RunId, &Run)> {
         let keys = self.placements.get(entry).into_iter().flat_map(BTreeMap::keys);
         keys.filter_map(|run| {
@@ -243,7 +249,7 @@
         })
     }
 
-    /// All requests, with the node that each came to.
+    /// All requests, each with its entry node.
     pub fn iter(&self) -> impl Iterator<Item = (&VmId, &Run)> {
         self.by_replica.values().flatten().map(|(key, run)| (&key.entry, run))
     }
@@ -258,19 +264,20 @@
         self.by_replica.get(replica).into_iter().flatten().map(|(key, run)| (key, run))
     }
 
-    /// Whether a generation that can wait may be given to an engine: it will have read what it was given
-    /// within [`READS_AHEAD`], or has nothing to do.
+    /// Whether a generation that can wait may be assigned to an engine: the engine is idle, or will
+    /// have finished its prefills within [`READS_AHEAD`].
     pub fn reads_soon(&self, replica: &str, now: Timestamp) -> bool {
         self.reading.wait(replica, now) <= READS_AHEAD || self.at(replica).next().is_none()
     }
 
-    /// What runs at an engine, in one pass over what is kept together: a lead weighs up to 64 engines for each
-    /// generation, which takes 16 to 23 us so with 8 generations at each, 50 to 62 us where each generation is looked
-    /// up by its name, and 161 to 225 us with a pass for each figure (decision bench, beside other load).
+    /// Computes the load of an engine in one pass over its requests. A lead compares up to 64 engines
+    /// for each generation; with 8 generations at each engine this takes 16 to 23 us, compared with 50
+    /// to 62 us if each generation is looked up by its key, and 161 to 225 us with one pass for each
+    /// figure.
     pub fn engine_load(&self, replica: &Replica) -> EngineLoad {
         let pace = self.paces.tokens_per_second(&replica.record.service);
         let runs = self.by_replica.get(&replica.record.id).map_or(&[][..], Vec::as_slice);
-        // One more is weighed with those that are there.
+        // Leaves room for the generation that is considered for this engine.
         let growths = Vec::with_capacity(runs.len() + 1);
         let mut load = EngineLoad { pace, growths, ..EngineLoad::default() };
         for (_, run) in runs {
@@ -284,48 +291,51 @@
     }
 }
 
-/// What runs at an engine.
+/// The load of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLoad {
-    /// Requests there.
+    /// Number of requests there.
     pub runs: usize,
-    /// Of these, generations whose memory is being copied here.
+    /// Number of generations among them whose memory is being copied to the engine.
     pub arriving: usize,
-    /// Tokens that a generation makes in a second.
+    /// Tokens that a generation produces in a second.
     pace: f64,
     near_term_memory: f64,
     growths: Vec<Growth>,
 }
 
 impl EngineLoad {
-    /// A further generation, which runs there or would.
+    /// Adds a further generation, which runs there or is considered for it.
     pub fn add(&mut self, size: GenerationSize, produced: u32) {
         self.near_term_memory += near_term_memory(size, produced, self.pace);
         self.growths.push(growth(size, produced, self.pace));
     }
 
-    /// The part of the engine's memory that is expected to be used soon.
+    /// Part of the engine's memory that is expected to be used soon.
     pub fn fill(&self, engine: &EngineTraits) -> f64 {
         self.near_term_memory / f64::from(engine.memory_tokens.max(1))
     }
 
-    /// The part that is expected to be used at the most until what is there has ended.
+    /// Largest part of the engine's memory that is expected to be used at any time until its
+    /// generations have ended.
     pub fn peak(self, engine: &EngineTraits) -> f64 {
         expected_peak(self.growths) / f64::from(engine.memory_tokens.max(1))
     }
 }
 
-/// What a generation takes of an engine's memory: tokens now, and tokens that it is still to make.
+/// Memory use of a generation at an engine: the tokens that it holds, and those that it has still to
+/// produce.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Growth {
-    /// Tokens that it has there.
+    /// Number of tokens that it holds there.
     pub held: f64,
-    /// Tokens that it is expected to add before it ends.
+    /// Number of tokens that it is expected to add before it ends.
     pub remaining: f64,
 }
 
-/// The most tokens that generations are expected to hold together at any time. All make tokens equally fast, so
-/// each time one ends, those that go on have grown by what it had to come.
+/// Largest number of tokens that generations are expected to hold together at any time. All of them
+/// produce tokens equally fast, so when one ends, each of those that go on has grown by that one's
+/// remaining tokens.
 pub fn expected_peak(mut growths: Vec<Growth>) -> f64 {
     growths.sort_by(|a, b| b.remaining.total_cmp(&a.remaining));
     let mut held = 0.0;
@@ -336,13 +346,13 @@
     peaks.fold(0.0, f64::max)
 }
 
-/// A generation's growth. One that should have ended already goes on for a while.
+/// Growth of a generation. One that should have ended already is expected to go on for a while.
 fn growth(size: GenerationSize, produced: u32, tokens_per_second: f64) -> Growth {
     let remaining = f64::from(size.expected.saturating_sub(produced)).max(MIN_GROWTH_S * tokens_per_second);
     Growth { held: f64::from(size.prompt) + f64::from(produced), remaining }
 }
 
-/// Tokens of memory that a generation takes within the horizon.
+/// Tokens of memory that a generation is expected to use within [`MAX_GROWTH_S`].
 fn near_term_memory(size: GenerationSize, produced: u32, tokens_per_second: f64) -> f64 {
     let remaining = f64::from(size.expected.saturating_sub(produced));
     let growth = remaining.clamp(MIN_GROWTH_S * tokens_per_second, MAX_GROWTH_S * tokens_per_second);
--- a/lib/src/gateway/policy.rs
+++ b/lib/src/gateway/policy.rs
@@ -1,39 +1,39 @@
-//! What a gateway node decides by itself, each part of which operators can switch off.
+//! The decisions that a gateway node makes by itself. Operators can switch off each of them.
 
 use serde::Deserialize;
 
-/// The mechanisms that decide; all are on by default.
+/// The mechanisms that are enabled; all are by default.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Generations move away from engines that leave.
+    /// Moves generations away from engines that leave.
     pub evacuate: bool,
-    /// The worth-most leave first, a few at a time; without it all copies start at once.
+    /// Moves the generations of most worth first, a few at a time. If off, all copies start at once.
     pub copy_turns: bool,
-    /// Generations move from crowded engines to others.
+    /// Moves generations from crowded engines to others.
     pub balance: bool,
-    /// Engines are chosen by when they will have read the prompts that they were given.
+    /// Chooses engines by when they will have prefilled the prompts assigned to them.
     pub reading_clocks: bool,
-    /// How fast engines are is learned; without it they are taken to be as guessed.
+    /// Learns the speed of engines. If off, the defaults are used.
     pub learn: bool,
-    /// Requests stay in the hall that they came to unless that costs too much.
+    /// Keeps requests in the hall where they arrived unless that costs too much.
     pub stay_in_hall: bool,
-    /// Engines take new generations by how much memory they are expected to use at the most; without it by
-    /// what is in use and some seconds' growth.
+    /// Admits new generations by the expected peak of an engine's memory. If off, by its current use
+    /// and the growth of some seconds.
     pub admit_by_peak: bool,
-    /// Where memory is short, generations that need less may go before the first one that waits.
+    /// If memory is short, lets generations that need less go before the first one in the queue.
     pub pass_over: bool,
-    /// Generations wait for room that can be expected in time; without it they are refused.
+    /// Lets generations wait for room that is expected in time. If off, they are refused.
     pub wait_for_room: bool,
-    /// Streams that may be resumed go on at another engine.
+    /// Resumes resumable streams at another engine.
     pub resume_streams: bool,
-    /// Requests that may be repeated are sent to another replica.
+    /// Sends requests that may be repeated to another replica.
     pub repeat: bool,
-    /// Replicas rest after failures.
+    /// Backs off from replicas after failures.
     pub rest_after_failures: bool,
-    /// Replicas that answered with errors lately are avoided.
+    /// Avoids replicas that returned errors recently.
     pub avoid_errors: bool,
-    /// Engines are asked for their health while the store may not tell that they leave.
+    /// Queries the health of engines while the store may fail to report that they leave.
     pub look_out: bool,
 }
 
--- a/lib/src/gateway/reading.rs
+++ b/lib/src/gateway/reading.rs
@@ -1,14 +1,14 @@
-//! When an engine will have read the prompts that it was given.
+//! Predicts when an engine will have prefilled the prompts assigned to it.
 //!
-//! Prompts are read one after another, so the wait at an engine is a clock that each prompt
-//! moves on. First events show how far off the clock is, and how fast the engine reads: some are
-//! slower than others, or become so. An engine that has shown nothing yet is taken to be like the
-//! others of its service, and one that has just started like those that had just started.
+//! An engine prefills one prompt after another, so the wait at an engine is a clock that each prompt
+//! advances. First events show how far off the clock is, and how fast the engine prefills: some engines
+//! are slower than others, or become so. An engine without observations is assumed to be as fast as the
+//! others of its service, and one that has just started as fast as others were just after their start.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::learned::Estimate;
+use crate::gateway::learned::DecayingMean;
 use crate::gateway::policy::Policy;
 use crate::gateway::replica::Replica;
 use crate::gateway::routing::ServiceId;
@@ -16,51 +16,51 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// Milliseconds that an engine takes for a prompt token, before the first was seen to be read.
+/// Milliseconds of prefill per prompt token, until the first observation.
 const DEFAULT_MS_PER_TOKEN: f64 = 0.14;
-/// How much slower an engine is guessed to read that has just started.
+/// How many times slower an engine prefills that has just started, until the first observation.
 const DEFAULT_COLD_FACTOR: f64 = 1.5;
-/// Weight of the newest first event in an engine's speed: of four, so that one that slows down is
-/// noticed within a second or two.
+/// Weight of the newest first event in an engine's speed. About four count, so that an engine that
+/// slows down is noticed within a second or two.
 const ENGINE_WEIGHT: f64 = 0.25;
 /// Weight of the newest first event in a service's speed.
 const SERVICE_WEIGHT: f64 = 0.05;
 
-/// A prompt that is being read, or waits for it.
+/// A prompt whose prefill is running or waiting.
 #[derive(Clone, Copy, Debug)]
 struct PendingPrefill {
     assigned_at: Timestamp,
     expected_at: Timestamp,
-    /// The engine had just started.
+    /// Whether the engine had just started.
     cold: bool,
 }
 
-/// How the engines of a service read.
+/// Prefill speed of the engines of a service.
 #[derive(Clone, Copy, Debug)]
 struct ServicePrefill {
-    ms_per_token: Estimate,
-    /// How many times longer engines take that have just started.
-    cold_factor: Estimate,
+    ms_per_token: DecayingMean,
+    /// How many times slower engines prefill that have just started.
+    cold_factor: DecayingMean,
 }
 
 impl Default for ServicePrefill {
     fn default() -> Self {
         ServicePrefill {
-            ms_per_token: Estimate::new(DEFAULT_MS_PER_TOKEN, SERVICE_WEIGHT),
-            cold_factor: Estimate::new(DEFAULT_COLD_FACTOR, SERVICE_WEIGHT),
+            ms_per_token: DecayingMean::new(DEFAULT_MS_PER_TOKEN, SERVICE_WEIGHT),
+            cold_factor: DecayingMean::new(DEFAULT_COLD_FACTOR, SERVICE_WEIGHT),
         }
     }
 }
 
-/// One engine.
+/// The clock of one engine.
 #[derive(Clone, Debug)]
 struct EngineClock {
     service: ServiceId,
     busy_until: Timestamp,
-    ms_per_token: Estimate,
+    ms_per_token: DecayingMean,
 }
 
-/// The clocks of all engines.
+/// The prefill clocks of all engines.
 #[derive(Debug, Default)]
 pub struct ReadingClocks {
     policy: Policy,
@@ -70,12 +70,12 @@
 }
 
 impl ReadingClocks {
-    /// Clocks that know nothing yet.
+    /// Creates clocks without observations.
     pub fn new(policy: Policy) -> Self {
         ReadingClocks { policy, ..ReadingClocks::default() }
     }
 
-    /// An engine was given a prompt.
+    /// Advances the clock of an engine that was assigned a prompt.
     pub fn on_given(&mut self, key: &RunKey, engine: &Replica, tokens: u32, now: Timestamp) {
         let duration = self.prefill_time(engine, tokens, now);
         let record = &engine.record;
@@ -83,7 +83,7 @@
         let clock = self.engines.entry(record.id.clone()).or_insert_with(|| EngineClock {
             service: record.service.clone(),
             busy_until: Timestamp::ZERO,
-            ms_per_token: Estimate::from_prior(&service.ms_per_token, ENGINE_WEIGHT),
+            ms_per_token: DecayingMean::from_prior(&service.ms_per_token, ENGINE_WEIGHT),
         });
         clock.busy_until = clock.busy_until.max(now) + duration;
         let prefill =
@@ -91,7 +91,7 @@
         self.pending.insert(key.clone(), prefill);
     }
 
-    /// A generation's first event came.
+    /// Corrects the clock of an engine and its speed by the first event of a generation.
     pub fn on_first_event(&mut self, key: &RunKey, engine: &str, now: Timestamp) {
         let (Some(prefill), Some(clock)) = (self.pending.remove(key), self.engines.get_mut(engine)) else {
             return;
@@ -100,7 +100,7 @@
         let expected = prefill.expected_at.saturating_sub(prefill.assigned_at).as_secs_f64().max(1e-3);
         let service = self.services.entry(clock.service.clone()).or_default();
         if !self.policy.learn {
-            // The guesses stay.
+            // The defaults stay.
         } else if prefill.cold {
             service.cold_factor.observe(service.cold_factor.value() * actual / expected);
         } else {
@@ -108,24 +108,24 @@
             clock.ms_per_token.observe(observed);
             service.ms_per_token.observe(observed);
         }
-        // Those behind it move by as much as it was late or early.
+        // Prompts queued behind this one shift by as much as it was late or early.
         let late = now.saturating_sub(prefill.expected_at);
         let early = prefill.expected_at.saturating_sub(now);
         clock.busy_until = (clock.busy_until + late).saturating_sub(early);
     }
 
-    /// A request is gone, read or not.
+    /// Drops a request that is gone, whether its prompt was prefilled or not.
     pub fn forget(&mut self, key: &RunKey) {
         self.pending.remove(key);
     }
 
-    /// Time until an engine has read what it was given.
+    /// Time until an engine has prefilled all prompts assigned to it.
     pub fn wait(&self, engine: &str, now: Timestamp) -> Duration {
         let clock = self.engines.get(engine).filter(|_| self.policy.reading_clocks);
         clock.map_or(Duration::ZERO, |clock| clock.busy_until.saturating_sub(now))
     }
 
-    /// Time that an engine needs for a prompt.
+    /// Time that an engine needs to prefill a prompt.
     pub fn prefill_time(&self, engine: &Replica, tokens: u32, now: Timestamp) -> Duration {
         let service = self.services.get(&engine.record.service).copied().unwrap_or_default();
         let clock = self.engines.get(&engine.record.id);
@@ -134,19 +134,19 @@
         prefill_duration(tokens, ms_per_token * cold_factor)
     }
 
-    /// Time that a usual engine of a service needs for a prompt.
+    /// Time that a typical engine of a service needs to prefill a prompt.
     pub fn usual_time(&self, service: &str, tokens: u32) -> Duration {
         let service = self.services.get(service).copied().unwrap_or_default();
         prefill_duration(tokens, service.ms_per_token.value())
     }
 
-    /// Forgets engines that are gone.
+    /// Drops engines that are gone.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.engines.retain(|engine, _| is_known(engine));
     }
 }
 
-/// Time that a prompt is guessed to take where nothing is known of the engines.
+/// Default time to prefill a prompt, where nothing is known of the engines.
 pub fn guessed_time(tokens: u32) -> Duration {
     prefill_duration(tokens, DEFAULT_MS_PER_TOKEN)
 }
--- a/lib/src/gateway/rebalance.rs
+++ b/lib/src/gateway/rebalance.rs
@@ -1,9 +1,10 @@
-//! Moves running generations from engines that fill up to engines with room, before the
-//! engine preempts one of them: a move costs its caller some 20 ms, a preemption seconds.
+//! Moves running generations from engines that fill up to engines with room, before the engine preempts
+//! one of them: a move costs its caller some 20 ms, a preemption seconds.
 //!
-//! An engine is too full beyond what new generations are admitted up to, by the same measure. By what is used
-//! soon, engines that were just filled gave some away again: 624 and 2,168 moves a day on two modelled fleets at
-//! 1.14 and 1.4 times their load, 557 and 1,979 so, with as much served.
+//! An engine is too full if its expected peak exceeds the limit for new generations. Judged by
+//! near-term use instead, engines that were just filled gave some generations away again: in two
+//! modelled fleets at 1.14 and 1.4 times their load there were 624 and 2,168 moves a day, compared with
+//! 557 and 1,979 by the expected peak, with as many generations served.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,18 +17,18 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// An engine takes one only up to this, so that none is passed on and on.
+/// An engine accepts a generation only up to this fill, so that none is passed on again and again.
 const MAX_TARGET_FILL: f64 = 0.8;
-/// An engine with so many more generations than another one gives one away even if both
-/// have room: each running generation makes every step of its neighbours longer.
+/// An engine with this many more generations than another one gives one away even if both have room:
+/// each running generation makes every step of its neighbours longer.
 const MIN_RUN_DIFFERENCE: usize = 4;
-/// Time between two looks, for each engine: a lead of a few looks at each of its ticks, one
-/// of 3,000 every 2.4 s, so that its work does not grow with them.
+/// Time between two passes, for each engine. A lead of a few engines checks them on each of its ticks,
+/// a lead of 3,000 every 2.4 s, so that its work does not grow with their number.
 const PASS_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(800);
-/// A generation is asked to move once within this: the time of a copy on a busy link.
+/// Time before a generation is requested to move again: the time of a copy on a busy link.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(2);
-/// Tokens that a generation must still be expected to make for a move to pay: the time
-/// that it takes to copy a large one, at the usual pace.
+/// Minimum number of tokens that a generation must still be expected to produce for a move to pay off:
+/// those of the time that it takes to copy a large one, at the usual pace.
 const MIN_REMAINING_TOKENS: u32 = 100;
 
 /// A generation that should move away from its engine.
@@ -39,19 +40,19 @@
     pub from: UpstreamId,
 }
 
-/// Decides which generations move for balance.
+/// Decides which generations move to balance the load of engines.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
     requested: HashMap<RunKey, Timestamp>,
     next_pass: Timestamp,
 }
 
-/// An engine's load.
+/// The load of an engine.
 struct Load<'a> {
     replica: &'a Replica,
     /// Part of its memory that is expected to be used soon.
     fill: f64,
-    /// Part that is expected to be used at the most.
+    /// Largest part of its memory that is expected to be used.
     peak: f64,
     runs: usize,
     arriving: bool,
@@ -67,7 +68,7 @@
 }
 
 impl Rebalancer {
-    /// The generations that should move now, one for each pair of engines.
+    /// Returns the generations that should move now, at most one for each pair of engines.
     pub fn reliefs<'a>(
         &mut self,
         tracker: &LoadBook,
@@ -106,7 +107,7 @@
         tracker.at(engine).any(|(key, _)| self.requested.contains_key(key))
     }
 
-    /// The generation with the longest to go that fits.
+    /// The generation with the most remaining tokens that fits into the target.
     fn pick_generation(
         &self,
         tracker: &LoadBook,
--- a/lib/src/gateway/room_forecast.rs
+++ b/lib/src/gateway/room_forecast.rs
@@ -1,33 +1,34 @@
-//! When engines that are full will have room again, judged by how much memory became free lately.
+//! Forecasts when full engines will have room again, from the memory that was freed recently.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Time constant in seconds of the memory that became free: of some generations' length, as the
-/// room of the next seconds comes from the ends of those that run now.
+/// Time constant, in seconds, of the decay of freed memory. It is about the length of some generations,
+/// as the room of the next seconds comes from generations that run now.
 const TIME_CONSTANT_S: f64 = 5.0;
-/// A forecast needs this much to have been seen; before that, nothing is known.
+/// Minimum time of observation for a forecast.
 const MIN_OBSERVATION: Duration = Duration::from_secs(1);
 
-/// What became free at the engines of one service.
+/// The memory freed at the engines of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoomForecast {
-    /// Tokens of memory, fading.
+    /// Tokens of memory; the sum decays over time.
     freed: f64,
     updated_at: Timestamp,
     since: Option<Timestamp>,
 }
 
 impl RoomForecast {
-    /// A generation left an engine that stays, and so much of its memory.
+    /// Records the memory freed by a generation that left an engine which stays.
     pub fn on_freed(&mut self, tokens: f64, now: Timestamp) {
         self.freed = self.recently_freed(now) + tokens;
         self.updated_at = now;
         self.since.get_or_insert(now);
     }
 
-    /// Time until so many tokens of memory have become free; `None` while too little was seen.
+    /// Time until this many tokens of memory have been freed, or `None` while the observation is too
+    /// short.
     pub fn time_until(&self, tokens: f64, now: Timestamp) -> Option<Duration> {
         let observed = now.saturating_sub(self.since?);
         if observed < MIN_OBSERVATION {
--- a/lib/src/gateway/shortage.rs
+++ b/lib/src/gateway/shortage.rs
@@ -1,35 +1,36 @@
-//! What the first one that waits for an engine lacks, over time.
+//! Records what the first generation in a queue lacks to get an engine, over time.
 //!
-//! All that wait in one queue wait for what its first one lacks: the time of each is split by that.
+//! All generations in a queue wait for what the first one lacks, so the waiting time of each is split
+//! by that.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Why no engine is given to the first one that waits.
+/// Why the first generation in the queue gets no engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// No engine takes requests: each leaves, is cold or names a limit.
+    /// No engine accepts requests: each is leaving, cold or rate-limited.
     Engines,
-    /// None that has memory for it reads a prompt soon.
+    /// No engine that has memory for it can prefill its prompt soon.
     Reading,
-    /// None has memory for it.
+    /// No engine has memory for it.
     Memory,
 }
 
-/// Time by what was short.
+/// Time by shortage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShortageTimes {
-    /// No engine took requests.
+    /// Time during which no engine accepted requests.
     pub engines: Duration,
-    /// No engine read soon.
+    /// Time during which no engine could prefill soon.
     pub reading: Duration,
-    /// There was no memory.
+    /// Time during which memory was short.
     pub memory: Duration,
 }
 
 impl ShortageTimes {
-    /// What has passed since an earlier reading of the same clock.
+    /// The time that has passed since an earlier reading of the same clock.
     pub fn since(&self, earlier: &ShortageTimes) -> ShortageTimes {
         ShortageTimes {
             engines: self.engines.saturating_sub(earlier.engines),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// All of it.
+    /// The sum of all times.
     pub fn sum(&self) -> Duration {
         self.engines + self.reading + self.memory
     }
@@ -53,7 +54,7 @@
     }
 }
 
-/// Adds up the time by what was short.
+/// Accumulates time by shortage.
 #[derive(Debug, Default)]
 pub struct ShortageClock {
     times: ShortageTimes,
@@ -61,7 +62,7 @@
 }
 
 impl ShortageClock {
-    /// From now on this is short.
+    /// Sets the current shortage.
     pub fn set(&mut self, shortage: Shortage, now: Timestamp) {
         self.times = self.times(now);
         self.current = Some((shortage, now));
--- a/lib/src/gateway/start_reading.rs
+++ b/lib/src/gateway/start_reading.rs
@@ -1,8 +1,9 @@
-//! Whether a node that has just started reads from the store what all nodes need.
+//! Decides whether a node that has just started reads the state that all nodes need from the store.
 //!
-//! After a loss of power all nodes start at once. The list of ten thousand replicas is some megabytes at the store, and a tenth
-//! of that from node to node: if all read it, the store's link carries nothing else for many seconds. So seeds read it, and other
-//! nodes are told of it; as seeds may be gone, any node may read it in the end, a few of all nodes in each moment.
+//! After a power failure all nodes start at once. The list of ten thousand replicas has some megabytes
+//! at the store, and a tenth of that from node to node. If all nodes read it, the link of the store
+//! carries nothing else for many seconds. So seed nodes read it and other nodes receive it from them.
+//! As seeds may be gone, any node may read it in the end, but only a few of all nodes at a time.
 
 use std::time::Duration;
 
@@ -11,15 +12,15 @@
 
 use crate::ids::Timestamp;
 
-/// Other nodes are waited for so long: a seed that runs answers within some tens of milliseconds.
+/// Time to wait for other nodes: a seed that runs answers within some tens of milliseconds.
 const PEER_GRACE: Duration = Duration::from_millis(150);
-/// Nodes that begin to read between two looks, of all that there are.
+/// Expected number of nodes, of the whole fleet, that start to read between two checks.
 const READERS_PER_CHECK: f64 = 2.0;
-/// Time between two looks.
+/// Time between two checks.
 pub const LOOK: Duration = Duration::from_millis(100);
 
-/// Whether a node reads now that lacks everything. `is_seed` tells whether it is one that others ask first, `nodes` how
-/// many there are, as far as it knows.
+/// Whether a node that lacks all state reads it now. `is_seed` says whether it is a node that others
+/// query first, and `nodes` is the size of the fleet, as far as known.
 pub fn reads_now<R: Rng>(is_seed: bool, nodes: usize, since_start: Timestamp, rng: &mut R) -> bool {
     let chance = READERS_PER_CHECK / nodes.max(1) as f64;
     is_seed || (since_start >= PEER_GRACE && rng.random_bool(chance.min(1.0)))
--- a/lib/src/gateway/token_pace.rs
+++ b/lib/src/gateway/token_pace.rs
@@ -1,19 +1,19 @@
-//! How fast the generations of a service make tokens, learned from their progress.
+//! Learns how fast the generations of a service produce tokens, from their progress.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::learned::Estimate;
+use crate::gateway::learned::DecayingMean;
 use crate::gateway::routing::ServiceId;
 use crate::gateway::run_key::RunKey;
 use crate::ids::Timestamp;
 
-/// Tokens that a generation makes in a second, before one was seen to: one in 8.7 ms.
+/// Tokens that a generation produces in a second, until the first observation: one in 8.7 ms.
 pub const GUESSED_TOKENS_PER_SECOND: f64 = 115.0;
-/// Weight of the newest observation: some hundred count, which are those of the last seconds.
+/// Weight of the newest observation. Some hundred observations count, which cover the last seconds.
 const NEWEST_WEIGHT: f64 = 0.01;
-/// Least time between two observations of one generation: an event holds some tokens, and a
-/// shorter span would count them as all or none.
+/// Minimum time between two observations of one generation. An event holds several tokens, and a
+/// shorter span would count all or none of them.
 const MIN_SPAN: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug)]
@@ -22,16 +22,16 @@
     at: Timestamp,
 }
 
-/// The paces of all services.
+/// The token paces of all services.
 #[derive(Debug, Default)]
 pub struct TokenPaces {
-    services: HashMap<ServiceId, Estimate>,
+    services: HashMap<ServiceId, DecayingMean>,
     samples: HashMap<RunKey, Sample>,
 }
 
 impl TokenPaces {
-    /// A generation has made so many tokens. One that made none since it was last looked at waits
-    /// or moves, which says nothing of the engines' pace.
+    /// Records how many tokens a generation has produced. A generation without new tokens since its
+    /// last sample waits or moves, which says nothing about the pace of the engines.
     pub fn on_progress(&mut self, key: &RunKey, service: &ServiceId, tokens: u32, now: Timestamp) {
         if tokens == 0 {
             return;
@@ -47,21 +47,21 @@
         }
         let made = f64::from(tokens.saturating_sub(previous.tokens));
         *previous = sample;
-        let guess = Estimate::new(GUESSED_TOKENS_PER_SECOND, NEWEST_WEIGHT);
+        let guess = DecayingMean::new(GUESSED_TOKENS_PER_SECOND, NEWEST_WEIGHT);
         self.services.entry(service.clone()).or_insert(guess).observe(made / span.as_secs_f64());
     }
 
-    /// A generation is gone.
+    /// Drops a generation that is gone.
     pub fn forget(&mut self, key: &RunKey) {
         self.samples.remove(key);
     }
 
-    /// Tokens that a generation of a service makes in a second.
+    /// Tokens that a generation of a service produces in a second.
     pub fn tokens_per_second(&self, service: &str) -> f64 {
-        self.services.get(service).map_or(GUESSED_TOKENS_PER_SECOND, Estimate::value)
+        self.services.get(service).map_or(GUESSED_TOKENS_PER_SECOND, DecayingMean::value)
     }
 
-    /// All that was learned.
+    /// The paces of all services with observations.
     pub fn all(&self) -> impl Iterator<Item = (&ServiceId, f64)> {
         self.services.iter().map(|(service, pace)| (service, pace.value()))
     }
--- a/lib/tests/test_gateway_cold_start.rs
+++ b/lib/tests/test_gateway_cold_start.rs
@@ -1,4 +1,5 @@
-//! Cold replicas get no more than they bear, over all nodes, whoever places.
+//! Cold replicas get no more requests than they can serve, summed over all nodes, whichever nodes place
+//! them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,19 +14,20 @@
 use rand::rngs::SmallRng;
 
 const BOUNDS: ColdBounds = ColdBounds { overshoot: 1.5, slack: 5.0 };
-/// What a cold replica bears in a second.
+/// Requests per second that a cold replica can serve.
 const COLD_RATE: f64 = 27.0;
-/// Arrivals in one second that break what is promised.
+/// Arrivals within one second that the bounds guarantee not to exceed.
 const MAX_ARRIVALS_PER_SECOND: usize = 45;
-/// A placed request arrives within this.
+/// A placed request arrives within this time.
 const MAX_TRANSIT: Duration = Duration::from_millis(250);
 
 struct Case {
     name: &'static str,
     nodes: usize,
-    /// The fleet is cut into so many parts, which don't see each other.
+    /// Number of partitions of the fleet whose nodes don't see each other.
     parts: usize,
-    /// A node of each part leads the service and places what all others ask it to.
+    /// Whether a node of each partition leads the service and places the requests that all others send
+    /// to it.
     has_leads: bool,
 }
 
@@ -33,13 +35,13 @@
     Case { name: "66 nodes", nodes: 66, parts: 1, has_leads: false },
     Case { name: "9 nodes", nodes: 9, parts: 1, has_leads: false },
     Case { name: "300 nodes", nodes: 300, parts: 1, has_leads: false },
-    Case { name: "66 nodes, cut in two", nodes: 66, parts: 2, has_leads: false },
-    Case { name: "66 nodes, a lead that some pass over", nodes: 66, parts: 1, has_leads: true },
+    Case { name: "66 nodes in two partitions", nodes: 66, parts: 2, has_leads: false },
+    Case { name: "66 nodes, half of the requests placed by the lead", nodes: 66, parts: 1, has_leads: true },
 ];
 
-/// A hall of four replicas comes back cold for 4.5 s, in a burst of 600 requests a second: 150 for each, over
-/// three times what it bears. Returns the most
-/// arrivals of any replica in any second, and how many were given in all.
+/// Four replicas of a hall are cold for 4.5 s during a burst of 600 requests per second: 150 for each,
+/// over three times what it can serve. Returns the largest number of arrivals at any replica within any
+/// second, and the total number of requests sent.
 fn simulate(case: &Case, seed: u64) -> (usize, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let ids: Vec<VmId> = (0..case.nodes).map(|n| format!("10.0.0.{n}:1").into()).collect();
@@ -78,8 +80,9 @@
         for seed in 0..8 {
             let (most, sent) = simulate(case, seed);
             assert!(most <= MAX_ARRIVALS_PER_SECOND, "{}: {most} arrivals in a second", case.name);
-            // It is used meanwhile, so that not all comes to it at once. Of 300 nodes 22 give it something.
-            assert!(sent >= 80, "{}: {sent} in 4.5 s", case.name);
+            // The replica is used meanwhile, so that its load does not set in all at once when it is
+            // warm. Of 300 nodes only 22 have a share.
+            assert!(sent >= 80, "{}: only {sent} requests in 4.5 s", case.name);
         }
     }
 }
@@ -98,6 +101,6 @@
                 sent += 1;
             }
         }
-        assert_eq!(sent, shared, "{rate} a second");
+        assert_eq!(sent, shared, "at {rate} requests per second");
     }
 }
--- a/lib/tests/test_gateway_full_engines.rs
+++ b/lib/tests/test_gateway_full_engines.rs
@@ -1,5 +1,5 @@
-//! What callers get where engines are given more prompts than they read: the lead's queue and its choice
-//! of engines, on modelled engines that read one prompt after another.
+//! What callers get if engines are sent more prompts than they can prefill: the lead's queue and its
+//! choice of engines, on modelled engines that prefill one prompt after another.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -31,20 +31,20 @@
 use crate::test_gateway_replicas::record;
 
 const ENGINES: usize = 20;
-/// Prompt tokens that an engine reads in a millisecond beside some streams.
+/// Prompt tokens that an engine prefills in a millisecond beside some running streams.
 const PREFILL_TOKENS_PER_MS: f64 = 7.2;
 const TOKEN_INTERVAL: Duration = Duration::from_millis(14);
-/// Too many prompts come for so long, then a little fewer than engines read.
+/// Until then more prompts arrive than the engines can prefill, after it a little fewer.
 const PEAK_END: Duration = Duration::from_secs(15);
 const AFTER_PEAK: f64 = 0.8;
 const ARRIVALS_END: Duration = Duration::from_secs(30);
 const START: Duration = Duration::from_secs(100);
 const TICK: Duration = Duration::from_millis(100);
 
-/// A kind of requests.
+/// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
-    /// Short answers to long prompts, more urgent.
+    /// Short answers to long prompts; more urgent.
     Verdict,
     /// Long streams.
     Chat,
@@ -55,7 +55,7 @@
         Duration::from_millis(if self == Kind::Chat { 1_800 } else { 1_500 })
     }
 
-    /// A caller that has had no event leaves after this.
+    /// A caller that has received no event leaves after this time.
     fn leaves_after(self) -> Duration {
         self.objective() * 4
     }
@@ -68,14 +68,14 @@
     }
 }
 
-/// How the lead lets wait.
+/// Which requests wait at the lead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lead {
-    /// Nobody: each prompt goes to the engine that will have read it first.
+    /// None: each prompt goes to the engine that will finish its prefill first.
     Never,
-    /// Whoever no engine reads soon, by urgency and arrival.
+    /// Requests that no engine can prefill soon, ordered by urgency and arrival.
     ByArrival,
-    /// The same, and those that can't begin in time any more behind the others.
+    /// The same, but requests that can no longer begin in time go behind the others.
     ByTurn,
 }
 
@@ -95,7 +95,7 @@
     arrived_at: Timestamp,
 }
 
-/// What became of the callers of a kind.
+/// The outcomes of the callers of a kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcomes {
     in_time: usize,
@@ -116,7 +116,7 @@
     table: ReplicaTable,
     book: LoadBook,
     queue: LeadQueue<Caller>,
-    /// What each engine was given and has not read, in order.
+    /// The prompts that each engine was assigned and has not prefilled, in order.
     prompts: Vec<VecDeque<Caller>>,
     now: Timestamp,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
@@ -194,7 +194,7 @@
             return;
         }
         let load = if since < PEAK_END { self.load } else { AFTER_PEAK };
-        // Chats are six of ten prompt tokens.
+        // Chats make up six of ten prompt tokens.
         let (part, tokens) = if kind == Kind::Chat { (0.6, 3_050.0) } else { (0.4, 2_550.0) };
         let per_ms = load * ENGINES as f64 * PREFILL_TOKENS_PER_MS * part / tokens;
         let pause = -(1.0 - self.rng.random::<f64>()).ln() / per_ms;
@@ -202,7 +202,7 @@
         let size = kind.size(&mut self.rng);
         let caller = Caller { run: self.count, kind, size, arrived_at: self.now };
         if self.lead == Lead::Never {
-            assert!(self.grant(caller, false), "memory is ample");
+            assert!(self.grant(caller, false), "memory is never short");
             return;
         }
         let priority = kind as u8;
@@ -215,11 +215,11 @@
         let terms = Terms { priority, in_time, may_wait, tokens: 0.0 };
         let mut queue = self.take_queue();
         let asked = queue.ask(caller, &terms, self, self.now);
-        assert!(!matches!(asked, Asked::Refused(..)), "nothing is known of when there is room");
+        assert!(!matches!(asked, Asked::Refused(..)), "without a forecast of room nothing is refused");
         self.queue = queue;
     }
 
-    /// The queue, which is put back when it has settled with the engines here.
+    /// Takes the queue out, to be put back after it has settled with the engines of this model.
     fn take_queue(&mut self) -> LeadQueue<Caller> {
         std::mem::replace(&mut self.queue, LeadQueue::new(Policy::default()))
     }
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Gives a caller's prompt to the best engine, if there is one.
+    /// Assigns a caller's prompt to the best engine, if there is one.
     fn grant(&mut self, caller: Caller, may_wait: bool) -> bool {
         let (traits, hall) = (traits(), HallId::from("a"));
         let request =
@@ -245,8 +245,10 @@
             return false;
         };
         let replica = choice.replica.clone();
-        let at =
-            engines.iter().position(|engine| engine.record.id == replica.record.id).expect("it is listed");
+        let at = engines
+            .iter()
+            .position(|engine| engine.record.id == replica.record.id)
+            .expect("the engine is listed");
         let id = replica.record.id.clone();
         let run = Run { replica: id, size: Some(caller.size), produced: 0, copied_from: None };
         self.book.add(key(caller.run), run, &replica, self.now);
@@ -273,7 +275,7 @@
     }
 
     fn on_prefill_done(&mut self, engine: usize, run: u64) {
-        let caller = self.prompts[engine].pop_front().expect("it was being read");
+        let caller = self.prompts[engine].pop_front().expect("the prompt was in prefill");
         let id = format!("e{engine:02}").into();
         let id: leadstage_lib::ids::UpstreamId = id;
         self.book.reading.on_first_event(&key(run), &id, self.now);
@@ -296,7 +298,7 @@
 impl Engines<Caller> for Model {
     type Place = ();
 
-    /// Memory is ample here.
+    /// Memory is never short in this model.
     fn choose(&mut self, caller: &Caller) -> Result<(), Shortage> {
         if self.grant(*caller, true) { Ok(()) } else { Err(Shortage::Reading) }
     }
@@ -343,8 +345,8 @@
     insta::assert_snapshot!(text);
 }
 
-/// A peak of 1.1 times what engines read: the queue by turns has fewer begin late than both others, has
-/// nobody leave, and the more urgent kind is served no less.
+/// At a peak of 1.1 times what the engines can prefill, the queue by turns has fewer late callers than
+/// both alternatives, no caller leaves, and the more urgent kind is served no worse.
 #[test]
 fn test_few_callers_are_late_in_a_peak() {
     let [never, by_arrival, by_turn] =
--- a/lib/tests/test_gateway_learned.rs
+++ b/lib/tests/test_gateway_learned.rs
@@ -1,8 +1,8 @@
-//! What is learned of engines: how fast they read prompts and make tokens.
+//! Estimates of the speed of engines: how fast they prefill prompts and produce tokens.
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::learned::Estimate;
+use leadstage_lib::gateway::learned::DecayingMean;
 use leadstage_lib::gateway::reading::ReadingClocks;
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::replicas::ReplicaTable;
@@ -13,27 +13,27 @@
 use crate::test_gateway_replicas::record;
 
 const NOW: Duration = Duration::from_secs(100);
-/// What a prompt token is guessed to take, in milliseconds.
+/// Default prefill time of a prompt token, in milliseconds.
 const MS_PER_TOKEN: f64 = 0.14;
 
 fn key(run: u64) -> RunKey {
     RunKey { entry: "n".into(), run }
 }
 
-/// An engine that has just started, and works at full speed after `cold`.
+/// An engine that has just started and reaches its full speed after `cold`.
 fn engine(id: &str, cold: Duration) -> Replica {
     let mut table = ReplicaTable::default();
     let mut record = record(id, false);
     record.cold = cold;
     table.on_list(vec![record], false, NOW);
-    table.get(id).expect("it is known").clone()
+    table.get(id).expect("the engine is listed").clone()
 }
 
 fn warm(id: &str) -> Replica {
     engine(id, Duration::ZERO)
 }
 
-/// Has an engine read prompts one after another, `ms_per_token` each; returns when it is done.
+/// Lets an engine prefill prompts one after another, `ms_per_token` each; returns when it is done.
 fn prefill_prompts(
     clocks: &mut ReadingClocks,
     engine: &Replica,
@@ -56,8 +56,8 @@
 }
 
 proptest! {
-    /// Whatever an engine's speed, ten prompts tell it to within a fifth, and another engine of the
-    /// service is taken to be like it before it has read anything.
+    /// Whatever an engine's speed, ten prompts determine it to within a fifth, and another engine of
+    /// the service is assumed to be like it before its first prefill.
     #[test]
     fn test_prefill_speed_is_learned(times in 0.3_f64..4.0) {
         let mut clocks = ReadingClocks::default();
@@ -65,13 +65,13 @@
         let now = prefill_prompts(&mut clocks, &first, 0..10, MS_PER_TOKEN * times, NOW);
         let actual = 1_000.0 * MS_PER_TOKEN * times;
         let known = ms_per_1000_tokens(&clocks, &first, now);
-        prop_assert!((known / actual - 1.0).abs() < 0.2, "{} instead of {}", known, actual);
+        prop_assert!((known / actual - 1.0).abs() < 0.2, "estimated {} instead of {}", known, actual);
         let assumed = ms_per_1000_tokens(&clocks, &fresh, now);
-        prop_assert!((assumed / actual - 1.0).abs() < 0.35, "{} instead of {}", assumed, actual);
+        prop_assert!((assumed / actual - 1.0).abs() < 0.35, "estimated {} instead of {}", assumed, actual);
     }
 
-    /// An engine that slows down to a third is taken for at least half as slow after five prompts,
-    /// and the others of its service for no more than half as slow again.
+    /// An engine that slows down to a third is estimated as at least half as slow after five prompts,
+    /// and the others of its service as no more than half as slow again.
     #[test]
     fn test_engine_slowdown_is_detected(times in 0.3_f64..4.0) {
         let mut clocks = ReadingClocks::default();
@@ -79,7 +79,9 @@
         let mut now = NOW;
         for round in 0..10 {
             now = prefill_prompts(&mut clocks, &slows, 4 * round..4 * round + 2, MS_PER_TOKEN * times, now);
-            now = prefill_prompts(&mut clocks, &stays, 4 * round + 2..4 * round + 4, MS_PER_TOKEN * times, now);
+            now = prefill_prompts(
+                &mut clocks, &stays, 4 * round + 2..4 * round + 4, MS_PER_TOKEN * times, now
+            );
         }
         let before = ms_per_1000_tokens(&clocks, &slows, now);
         now = prefill_prompts(&mut clocks, &slows, 100..105, 3.0 * MS_PER_TOKEN * times, now);
@@ -89,16 +91,20 @@
         prop_assert!(ms_per_1000_tokens(&clocks, &another, now) < 1.5 * before);
     }
 
-    /// One odd observation moves a quantity by no more than its weight allows.
+    /// One outlier moves a mean by no more than its weight allows.
     #[test]
-    fn test_outliers_have_little_weight(outlier in prop_oneof![Just(f64::NAN), Just(0.0), Just(-1.0), Just(f64::INFINITY), 1e-9_f64..1e9]) {
-        let mut estimate = Estimate::new(10.0, 0.1);
-        (0..50).for_each(|_| estimate.observe(10.0));
-        estimate.observe(outlier);
-        prop_assert!((8.7..=11.5).contains(&estimate.value()), "{}", estimate.value());
+    fn test_outliers_have_little_weight(
+        outlier in prop_oneof![
+            Just(f64::NAN), Just(0.0), Just(-1.0), Just(f64::INFINITY), 1e-9_f64..1e9
+        ]
+    ) {
+        let mut mean = DecayingMean::new(10.0, 0.1);
+        (0..50).for_each(|_| mean.observe(10.0));
+        mean.observe(outlier);
+        prop_assert!((8.7..=11.5).contains(&mean.value()), "{}", mean.value());
     }
 
-    /// The pace of generations is learned from their progress, and a pause says nothing of it.
+    /// The pace of generations is learned from their progress, and a pause does not affect it.
     #[test]
     fn test_pace_of_tokens_is_learned(pace in 30.0_f64..460.0) {
         let mut paces = TokenPaces::default();
@@ -107,11 +113,13 @@
                 let pauses = run == 0 && tick % 40 > 30;
                 let ticks = if pauses { tick - tick % 40 + 30 } else { tick };
                 let made = pace * f64::from(ticks) * 0.1;
-                paces.on_progress(&key(run), &"m".into(), made as u32, NOW + Duration::from_millis(u64::from(tick) * 100));
+                paces.on_progress(
+                    &key(run), &"m".into(), made as u32, NOW + Duration::from_millis(u64::from(tick) * 100)
+                );
             }
         }
         let known = paces.tokens_per_second("m");
-        prop_assert!((known / pace - 1.0).abs() < 0.2, "{} instead of {}", known, pace);
+        prop_assert!((known / pace - 1.0).abs() < 0.2, "estimated {} instead of {}", known, pace);
     }
 }
 
@@ -124,13 +132,13 @@
     assert_eq!(clocks.wait("e1", NOW), Duration::from_millis(280));
     let later = NOW + Duration::from_millis(190);
     clocks.on_first_event(&key(1), "e1", later);
-    assert_eq!(clocks.wait("e1", later), Duration::from_millis(140), "50 ms late, so is the next one");
+    assert_eq!(clocks.wait("e1", later), Duration::from_millis(140), "the first event was 50 ms late");
     clocks.retain(|_| false);
     assert_eq!(clocks.wait("e1", later), Duration::ZERO);
 }
 
-/// How much slower engines are that have just started differs from fleet to fleet. It is guessed
-/// until one was seen, and has no say in how fast engines are that have warmed up.
+/// How much slower engines are just after their start differs between fleets. A default holds until the
+/// first observation, and cold engines don't affect the speed of warm ones.
 #[test]
 fn test_cold_factor_is_learned_from_other_engines() {
     let mut clocks = ReadingClocks::default();
--- a/lib/tests/test_gateway_load.rs
+++ b/lib/tests/test_gateway_load.rs
@@ -1,4 +1,4 @@
-//! The gateway interface's choices of replicas.
+//! The choice of replicas by their load.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 use crate::test_gateway_replicas::record;
 
 const NOW: Duration = Duration::from_secs(100);
-/// Tokens that a generation makes in a second.
+/// Tokens that a generation produces in a second.
 const PACE: f64 = 115.0;
 
 fn traits() -> EngineTraits {
@@ -60,9 +60,9 @@
     Run { replica: engine.into(), size, produced, copied_from: None }
 }
 
-/// A request is at its replica from now on.
+/// Records that a request is at its replica.
 fn assign(book: &mut LoadBook, table: &ReplicaTable, key: RunKey, run: Run) {
-    let replica = table.get(&run.replica).expect("it is known").clone();
+    let replica = table.get(&run.replica).expect("the replica is listed").clone();
     book.add(key, run, &replica, NOW);
 }
 
@@ -82,7 +82,7 @@
     let mut book = LoadBook::default();
     let mut chosen = Vec::new();
     for n in 0..6 {
-        let engine = choose(&book, &table, 3_000, false).expect("there is room");
+        let engine = choose(&book, &table, 3_000, false).expect("some engine has room");
         assign(&mut book, &table, key(n), run(&engine, 3_000, 900, 0));
         chosen.push(engine);
     }
@@ -98,14 +98,14 @@
     for n in 0..9 {
         assign(&mut book, &table, key(n), run("e1", 3_000, 300, 200));
     }
-    let fill = book.engine_load(table.get("e1").expect("it is listed")).fill(&traits());
+    let fill = book.engine_load(table.get("e1").expect("the engine is listed")).fill(&traits());
     assert!((0.80..0.90).contains(&fill), "{fill}");
     assert_eq!(choose(&book, &table, 3_000, false), None);
     assert_eq!(choose(&book, &table, 3_000, true), Some("e1".to_owned()));
 }
 
-/// Four that end one after the other leave room for a fifth, which four that end together don't: all five would
-/// have grown by then. What each holds now is the same.
+/// Four generations that end one after another leave room for a fifth. Four that end together don't:
+/// all five would have grown by then. What each holds at first is the same.
 #[test]
 fn test_generations_are_admitted_by_expected_peak() {
     let table = table(&[("e1", "a")]);
@@ -130,15 +130,17 @@
 fn test_expected_peak() {
     assert_eq!(peak_of(&[]), 0.0);
     assert_eq!(peak_of(&[(3_000, 700)]), 3_700.0);
-    // The first ends as both have 100 more; the second goes on alone.
+    // The first ends when both have grown by 100; the second goes on alone.
     assert_eq!(peak_of(&[(3_000, 100), (1_000, 700)]), 4_200.0);
     assert_eq!(peak_of(&[(100, 100), (1_000, 700)]), 1_700.0);
 }
 
 proptest! {
-    /// The peak is what a count of the tokens in each step shows.
+    /// The peak is the same as counted from the tokens held in each step.
     #[test]
-    fn test_expected_peak_matches_a_step_by_step_count(growths in proptest::collection::vec((0..5_000_u32, 0..300_u32), 0..24)) {
+    fn test_expected_peak_matches_a_step_by_step_count(
+        growths in proptest::collection::vec((0..5_000_u32, 0..300_u32), 0..24)
+    ) {
         let held = |step: u32| -> u32 {
             let there = growths.iter().filter(|(_, remaining)| *remaining >= step);
             there.map(|(now, _)| now + step).sum()
@@ -148,8 +150,8 @@
     }
 }
 
-/// Links between halls lose packets now and then, and a stream that crosses one then stalls: a
-/// somewhat busier engine of the caller's hall is better, a much busier one is not.
+/// Links between halls sometimes lose packets, and a stream that crosses such a link stalls. A somewhat
+/// busier engine in the caller's hall is preferred, a much busier one is not.
 #[test]
 fn test_generations_prefer_their_own_hall() {
     let table = table(&[("far", "b"), ("near", "a")]);
@@ -164,8 +166,8 @@
     assert_eq!(choose(&book, &table, 3_000, false), Some("far".to_owned()));
 }
 
-/// An engine that failed some of its last generations gets none while others have room, even
-/// if they are busier; one that has been well since is used again.
+/// An engine that failed some of its last generations gets none while others have room, even if they
+/// are busier. After enough successful generations it is used again.
 #[test]
 fn test_engines_with_recent_failures_are_avoided() {
     let mut table = table(&[("e1", "a"), ("e2", "a")]);
@@ -178,7 +180,7 @@
     table.on_answer("e1", false, before);
     table.on_failure("e1", before);
     table.on_answer("e1", false, before);
-    assert_eq!(choose(&book, &table, 3_000, false), Some("e2".to_owned()), "one of three");
+    assert_eq!(choose(&book, &table, 3_000, false), Some("e2".to_owned()), "one failure of three");
     assert_eq!(choose(&book, &table, 3_000, true), Some("e2".to_owned()));
     for _ in 0..10 {
         table.on_answer("e1", false, NOW);
@@ -198,7 +200,7 @@
     assert_eq!(book.copies_from("gone"), 0);
 }
 
-/// An inventory ends what it does not name, but not what was placed after it was written.
+/// An inventory ends the requests that it omits, but not those that were placed after it was written.
 #[test]
 fn test_inventory_keeps_what_is_newer() {
     let engines = table(&[("e1", "a"), ("e2", "a"), ("e3", "a")]);
@@ -219,14 +221,16 @@
 }
 
 proptest! {
-    /// The book's two indexes agree, whatever comes.
+    /// The two indexes of the tracker agree after any sequence of calls.
     #[test]
-    fn test_indexes_of_the_load_tracker_agree(steps in proptest::collection::vec((0u8..4, 0u64..6, 0u8..3), 1..60)) {
+    fn test_indexes_of_the_load_tracker_agree(
+        steps in proptest::collection::vec((0u8..4, 0u64..6, 0u8..3), 1..60)
+    ) {
         let engines = table(&[("e0", "a"), ("e1", "a"), ("e2", "a")]);
         let mut book = LoadBook::default();
-        for (what, n, engine) in steps {
+        for (operation, n, engine) in steps {
             let engine = format!("e{engine}");
-            match what {
+            match operation {
                 0 => assign(&mut book, &engines, key(n), run(&engine, 100, 100, 0)),
                 1 => { book.remove(&key(n)); }
                 2 => {
@@ -251,7 +255,7 @@
     let mut rebalancer = Rebalancer::default();
     let moves = rebalancer.reliefs(&book, table.iter(), &traits(), NOW);
     assert_eq!(moves.len(), 1);
-    assert_eq!((moves[0].key.run, &*moves[0].from), (8, "full"), "the one with the longest to go");
+    assert_eq!((moves[0].key.run, &*moves[0].from), (8, "full"), "most remaining tokens");
     let soon = NOW + Duration::from_millis(100);
     assert_eq!(rebalancer.reliefs(&book, table.iter(), &traits(), soon), []);
 }
@@ -262,8 +266,8 @@
     let short = GenerationSize { prompt: 3_000, expected: 200 };
     assert!(evacuation::rank(long, 100) < evacuation::rank(short, 10));
     assert!(evacuation::start_delay(long, 100, PACE) < evacuation::start_delay(short, 10, PACE));
-    assert!(evacuation::start_delay(short, 180, PACE) > Duration::from_millis(500), "it ends by itself");
-    assert!(evacuation::start_delay(short, 400, PACE) < Duration::from_millis(100), "the estimate was wrong");
+    assert!(evacuation::start_delay(short, 180, PACE) > Duration::from_millis(500), "it is about to end");
+    assert!(evacuation::start_delay(short, 400, PACE) < Duration::from_millis(100), "outlived its estimate");
 }
 
 #[test]
@@ -280,12 +284,12 @@
     let later = NOW + Duration::from_secs(2);
     assert_eq!(leads.lead_of("m", &own, others.iter(), 1, later), lead);
     let seen_by_b = leads.lead_of("m", &others[0], [&own, &others[1], &others[2]].into_iter(), 2, later);
-    assert_eq!(seen_by_b, lead, "all pick the same one");
+    assert_eq!(seen_by_b, lead, "all nodes select the same lead");
 }
 
 proptest! {
-    /// A lead that is told in parts, in any order, knows what one knows that is told all at once. A
-    /// part that is lost leaves what was known of its requests, and nothing else.
+    /// A lead that receives an inventory in parts, in any order, has the same knowledge as one that
+    /// receives it whole. If a part is lost, only the knowledge of its requests stays as it was.
     #[test]
     fn test_inventory_parts_match_the_whole(
         before in proptest::collection::btree_set(0u64..60, 0..40),
@@ -321,8 +325,8 @@
     }
 }
 
-/// 3,000 generations at engines with long names: each part fits into what a datagram holds, as it
-/// is encoded.
+/// Each part of an inventory of 3,000 generations at engines with long names fits into a datagram when
+/// encoded.
 #[test]
 fn test_inventory_parts_respect_the_size_limit() {
     let from = Some("e".repeat(80).into());
--- a/lib/tests/test_gateway_shortage.rs
+++ b/lib/tests/test_gateway_shortage.rs
@@ -1,4 +1,4 @@
-//! What the first one that waits for an engine lacks, over time.
+//! Waiting time is split by what the first generation in the queue lacked.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
     Duration::from_millis(millis)
 }
 
-/// Who comes later waits for less, and time before anything was short is nobody's.
+/// A generation that arrives later has waited for less, and time before the first shortage is not
+/// counted.
 #[test]
 fn test_wait_times_are_split_by_shortage() {
     let mut clock = ShortageClock::default();
