--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -12,7 +12,7 @@
 use leadstage_lib::gateway::fingerprint::Fingerprint;
 use leadstage_lib::gateway::fingerprint::RequestParts;
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::load::LoadBook;
+use leadstage_lib::gateway::load::LoadTracker;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
@@ -73,7 +73,7 @@
     let policy = Policy { admit_by_peak, ..Policy::default() };
     let mut table = ReplicaTable::new(policy);
     table.on_list((0..engines).map(record).collect(), false, Duration::ZERO);
-    let mut book = LoadBook::new(policy);
+    let mut book = LoadTracker::new(policy);
     let size = GenerationSize { prompt: 2_000, expected: 700 };
     for run in 0..generations {
         let replica = engine_id((run % u64::from(engines)) as u32);
--- a/lib/src/gateway/choice.rs
+++ b/lib/src/gateway/choice.rs
@@ -9,7 +9,7 @@
 
 use crate::gateway::load::EngineLoad;
 use crate::gateway::load::GenerationSize;
-use crate::gateway::load::LoadBook;
+use crate::gateway::load::LoadTracker;
 use crate::gateway::replica::Replica;
 use crate::gateway::routing::EngineTraits;
 use crate::gateway::shortage::Shortage;
@@ -39,7 +39,7 @@
 /// load: at the usual load 793 of 18,994 long streams are late with 0.9, 122 of 18,997 with 0.95, and
 /// 111 of 19,145 with 1.0. 0, 0 and 11 generations a day are preempted, and 32, 87 and 125 of all
 /// broken.
-pub const PEAK_UP_TO: f64 = 0.95;
+pub const MAX_EXPECTED_PEAK: f64 = 0.95;
 /// Largest near-term fill of an engine's memory up to which a new generation is admitted, if the
 /// expected peak does not decide.
 const MAX_ADMISSION_FILL: f64 = 0.9;
@@ -106,7 +106,7 @@
     pub moves: bool,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Returns the cheapest of the given usable engines for a generation, or `None` if none of them
     /// admits it.
     pub fn choose_engine<'a, R: Rng>(
@@ -124,7 +124,7 @@
     /// Returns the cheapest engine for a generation among `available` ones, which can start its prefill
     /// soon, or what is short. Engines in `backlogged` are only checked for whether their memory would
     /// admit it.
-    pub fn choose_engine_soon<'a, R: Rng>(
+    pub fn choose_engine_or_shortage<'a, R: Rng>(
         &self,
         available: Vec<&'a Replica>,
         backlogged: Vec<&'a Replica>,
@@ -138,7 +138,7 @@
         if let Some(choice) = self.choose_engine(available.into_iter(), request, now, rng) {
             return Ok(choice);
         }
-        Err(if self.has_memory(backlogged, request) { Shortage::Reading } else { Shortage::Memory })
+        Err(if self.has_memory(backlogged, request) { Shortage::Prefill } else { Shortage::Memory })
     }
 
     fn has_memory(&self, engines: Vec<&Replica>, request: &EngineRequest<'_>) -> bool {
@@ -160,7 +160,7 @@
         } else if request.moves {
             load.fill(request.engine) <= MAX_MOVE_FILL
         } else if self.policy.admit_by_peak {
-            load.peak(request.engine) <= PEAK_UP_TO
+            load.peak(request.engine) <= MAX_EXPECTED_PEAK
         } else {
             load.fill(request.engine) <= MAX_ADMISSION_FILL
         }
@@ -175,7 +175,7 @@
         rng: &mut R,
     ) -> Option<&'a Replica> {
         let costs = candidates.map(|replica| {
-            let calls = self.at(&replica.record.id).count() as f64;
+            let calls = self.runs_at(&replica.record.id).count() as f64;
             (calls * COST_PER_CALL_MS + self.general_cost(replica, hall, &PLAIN_COSTS, now, rng), replica)
         });
         costs.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, replica)| replica)
@@ -194,14 +194,14 @@
         let (runs, arriving, fill) = (load.runs, load.arriving, load.fill(request.engine));
         let fits = self.fits(load, request);
         let crosses_halls = moves && replica.record.hall != *request.hall;
-        let wait = self.reading.wait(id, now);
+        let wait = self.prefill.wait(id, now);
         // A copy does not wait for the prompts that are queued there.
         let delay_cost = if moves {
             let copy = millis(request.engine.copy_time(request.size.prompt + request.produced));
             let copies = arriving as f64 + if crosses_halls { CROSS_HALL_MOVE_COPIES } else { 0.0 };
             copies * copy
         } else {
-            let prefill = self.reading.prefill_time(replica, request.size.prompt, now);
+            let prefill = self.prefill.prefill_time(replica, request.size.prompt, now);
             let first_event = millis(wait + prefill);
             first_event + first_event * first_event / FIRST_EVENT_DOUBLING_MS
         };
--- a/lib/src/gateway/cold_start.rs
+++ b/lib/src/gateway/cold_start.rs
@@ -44,14 +44,14 @@
 impl ColdBounds {
     /// Requests per second that the shares of all nodes add up to, for a service whose cold replicas
     /// can serve `per_second`.
-    pub fn shared(&self, per_second: f64) -> u32 {
+    pub fn shared_rate(&self, per_second: f64) -> u32 {
         ((per_second * self.overshoot + self.slack) * SHARED_FRACTION).max(0.0) as u32
     }
 }
 
 /// The kind of node that places a request at a cold replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Giver {
+pub enum PlacedBy {
     /// The lead of the service.
     Lead,
     /// Any other node, for a request that arrived at it.
@@ -68,17 +68,17 @@
 
 /// Limits the requests that this node sends to cold replicas.
 #[derive(Debug)]
-pub struct ColdStarts {
+pub struct ColdStartLimiter {
     own: VmId,
     /// The other nodes that are alive.
     nodes: Vec<VmId>,
     budgets: HashMap<UpstreamId, ReplicaBudget>,
 }
 
-impl ColdStarts {
+impl ColdStartLimiter {
     /// Creates a limiter that knows no other nodes and no replicas.
     pub fn new(own: VmId) -> Self {
-        ColdStarts { own, nodes: Vec::new(), budgets: HashMap::new() }
+        ColdStartLimiter { own, nodes: Vec::new(), budgets: HashMap::new() }
     }
 
     /// Replaces the set of other nodes that are alive.
@@ -89,7 +89,7 @@
 
     /// Whether this node may send one more request to a cold replica; `shared` is the number of
     /// requests per second that the shares of all nodes add up to.
-    pub fn allows(&mut self, replica: &UpstreamId, placed_by: Giver, shared: u32, now: Timestamp) -> bool {
+    pub fn allows(&mut self, replica: &UpstreamId, placed_by: PlacedBy, shared: u32, now: Timestamp) -> bool {
         let is_fresh =
             self.budgets.get(replica).is_some_and(|budget| budget.computed_at + SHARE_REFRESH_INTERVAL > now);
         let new_share = (!is_fresh).then(|| self.compute_share(replica, shared));
@@ -100,12 +100,12 @@
         while budget.sent_at.front().is_some_and(|at| *at + RATE_WINDOW <= now) {
             budget.sent_at.pop_front();
         }
-        let limit = if placed_by == Giver::Lead { shared } else { budget.share };
+        let limit = if placed_by == PlacedBy::Lead { shared } else { budget.share };
         budget.sent_at.len() < limit as usize
     }
 
     /// Records that a request was sent to a cold replica.
-    pub fn on_given(&mut self, replica: &str, now: Timestamp) {
+    pub fn on_assigned(&mut self, replica: &str, now: Timestamp) {
         if let Some(budget) = self.budgets.get_mut(replica) {
             budget.sent_at.push_back(now);
         }
--- a/lib/src/gateway/evacuation.rs
+++ b/lib/src/gateway/evacuation.rs
@@ -24,10 +24,10 @@
 
 /// Number of copies that may be under way from one engine: one that runs, and one that follows it
 /// without a gap.
-pub const COPIES_AT_ONCE: usize = 2;
+pub const MAX_CONCURRENT_COPIES: usize = 2;
 /// Maximum time that a generation waits for its copy to start. Engines keep serving for some seconds at
 /// most after their notice.
-pub const COPY_PATIENCE: Duration = Duration::from_secs(2);
+pub const COPY_START_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of ranks for generations that wait for their copy.
 const RANKS: f64 = 100.0;
 
--- a/lib/src/gateway/limit_book.rs
+++ b/lib/src/gateway/limit_book.rs
@@ -5,7 +5,7 @@
 
 use rand::Rng;
 
-use crate::gateway::cold_start::Giver;
+use crate::gateway::cold_start::PlacedBy;
 use crate::gateway::limit_asks::LimitAsks;
 use crate::gateway::limit_grants::GRANTED_PART;
 use crate::gateway::limit_grants::Grant;
@@ -43,7 +43,7 @@
     pub fn allows<R: Rng>(
         &mut self,
         replica: &UpstreamId,
-        giver: Giver,
+        giver: PlacedBy,
         now: Timestamp,
         rng: &mut R,
     ) -> bool {
@@ -51,22 +51,22 @@
             return true;
         };
         match giver {
-            Giver::Lead => {
+            PlacedBy::Lead => {
                 self.saves_from_naming(replica, now);
                 self.grants.may_grant(replica, limit, 0, now)
             }
-            Giver::Node => self.asks.has_permit(replica, limit, now, rng),
+            PlacedBy::Node => self.asks.has_permit(replica, limit, now, rng),
         }
     }
 
     /// A replica was given a request by this node.
-    pub fn on_given<R: Rng>(&mut self, replica: &str, giver: Giver, now: Timestamp, rng: &mut R) {
+    pub fn on_assigned<R: Rng>(&mut self, replica: &str, giver: PlacedBy, now: Timestamp, rng: &mut R) {
         let Some(limit) = self.limits.limit(replica) else {
             return;
         };
         match giver {
-            Giver::Lead => self.grants.on_granted(replica),
-            Giver::Node => self.asks.on_permit_used(replica, limit, now, rng),
+            PlacedBy::Lead => self.grants.on_granted(replica),
+            PlacedBy::Node => self.asks.on_permit_used(replica, limit, now, rng),
         }
     }
 
--- a/lib/src/gateway/load.rs
+++ b/lib/src/gateway/load.rs
@@ -11,13 +11,13 @@
 use serde::Serialize;
 
 use crate::gateway::policy::Policy;
-use crate::gateway::reading::ReadingClocks;
+use crate::gateway::prefill::PrefillClocks;
 use crate::gateway::replica::Replica;
 use crate::gateway::routing::EngineTraits;
 use crate::gateway::routing::ServiceId;
 use crate::gateway::run_key::RunId;
 use crate::gateway::run_key::RunKey;
-use crate::gateway::token_pace::GUESSED_TOKENS_PER_SECOND;
+use crate::gateway::token_pace::DEFAULT_TOKENS_PER_SECOND;
 use crate::gateway::token_pace::TokenPaces;
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
@@ -33,7 +33,7 @@
 /// This much keeps the engine busy until the next generation arrives, some tens of milliseconds after a
 /// prefill has ended. A generation that would wait longer there waits at the lead, which can still let
 /// others go first and choose another engine.
-pub const READS_AHEAD: Duration = Duration::from_millis(300);
+pub const MAX_QUEUED_PREFILL: Duration = Duration::from_millis(300);
 /// The size of a generation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct GenerationSize {
@@ -65,7 +65,7 @@
 
 /// Tracks the requests at the replicas, as far as a node knows them.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     /// The mechanisms that are enabled.
     pub policy: Policy,
     /// The requests of each replica, stored together: a choice looks at all requests of some tens of
@@ -77,14 +77,14 @@
     /// The services of the replicas that requests were assigned to.
     services: HashMap<UpstreamId, ServiceId>,
     /// When engines will have prefilled the prompts assigned to them.
-    pub reading: ReadingClocks,
+    pub prefill: PrefillClocks,
     paces: TokenPaces,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Creates a tracker without requests.
     pub fn new(policy: Policy) -> Self {
-        LoadBook { policy, reading: ReadingClocks::new(policy), ..LoadBook::default() }
+        LoadTracker { policy, prefill: PrefillClocks::new(policy), ..LoadTracker::default() }
     }
 
     /// Records that a request was assigned to a replica.
@@ -92,7 +92,7 @@
         if let Some(size) = run.size {
             self.services.insert(run.replica.clone(), replica.record.service.clone());
             if run.produced == 0 {
-                self.reading.on_given(&key, replica, size.prompt, now);
+                self.prefill.on_assigned(&key, replica, size.prompt, now);
             }
         }
         self.insert(key, run);
@@ -108,24 +108,24 @@
     pub fn on_first_event(&mut self, key: &RunKey, now: Timestamp) {
         let replica = self.placements.get(&key.entry).and_then(|placements| placements.get(&key.run));
         if let Some(replica) = replica {
-            self.reading.on_first_event(key, replica, now);
+            self.prefill.on_first_event(key, replica, now);
         }
     }
 
     /// Drops what is known of replicas that are gone.
     pub fn retain_replicas(&mut self, is_known: impl Fn(&str) -> bool) {
         self.services.retain(|replica, _| is_known(replica));
-        self.reading.retain(is_known);
+        self.prefill.retain(is_known);
     }
 
     /// Handles the restart of a replica: the requests assigned to it are gone, and so are copies from
     /// it that had not finished.
     pub fn on_restarted(&mut self, replica: &str) {
-        let runs: Vec<RunKey> = self.at(replica).map(|(key, _)| key.clone()).collect();
+        let runs: Vec<RunKey> = self.runs_at(replica).map(|(key, _)| key.clone()).collect();
         runs.iter().for_each(|key| {
             self.remove(key);
         });
-        self.reading.retain(|engine| engine != replica);
+        self.prefill.retain(|engine| engine != replica);
         let runs = self.by_replica.values_mut().flatten().map(|(_, run)| run);
         for copy in runs.filter(|run| run.copied_from.as_deref() == Some(replica)) {
             copy.copied_from = None;
@@ -134,7 +134,7 @@
 
     /// Removes a request that has ended or was never sent.
     pub fn remove(&mut self, key: &RunKey) -> Option<Run> {
-        self.reading.forget(key);
+        self.prefill.forget(key);
         self.paces.forget(key);
         self.remove_run(key)
     }
@@ -183,7 +183,7 @@
     /// Tokens of memory that a request is expected to use soon.
     pub fn memory(&self, run: &Run) -> f64 {
         let service = self.services.get(&run.replica);
-        let pace = service.map_or(GUESSED_TOKENS_PER_SECOND, |service| self.paces.tokens_per_second(service));
+        let pace = service.map_or(DEFAULT_TOKENS_PER_SECOND, |service| self.paces.tokens_per_second(service));
         run.size.map_or(0.0, |size| near_term_memory(size, run.produced, pace))
     }
 
@@ -231,7 +231,7 @@
     /// The request with this key.
     pub fn get(&self, key: &RunKey) -> Option<&Run> {
         let replica = self.placements.get(&key.entry)?.get(&key.run)?;
-        self.at(replica).find(|(other, _)| *other == key).map(|(_, run)| run)
+        self.runs_at(replica).find(|(other, _)| *other == key).map(|(_, run)| run)
     }
 
     fn get_mut(&mut self, key: &RunKey) -> Option<&mut Run> {
@@ -241,7 +241,7 @@
     }
 
     /// The requests that arrived at a node.
-    pub fn of_entry(&self, entry: &VmId) -> impl Iterator<Item = (RunId, &Run)> {
+    pub fn runs_of_entry(&self, entry: &VmId) -> impl Iterator<Item = (RunId, &Run)> {
         let keys = self.placements.get(entry).into_iter().flat_map(BTreeMap::keys);
         keys.filter_map(|run| {
             let key = RunKey { entry: entry.clone(), run: *run };
@@ -255,19 +255,19 @@
     }
 
     /// The replicas that have requests.
-    pub fn busy(&self) -> impl Iterator<Item = &UpstreamId> {
+    pub fn busy_replicas(&self) -> impl Iterator<Item = &UpstreamId> {
         self.by_replica.keys()
     }
 
     /// The requests at a replica.
-    pub fn at<'a>(&'a self, replica: &str) -> impl Iterator<Item = (&'a RunKey, &'a Run)> {
+    pub fn runs_at<'a>(&'a self, replica: &str) -> impl Iterator<Item = (&'a RunKey, &'a Run)> {
         self.by_replica.get(replica).into_iter().flatten().map(|(key, run)| (key, run))
     }
 
     /// Whether a generation that can wait may be assigned to an engine: the engine is idle, or will
-    /// have finished its prefills within [`READS_AHEAD`].
-    pub fn reads_soon(&self, replica: &str, now: Timestamp) -> bool {
-        self.reading.wait(replica, now) <= READS_AHEAD || self.at(replica).next().is_none()
+    /// have finished its prefills within [`MAX_QUEUED_PREFILL`].
+    pub fn has_prefill_capacity(&self, replica: &str, now: Timestamp) -> bool {
+        self.prefill.wait(replica, now) <= MAX_QUEUED_PREFILL || self.runs_at(replica).next().is_none()
     }
 
     /// Computes the load of an engine in one pass over its requests. A lead compares up to 64 engines
--- a/lib/src/gateway/reading.rs
+++ b/lib/src/gateway/prefill.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::learned::DecayingMean;
+use crate::gateway::decaying_mean::DecayingMean;
 use crate::gateway::policy::Policy;
 use crate::gateway::replica::Replica;
 use crate::gateway::routing::ServiceId;
@@ -62,21 +62,21 @@
 
 /// The prefill clocks of all engines.
 #[derive(Debug, Default)]
-pub struct ReadingClocks {
+pub struct PrefillClocks {
     policy: Policy,
     services: HashMap<ServiceId, ServicePrefill>,
     engines: HashMap<UpstreamId, EngineClock>,
     pending: HashMap<RunKey, PendingPrefill>,
 }
 
-impl ReadingClocks {
+impl PrefillClocks {
     /// Creates clocks without observations.
     pub fn new(policy: Policy) -> Self {
-        ReadingClocks { policy, ..ReadingClocks::default() }
+        PrefillClocks { policy, ..PrefillClocks::default() }
     }
 
     /// Advances the clock of an engine that was assigned a prompt.
-    pub fn on_given(&mut self, key: &RunKey, engine: &Replica, tokens: u32, now: Timestamp) {
+    pub fn on_assigned(&mut self, key: &RunKey, engine: &Replica, tokens: u32, now: Timestamp) {
         let duration = self.prefill_time(engine, tokens, now);
         let record = &engine.record;
         let service = self.services.entry(record.service.clone()).or_default();
@@ -135,7 +135,7 @@
     }
 
     /// Time that a typical engine of a service needs to prefill a prompt.
-    pub fn usual_time(&self, service: &str, tokens: u32) -> Duration {
+    pub fn usual_prefill_time(&self, service: &str, tokens: u32) -> Duration {
         let service = self.services.get(service).copied().unwrap_or_default();
         prefill_duration(tokens, service.ms_per_token.value())
     }
@@ -147,7 +147,7 @@
 }
 
 /// Default time to prefill a prompt, where nothing is known of the engines.
-pub fn guessed_time(tokens: u32) -> Duration {
+pub fn default_prefill_time(tokens: u32) -> Duration {
     prefill_duration(tokens, DEFAULT_MS_PER_TOKEN)
 }
 
--- a/lib/src/gateway/rebalance.rs
+++ b/lib/src/gateway/rebalance.rs
@@ -9,8 +9,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::choice::PEAK_UP_TO;
-use crate::gateway::load::LoadBook;
+use crate::gateway::choice::MAX_EXPECTED_PEAK;
+use crate::gateway::load::LoadTracker;
 use crate::gateway::replica::Replica;
 use crate::gateway::routing::EngineTraits;
 use crate::gateway::run_key::RunKey;
@@ -33,7 +33,7 @@
 
 /// A generation that should move away from its engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Relief {
+pub struct RebalanceMove {
     /// The generation.
     pub key: RunKey,
     /// Its engine.
@@ -59,7 +59,7 @@
 }
 
 impl<'a> Load<'a> {
-    fn new(tracker: &LoadBook, replica: &'a Replica, traits: &EngineTraits) -> Self {
+    fn new(tracker: &LoadTracker, replica: &'a Replica, traits: &EngineTraits) -> Self {
         let load = tracker.engine_load(replica);
         let (runs, arriving, fill) = (load.runs, load.arriving > 0, load.fill(traits));
         let peak = if tracker.policy.admit_by_peak { load.peak(traits) } else { fill };
@@ -69,13 +69,13 @@
 
 impl Rebalancer {
     /// Returns the generations that should move now, at most one for each pair of engines.
-    pub fn reliefs<'a>(
+    pub fn due_moves<'a>(
         &mut self,
-        tracker: &LoadBook,
+        tracker: &LoadTracker,
         engines: impl Iterator<Item = &'a Replica>,
         traits: &EngineTraits,
         now: Timestamp,
-    ) -> Vec<Relief> {
+    ) -> Vec<RebalanceMove> {
         if now < self.next_pass {
             return Vec::new();
         }
@@ -88,7 +88,7 @@
         for source in loads.iter().rev() {
             let Some(target) = targets.next() else { break };
             let is_imbalanced = source.runs >= target.runs + MIN_RUN_DIFFERENCE;
-            if source.peak <= PEAK_UP_TO && !is_imbalanced {
+            if source.peak <= MAX_EXPECTED_PEAK && !is_imbalanced {
                 continue;
             }
             if self.has_pending_move(tracker, &source.replica.record.id) {
@@ -97,26 +97,26 @@
             let room = MAX_TARGET_FILL - target.fill;
             if let Some(key) = self.pick_generation(tracker, &source.replica.record.id, room, traits) {
                 self.requested.insert(key.clone(), now);
-                moves.push(Relief { key, from: source.replica.record.id.clone() });
+                moves.push(RebalanceMove { key, from: source.replica.record.id.clone() });
             }
         }
         moves
     }
 
-    fn has_pending_move(&self, tracker: &LoadBook, engine: &UpstreamId) -> bool {
-        tracker.at(engine).any(|(key, _)| self.requested.contains_key(key))
+    fn has_pending_move(&self, tracker: &LoadTracker, engine: &UpstreamId) -> bool {
+        tracker.runs_at(engine).any(|(key, _)| self.requested.contains_key(key))
     }
 
     /// The generation with the most remaining tokens that fits into the target.
     fn pick_generation(
         &self,
-        tracker: &LoadBook,
+        tracker: &LoadTracker,
         engine: &UpstreamId,
         room: f64,
         traits: &EngineTraits,
     ) -> Option<RunKey> {
         let memory = f64::from(traits.memory_tokens.max(1));
-        let runs = tracker.at(engine).filter(|(key, run)| {
+        let runs = tracker.runs_at(engine).filter(|(key, run)| {
             run.produced > 0
                 && run.copied_from.is_none()
                 && !self.requested.contains_key(*key)
--- a/lib/src/gateway/shortage.rs
+++ b/lib/src/gateway/shortage.rs
@@ -13,7 +13,7 @@
     /// No engine accepts requests: each is leaving, cold or rate-limited.
     Engines,
     /// No engine that has memory for it can prefill its prompt soon.
-    Reading,
+    Prefill,
     /// No engine has memory for it.
     Memory,
 }
@@ -24,7 +24,7 @@
     /// Time during which no engine accepted requests.
     pub engines: Duration,
     /// Time during which no engine could prefill soon.
-    pub reading: Duration,
+    pub prefill: Duration,
     /// Time during which memory was short.
     pub memory: Duration,
 }
@@ -34,20 +34,20 @@
     pub fn since(&self, earlier: &ShortageTimes) -> ShortageTimes {
         ShortageTimes {
             engines: self.engines.saturating_sub(earlier.engines),
-            reading: self.reading.saturating_sub(earlier.reading),
+            prefill: self.prefill.saturating_sub(earlier.prefill),
             memory: self.memory.saturating_sub(earlier.memory),
         }
     }
 
     /// The sum of all times.
     pub fn sum(&self) -> Duration {
-        self.engines + self.reading + self.memory
+        self.engines + self.prefill + self.memory
     }
 
     fn add(&mut self, shortage: Shortage, time: Duration) {
         let total = match shortage {
             Shortage::Engines => &mut self.engines,
-            Shortage::Reading => &mut self.reading,
+            Shortage::Prefill => &mut self.prefill,
             Shortage::Memory => &mut self.memory,
         };
         *total += time;
--- a/lib/src/gateway/start_reading.rs
+++ b/lib/src/gateway/startup_read.rs
@@ -17,11 +17,11 @@
 /// Expected number of nodes, of the whole fleet, that start to read between two checks.
 const READERS_PER_CHECK: f64 = 2.0;
 /// Time between two checks.
-pub const LOOK: Duration = Duration::from_millis(100);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Whether a node that lacks all state reads it now. `is_seed` says whether it is a node that others
 /// query first, and `nodes` is the size of the fleet, as far as known.
-pub fn reads_now<R: Rng>(is_seed: bool, nodes: usize, since_start: Timestamp, rng: &mut R) -> bool {
+pub fn should_read_store<R: Rng>(is_seed: bool, nodes: usize, since_start: Timestamp, rng: &mut R) -> bool {
     let chance = READERS_PER_CHECK / nodes.max(1) as f64;
     is_seed || (since_start >= PEER_GRACE && rng.random_bool(chance.min(1.0)))
 }
--- a/lib/src/gateway/token_pace.rs
+++ b/lib/src/gateway/token_pace.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::learned::DecayingMean;
+use crate::gateway::decaying_mean::DecayingMean;
 use crate::gateway::routing::ServiceId;
 use crate::gateway::run_key::RunKey;
 use crate::ids::Timestamp;
 
 /// Tokens that a generation produces in a second, until the first observation: one in 8.7 ms.
-pub const GUESSED_TOKENS_PER_SECOND: f64 = 115.0;
+pub const DEFAULT_TOKENS_PER_SECOND: f64 = 115.0;
 /// Weight of the newest observation. Some hundred observations count, which cover the last seconds.
 const NEWEST_WEIGHT: f64 = 0.01;
 /// Minimum time between two observations of one generation. An event holds several tokens, and a
@@ -47,7 +47,7 @@
         }
         let made = f64::from(tokens.saturating_sub(previous.tokens));
         *previous = sample;
-        let guess = DecayingMean::new(GUESSED_TOKENS_PER_SECOND, NEWEST_WEIGHT);
+        let guess = DecayingMean::new(DEFAULT_TOKENS_PER_SECOND, NEWEST_WEIGHT);
         self.services.entry(service.clone()).or_insert(guess).observe(made / span.as_secs_f64());
     }
 
@@ -58,7 +58,7 @@
 
     /// Tokens that a generation of a service produces in a second.
     pub fn tokens_per_second(&self, service: &str) -> f64 {
-        self.services.get(service).map_or(GUESSED_TOKENS_PER_SECOND, DecayingMean::value)
+        self.services.get(service).map_or(DEFAULT_TOKENS_PER_SECOND, DecayingMean::value)
     }
 
     /// The paces of all services with observations.
--- a/lib/tests/test_gateway_cold_start.rs
+++ b/lib/tests/test_gateway_cold_start.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::cold_start::ColdBounds;
-use leadstage_lib::gateway::cold_start::ColdStarts;
-use leadstage_lib::gateway::cold_start::Giver;
+use leadstage_lib::gateway::cold_start::ColdStartLimiter;
+use leadstage_lib::gateway::cold_start::PlacedBy;
 use leadstage_lib::ids::UpstreamId;
 use leadstage_lib::ids::VmId;
 use rand::RngExt;
@@ -45,7 +45,7 @@
 fn simulate(case: &Case, seed: u64) -> (usize, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let ids: Vec<VmId> = (0..case.nodes).map(|n| format!("10.0.0.{n}:1").into()).collect();
-    let mut nodes: Vec<ColdStarts> = ids.iter().map(|id| ColdStarts::new(id.clone())).collect();
+    let mut nodes: Vec<ColdStartLimiter> = ids.iter().map(|id| ColdStartLimiter::new(id.clone())).collect();
     for (at, node) in nodes.iter_mut().enumerate() {
         let seen = (0..case.nodes).filter(|other| *other != at && other % case.parts == at % case.parts);
         node.set_nodes(seen.map(|other| ids[other].clone()));
@@ -56,10 +56,10 @@
         let now = Duration::from_millis(u64::from(n) * 5 / 3);
         let via_lead = case.has_leads && rng.random::<f64>() < 0.5;
         let (node, placed_by) =
-            if via_lead { (0, Giver::Lead) } else { (rng.random_range(0..case.nodes), Giver::Node) };
+            if via_lead { (0, PlacedBy::Lead) } else { (rng.random_range(0..case.nodes), PlacedBy::Node) };
         let replica = &replicas[rng.random_range(0..replicas.len())];
-        if nodes[node].allows(replica, placed_by, BOUNDS.shared(COLD_RATE), now) {
-            nodes[node].on_given(replica, now);
+        if nodes[node].allows(replica, placed_by, BOUNDS.shared_rate(COLD_RATE), now) {
+            nodes[node].on_assigned(replica, now);
             arrivals.entry(replica.clone()).or_default().push(now + MAX_TRANSIT.mul_f64(rng.random()));
         }
     }
@@ -91,13 +91,13 @@
 fn test_shares_add_up() {
     let ids: Vec<VmId> = (0..66).map(|n| format!("n-{n}").into()).collect();
     for (rate, shared) in [(27.0, 22), (400.0, 302), (0.5, 2)] {
-        assert_eq!(BOUNDS.shared(rate), shared);
+        assert_eq!(BOUNDS.shared_rate(rate), shared);
         let mut sent = 0;
         for own in &ids {
-            let mut node = ColdStarts::new(own.clone());
+            let mut node = ColdStartLimiter::new(own.clone());
             node.set_nodes(ids.iter().filter(|id| *id != own).cloned());
-            while node.allows(&"i-1".into(), Giver::Node, shared, Duration::ZERO) {
-                node.on_given("i-1", Duration::ZERO);
+            while node.allows(&"i-1".into(), PlacedBy::Node, shared, Duration::ZERO) {
+                node.on_assigned("i-1", Duration::ZERO);
                 sent += 1;
             }
         }
--- a/lib/tests/test_gateway_learned.rs
+++ b/lib/tests/test_gateway_decaying_mean.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::learned::DecayingMean;
-use leadstage_lib::gateway::reading::ReadingClocks;
+use leadstage_lib::gateway::decaying_mean::DecayingMean;
+use leadstage_lib::gateway::prefill::PrefillClocks;
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::run_key::RunKey;
@@ -35,7 +35,7 @@
 
 /// Lets an engine prefill prompts one after another, `ms_per_token` each; returns when it is done.
 fn prefill_prompts(
-    clocks: &mut ReadingClocks,
+    clocks: &mut PrefillClocks,
     engine: &Replica,
     keys: std::ops::Range<u64>,
     ms_per_token: f64,
@@ -44,14 +44,14 @@
     let mut now = from;
     for n in keys {
         let tokens = 1_500 + 700 * (n as u32 % 3);
-        clocks.on_given(&key(n), engine, tokens, now);
+        clocks.on_assigned(&key(n), engine, tokens, now);
         now += Duration::from_secs_f64(f64::from(tokens) * ms_per_token / 1_000.0);
         clocks.on_first_event(&key(n), &engine.record.id, now);
     }
     now
 }
 
-fn ms_per_1000_tokens(clocks: &ReadingClocks, engine: &Replica, now: Duration) -> f64 {
+fn ms_per_1000_tokens(clocks: &PrefillClocks, engine: &Replica, now: Duration) -> f64 {
     clocks.prefill_time(engine, 1_000, now).as_secs_f64() * 1_000.0
 }
 
@@ -60,7 +60,7 @@
     /// the service is assumed to be like it before its first prefill.
     #[test]
     fn test_prefill_speed_is_learned(times in 0.3_f64..4.0) {
-        let mut clocks = ReadingClocks::default();
+        let mut clocks = PrefillClocks::default();
         let (first, fresh) = (warm("e1"), warm("e2"));
         let now = prefill_prompts(&mut clocks, &first, 0..10, MS_PER_TOKEN * times, NOW);
         let actual = 1_000.0 * MS_PER_TOKEN * times;
@@ -74,7 +74,7 @@
     /// and the others of its service as no more than half as slow again.
     #[test]
     fn test_engine_slowdown_is_detected(times in 0.3_f64..4.0) {
-        let mut clocks = ReadingClocks::default();
+        let mut clocks = PrefillClocks::default();
         let (slows, stays) = (warm("e1"), warm("e2"));
         let mut now = NOW;
         for round in 0..10 {
@@ -125,10 +125,10 @@
 
 #[test]
 fn test_late_first_events_delay_the_clock() {
-    let mut clocks = ReadingClocks::default();
+    let mut clocks = PrefillClocks::default();
     let engine = warm("e1");
-    clocks.on_given(&key(1), &engine, 1_000, NOW);
-    clocks.on_given(&key(2), &engine, 1_000, NOW);
+    clocks.on_assigned(&key(1), &engine, 1_000, NOW);
+    clocks.on_assigned(&key(2), &engine, 1_000, NOW);
     assert_eq!(clocks.wait("e1", NOW), Duration::from_millis(280));
     let later = NOW + Duration::from_millis(190);
     clocks.on_first_event(&key(1), "e1", later);
@@ -141,7 +141,7 @@
 /// first observation, and cold engines don't affect the speed of warm ones.
 #[test]
 fn test_cold_factor_is_learned_from_other_engines() {
-    let mut clocks = ReadingClocks::default();
+    let mut clocks = PrefillClocks::default();
     let now = prefill_prompts(&mut clocks, &warm("old"), 0..10, MS_PER_TOKEN, NOW);
     let cold = Duration::from_secs(60);
     let rows: Vec<String> = [(1.0, 100), (3.0, 200)]
--- a/lib/tests/test_gateway_full_engines.rs
+++ b/lib/tests/test_gateway_full_engines.rs
@@ -13,8 +13,8 @@
 use leadstage_lib::gateway::lead_queue::LeadQueue;
 use leadstage_lib::gateway::lead_queue::Terms;
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::load::LoadBook;
-use leadstage_lib::gateway::load::READS_AHEAD;
+use leadstage_lib::gateway::load::LoadTracker;
+use leadstage_lib::gateway::load::MAX_QUEUED_PREFILL;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::replica::Replica;
@@ -114,7 +114,7 @@
     lead: Lead,
     load: f64,
     table: ReplicaTable,
-    book: LoadBook,
+    tracker: LoadTracker,
     queue: LeadQueue<Caller>,
     /// The prompts that each engine was assigned and has not prefilled, in order.
     prompts: Vec<VecDeque<Caller>>,
@@ -150,7 +150,7 @@
             lead,
             load,
             table,
-            book: LoadBook::default(),
+            tracker: LoadTracker::default(),
             queue: LeadQueue::new(Policy::default()),
             prompts: vec![VecDeque::new(); ENGINES],
             now: START,
@@ -177,7 +177,7 @@
                 Event::Arrival(kind) => self.on_arrival(kind),
                 Event::PrefillDone { engine, run } => self.on_prefill_done(engine, run),
                 Event::Ends { run } => {
-                    self.book.remove(&key(run));
+                    self.tracker.remove(&key(run));
                 }
                 Event::Tick if at < START + 2 * ARRIVALS_END => {
                     self.settle();
@@ -206,10 +206,10 @@
             return;
         }
         let priority = kind as u8;
-        let prefill = self.book.reading.usual_time("m", size.prompt);
+        let prefill = self.tracker.prefill.usual_prefill_time("m", size.prompt);
         let may_wait = kind.leaves_after() - prefill;
         let in_time = match self.lead {
-            Lead::ByTurn => (kind.objective() - prefill).saturating_sub(READS_AHEAD),
+            Lead::ByTurn => (kind.objective() - prefill).saturating_sub(MAX_QUEUED_PREFILL),
             _ => may_wait,
         };
         let terms = Terms { priority, in_time, may_wait, tokens: 0.0 };
@@ -240,8 +240,9 @@
             EngineRequest { size: caller.size, engine: &traits, hall: &hall, produced: 0, moves: false };
         let engines: Vec<&Replica> = self.table.of_service("m");
         let candidates = engines.iter().copied();
-        let soon = candidates.filter(|engine| !may_wait || self.book.reads_soon(&engine.record.id, self.now));
-        let Some(choice) = self.book.choose_engine(soon, &request, self.now, &mut self.rng) else {
+        let soon = candidates
+            .filter(|engine| !may_wait || self.tracker.has_prefill_capacity(&engine.record.id, self.now));
+        let Some(choice) = self.tracker.choose_engine(soon, &request, self.now, &mut self.rng) else {
             return false;
         };
         let replica = choice.replica.clone();
@@ -251,7 +252,7 @@
             .expect("the engine is listed");
         let id = replica.record.id.clone();
         let run = Run { replica: id, size: Some(caller.size), produced: 0, copied_from: None };
-        self.book.add(key(caller.run), run, &replica, self.now);
+        self.tracker.add(key(caller.run), run, &replica, self.now);
         self.prompts[at].push_back(caller);
         if self.prompts[at].len() == 1 {
             self.start_prefill(at);
@@ -269,7 +270,7 @@
             }
             // Its caller has left.
             self.prompts[engine].pop_front();
-            self.book.remove(&key(next.run));
+            self.tracker.remove(&key(next.run));
             self.outcomes[next.kind as usize].left += 1;
         }
     }
@@ -278,7 +279,7 @@
         let caller = self.prompts[engine].pop_front().expect("the prompt was in prefill");
         let id = format!("e{engine:02}").into();
         let id: leadstage_lib::ids::UpstreamId = id;
-        self.book.reading.on_first_event(&key(run), &id, self.now);
+        self.tracker.prefill.on_first_event(&key(run), &id, self.now);
         let took = self.now - caller.arrived_at;
         let outcomes = &mut self.outcomes[caller.kind as usize];
         outcomes.longest = outcomes.longest.max(took);
@@ -300,7 +301,7 @@
 
     /// Memory is never short in this model.
     fn choose(&mut self, caller: &Caller) -> Result<(), Shortage> {
-        if self.grant(*caller, true) { Ok(()) } else { Err(Shortage::Reading) }
+        if self.grant(*caller, true) { Ok(()) } else { Err(Shortage::Prefill) }
     }
 
     fn time_until(&self, _tokens: f64) -> Option<Duration> {
@@ -351,12 +352,10 @@
 fn test_few_callers_are_late_in_a_peak() {
     let [never, by_arrival, by_turn] =
         [Lead::Never, Lead::ByArrival, Lead::ByTurn].map(|lead| simulate(lead, 1.1));
-    let late = |outcomes: &[Outcomes; 2]| {
-        outcomes.iter().map(|outcomes| outcomes.late + outcomes.left).sum::<usize>()
-    };
+    let late = |kinds: &[Outcomes; 2]| kinds.iter().map(|kind| kind.late + kind.left).sum::<usize>();
     assert!(2 * late(&by_turn) < late(&never), "{by_turn:?} {never:?}");
     assert!(late(&by_turn) < late(&by_arrival), "{by_turn:?} {by_arrival:?}");
-    assert_eq!(by_turn.map(|outcomes| outcomes.left), [0, 0]);
-    let share = |outcomes: &Outcomes| outcomes.in_time as f64 / outcomes.all() as f64;
+    assert_eq!(by_turn.map(|kind| kind.left), [0, 0]);
+    let share = |kind: &Outcomes| kind.in_time as f64 / kind.all() as f64;
     assert!(share(&by_turn[0]) >= share(&by_turn[1]), "{by_turn:?}");
 }
--- a/lib/tests/test_gateway_lead_queue.rs
+++ b/lib/tests/test_gateway_lead_queue.rs
@@ -29,7 +29,7 @@
             return Err(Shortage::Memory);
         }
         if !self.reads_soon {
-            return Err(Shortage::Reading);
+            return Err(Shortage::Prefill);
         }
         self.tokens -= tokens;
         Ok(())
--- a/lib/tests/test_gateway_limit_grants.rs
+++ b/lib/tests/test_gateway_limit_grants.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::cold_start::Giver;
+use leadstage_lib::gateway::cold_start::PlacedBy;
 use leadstage_lib::gateway::limit_asks::LimitAsks;
 use leadstage_lib::gateway::limit_book::LimitBook;
 use leadstage_lib::gateway::limit_grants::GRANTED_PART;
@@ -210,7 +210,7 @@
 fn test_replicas_without_a_limit_need_no_grant() {
     let mut book = LimitBook::default();
     let mut rng = StdRng::seed_from_u64(1);
-    assert!(book.allows(&replica(), Giver::Node, s(0.0), &mut rng));
+    assert!(book.allows(&replica(), PlacedBy::Node, s(0.0), &mut rng));
     assert!(!book.may_ask(&replica(), s(10.0), &mut rng));
     assert!(book.grant(&replica(), Granter::First, 0, s(0.0)).granted);
 }
--- a/lib/tests/test_gateway_limit_model.rs
+++ b/lib/tests/test_gateway_limit_model.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use leadstage_lib::gateway::cold_start::Giver;
+use leadstage_lib::gateway::cold_start::PlacedBy;
 use leadstage_lib::gateway::limit_book::LimitBook;
 use leadstage_lib::gateway::limit_grants::Granter;
 use leadstage_lib::gateway::replica_limits::AnswerTimes;
@@ -123,9 +123,9 @@
             }
         }
         let book = &mut self.books[node];
-        let may = book.allows(&self.replica, Giver::Node, now, rng);
+        let may = book.allows(&self.replica, PlacedBy::Node, now, rng);
         if may {
-            book.on_given(&self.replica, Giver::Node, now, rng);
+            book.on_assigned(&self.replica, PlacedBy::Node, now, rng);
         }
         may
     }
--- a/lib/tests/test_gateway_load.rs
+++ b/lib/tests/test_gateway_load.rs
@@ -8,7 +8,7 @@
 use leadstage_lib::gateway::lead::Leads;
 use leadstage_lib::gateway::load::GenerationSize;
 use leadstage_lib::gateway::load::Growth;
-use leadstage_lib::gateway::load::LoadBook;
+use leadstage_lib::gateway::load::LoadTracker;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::load::expected_peak;
 use leadstage_lib::gateway::rebalance::Rebalancer;
@@ -61,29 +61,29 @@
 }
 
 /// Records that a request is at its replica.
-fn assign(book: &mut LoadBook, table: &ReplicaTable, key: RunKey, run: Run) {
+fn assign(tracker: &mut LoadTracker, table: &ReplicaTable, key: RunKey, run: Run) {
     let replica = table.get(&run.replica).expect("the replica is listed").clone();
-    book.add(key, run, &replica, NOW);
+    tracker.add(key, run, &replica, NOW);
 }
 
-fn choose(book: &LoadBook, table: &ReplicaTable, prompt: u32, moves: bool) -> Option<String> {
+fn choose(tracker: &LoadTracker, table: &ReplicaTable, prompt: u32, moves: bool) -> Option<String> {
     let (traits, hall) = (traits(), HallId::from("a"));
     let size = GenerationSize { prompt, expected: 900 };
     let produced = if moves { 400 } else { 0 };
     let request = EngineRequest { size, engine: &traits, hall: &hall, produced, moves };
     let rng = &mut SmallRng::seed_from_u64(1);
-    let choice = book.choose_engine(table.of_service("m").into_iter(), &request, NOW, rng);
+    let choice = tracker.choose_engine(table.of_service("m").into_iter(), &request, NOW, rng);
     choice.map(|choice| choice.replica.record.id.to_string())
 }
 
 #[test]
 fn test_prompts_spread_over_engines() {
     let table = table(&[("e1", "a"), ("e2", "a"), ("e3", "a")]);
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     let mut chosen = Vec::new();
     for n in 0..6 {
-        let engine = choose(&book, &table, 3_000, false).expect("some engine has room");
-        assign(&mut book, &table, key(n), run(&engine, 3_000, 900, 0));
+        let engine = choose(&tracker, &table, 3_000, false).expect("some engine has room");
+        assign(&mut tracker, &table, key(n), run(&engine, 3_000, 900, 0));
         chosen.push(engine);
     }
     for engine in ["e1", "e2", "e3"] {
@@ -94,14 +94,14 @@
 #[test]
 fn test_full_engines_admit_moves_but_no_new_generations() {
     let table = table(&[("e1", "a")]);
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for n in 0..9 {
-        assign(&mut book, &table, key(n), run("e1", 3_000, 300, 200));
+        assign(&mut tracker, &table, key(n), run("e1", 3_000, 300, 200));
     }
-    let fill = book.engine_load(table.get("e1").expect("the engine is listed")).fill(&traits());
+    let fill = tracker.engine_load(table.get("e1").expect("the engine is listed")).fill(&traits());
     assert!((0.80..0.90).contains(&fill), "{fill}");
-    assert_eq!(choose(&book, &table, 3_000, false), None);
-    assert_eq!(choose(&book, &table, 3_000, true), Some("e1".to_owned()));
+    assert_eq!(choose(&tracker, &table, 3_000, false), None);
+    assert_eq!(choose(&tracker, &table, 3_000, true), Some("e1".to_owned()));
 }
 
 /// Four generations that end one after another leave room for a fifth. Four that end together don't:
@@ -110,11 +110,11 @@
 fn test_generations_are_admitted_by_expected_peak() {
     let table = table(&[("e1", "a")]);
     let admits = |expected: [u32; 4]| {
-        let mut book = LoadBook::default();
+        let mut tracker = LoadTracker::default();
         for (n, expected) in expected.into_iter().enumerate() {
-            assign(&mut book, &table, key(n as u64), run("e1", 5_900, expected, 200));
+            assign(&mut tracker, &table, key(n as u64), run("e1", 5_900, expected, 200));
         }
-        choose(&book, &table, 5_900, false)
+        choose(&tracker, &table, 5_900, false)
     };
     assert_eq!(admits([300, 400, 500, 700]), Some("e1".to_owned()));
     assert_eq!(admits([900; 4]), None);
@@ -155,15 +155,15 @@
 #[test]
 fn test_generations_prefer_their_own_hall() {
     let table = table(&[("far", "b"), ("near", "a")]);
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for n in 0..3 {
-        assign(&mut book, &table, key(n), run("near", 2_000, 900, 100));
+        assign(&mut tracker, &table, key(n), run("near", 2_000, 900, 100));
     }
-    assert_eq!(choose(&book, &table, 3_000, false), Some("near".to_owned()));
+    assert_eq!(choose(&tracker, &table, 3_000, false), Some("near".to_owned()));
     for n in 3..10 {
-        assign(&mut book, &table, key(n), run("near", 2_000, 900, 100));
+        assign(&mut tracker, &table, key(n), run("near", 2_000, 900, 100));
     }
-    assert_eq!(choose(&book, &table, 3_000, false), Some("far".to_owned()));
+    assert_eq!(choose(&tracker, &table, 3_000, false), Some("far".to_owned()));
 }
 
 /// An engine that failed some of its last generations gets none while others have room, even if they
@@ -171,53 +171,53 @@
 #[test]
 fn test_engines_with_recent_failures_are_avoided() {
     let mut table = table(&[("e1", "a"), ("e2", "a")]);
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for n in 0..4 {
-        assign(&mut book, &table, key(n), run("e2", 2_000, 900, 100));
+        assign(&mut tracker, &table, key(n), run("e2", 2_000, 900, 100));
     }
-    assert_eq!(choose(&book, &table, 3_000, false), Some("e1".to_owned()));
+    assert_eq!(choose(&tracker, &table, 3_000, false), Some("e1".to_owned()));
     let before = NOW - Duration::from_millis(400);
     table.on_answer("e1", false, before);
     table.on_failure("e1", before);
     table.on_answer("e1", false, before);
-    assert_eq!(choose(&book, &table, 3_000, false), Some("e2".to_owned()), "one failure of three");
-    assert_eq!(choose(&book, &table, 3_000, true), Some("e2".to_owned()));
+    assert_eq!(choose(&tracker, &table, 3_000, false), Some("e2".to_owned()), "one failure of three");
+    assert_eq!(choose(&tracker, &table, 3_000, true), Some("e2".to_owned()));
     for _ in 0..10 {
         table.on_answer("e1", false, NOW);
     }
-    assert_eq!(choose(&book, &table, 3_000, false), Some("e1".to_owned()));
+    assert_eq!(choose(&tracker, &table, 3_000, false), Some("e1".to_owned()));
 }
 
 #[test]
 fn test_moves_prefer_their_own_hall_and_idle_links() {
     let table = table(&[("far", "b"), ("near1", "a"), ("near2", "a")]);
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     let copy = Run { copied_from: Some("gone".into()), ..run("near1", 3_000, 900, 400) };
-    assign(&mut book, &table, key(1), copy);
-    assert_eq!(choose(&book, &table, 3_000, true), Some("near2".to_owned()));
-    assert_eq!(book.copies_from("gone"), 1);
-    book.on_copied(&key(1));
-    assert_eq!(book.copies_from("gone"), 0);
+    assign(&mut tracker, &table, key(1), copy);
+    assert_eq!(choose(&tracker, &table, 3_000, true), Some("near2".to_owned()));
+    assert_eq!(tracker.copies_from("gone"), 1);
+    tracker.on_copied(&key(1));
+    assert_eq!(tracker.copies_from("gone"), 0);
 }
 
 /// An inventory ends the requests that it omits, but not those that were placed after it was written.
 #[test]
 fn test_inventory_keeps_what_is_newer() {
     let engines = table(&[("e1", "a"), ("e2", "a"), ("e3", "a")]);
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for n in 1..=3 {
-        assign(&mut book, &engines, key(n), run("e1", 100, 100, 0));
+        assign(&mut tracker, &engines, key(n), run("e1", 100, 100, 0));
     }
     let entry: VmId = "n".into();
-    book.on_inventory(&entry, 0..=2, vec![(1, run("e2", 100, 100, 40))], NOW);
-    let mut runs: Vec<String> = book
-        .of_entry(&entry)
+    tracker.on_inventory(&entry, 0..=2, vec![(1, run("e2", 100, 100, 40))], NOW);
+    let mut runs: Vec<String> = tracker
+        .runs_of_entry(&entry)
         .map(|(id, run)| format!("{id} at {} made {}", run.replica, run.produced))
         .collect();
     runs.sort();
     assert_eq!(runs, ["1 at e2 made 40", "3 at e1 made 0"]);
-    book.on_entry_gone(&entry);
-    assert_eq!(book.iter().count(), 0);
+    tracker.on_entry_gone(&entry);
+    assert_eq!(tracker.iter().count(), 0);
 }
 
 proptest! {
@@ -227,20 +227,20 @@
         steps in proptest::collection::vec((0u8..4, 0u64..6, 0u8..3), 1..60)
     ) {
         let engines = table(&[("e0", "a"), ("e1", "a"), ("e2", "a")]);
-        let mut book = LoadBook::default();
+        let mut tracker = LoadTracker::default();
         for (operation, n, engine) in steps {
             let engine = format!("e{engine}");
             match operation {
-                0 => assign(&mut book, &engines, key(n), run(&engine, 100, 100, 0)),
-                1 => { book.remove(&key(n)); }
+                0 => assign(&mut tracker, &engines, key(n), run(&engine, 100, 100, 0)),
+                1 => { tracker.remove(&key(n)); }
                 2 => {
                     let runs = vec![(n, run(&engine, 100, 100, 4))];
-                    book.on_inventory(&"n".into(), 0..=n, runs, NOW);
+                    tracker.on_inventory(&"n".into(), 0..=n, runs, NOW);
                 }
-                _ => book.on_first_event(&key(n), NOW),
+                _ => tracker.on_first_event(&key(n), NOW),
             }
-            let by_engine: usize = (0..3).map(|e| book.at(&format!("e{e}")).count()).sum();
-            prop_assert_eq!(by_engine, book.iter().count());
+            let by_engine: usize = (0..3).map(|e| tracker.runs_at(&format!("e{e}")).count()).sum();
+            prop_assert_eq!(by_engine, tracker.iter().count());
         }
     }
 }
@@ -248,16 +248,16 @@
 #[test]
 fn test_full_engines_move_generations_to_empty_ones_once() {
     let table = table(&[("empty", "a"), ("full", "a")]);
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for n in 0..9 {
-        assign(&mut book, &table, key(n), run("full", 3_400, 500 + n as u32, 100));
+        assign(&mut tracker, &table, key(n), run("full", 3_400, 500 + n as u32, 100));
     }
     let mut rebalancer = Rebalancer::default();
-    let moves = rebalancer.reliefs(&book, table.iter(), &traits(), NOW);
+    let moves = rebalancer.due_moves(&tracker, table.iter(), &traits(), NOW);
     assert_eq!(moves.len(), 1);
     assert_eq!((moves[0].key.run, &*moves[0].from), (8, "full"), "most remaining tokens");
     let soon = NOW + Duration::from_millis(100);
-    assert_eq!(rebalancer.reliefs(&book, table.iter(), &traits(), soon), []);
+    assert_eq!(rebalancer.due_moves(&tracker, table.iter(), &traits(), soon), []);
 }
 
 #[test]
@@ -303,14 +303,14 @@
         let entry: VmId = "n".into();
         let runs: Vec<_> = now.iter().map(|n| (*n, run("e1", 100, 100, 40))).collect();
         let known_after = |parts: &[Inventory]| {
-            let mut book = LoadBook::default();
+            let mut tracker = LoadTracker::default();
             for n in &before {
-                assign(&mut book, &engines, key(*n), run("e1", 100, 100, 0));
+                assign(&mut tracker, &engines, key(*n), run("e1", 100, 100, 0));
             }
             for part in parts {
-                book.on_inventory(&entry, part.ids.clone(), part.runs.clone(), NOW);
+                tracker.on_inventory(&entry, part.ids.clone(), part.runs.clone(), NOW);
             }
-            book.of_entry(&entry).map(|(n, run)| (n, run.produced)).collect::<Vec<_>>()
+            tracker.runs_of_entry(&entry).map(|(n, run)| (n, run.produced)).collect::<Vec<_>>()
         };
         let whole = known_after(&[Inventory { runs: runs.clone(), ids: 0..=last }]);
         let mut parts = Inventory::parts(runs, last, most_bytes);
--- a/lib/tests/test_gateway_restarts.rs
+++ b/lib/tests/test_gateway_restarts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::load::LoadBook;
+use leadstage_lib::gateway::load::LoadTracker;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::replica::LeavingSign;
@@ -82,7 +82,7 @@
     let mut table = ReplicaTable::default();
     entry(&mut table, born(100));
     entry(&mut table, record("b", false));
-    let mut book = LoadBook::new(Policy::default());
+    let mut book = LoadTracker::new(Policy::default());
     let size = Some(GenerationSize { prompt: 3_000, expected: 700 });
     let runs = [("a", None), ("b", Some("a")), ("b", None)];
     let keys: Vec<RunKey> = (0..3).map(|run| RunKey { entry: "n".into(), run }).collect();
@@ -90,10 +90,10 @@
         let run = Run { replica: at.into(), size, produced: 0, copied_from: from.map(Into::into) };
         book.add(key.clone(), run, table.get(at).expect("known"), NOW);
     }
-    assert_eq!((book.copies_from("a"), book.reading.wait("a", NOW) > Duration::ZERO), (1, true));
+    assert_eq!((book.copies_from("a"), book.prefill.wait("a", NOW) > Duration::ZERO), (1, true));
     book.on_restarted("a");
     assert!(book.get(&keys[0]).is_none() && book.get(&keys[1]).is_some() && book.get(&keys[2]).is_some());
-    assert_eq!((book.copies_from("a"), book.reading.wait("a", NOW)), (0, Duration::ZERO));
+    assert_eq!((book.copies_from("a"), book.prefill.wait("a", NOW)), (0, Duration::ZERO));
 }
 
 /// What is said of some start of a replica.
--- a/lib/tests/test_gateway_shortage.rs
+++ b/lib/tests/test_gateway_shortage.rs
@@ -16,13 +16,13 @@
 fn test_wait_times_are_split_by_shortage() {
     let mut clock = ShortageClock::default();
     assert_eq!(clock.times(ms(500)), ShortageTimes::default());
-    clock.set(Shortage::Reading, ms(1_000));
+    clock.set(Shortage::Prefill, ms(1_000));
     let first = ShortageTimes::default();
     let second = clock.times(ms(1_100));
     clock.set(Shortage::Memory, ms(1_200));
     clock.set(Shortage::Engines, ms(1_500));
     let end = clock.times(ms(1_900));
-    assert_eq!(end.since(&first), ShortageTimes { reading: ms(200), memory: ms(300), engines: ms(400) });
-    assert_eq!(end.since(&second), ShortageTimes { reading: ms(100), memory: ms(300), engines: ms(400) });
+    assert_eq!(end.since(&first), ShortageTimes { prefill: ms(200), memory: ms(300), engines: ms(400) });
+    assert_eq!(end.since(&second), ShortageTimes { prefill: ms(100), memory: ms(300), engines: ms(400) });
     assert_eq!(end.since(&first).sum(), ms(900));
 }
--- a/node/src/gateway/control/first_read.rs
+++ b/node/src/gateway/control/first_read.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use leadstage_lib::gateway::start_reading;
+use leadstage_lib::gateway::startup_read;
 use leadstage_platform::store_kinds::Age;
 use leadstage_platform::store_kinds::Evacuations;
 use leadstage_platform::store_kinds::Kind;
@@ -22,10 +22,10 @@
     let is_seed =
         settings.seeds.is_empty() || settings.seeds.iter().any(|seed| seed.ip() == settings.peer.ip());
     while shared.replicas_at() == 0 {
-        if start_reading::reads_now(is_seed, shared.fleet_size(), shared.now(), &mut rand::rng()) {
+        if startup_read::should_read_store(is_seed, shared.fleet_size(), shared.now(), &mut rand::rng()) {
             read(&shared).await;
         }
-        tokio::time::sleep(start_reading::LOOK).await;
+        tokio::time::sleep(startup_read::CHECK_INTERVAL).await;
     }
 }
 
--- a/node/src/gateway/control/inventories.rs
+++ b/node/src/gateway/control/inventories.rs
@@ -54,7 +54,7 @@
         let due = leads.iter().filter(|(service, lead)| self.is_due(service, **lead, now));
         let mut told: HashMap<SocketAddr, Vec<(RunId, Run)>> =
             due.map(|(_, lead)| (*lead, Vec::new())).collect();
-        for (run, it) in knowledge.book.of_entry(own) {
+        for (run, it) in knowledge.book.runs_of_entry(own) {
             let service = knowledge.replicas.get(&it.replica).map(|replica| &replica.record.service);
             let lead = service.and_then(|service| leads.get(service));
             if let Some(runs) = lead.and_then(|lead| told.get_mut(lead)) {
@@ -78,6 +78,6 @@
 
 /// The services of a node's generations.
 fn services<'a>(knowledge: &'a Knowledge, own: &'a VmId) -> impl Iterator<Item = ServiceId> + 'a {
-    let generations = knowledge.book.of_entry(own).filter(|(_, run)| run.size.is_some());
+    let generations = knowledge.book.runs_of_entry(own).filter(|(_, run)| run.size.is_some());
     generations.filter_map(|(_, run)| Some(knowledge.replicas.get(&run.replica)?.record.service.clone()))
 }
--- a/node/src/gateway/control/knowledge.rs
+++ b/node/src/gateway/control/knowledge.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 
 use leadstage_lib::gateway::choice::EngineRequest;
-use leadstage_lib::gateway::cold_start::ColdStarts;
-use leadstage_lib::gateway::cold_start::Giver;
+use leadstage_lib::gateway::cold_start::ColdStartLimiter;
+use leadstage_lib::gateway::cold_start::PlacedBy;
 use leadstage_lib::gateway::evacuation;
 use leadstage_lib::gateway::limit_book::LimitBook;
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::load::LoadBook;
+use leadstage_lib::gateway::load::LoadTracker;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
@@ -37,9 +37,9 @@
     /// The replicas.
     pub replicas: ReplicaTable,
     /// The requests; those of other nodes as far as this node leads.
-    pub book: LoadBook,
+    pub book: LoadTracker,
     forecasts: HashMap<ServiceId, RoomForecast>,
-    cold: RefCell<ColdStarts>,
+    cold: RefCell<ColdStartLimiter>,
     /// The limits that replicas name.
     pub limits: RefCell<LimitBook>,
     /// The model services that this node leads.
@@ -56,9 +56,9 @@
         Knowledge {
             shared,
             replicas: ReplicaTable::new(policy),
-            book: LoadBook::new(policy),
+            book: LoadTracker::new(policy),
             forecasts: HashMap::new(),
-            cold: RefCell::new(ColdStarts::new(own)),
+            cold: RefCell::new(ColdStartLimiter::new(own)),
             limits: RefCell::default(),
             led: Vec::new(),
             tried: TriedReplicas::default(),
@@ -110,14 +110,14 @@
         // Engines that read later are only asked whether they would have had memory.
         let mut later = Vec::new();
         let soon = self.candidates(key, wanted, |replica| {
-            let is_soon = !may_wait || self.book.reads_soon(&replica.record.id, now);
+            let is_soon = !may_wait || self.book.has_prefill_capacity(&replica.record.id, now);
             if !is_soon && later.len() < eligible::MOST_CONSIDERED {
                 later.push(replica);
             }
             is_soon
         });
         let engines = soon.len() + later.len();
-        let choice = self.book.choose_engine_soon(soon, later, &request, now, &mut rand::rng())?;
+        let choice = self.book.choose_engine_or_shortage(soon, later, &request, now, &mut rand::rng())?;
         info!(event = "engine_chosen", run = key.run, entry = &*key.entry, upstream = &*choice.replica.record.id, service = &*wanted.service, prompt = size.prompt, expected = size.expected, produced = wanted.produced, engines, runs = choice.runs, fill:% = format_args!("{:.2}", choice.fill), wait_ms = choice.wait.as_millis() as u64, cost_ms:% = format_args!("{:.0}", choice.cost); "engine chosen");
         Ok(choice.replica.record.clone())
     }
@@ -126,7 +126,7 @@
     /// generation needs none.
     pub fn copy_may_start(&self, wanted: &Wanted) -> bool {
         let copies = wanted.from.as_ref().map_or(0, |engine| self.book.copies_from(engine));
-        copies < evacuation::COPIES_AT_ONCE || !self.shared.settings.policy.copy_turns
+        copies < evacuation::MAX_CONCURRENT_COPIES || !self.shared.settings.policy.copy_turns
     }
 
     /// Other nodes are alive than before.
@@ -149,17 +149,17 @@
     }
 
     /// Who this node is for a service's replicas.
-    fn giver(&self, service: &ServiceId) -> Giver {
-        if self.led.contains(service) { Giver::Lead } else { Giver::Node }
+    fn giver(&self, service: &ServiceId) -> PlacedBy {
+        if self.led.contains(service) { PlacedBy::Lead } else { PlacedBy::Node }
     }
 
-    fn is_warm_enough(&self, replica: &Replica, giver: Giver, now: Timestamp) -> bool {
+    fn is_warm_enough(&self, replica: &Replica, giver: PlacedBy, now: Timestamp) -> bool {
         let service = &replica.record.service;
         let rate = replica.is_cold(now).then(|| self.shared.table()?.service(service)?.cold_rate).flatten();
         let Some(rate) = rate else {
             return true;
         };
-        let shared = self.shared.bounds().cold.shared(rate);
+        let shared = self.shared.bounds().cold.shared_rate(rate);
         self.cold.borrow_mut().allows(&replica.record.id, giver, shared, now)
     }
 
@@ -184,8 +184,8 @@
         let now = self.shared.now();
         let giver = self.giver(&wanted.service);
         if let Some(replica) = self.replicas.get(id) {
-            self.cold.get_mut().on_given(id, now);
-            self.limits.get_mut().on_given(id, giver, now, &mut rand::rng());
+            self.cold.get_mut().on_assigned(id, now);
+            self.limits.get_mut().on_assigned(id, giver, now, &mut rand::rng());
             self.book.add(key, wanted.at(&replica.record.id), replica, now);
         }
     }
--- a/node/src/gateway/control/knowledge/eligible.rs
+++ b/node/src/gateway/control/knowledge/eligible.rs
@@ -10,7 +10,7 @@
 use leadstage_lib::gateway::canary;
 use leadstage_lib::gateway::canary::VersionPool;
 use leadstage_lib::gateway::closed_halls::ClosedHalls;
-use leadstage_lib::gateway::cold_start::Giver;
+use leadstage_lib::gateway::cold_start::PlacedBy;
 use leadstage_lib::gateway::regions::AllowedRegions;
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
@@ -203,7 +203,7 @@
         let first = open.next()?;
         let limit = |replica: &Replica| limits.limits.limit(&replica.record.id);
         let named = open.try_fold(limit(first)?, |named, replica| Some(named + limit(replica)?))?;
-        let nodes = if self.giver(service) == Giver::Lead { 1 } else { self.shared.nodes() };
+        let nodes = if self.giver(service) == PlacedBy::Lead { 1 } else { self.shared.nodes() };
         Some(limits.comes_back_after(service, named, nodes, self.shared.now()))
     }
 
@@ -237,7 +237,7 @@
                 && self.passes(screen, replica)
                 && replica.is_usable(now)
                 && self.limits.borrow_mut().may_ask(&replica.record.id, now, rng)
-                && self.is_warm_enough(replica, Giver::Node, now)
+                && self.is_warm_enough(replica, PlacedBy::Node, now)
         });
         open.choose(rng).map(|replica| replica.record.clone())
     }
--- a/node/src/gateway/control/lead_desk.rs
+++ b/node/src/gateway/control/lead_desk.rs
@@ -11,10 +11,10 @@
 use leadstage_lib::gateway::lead_queue::LeadQueue;
 use leadstage_lib::gateway::lead_queue::Settled;
 use leadstage_lib::gateway::lead_queue::Terms;
-use leadstage_lib::gateway::load::READS_AHEAD;
+use leadstage_lib::gateway::load::MAX_QUEUED_PREFILL;
 use leadstage_lib::gateway::policy::Policy;
+use leadstage_lib::gateway::rebalance::RebalanceMove;
 use leadstage_lib::gateway::rebalance::Rebalancer;
-use leadstage_lib::gateway::rebalance::Relief;
 use leadstage_lib::gateway::regions::AllowedRegions;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::routing::ServiceId;
@@ -149,13 +149,18 @@
     }
 
     /// Generations of a service that should move for balance.
-    pub fn reliefs(&mut self, knowledge: &Knowledge, service: &ServiceId, now: Timestamp) -> Vec<Relief> {
+    pub fn due_moves(
+        &mut self,
+        knowledge: &Knowledge,
+        service: &ServiceId,
+        now: Timestamp,
+    ) -> Vec<RebalanceMove> {
         let Some(traits) = knowledge.engine_traits(service).filter(|_| self.policy.balance) else {
             return Vec::new();
         };
         let rebalancer = self.rebalancers.entry(service.clone()).or_default();
         let engines = knowledge.balanced(service).filter(|replica| replica.is_usable(now));
-        rebalancer.reliefs(&knowledge.book, engines, &traits, now)
+        rebalancer.due_moves(&knowledge.book, engines, &traits, now)
     }
 }
 
@@ -190,10 +195,10 @@
         return Terms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
     }
     let (service, size) = (&ask.wanted.service, ask.wanted.size.unwrap_or_default());
-    let reading = knowledge.book.reading.usual_time(service, size.prompt);
+    let reading = knowledge.book.prefill.usual_prefill_time(service, size.prompt);
     Terms {
         priority,
-        in_time: patience.saturating_sub(reading + READS_AHEAD),
+        in_time: patience.saturating_sub(reading + MAX_QUEUED_PREFILL),
         may_wait: leaves_after.saturating_sub(reading),
         tokens: knowledge.book.memory_of(service, size, 0),
     }
@@ -234,5 +239,5 @@
     if ask.wanted.from.is_some() || waited.sum().is_zero() {
         return;
     }
-    info!(event = "waited", entry = &*ask.key.entry, run = ask.key.run, given, engines_ms = waited.engines.as_millis() as u64, reading_ms = waited.reading.as_millis() as u64, memory_ms = waited.memory.as_millis() as u64; "a generation waited for an engine");
+    info!(event = "waited", entry = &*ask.key.entry, run = ask.key.run, given, engines_ms = waited.engines.as_millis() as u64, reading_ms = waited.prefill.as_millis() as u64, memory_ms = waited.memory.as_millis() as u64; "a generation waited for an engine");
 }
--- a/node/src/gateway/control/placing.rs
+++ b/node/src/gateway/control/placing.rs
@@ -368,7 +368,7 @@
 
     /// This node's streams at a replica.
     pub fn streams_at(&self, replica: &str) -> Vec<StreamHandle> {
-        let own = self.knowledge.book.at(replica).filter(|(key, _)| key.entry == self.own);
+        let own = self.knowledge.book.runs_at(replica).filter(|(key, _)| key.entry == self.own);
         own.filter_map(|(key, _)| self.streams.get(&key.run).cloned()).collect()
     }
 
@@ -425,7 +425,7 @@
     pub fn engines_in_use(&self, fleet: &Fleet) -> Vec<(Arc<ReplicaRecord>, String)> {
         let mut engines = Vec::new();
         for service in self.led(fleet) {
-            let in_use = self.knowledge.book.busy().filter(|id| {
+            let in_use = self.knowledge.book.busy_replicas().filter(|id| {
                 let replica = self.knowledge.replicas.get(id);
                 replica.is_some_and(|replica| replica.leaving.is_none() && replica.record.service == service)
             });
@@ -435,7 +435,7 @@
     }
 
     fn rebalance(&mut self, service: &ServiceId) {
-        for relief in self.desk.reliefs(&self.knowledge, service, self.shared.now()) {
+        for relief in self.desk.due_moves(&self.knowledge, service, self.shared.now()) {
             info!(event = "relief", upstream = &*relief.from, entry = &*relief.key.entry, run = relief.key.run; "a generation should move for balance");
             if relief.key.entry == self.own {
                 self.on_move_away(relief.key.run, relief.from);
--- a/node/src/gateway/observability/status.rs
+++ b/node/src/gateway/observability/status.rs
@@ -77,7 +77,7 @@
         knowledge.replicas.of_service(service)
     } else {
         // Those that have something to do.
-        let busy = knowledge.book.busy().filter_map(|id| knowledge.replicas.get(id));
+        let busy = knowledge.book.busy_replicas().filter_map(|id| knowledge.replicas.get(id));
         busy.filter(|replica| replica.record.service == *service).take(MOST_ENGINES).collect()
     };
     let engines: Vec<EngineLine> =
@@ -97,8 +97,8 @@
     EngineLine {
         id: id.to_string(),
         state: replica.leaving.map_or_else(|| "up".to_owned(), |sign| format!("leaving: {sign}")),
-        running: knowledge.book.at(id).count(),
-        held_tokens: knowledge.book.at(id).map(|(_, run)| knowledge.book.memory(run) as u64).sum(),
+        running: knowledge.book.runs_at(id).count(),
+        held_tokens: knowledge.book.runs_at(id).map(|(_, run)| knowledge.book.memory(run) as u64).sum(),
         memory_tokens: knowledge.engine_traits(service).map_or(0, |traits| u64::from(traits.memory_tokens)),
         step_ms: 0.0,
     }
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -18,7 +18,7 @@
 use leadstage_lib::gateway::fingerprint::Fingerprint;
 use leadstage_lib::gateway::fingerprint::RequestParts;
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::reading;
+use leadstage_lib::gateway::prefill;
 use leadstage_lib::gateway::regions::AllowedRegions;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::routing::Organisation;
@@ -174,7 +174,7 @@
     /// Whether it may be sent to one more replica after `sent`, the retry budget aside: with less
     /// time than a replica needs to answer, that would work in vain.
     pub fn may_repeat(&self, sent: u32) -> bool {
-        let needs = LEAST_TO_ANSWER + reading::guessed_time(self.generation_size().prompt);
+        let needs = LEAST_TO_ANSWER + prefill::default_prefill_time(self.generation_size().prompt);
         self.route.is_repeatable() && sent < self.route.max_attempts && self.left() > needs
     }
 
@@ -280,8 +280,8 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), node.nothing()));
     }
-    let reading = held_bytes::collect(Limited::new(body, limit), async |bytes| node.take(bytes));
-    match tokio::time::timeout_at(until, reading).await {
+    let prefill = held_bytes::collect(Limited::new(body, limit), async |bytes| node.take(bytes));
+    match tokio::time::timeout_at(until, prefill).await {
         Ok(Ok(Some((body, held)))) => Ok((body, held.unwrap_or_else(|| node.nothing()))),
         Ok(Ok(None)) => Err(memory_full()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Refusal::new(Code::BodyTooLarge)),
--- a/node/src/gateway/shared.rs
+++ b/node/src/gateway/shared.rs
@@ -19,7 +19,7 @@
 use leadstage_lib::gateway::routing::ConfigVersion;
 use leadstage_lib::gateway::routing::RoutingTable;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::gateway::token_pace::GUESSED_TOKENS_PER_SECOND;
+use leadstage_lib::gateway::token_pace::DEFAULT_TOKENS_PER_SECOND;
 use leadstage_lib::gateway::upgrade::Upgrades;
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::ids::Timestamp;
@@ -289,7 +289,7 @@
     /// Tokens that a generation of a service makes in a second, as far as this node knows.
     pub fn tokens_per_second(&self, service: &ServiceId) -> f64 {
         let paces = self.paces.read().expect("no holder panics");
-        paces.get(service).copied().unwrap_or(GUESSED_TOKENS_PER_SECOND)
+        paces.get(service).copied().unwrap_or(DEFAULT_TOKENS_PER_SECOND)
     }
 
     /// Publishes them.
--- a/node/src/gateway/upstream/copying.rs
+++ b/node/src/gateway/upstream/copying.rs
@@ -200,7 +200,7 @@
     /// size, whether there is room or not.
     async fn place(&self, size: Option<GenerationSize>, exclude: &[UpstreamId]) -> Option<RunGuard> {
         let produced = self.handle.produced.load(Ordering::Relaxed);
-        let patience = if self.insist.is_zero() { Duration::ZERO } else { evacuation::COPY_PATIENCE };
+        let patience = if self.insist.is_zero() { Duration::ZERO } else { evacuation::COPY_START_TIMEOUT };
         let request = PlaceRequest {
             request: self.req.id().to_owned(),
             wanted: Wanted {
--- a/testutils/src/fleet_model/lead.rs
+++ b/testutils/src/fleet_model/lead.rs
@@ -11,12 +11,12 @@
 use leadstage_lib::gateway::lead_queue::Settled;
 use leadstage_lib::gateway::lead_queue::Terms;
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::load::LoadBook;
-use leadstage_lib::gateway::load::READS_AHEAD;
+use leadstage_lib::gateway::load::LoadTracker;
+use leadstage_lib::gateway::load::MAX_QUEUED_PREFILL;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::policy::Policy;
+use leadstage_lib::gateway::rebalance::RebalanceMove;
 use leadstage_lib::gateway::rebalance::Rebalancer;
-use leadstage_lib::gateway::rebalance::Relief;
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::replicas::ListChange;
@@ -74,7 +74,7 @@
     /// The engines.
     pub table: ReplicaTable,
     /// The generations.
-    pub book: LoadBook,
+    pub book: LoadTracker,
     traits: EngineTraits,
     forecast: RoomForecast,
     hall: HallId,
@@ -91,7 +91,7 @@
         Lead {
             fleet: Fleet {
                 table: ReplicaTable::new(policy),
-                book: LoadBook::new(policy),
+                book: LoadTracker::new(policy),
                 traits: EngineTraits {
                     batch: engines.batch as u32,
                     memory_tokens: engines.memory_tokens,
@@ -132,10 +132,10 @@
     }
 
     /// Generations that should move for balance.
-    pub fn reliefs(&mut self, now: Timestamp) -> Vec<Relief> {
+    pub fn due_moves(&mut self, now: Timestamp) -> Vec<RebalanceMove> {
         let fleet = &self.fleet;
         let usable = fleet.table.of_service(SERVICE).into_iter().filter(|engine| engine.is_usable(now));
-        self.rebalancer.reliefs(&fleet.book, usable, &fleet.traits, now)
+        self.rebalancer.due_moves(&fleet.book, usable, &fleet.traits, now)
     }
 }
 
@@ -176,10 +176,10 @@
     }
 
     fn terms(&self, ask: &Ask) -> Terms {
-        let reading = self.book.reading.usual_time(SERVICE, ask.size.prompt);
+        let reading = self.book.prefill.usual_prefill_time(SERVICE, ask.size.prompt);
         Terms {
             priority: ask.priority,
-            in_time: ask.patience.saturating_sub(reading + READS_AHEAD),
+            in_time: ask.patience.saturating_sub(reading + MAX_QUEUED_PREFILL),
             may_wait: ask.leaves_after.saturating_sub(reading),
             tokens: self.book.memory_of(SERVICE, ask.size, 0),
         }
@@ -195,8 +195,8 @@
         };
         let usable = self.table.of_service(SERVICE).into_iter().filter(|engine| engine.is_usable(now));
         let (soon, later): (Vec<&Replica>, Vec<&Replica>) =
-            usable.partition(|engine| self.book.reads_soon(&engine.record.id, now));
-        let choice = self.book.choose_engine_soon(soon, later, &request, now, rng)?;
+            usable.partition(|engine| self.book.has_prefill_capacity(&engine.record.id, now));
+        let choice = self.book.choose_engine_or_shortage(soon, later, &request, now, rng)?;
         let engine = choice.replica.clone();
         self.add(ask.run, ask.size, 0, None, &engine, now);
         Ok(engine.record.id.clone())
@@ -210,7 +210,7 @@
         now: Timestamp,
         rng: &mut SmallRng,
     ) -> Option<UpstreamId> {
-        if self.book.copies_from(from) >= evacuation::COPIES_AT_ONCE {
+        if self.book.copies_from(from) >= evacuation::MAX_CONCURRENT_COPIES {
             return None;
         }
         let known = self.book.get(&key(run))?.clone();
--- a/testutils/src/fleet_model/play.rs
+++ b/testutils/src/fleet_model/play.rs
@@ -178,7 +178,7 @@
             }
         }
         self.settle();
-        for relief in self.lead.reliefs(self.now) {
+        for relief in self.lead.due_moves(self.now) {
             let from = self.engine_at(&relief.from);
             self.copy(relief.key.run, from);
         }
