--- a/lib/src/gateway/choice.rs
+++ b/lib/src/gateway/choice.rs
@@ -37,8 +37,8 @@
 /// move when other engines leave; these matter more, as their callers have waited already. In the fleet
 /// model (`test_fleet_model`), with engines whose memory holds six long streams and 20 days of each
 /// load: at the usual load 793 of 18,994 long streams are late with 0.9, 122 of 18,997 with 0.95, and
-/// 111 of 19,145 with 1.0. 0, 0 and 11 generations a day are preempted, and 32, 87 and 125 of all
-/// broken.
+/// 111 of 19,145 with 1.0. In the same order, 0, 0 and 11 generations a day are preempted, and 32, 87
+/// and 125 of all generations are broken.
 pub const MAX_EXPECTED_PEAK: f64 = 0.95;
 /// Largest near-term fill of an engine's memory up to which a new generation is admitted, if the
 /// expected peak does not decide.
--- a/lib/src/gateway/cold_start.rs
+++ b/lib/src/gateway/cold_start.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// The kind of node that places a request at a cold replica.
+/// The kind of node that places a request at a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacedBy {
     /// The lead of the service.
