--- a/lib/src/gateway/closed_halls.rs
+++ b/lib/src/gateway/closed_halls.rs
@@ -17,7 +17,7 @@
 
 /// Halls that are told at most: each message between nodes tells them, in some ten bytes each, and the
 /// largest deployments have five. More names come from a writer that means no halls.
-pub const MOST_CLOSED: usize = 32;
+pub const MAX_CLOSED_HALLS: usize = 32;
 
 /// The halls that are closed as of a revision.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
@@ -73,43 +73,43 @@
         closed.chain(opened).collect()
     }
 
-    /// Leaves out what is beyond [`MOST_CLOSED`]; returns how many halls that were.
-    pub fn limit(&mut self) -> usize {
-        let beyond: Vec<HallId> = self.halls.iter().skip(MOST_CLOSED).cloned().collect();
-        beyond.iter().for_each(|hall| drop(self.halls.take(hall)));
-        beyond.len()
+    /// Leaves out what is beyond [`MAX_CLOSED_HALLS`]; returns how many halls that were.
+    pub fn truncate(&mut self) -> usize {
+        let excess: Vec<HallId> = self.halls.iter().skip(MAX_CLOSED_HALLS).cloned().collect();
+        excess.iter().for_each(|hall| drop(self.halls.take(hall)));
+        excess.len()
     }
 }
 
 /// The operator has written again what a copy of the store lacks this long after the store's return.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(3);
+const CARRY_OVER_FOR: Duration = Duration::from_secs(3);
 
 /// The closed halls as the store tells them, and those that a copy of it lacks: they stay closed until the operator has
 /// had the time to close them again.
 #[derive(Debug, Default)]
-pub struct ClosedHallsBook {
-    told: ClosedHalls,
+pub struct ClosedHallsTracker {
+    stored: ClosedHalls,
     carried: BTreeSet<HallId>,
     carried_until: Timestamp,
 }
 
-impl ClosedHallsBook {
+impl ClosedHallsTracker {
     /// What the store told last.
-    pub fn told(&self) -> &ClosedHalls {
-        &self.told
+    pub fn stored(&self) -> &ClosedHalls {
+        &self.stored
     }
 
     /// Takes a word in; returns whether it is newer than what is known.
-    pub fn take(&mut self, told: ClosedHalls, now: Timestamp) -> bool {
-        if told.at <= self.told.at {
+    pub fn take(&mut self, stored: ClosedHalls, now: Timestamp) -> bool {
+        if stored.at <= self.stored.at {
             return false;
         }
-        let is_of_copy = self.told.at > 0 && revision::era(told.at) > revision::era(self.told.at);
+        let is_of_copy = self.stored.at > 0 && revision::era(stored.at) > revision::era(self.stored.at);
         if is_of_copy {
-            self.carried.extend(self.told.halls.iter().cloned());
-            self.carried_until = now + WRITTEN_AGAIN_WITHIN;
+            self.carried.extend(self.stored.halls.iter().cloned());
+            self.carried_until = now + CARRY_OVER_FOR;
         }
-        self.told.take(told);
+        self.stored.take(stored);
         true
     }
 
@@ -123,6 +123,6 @@
         if now >= self.carried_until {
             self.carried.clear();
         }
-        ClosedHalls { at: self.told.at, halls: self.told.halls.union(&self.carried).cloned().collect() }
+        ClosedHalls { at: self.stored.at, halls: self.stored.halls.union(&self.carried).cloned().collect() }
     }
 }
--- a/lib/src/gateway/cold_start.rs
+++ b/lib/src/gateway/cold_start.rs
@@ -100,7 +100,7 @@
     }
 
     /// A cold replica was given a request.
-    pub fn on_given(&mut self, replica: &str, now: Timestamp) {
+    pub fn on_assigned(&mut self, replica: &str, now: Timestamp) {
         if let Some(given) = self.given.get_mut(replica) {
             given.at.push_back(now);
         }
--- a/lib/src/gateway/inventory.rs
+++ b/lib/src/gateway/inventory.rs
@@ -13,9 +13,9 @@
 
 /// Bytes of a request beside the names of engines, at most: its id and three numbers as varints,
 /// and whether it has a size and is copied.
-const MOST_RUN_BYTES: usize = 10 + 3 * 5 + 2;
+const MAX_RUN_BYTES: usize = 10 + 3 * 5 + 2;
 /// Bytes of an engine's name beside the name itself, at most: whether there is one, and its length.
-const MOST_NAME_BYTES: usize = 1 + 5;
+const MAX_NAME_OVERHEAD_BYTES: usize = 1 + 5;
 
 /// A node's requests with ids in a range, at the replicas whose lead is told.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
@@ -28,24 +28,24 @@
 }
 
 impl Inventory {
-    /// Tells of `runs`, which are in order of their ids, with no more than `most_bytes` of requests
+    /// Tells of `runs`, which are in order of their ids, with no more than `max_bytes` of requests
     /// in each part; a request that is larger by itself has a part of its own. Up to `last`, whatever
     /// is not among them has ended.
     ///
     /// A lead was told nothing of a node with more than some 600 generations while they had to fit
     /// into one datagram of 16 kB: one that started anew knew 0 of 50 generations at engines with
     /// names of 400 bytes after 6 s.
-    pub fn parts(runs: Vec<(RunId, Run)>, last: RunId, most_bytes: usize) -> Vec<Inventory> {
+    pub fn parts(runs: Vec<(RunId, Run)>, last: RunId, max_bytes: usize) -> Vec<Inventory> {
         let mut parts = Vec::new();
         let (mut first, mut part, mut bytes) = (0, Vec::new(), 0);
         for (id, run) in runs {
-            let more = most_len(&run);
-            if !part.is_empty() && bytes + more > most_bytes {
+            let run_bytes = max_encoded_len(&run);
+            if !part.is_empty() && bytes + run_bytes > max_bytes {
                 let ids = first..=(id - 1).min(last);
                 parts.push(Inventory { runs: std::mem::take(&mut part), ids });
                 (first, bytes) = (id, 0);
             }
-            bytes += more;
+            bytes += run_bytes;
             part.push((id, run));
         }
         parts.push(Inventory { runs: part, ids: first..=last });
@@ -54,7 +54,7 @@
 }
 
 /// Bytes that a request takes in a message, at most.
-fn most_len(run: &Run) -> usize {
+fn max_encoded_len(run: &Run) -> usize {
     let names = std::iter::once(&run.replica).chain(&run.copied_from);
-    MOST_RUN_BYTES + names.map(|name| MOST_NAME_BYTES + name.len()).sum::<usize>()
+    MAX_RUN_BYTES + names.map(|name| MAX_NAME_OVERHEAD_BYTES + name.len()).sum::<usize>()
 }
--- a/lib/src/gateway/lead.rs
+++ b/lib/src/gateway/lead.rs
@@ -14,24 +14,24 @@
 
 /// A lead that did not answer is not asked again for this long. Membership tells of a dead
 /// node after some seconds; a stalled one is back sooner.
-const AVOID: Duration = Duration::from_millis(1_500);
+const AVOID_SILENT_FOR: Duration = Duration::from_millis(1_500);
 
 /// Remembers which nodes did not answer lately.
 #[derive(Debug, Default)]
 pub struct Leads {
-    avoid: HashMap<VmId, Timestamp>,
-    picked: RefCell<Picked>,
+    avoided: HashMap<VmId, Timestamp>,
+    pick_cache: RefCell<PickCache>,
 }
 
 /// Leads that were picked among the same nodes: a pick hashes each of them.
 #[derive(Debug, Default)]
-struct Picked {
+struct PickCache {
     version: u64,
     leads: HashMap<String, VmId>,
 }
 
 /// Leads that are remembered at most.
-const MOST_PICKED: usize = 256;
+const MAX_CACHED_PICKS: usize = 256;
 
 impl Leads {
     /// The lead of a service among the nodes that are alive; `own` is one of them. `version` tells whether these
@@ -44,31 +44,31 @@
         version: u64,
         now: Timestamp,
     ) -> VmId {
-        let avoids = |vm: &VmId| self.avoid.get(vm).is_some_and(|until| *until > now);
-        if self.avoid.values().any(|until| *until > now) {
-            let answering = alive.filter(|vm| !avoids(vm));
-            return rendezvous::pick(service, answering.chain(std::iter::once(own))).unwrap_or(own).clone();
+        let is_avoided = |vm: &VmId| self.avoided.get(vm).is_some_and(|until| *until > now);
+        if self.avoided.values().any(|until| *until > now) {
+            let responsive = alive.filter(|vm| !is_avoided(vm));
+            return rendezvous::pick(service, responsive.chain(std::iter::once(own))).unwrap_or(own).clone();
         }
-        let mut picked = self.picked.borrow_mut();
-        if picked.version != version || picked.leads.len() >= MOST_PICKED {
-            *picked = Picked { version, leads: HashMap::new() };
+        let mut pick_cache = self.pick_cache.borrow_mut();
+        if pick_cache.version != version || pick_cache.leads.len() >= MAX_CACHED_PICKS {
+            *pick_cache = PickCache { version, leads: HashMap::new() };
         }
-        if let Some(lead) = picked.leads.get(service) {
+        if let Some(lead) = pick_cache.leads.get(service) {
             return lead.clone();
         }
         let lead = rendezvous::pick(service, alive.chain(std::iter::once(own))).unwrap_or(own);
-        picked.leads.insert(service.to_owned(), lead.clone());
+        pick_cache.leads.insert(service.to_owned(), lead.clone());
         lead.clone()
     }
 
     /// A node did not answer in time.
     pub fn on_silence(&mut self, vm: &VmId, now: Timestamp) {
-        self.avoid.retain(|_, until| *until > now);
-        self.avoid.insert(vm.clone(), now + AVOID);
+        self.avoided.retain(|_, until| *until > now);
+        self.avoided.insert(vm.clone(), now + AVOID_SILENT_FOR);
     }
 
     /// A node answered.
     pub fn on_answer(&mut self, vm: &VmId) {
-        self.avoid.remove(vm);
+        self.avoided.remove(vm);
     }
 }
--- a/lib/src/gateway/lead_queue.rs
+++ b/lib/src/gateway/lead_queue.rs
@@ -2,7 +2,7 @@
 //! has room, and who is told that there will be none in time.
 //!
 //! Where memory is short, one that needs less may fit where the first one does not: up to
-//! [`MOST_PASSED_OVER`] are passed over then. They keep their places, and one that had been late for long has had its
+//! [`MAX_SKIPPED`] are passed over then. They keep their places, and one that had been late for long has had its
 //! turn. Where no engine reads soon, none does for a smaller prompt either.
 //!
 //! On modelled engines whose memory holds six long streams (`test_fleet_model`), 20 days each at 1.14 and 1.3
@@ -17,13 +17,13 @@
 use crate::gateway::shortage::Shortage;
 use crate::gateway::shortage::ShortageClock;
 use crate::gateway::shortage::ShortageTimes;
+use crate::gateway::waiting::WaitQueue;
 use crate::gateway::waiting::Waiting;
-use crate::gateway::waiting::WaitingRoom;
 use crate::ids::Timestamp;
 
 /// Generations that are passed over in one look at most. Each costs a choice among all engines, and what eight
 /// gain over two is within what days differ by.
-const MOST_PASSED_OVER: usize = 4;
+const MAX_SKIPPED: usize = 4;
 
 /// Where generations can go.
 pub trait Engines<T> {
@@ -39,7 +39,7 @@
 
 /// What holds for one that asks.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct QueueTerms {
     /// Its urgency; 0 goes first.
     pub priority: u8,
     /// Given an engine within this, it begins in time.
@@ -52,9 +52,9 @@
 
 /// What becomes at once of one that asks.
 #[derive(Debug)]
-pub enum Asked<T, P> {
+pub enum QueueReply<T, P> {
     /// It has a place.
-    Given(T, P),
+    Placed(T, P),
     /// No engine has room in time; when one has, if that is known.
     Refused(T, Option<Duration>),
     /// It waits.
@@ -75,26 +75,26 @@
 /// Those that wait in one place.
 #[derive(Debug)]
 pub struct LeadQueue<T> {
-    room: WaitingRoom<Queued<T>>,
+    queue: WaitQueue<QueueEntry<T>>,
     shortage: ShortageClock,
-    most_passed_over: usize,
+    max_skipped: usize,
 }
 
 /// One that waits.
 #[derive(Debug)]
-struct Queued<T> {
+struct QueueEntry<T> {
     item: T,
     /// What had been short in its queue when it came.
-    from: ShortageTimes,
+    shortage_at_start: ShortageTimes,
 }
 
 impl<T> LeadQueue<T> {
     /// None waits yet.
     pub fn new(policy: Policy) -> Self {
         LeadQueue {
-            room: WaitingRoom::default(),
+            queue: WaitQueue::default(),
             shortage: ShortageClock::default(),
-            most_passed_over: if policy.pass_over { MOST_PASSED_OVER } else { 0 },
+            max_skipped: if policy.pass_over { MAX_SKIPPED } else { 0 },
         }
     }
 
@@ -102,71 +102,71 @@
     pub fn ask<E: Engines<T>>(
         &mut self,
         item: T,
-        terms: &Terms,
+        terms: &QueueTerms,
         engines: &mut E,
         now: Timestamp,
-    ) -> Asked<T, E::Place> {
-        if self.room.lets_pass(terms.priority, now) {
+    ) -> QueueReply<T, E::Place> {
+        if self.queue.is_next(terms.priority, now) {
             match engines.choose(&item) {
                 Ok(place) => {
-                    self.room.on_passed();
-                    return Asked::Given(item, place);
+                    self.queue.on_direct_placement();
+                    return QueueReply::Placed(item, place);
                 }
                 Err(shortage) => self.shortage.set(shortage, now),
             }
         }
-        let tokens = self.room.tokens_before(terms.priority, now) + terms.tokens;
+        let tokens = self.queue.tokens_before(terms.priority, now) + terms.tokens;
         let expected = engines.time_until(tokens);
         if terms.may_wait.is_zero() || expected.is_some_and(|expected| expected > terms.may_wait) {
-            return Asked::Refused(item, expected);
+            return QueueReply::Refused(item, expected);
         }
-        self.room.push(Waiting {
+        self.queue.push(Waiting {
             priority: terms.priority,
             due: now + terms.in_time,
             until: now + terms.may_wait,
             tokens: terms.tokens,
-            item: Queued { item, from: self.shortage.times(now) },
+            item: QueueEntry { item, shortage_at_start: self.shortage.times(now) },
         });
-        Asked::Waits
+        QueueReply::Waits
     }
 
     /// Gives places to those that can go on now, and gives up those that can't be expected to begin in time.
     pub fn settle<E: Engines<T>>(&mut self, engines: &mut E, now: Timestamp) -> Vec<Settled<T, E::Place>> {
         let times = self.shortage.times(now);
         let mut settled = Vec::new();
-        let settle = |queued: Queued<T>, outcome| Settled {
-            item: queued.item,
+        let settle = |entry: QueueEntry<T>, outcome| Settled {
+            item: entry.item,
             outcome,
-            waited: times.since(&queued.from),
+            waited: times.since(&entry.shortage_at_start),
         };
-        let mut passed_over = Vec::new();
-        while let Some(first) = self.room.pop(now) {
+        let mut skipped = Vec::new();
+        while let Some(first) = self.queue.pop(now) {
             match engines.choose(&first.item.item) {
                 Ok(place) => settled.push(settle(first.item, Ok(place))),
                 Err(shortage) => {
-                    if passed_over.is_empty() {
+                    if skipped.is_empty() {
                         self.shortage.set(shortage, now);
                     }
-                    passed_over.push(first);
-                    if shortage != Shortage::Memory || passed_over.len() > self.most_passed_over {
+                    skipped.push(first);
+                    if shortage != Shortage::Memory || skipped.len() > self.max_skipped {
                         break;
                     }
                 }
             }
         }
-        passed_over.into_iter().rev().for_each(|waiting| self.room.put_back(waiting));
-        let lost = self.room.lost(now, |tokens| engines.time_until(tokens));
-        settled.extend(lost.into_iter().map(|(queued, expected)| settle(queued, Err(expected))));
+        skipped.into_iter().rev().for_each(|waiting| self.queue.put_back(waiting));
+        let unservable = self.queue.take_unservable(now, |tokens| engines.time_until(tokens));
+        settled.extend(unservable.into_iter().map(|(entry, expected)| settle(entry, Err(expected))));
         settled
     }
 
     /// How many wait.
     pub fn len(&self) -> usize {
-        self.room.len()
+        self.queue.len()
     }
 
     /// Whether none waits.
     pub fn is_empty(&self) -> bool {
-        self.room.is_empty()
+        self.queue.is_empty()
     }
 }
--- a/lib/src/gateway/limit_grants.rs
+++ b/lib/src/gateway/limit_grants.rs
@@ -26,39 +26,39 @@
 
 /// Part of a limit that is granted. The rest is for what nodes send by themselves (`limit_asks`), and for
 /// streams that go on at their engine without being placed anew.
-pub const GRANTED_PART: f64 = 0.85;
+pub const GRANTED_FRACTION: f64 = 0.85;
 /// Part of that which a node grants that is not the first for a replica: who asks it got no answer from the first
 /// one in time, which may just be slow and grant to others.
-const SUBSTITUTE_PART: f64 = 0.25;
+const SUBSTITUTE_FRACTION: f64 = 0.25;
 /// Requests that go to a replica even if it names less: without any, nobody would learn that its need is over. One
 /// in 5 s is within the 5 requests beyond a limit that a replica may get in 4 s.
-pub const LEAST_RATE: PerSecond = 0.2;
+pub const MIN_RATE: PerSecond = 0.2;
 /// Grants that may be saved up while there are no requests.
-const MOST_SAVED: f64 = 2.0;
+const MAX_SAVED_GRANTS: f64 = 2.0;
 /// What must be saved up beyond one grant for each rank of urgency: while urgent requests take all that a
-/// limit allows, it never is for others. The least urgent rank needs less than [`MOST_SAVED`].
-const KEPT_FOR_URGENT: f64 = 0.1;
+/// limit allows, it never is for others. The least urgent rank needs less than [`MAX_SAVED_GRANTS`].
+const RESERVE_PER_URGENCY_RANK: f64 = 0.1;
 /// The last rank of urgency.
 pub const LEAST_URGENT: u8 = 9;
 /// Asks for each grant that all nodes make together. With three, a grant waits a third of the time that it
 /// takes to save one up; more only cost messages.
-const ASKS_PER_GRANT: f64 = 3.0;
+const REQUESTS_PER_GRANT: f64 = 3.0;
 /// The least pause between two asks of a node for one replica.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
+const MIN_PAUSE: Duration = Duration::from_millis(20);
 /// The longest one: with 410 nodes, 20 asks a second reach whoever grants for a replica.
-const LONGEST_PAUSE: Duration = Duration::from_secs(20);
+const MAX_PAUSE: Duration = Duration::from_secs(20);
 /// A node that has just started grants nothing for this long: until others are met, it takes itself for
 /// the one to grant.
-const KNOWS_FLEET_AFTER: Duration = Duration::from_secs(2);
+const STARTUP_DELAY: Duration = Duration::from_secs(2);
 /// Whoever grants for a replica is asked within this after the limit was named, where there are calls.
-const BEGINS_WITHIN: Duration = Duration::from_secs(5);
+const FIRST_REQUEST_WITHIN: Duration = Duration::from_secs(5);
 /// Nodes that were seen within this count as perhaps being behind a cut: cuts that last longer than nodes
 /// take to be replaced.
-const SEEN_LATELY: Duration = Duration::from_secs(20);
+const FLEET_SIZE_MEMORY: Duration = Duration::from_secs(20);
 
 /// Names a question of one node for a grant: a call may ask for several replicas, one after the other.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct GrantQuestionId {
+pub struct GrantRequestId {
     /// The call.
     pub run: RunId,
     /// Which of its questions; from 1 on.
@@ -76,9 +76,9 @@
 
 /// Who a node takes itself for that is asked for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Granter {
+pub enum GranterRole {
     /// The one that grants what a limit allows.
-    First,
+    Primary,
     /// One that is asked in the first one's place.
     Substitute,
 }
@@ -89,7 +89,7 @@
     saved: f64,
     saved_at: Timestamp,
     /// When the last node asks that was told a time.
-    last_ask_at: Timestamp,
+    last_turn_at: Timestamp,
 }
 
 /// Grants requests to replicas that name limits.
@@ -97,32 +97,32 @@
 pub struct LimitGrants {
     accounts: HashMap<UpstreamId, Account>,
     nodes: usize,
-    most_nodes: usize,
-    most_nodes_at: Timestamp,
+    max_nodes: usize,
+    max_nodes_at: Timestamp,
 }
 
 impl LimitGrants {
     /// How many nodes there are now, as far as this one knows.
     pub fn set_nodes(&mut self, nodes: usize, now: Timestamp) {
         self.nodes = nodes;
-        if nodes >= self.most_nodes || self.most_nodes_at + SEEN_LATELY <= now {
-            (self.most_nodes, self.most_nodes_at) = (nodes, now);
+        if nodes >= self.max_nodes || self.max_nodes_at + FLEET_SIZE_MEMORY <= now {
+            (self.max_nodes, self.max_nodes_at) = (nodes, now);
         }
     }
 
     /// A replica has named a limit since some moment: what it takes from then on is saved up. A node that begins to
     /// grant later than this has nothing saved up, as another one may have granted before.
-    pub fn saves_from(&mut self, replica: &UpstreamId, named_at: Timestamp, now: Timestamp) {
-        if now < named_at + BEGINS_WITHIN && !self.accounts.contains_key(replica) {
-            let from = named_at.max(KNOWS_FLEET_AFTER).min(now);
+    pub fn accrue_from(&mut self, replica: &UpstreamId, named_at: Timestamp, now: Timestamp) {
+        if now < named_at + FIRST_REQUEST_WITHIN && !self.accounts.contains_key(replica) {
+            let from = named_at.max(STARTUP_DELAY).min(now);
             self.accounts.insert(replica.clone(), Account::new(from));
         }
     }
 
     /// Whether a request of an urgency may be granted to a replica, by the first node.
     pub fn may_grant(&mut self, replica: &UpstreamId, limit: PerSecond, urgency: u8, now: Timestamp) -> bool {
-        let rate = self.rate(limit, Granter::First, now);
-        self.account(replica, rate, now).has_one_for(urgency)
+        let rate = self.rate(limit, GranterRole::Primary, now);
+        self.account(replica, rate, now).can_grant(urgency)
     }
 
     /// A replica's account, up to date.
@@ -140,17 +140,17 @@
     }
 
     /// A node has a request for a replica.
-    pub fn ask(
+    pub fn request(
         &mut self,
         replica: &UpstreamId,
         limit: PerSecond,
-        as_granter: Granter,
+        role: GranterRole,
         urgency: u8,
         now: Timestamp,
     ) -> Grant {
-        let rate = self.rate(limit, as_granter, now);
+        let rate = self.rate(limit, role, now);
         let account = self.account(replica, rate, now);
-        let granted = account.has_one_for(urgency);
+        let granted = account.can_grant(urgency);
         if granted {
             account.saved -= 1.0;
         }
@@ -158,13 +158,13 @@
     }
 
     /// Grants a second under a limit.
-    fn rate(&self, limit: PerSecond, as_granter: Granter, now: Timestamp) -> PerSecond {
-        if now < KNOWS_FLEET_AFTER {
+    fn rate(&self, limit: PerSecond, role: GranterRole, now: Timestamp) -> PerSecond {
+        if now < STARTUP_DELAY {
             return 0.0;
         }
-        let seen = self.nodes.max(1) as f64 / self.most_nodes.max(1) as f64;
-        let part = if as_granter == Granter::First { 1.0 } else { SUBSTITUTE_PART };
-        (limit * GRANTED_PART).max(LEAST_RATE) * seen * part
+        let visible_fraction = self.nodes.max(1) as f64 / self.max_nodes.max(1) as f64;
+        let fraction = if role == GranterRole::Primary { 1.0 } else { SUBSTITUTE_FRACTION };
+        (limit * GRANTED_FRACTION).max(MIN_RATE) * visible_fraction * fraction
     }
 
     /// Forgets replicas that name no limit any more.
@@ -180,12 +180,12 @@
 
     fn save(&mut self, rate: PerSecond, now: Timestamp) {
         let passed = now.saturating_sub(self.saved_at).as_secs_f64();
-        self.saved = (self.saved + passed * rate).min(MOST_SAVED);
+        self.saved = (self.saved + passed * rate).min(MAX_SAVED_GRANTS);
         self.saved_at = now;
     }
 
-    fn has_one_for(&self, urgency: u8) -> bool {
-        self.saved >= needed_for(urgency)
+    fn can_grant(&self, urgency: u8) -> bool {
+        self.saved >= saved_grants_needed(urgency)
     }
 
     /// How long a node that asks pauses: until another request of its urgency can be granted, and until
@@ -197,18 +197,18 @@
     /// calls a second, and 0.82 with turns (least of 400 plays of 8 s, `test_gateway_limit_regular_calls`).
     fn pause(&mut self, rate: PerSecond, urgency: u8, now: Timestamp) -> Duration {
         if rate <= 0.0 {
-            return KNOWS_FLEET_AFTER;
+            return STARTUP_DELAY;
         }
-        let apart = Duration::from_secs_f64(1.0 / (ASKS_PER_GRANT * rate));
-        let turn = (self.last_ask_at.saturating_sub(now) + apart).min(LONGEST_PAUSE);
-        self.last_ask_at = now + turn;
-        let missing = (needed_for(urgency) - self.saved).max(0.0);
+        let interval = Duration::from_secs_f64(1.0 / (REQUESTS_PER_GRANT * rate));
+        let turn = (self.last_turn_at.saturating_sub(now) + interval).min(MAX_PAUSE);
+        self.last_turn_at = now + turn;
+        let missing = (saved_grants_needed(urgency) - self.saved).max(0.0);
         let saved_up_after = Duration::from_secs_f64(missing / rate);
-        turn.max(saved_up_after).clamp(SHORTEST_PAUSE, LONGEST_PAUSE)
+        turn.max(saved_up_after).clamp(MIN_PAUSE, MAX_PAUSE)
     }
 }
 
 /// What must be saved up for a request of an urgency.
-fn needed_for(urgency: u8) -> f64 {
-    1.0 + f64::from(urgency.min(LEAST_URGENT)) * KEPT_FOR_URGENT
+fn saved_grants_needed(urgency: u8) -> f64 {
+    1.0 + f64::from(urgency.min(LEAST_URGENT)) * RESERVE_PER_URGENCY_RANK
 }
--- a/lib/src/gateway/load.rs
+++ b/lib/src/gateway/load.rs
@@ -87,7 +87,7 @@
         if let Some(size) = run.size {
             self.services.insert(run.replica.clone(), replica.record.service.clone());
             if run.produced == 0 {
-                self.reading.on_given(&key, replica, size.prompt, now);
+                self.reading.on_assigned(&key, replica, size.prompt, now);
             }
         }
         self.insert(key, run);
--- a/lib/src/gateway/reading.rs
+++ b/lib/src/gateway/reading.rs
@@ -76,7 +76,7 @@
     }
 
     /// An engine was given a prompt.
-    pub fn on_given(&mut self, key: &RunKey, engine: &Replica, tokens: u32, now: Timestamp) {
+    pub fn on_assigned(&mut self, key: &RunKey, engine: &Replica, tokens: u32, now: Timestamp) {
         let own = self.reading_time(engine, tokens, now);
         let record = &engine.record;
         let service = self.services.entry(record.service.clone()).or_default();
--- a/lib/src/gateway/replica_limits.rs
+++ b/lib/src/gateway/replica_limits.rs
@@ -26,18 +26,18 @@
 /// A limit that differs from the known one by no more than this part is no news: replicas that measure
 /// their load name another figure in each answer, and all nodes are told of each change. A node takes such a
 /// figure over from another node alone, so that both know the same in the end.
-const SAME_WITHIN: f64 = 0.05;
+const RELATIVE_TOLERANCE: f64 = 0.05;
 /// A replica that has just come into need has been given what it took before: it is left to others for so
 /// long, where there are others. Where three replicas share 39 requests a second, one that names 3 a second got 20
 /// of them in the second before, and what it takes in 4 s would be exceeded by what else it is granted in the
 /// other three.
-const LEFT_TO_OTHERS_FOR: Duration = Duration::from_secs(3);
+const AVOID_NEWLY_LIMITED_FOR: Duration = Duration::from_secs(3);
 /// A limit that was taken back is remembered for so long, so that nodes which missed that are told.
-const TAKEN_BACK_KEPT: Duration = Duration::from_secs(60);
+const WITHDRAWN_LIMIT_KEPT_FOR: Duration = Duration::from_secs(60);
 
 /// What an answer says of its replica's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LimitWord {
+pub enum LimitReport {
     /// It names one.
     Named(PerSecond),
     /// It names none.
@@ -48,16 +48,16 @@
 
 /// When an answer was asked for and when it came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     /// When its request was sent.
     pub sent: Timestamp,
     /// When its head came.
-    pub came: Timestamp,
+    pub received: Timestamp,
 }
 
 /// A replica's limit as one node tells it to another.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct ToldLimit {
+pub struct AnnouncedLimit {
     /// Which start of the replica.
     pub replica: Incarnation,
     /// The limit; `None` if it was taken back.
@@ -70,9 +70,9 @@
 struct Known {
     born: Born,
     limit: Option<PerSecond>,
-    said: Timestamp,
+    stated_at: Timestamp,
     /// When the need began, as far as was heard.
-    since: Timestamp,
+    limited_since: Timestamp,
 }
 
 /// Who says what a replica's limit is.
@@ -93,51 +93,58 @@
 
 impl ReplicaLimits {
     /// An answer of a replica came to this node. Returns whether the limit changed.
-    pub fn on_answer(&mut self, of: &Incarnation, word: LimitWord, times: AnswerTimes) -> bool {
-        let (limit, said) = match word {
-            LimitWord::Named(limit) => (Some(limit), times.came),
-            LimitWord::NotNamed => (None, times.sent),
-            LimitWord::Silent => return false,
+    pub fn on_answer(&mut self, of: &Incarnation, report: LimitReport, times: ResponseTimes) -> bool {
+        let (limit, stated_at) = match report {
+            LimitReport::Named(limit) => (Some(limit), times.received),
+            LimitReport::NotNamed => (None, times.sent),
+            LimitReport::Silent => return false,
         };
-        self.note(of, limit, said, Source::Replica)
+        self.record(of, limit, stated_at, Source::Replica)
     }
 
     /// Another node told some; returns those that are news.
-    pub fn on_told(&mut self, told: Vec<ToldLimit>, now: Timestamp) -> Vec<ToldLimit> {
-        let mut news = told;
-        news.retain(|told| {
-            let limit = told.limit.filter(|limit| limit.is_finite() && *limit >= 0.0);
-            limit.is_some() == told.limit.is_some()
-                && self.note(&told.replica, limit, now.saturating_sub(told.age), Source::Node)
+    pub fn on_told(&mut self, announced: Vec<AnnouncedLimit>, now: Timestamp) -> Vec<AnnouncedLimit> {
+        let mut changed = announced;
+        changed.retain(|announced| {
+            let limit = announced.limit.filter(|limit| limit.is_finite() && *limit >= 0.0);
+            limit.is_some() == announced.limit.is_some()
+                && self.record(&announced.replica, limit, now.saturating_sub(announced.age), Source::Node)
         });
-        news
+        changed
     }
 
     /// Notes what was said of a replica's limit. Returns whether it changed.
-    fn note(&mut self, of: &Incarnation, limit: Option<PerSecond>, said: Timestamp, source: Source) -> bool {
+    fn record(
+        &mut self,
+        of: &Incarnation,
+        limit: Option<PerSecond>,
+        stated_at: Timestamp,
+        source: Source,
+    ) -> bool {
         let known = self.known.get(&of.id).copied();
-        let is_later =
-            known.is_none_or(|known| of.born > known.born || (of.born == known.born && said > known.said));
+        let is_newer = known.is_none_or(|known| {
+            of.born > known.born || (of.born == known.born && stated_at > known.stated_at)
+        });
         let before = known.filter(|known| known.born == of.born).and_then(|known| known.limit);
-        if !is_later || (known.is_none() && limit.is_none()) {
+        if !is_newer || (known.is_none() && limit.is_none()) {
             return false;
         }
-        let changed = !is_same(before, limit);
+        let changed = !is_nearly_equal(before, limit);
         let limit = if changed || source == Source::Node { limit } else { before };
-        let since = known.filter(|_| before.is_some()).map_or(said, |known| known.since);
-        self.known.insert(of.id.clone(), Known { born: of.born, limit, said, since });
+        let limited_since = known.filter(|_| before.is_some()).map_or(stated_at, |known| known.limited_since);
+        self.known.insert(of.id.clone(), Known { born: of.born, limit, stated_at, limited_since });
         changed
     }
 
     /// Whether a replica came into need so lately that it is left to others.
-    pub fn is_left_to_others(&self, replica: &str, now: Timestamp) -> bool {
+    pub fn is_newly_limited(&self, replica: &str, now: Timestamp) -> bool {
         let known = self.known.get(replica).filter(|known| known.limit.is_some());
-        known.is_some_and(|known| now < known.since + LEFT_TO_OTHERS_FOR)
+        known.is_some_and(|known| now < known.limited_since + AVOID_NEWLY_LIMITED_FOR)
     }
 
     /// Since when a replica has named a limit, as far as was heard.
     pub fn named_since(&self, replica: &str) -> Option<Timestamp> {
-        self.known.get(replica).filter(|known| known.limit.is_some()).map(|known| known.since)
+        self.known.get(replica).filter(|known| known.limit.is_some()).map(|known| known.limited_since)
     }
 
     /// The limit of a replica.
@@ -151,13 +158,13 @@
     }
 
     /// What other nodes are told of one replica.
-    pub fn told(&self, replica: &str, now: Timestamp) -> Option<ToldLimit> {
-        self.known.get_key_value(replica).map(|(id, known)| known.told(id, now))
+    pub fn announced(&self, replica: &str, now: Timestamp) -> Option<AnnouncedLimit> {
+        self.known.get_key_value(replica).map(|(id, known)| known.announced(id, now))
     }
 
     /// What other nodes are told of all.
-    pub fn all(&self, now: Timestamp) -> Vec<ToldLimit> {
-        self.known.iter().map(|(id, known)| known.told(id, now)).collect()
+    pub fn all(&self, now: Timestamp) -> Vec<AnnouncedLimit> {
+        self.known.iter().map(|(id, known)| known.announced(id, now)).collect()
     }
 
     /// Stands for the limits in force; 0 for none.
@@ -175,21 +182,21 @@
     /// Forgets replicas that are gone, and limits that were taken back some time ago.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool, now: Timestamp) {
         self.known.retain(|id, known| {
-            is_known(id) && (known.limit.is_some() || known.said + TAKEN_BACK_KEPT > now)
+            is_known(id) && (known.limit.is_some() || known.stated_at + WITHDRAWN_LIMIT_KEPT_FOR > now)
         });
     }
 }
 
 impl Known {
-    fn told(&self, id: &UpstreamId, now: Timestamp) -> ToldLimit {
+    fn announced(&self, id: &UpstreamId, now: Timestamp) -> AnnouncedLimit {
         let replica = Incarnation { id: id.clone(), born: self.born };
-        ToldLimit { replica, limit: self.limit, age: now.saturating_sub(self.said) }
+        AnnouncedLimit { replica, limit: self.limit, age: now.saturating_sub(self.stated_at) }
     }
 }
 
-fn is_same(a: Option<PerSecond>, b: Option<PerSecond>) -> bool {
+fn is_nearly_equal(a: Option<PerSecond>, b: Option<PerSecond>) -> bool {
     match (a, b) {
-        (Some(a), Some(b)) => (a - b).abs() <= a * SAME_WITHIN,
+        (Some(a), Some(b)) => (a - b).abs() <= a * RELATIVE_TOLERANCE,
         (None, None) => true,
         _ => false,
     }
--- a/lib/src/gateway/retry_window.rs
+++ b/lib/src/gateway/retry_window.rs
@@ -7,9 +7,9 @@
 
 /// Part of the allowed ratio that the node uses; the rest covers windows that slide
 /// differently at the replicas.
-const SAFETY: f64 = 0.7;
+const SAFETY_FACTOR: f64 = 0.7;
 /// Requests that are counted at most, to bound the memory between two repeats.
-const MOST_COUNTED: usize = 10_000;
+const MAX_COUNTED_REQUESTS: usize = 10_000;
 
 /// What this node may send again.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,15 +33,15 @@
     /// A request came.
     pub fn on_request(&mut self, now: Timestamp) {
         self.requests.push_back(now);
-        if self.requests.len() > MOST_COUNTED {
+        if self.requests.len() > MAX_COUNTED_REQUESTS {
             self.requests.pop_front();
         }
     }
 
     /// Takes a repeat; false when the budget is used up.
     pub fn take(&mut self, now: Timestamp, share: &RetryShare) -> bool {
-        self.forget(now.saturating_sub(share.window));
-        let allowed = (self.requests.len() as f64 * share.ratio + share.slack) * SAFETY;
+        self.drop_before(now.saturating_sub(share.window));
+        let allowed = (self.requests.len() as f64 * share.ratio + share.slack) * SAFETY_FACTOR;
         if self.repeats.len() as f64 + 1.0 > allowed {
             return false;
         }
@@ -49,7 +49,7 @@
         true
     }
 
-    fn forget(&mut self, oldest: Timestamp) {
+    fn drop_before(&mut self, oldest: Timestamp) {
         for times in [&mut self.requests, &mut self.repeats] {
             while times.front().is_some_and(|t| *t < oldest) {
                 times.pop_front();
--- a/lib/src/gateway/waiting.rs
+++ b/lib/src/gateway/waiting.rs
@@ -3,7 +3,7 @@
 //! Those that can still begin in time go first, the most urgent of them before others and each kind in
 //! the order of arrival. One that can't any more goes behind them: where engines get 1.1 times what
 //! they can read, a queue by arrival soon has all begin late, this one a tenth. So that late ones are served
-//! too, one that has been late for [`LATE_FOR`] of the time until its caller leaves goes before all others,
+//! too, one that has been late for [`OVERDUE_AFTER_FRACTION`] of the time until its caller leaves goes before all others,
 //! but only as one of several that are given an engine: where far more comes than engines take, all would be
 //! late for long before they are served.
 //!
@@ -23,28 +23,28 @@
 
 /// Callers that are refused come back earlier or later by up to this part, so that those that
 /// were refused together don't return together.
-const COME_BACK_SPREAD: f64 = 0.25;
+const RETRY_DELAY_JITTER: f64 = 0.25;
 
 /// Part of the time between its being late and its caller's leaving after which one goes before all
 /// others. At 1.1 times the prompts that engines read, for 15 s, 404 of 3,256 long streams begin late
 /// (551 with a half, 380 with three quarters), and nobody leaves; at 1.3 times 34 of 6,397 callers leave
 /// (none with a half, 55 with three quarters), as against 296 in a queue by arrival (measured on modelled
-/// engines before [`OVERDUE_EVERY`] bounded it).
-const LATE_FOR: f64 = 0.6;
+/// engines before [`OVERDUE_INTERVAL`] bounded it).
+const OVERDUE_AFTER_FRACTION: f64 = 0.6;
 
 /// Of so many that are given an engine one may have been late for long while others can begin in time: enough
 /// where engines get 1.1 times what they can read, so that nobody leaves there.
-const OVERDUE_EVERY: u32 = 4;
-/// The same while more than [`FEW_OVERDUE`] have been late for long. Far more comes then than engines take, and
+const OVERDUE_INTERVAL: u32 = 4;
+/// The same while more than [`MAX_FEW_OVERDUE`] have been late for long. Far more comes then than engines take, and
 /// each of them that went first would make another one late. On modelled engines
 /// (`test_what_callers_get_at_full_engines`), at 1.3 times what they read, 5,392 of 6,254 begin in time, 390
 /// late, and 472 callers leave; 5,172, 596 and 595 of 6,363 with one of four in any case; 3,555, 2,808 and 34 of
 /// 6,397 where whoever had been late for long went first.
-const MANY_OVERDUE_EVERY: u32 = 32;
-/// While no more than these have been late for long, one of [`OVERDUE_EVERY`] is enough for them. With 12 in its
+const MANY_OVERDUE_INTERVAL: u32 = 32;
+/// While no more than these have been late for long, one of [`OVERDUE_INTERVAL`] is enough for them. With 12 in its
 /// place 40 of some 5,800 callers leave at 1.1 times what modelled engines read, with 40 fewer begin in time
 /// at 1.3 times (5,345).
-const FEW_OVERDUE: usize = 24;
+const MAX_FEW_OVERDUE: usize = 24;
 
 /// No engine has room for a generation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
@@ -84,10 +84,10 @@
 
 impl<T> Waiting<T> {
     fn turn(&self, now: Timestamp, overdue_first: bool) -> Turn {
-        let late_at_most = self.until.saturating_sub(self.due).mul_f64(LATE_FOR);
+        let overdue_after = self.until.saturating_sub(self.due).mul_f64(OVERDUE_AFTER_FRACTION);
         if now <= self.due {
             Turn::InTime { priority: self.priority }
-        } else if now < self.due + late_at_most {
+        } else if now < self.due + overdue_after {
             Turn::Late { priority: self.priority }
         } else if overdue_first {
             Turn::OverdueFirst { due: self.due }
@@ -100,7 +100,7 @@
 /// The queue of a service. It is kept by urgency and then by arrival; whose turn it is changes with the
 /// time.
 #[derive(Debug)]
-pub struct WaitingRoom<T> {
+pub struct WaitQueue<T> {
     queue: VecDeque<Waiting<T>>,
     /// How many were given an engine since the last one that had been late for long.
     since_overdue: u32,
@@ -108,17 +108,17 @@
     since_overdue_before: u32,
 }
 
-impl<T> Default for WaitingRoom<T> {
+impl<T> Default for WaitQueue<T> {
     fn default() -> Self {
-        WaitingRoom {
+        WaitQueue {
             queue: VecDeque::new(),
-            since_overdue: OVERDUE_EVERY,
-            since_overdue_before: OVERDUE_EVERY,
+            since_overdue: OVERDUE_INTERVAL,
+            since_overdue_before: OVERDUE_INTERVAL,
         }
     }
 }
 
-impl<T> WaitingRoom<T> {
+impl<T> WaitQueue<T> {
     /// Adds one behind those that are as urgent.
     pub fn push(&mut self, waiting: Waiting<T>) {
         let at = self.queue.partition_point(|other| other.priority <= waiting.priority);
@@ -126,17 +126,17 @@
     }
 
     /// Whether none waits that would go before one of this urgency that can begin in time.
-    pub fn lets_pass(&self, priority: u8, now: Timestamp) -> bool {
-        self.before(priority, now).next().is_none()
+    pub fn is_next(&self, priority: u8, now: Timestamp) -> bool {
+        self.entries_before(priority, now).next().is_none()
     }
 
     /// Tokens of memory that are needed by those that would go before one of this urgency that can
     /// begin in time.
     pub fn tokens_before(&self, priority: u8, now: Timestamp) -> f64 {
-        self.before(priority, now).map(|other| other.tokens).sum()
+        self.entries_before(priority, now).map(|other| other.tokens).sum()
     }
 
-    fn before(&self, priority: u8, now: Timestamp) -> impl Iterator<Item = &Waiting<T>> {
+    fn entries_before(&self, priority: u8, now: Timestamp) -> impl Iterator<Item = &Waiting<T>> {
         let overdue_first = self.overdue_first(now);
         self.queue.iter().filter(move |other| other.turn(now, overdue_first) <= Turn::InTime { priority })
     }
@@ -144,33 +144,33 @@
     /// Takes those out that can no longer be expected to begin before they are given up: that time has
     /// come, or will before `time_until` the memory is free that they and those before them need, where
     /// that is known.
-    pub fn lost(
+    pub fn take_unservable(
         &mut self,
         now: Timestamp,
         time_until: impl Fn(f64) -> Option<Duration>,
     ) -> Vec<(T, Option<Duration>)> {
-        let mut lost = Vec::new();
+        let mut unservable = Vec::new();
         let mut tokens = 0.0;
         let mut expected = vec![None; self.queue.len()];
         for at in self.in_turn(now) {
             let waiting = &self.queue[at];
             let after = time_until(tokens + waiting.tokens);
-            let is_over = waiting.until <= now;
-            if is_over || after.is_some_and(|after| after > waiting.until - now) {
+            let has_expired = waiting.until <= now;
+            if has_expired || after.is_some_and(|after| after > waiting.until - now) {
                 expected[at] = Some(after);
             } else {
                 tokens += waiting.tokens;
             }
         }
-        let mut still = VecDeque::new();
+        let mut remaining = VecDeque::new();
         for (waiting, expected) in std::mem::take(&mut self.queue).into_iter().zip(expected) {
             match expected {
-                Some(expected) => lost.push((waiting.item, expected)),
-                None => still.push_back(waiting),
+                Some(expected) => unservable.push((waiting.item, expected)),
+                None => remaining.push_back(waiting),
             }
         }
-        self.queue = still;
-        lost
+        self.queue = remaining;
+        unservable
     }
 
     /// Where those that wait stand, in the order of their turns.
@@ -189,26 +189,26 @@
         self.since_overdue_before = self.since_overdue;
         match turn {
             Turn::OverdueFirst { .. } | Turn::Overdue { .. } => self.since_overdue = 0,
-            Turn::InTime { .. } | Turn::Late { .. } => self.on_passed(),
+            Turn::InTime { .. } | Turn::Late { .. } => self.on_direct_placement(),
         }
         self.queue.remove(at)
     }
 
     /// One was given an engine that did not wait.
-    pub fn on_passed(&mut self) {
+    pub fn on_direct_placement(&mut self) {
         self.since_overdue = self.since_overdue.saturating_add(1);
     }
 
     /// Whether one that has been late for long goes before those that can begin in time.
     fn overdue_first(&self, now: Timestamp) -> bool {
-        self.since_overdue + 1 >= self.overdue_every(now)
+        self.since_overdue + 1 >= self.overdue_interval(now)
     }
 
     /// Of how many that are given an engine one may have been late for long.
-    fn overdue_every(&self, now: Timestamp) -> u32 {
+    fn overdue_interval(&self, now: Timestamp) -> u32 {
         let is_overdue = |waiting: &&Waiting<T>| matches!(waiting.turn(now, false), Turn::Overdue { .. });
         let overdue = self.queue.iter().filter(is_overdue).count();
-        if overdue <= FEW_OVERDUE { OVERDUE_EVERY } else { MANY_OVERDUE_EVERY }
+        if overdue <= MAX_FEW_OVERDUE { OVERDUE_INTERVAL } else { MANY_OVERDUE_INTERVAL }
     }
 
     /// Puts one back that was taken out: it goes before those that are as urgent.
@@ -231,14 +231,14 @@
 
 /// When a caller comes back that is refused while nothing is known of when it would be served: soon,
 /// as its next attempt reaches another node and perhaps another replica.
-const COME_BACK_SOON: Duration = Duration::from_millis(150);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// The soonest that a caller returns: a lead looks at what became free ten times a second.
-const SOONEST_RETURN: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The latest: forecasts reach no further than what was seen in the last seconds.
-const LATEST_RETURN: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// When a caller comes back that is refused as room is expected after `expected`, if that is known.
-pub fn come_back_after<R: Rng>(expected: Option<Duration>, rng: &mut R) -> Duration {
-    let expected = expected.unwrap_or(COME_BACK_SOON).clamp(SOONEST_RETURN, LATEST_RETURN);
-    expected.mul_f64(rng.random_range(1.0 - COME_BACK_SPREAD..=1.0 + COME_BACK_SPREAD))
+pub fn retry_delay<R: Rng>(expected: Option<Duration>, rng: &mut R) -> Duration {
+    let expected = expected.unwrap_or(DEFAULT_RETRY_DELAY).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+    expected.mul_f64(rng.random_range(1.0 - RETRY_DELAY_JITTER..=1.0 + RETRY_DELAY_JITTER))
 }
--- a/lib/tests/test_gateway_closed_halls.rs
+++ b/lib/tests/test_gateway_closed_halls.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::closed_halls::ClosedHalls;
-use leadstage_lib::gateway::closed_halls::ClosedHallsBook;
+use leadstage_lib::gateway::closed_halls::ClosedHallsTracker;
 use leadstage_lib::gateway::closed_halls::HallChange;
-use leadstage_lib::gateway::closed_halls::MOST_CLOSED;
+use leadstage_lib::gateway::closed_halls::MAX_CLOSED_HALLS;
 use leadstage_lib::gateway::retelling::Retelling;
 use leadstage_lib::gateway::revision;
 use leadstage_lib::ids::HallId;
@@ -286,10 +286,10 @@
 
 #[test]
 fn test_more_halls_than_there_can_be_are_left_out() {
-    let halls = (0..MOST_CLOSED + 5).map(|n| format!("hall-{n:03}").into()).collect();
+    let halls = (0..MAX_CLOSED_HALLS + 5).map(|n| format!("hall-{n:03}").into()).collect();
     let mut told = ClosedHalls { at: 1, halls };
-    assert_eq!((told.limit(), told.halls.len()), (5, MOST_CLOSED));
-    assert_eq!(told.limit(), 0);
+    assert_eq!((told.truncate(), told.halls.len()), (5, MAX_CLOSED_HALLS));
+    assert_eq!(told.truncate(), 0);
 }
 
 /// The operator closes halls again that a copy of the store lacks; until then they stay closed.
@@ -300,10 +300,10 @@
         at: revision::in_era(era, number),
         halls: halls.iter().map(|name| hall(name)).collect(),
     };
-    let closed = |book: &mut ClosedHallsBook, now| {
+    let closed = |book: &mut ClosedHallsTracker, now| {
         book.in_force(now).halls.iter().map(|hall| hall.to_string()).collect::<Vec<_>>()
     };
-    let mut book = ClosedHallsBook::default();
+    let mut book = ClosedHallsTracker::default();
     assert!(book.take(word(0, 90, &["a", "b"]), second));
     assert!(book.take(word(1, 5, &["c"]), 2 * second));
     assert_eq!(closed(&mut book, 2 * second), ["a", "b", "c"]);
@@ -313,7 +313,7 @@
     assert_eq!(closed(&mut book, 3 * second), ["a", "c"]);
     assert!(book.take(word(1, 7, &["a"]), 4 * second), "c is opened");
     assert_eq!(closed(&mut book, 4 * second), ["a"]);
-    let mut lost = ClosedHallsBook::default();
+    let mut lost = ClosedHallsTracker::default();
     lost.take(word(0, 90, &["a"]), second);
     lost.take(word(1, 5, &[]), 2 * second);
     assert_eq!(closed(&mut lost, 4 * second), ["a"]);
--- a/lib/tests/test_gateway_cold_start.rs
+++ b/lib/tests/test_gateway_cold_start.rs
@@ -57,7 +57,7 @@
             if asked_lead { (0, Giver::Lead) } else { (rng.random_range(0..case.nodes), Giver::Node) };
         let replica = &replicas[rng.random_range(0..replicas.len())];
         if nodes[node].allows(replica, giver, BOUNDS.shared(RATE), now) {
-            nodes[node].on_given(replica, now);
+            nodes[node].on_assigned(replica, now);
             arrivals.entry(replica.clone()).or_default().push(now + WAY.mul_f64(rng.random()));
         }
     }
@@ -94,7 +94,7 @@
             let mut node = ColdStarts::new(own.clone());
             node.set_nodes(ids.iter().filter(|id| *id != own).cloned());
             while node.allows(&"i-1".into(), Giver::Node, shared, Duration::ZERO) {
-                node.on_given("i-1", Duration::ZERO);
+                node.on_assigned("i-1", Duration::ZERO);
                 given += 1;
             }
         }
--- a/lib/tests/test_gateway_config_spread.rs
+++ b/lib/tests/test_gateway_config_spread.rs
@@ -10,8 +10,8 @@
 use leadstage_lib::gateway::config_sources::ConfigSources;
 use leadstage_lib::gateway::config_sources::HeardHow;
 use leadstage_lib::gateway::config_sources::NextSource;
-use leadstage_lib::gateway::handouts;
-use leadstage_lib::gateway::handouts::Handouts;
+use leadstage_lib::gateway::transfer_slots;
+use leadstage_lib::gateway::transfer_slots::TransferSlots;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -47,7 +47,7 @@
     version: u64,
     is_busy: bool,
     sources: ConfigSources,
-    handouts: Handouts,
+    transfer_slots: TransferSlots,
     /// Transfers in and out at this time.
     transfers: u32,
 }
@@ -79,7 +79,7 @@
             version: OLD,
             is_busy: false,
             sources: ConfigSources::default(),
-            handouts: Handouts::new(handouts::at_once(link)),
+            transfer_slots: TransferSlots::new(transfer_slots::max_concurrent(link)),
             transfers: 0,
         });
         Fleet {
@@ -150,14 +150,14 @@
         }
         let own = self.nodes[node].version;
         match self.nodes[node].sources.next(own, |_| false, self.now, &mut self.rng) {
-            NextSource::Node(from) => self.ask(node, node_at(from)),
+            NextSource::Node(from) => self.try_acquire(node, node_at(from)),
             NextSource::Later(pause) => self.after(pause, Event::Looks { node }),
             NextSource::Nothing | NextSource::Store => {}
         }
     }
 
-    fn ask(&mut self, node: usize, from: usize) {
-        if let Err(after) = self.nodes[from].handouts.ask() {
+    fn try_acquire(&mut self, node: usize, from: usize) {
+        if let Err(after) = self.nodes[from].transfer_slots.try_acquire() {
             let now = self.now + 2 * WAY;
             self.nodes[node].sources.on_busy(address(from), after, now);
             return self.after(2 * WAY, Event::Looks { node });
@@ -174,7 +174,7 @@
     fn has(&mut self, node: usize, from: usize) {
         self.nodes[node].transfers -= 1;
         self.nodes[from].transfers -= 1;
-        self.nodes[from].handouts.end(Duration::from_secs_f64(self.bytes as f64 * 8.0 / NARROW));
+        self.nodes[from].transfer_slots.release(Duration::from_secs_f64(self.bytes as f64 * 8.0 / NARROW));
         self.nodes[node].sources.on_handed(address(from));
         self.after(TAKES_IN, Event::InForce { node });
     }
@@ -183,7 +183,7 @@
     fn in_force(&mut self, node: usize) {
         self.nodes[node].version = NEW;
         self.nodes[node].is_busy = false;
-        let tells = handouts::at_once(self.nodes[node].link).max(4);
+        let tells = transfer_slots::max_concurrent(self.nodes[node].link).max(4);
         let wide: Vec<usize> =
             self.nodes.iter().enumerate().filter(|(_, n)| n.link > NARROW).map(|(n, _)| n).collect();
         let mut told: Vec<usize> = wide.into_iter().sample(&mut self.rng, tells / 2);
--- a/lib/tests/test_gateway_fleet_spread.rs
+++ b/lib/tests/test_gateway_fleet_spread.rs
@@ -6,8 +6,6 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use leadstage_lib::gateway::handouts;
-use leadstage_lib::gateway::handouts::Handouts;
 use leadstage_lib::gateway::lack_of_news::LackOfNews;
 use leadstage_lib::gateway::lack_of_news::Source;
 use leadstage_lib::gateway::peers_by_hall::PeersByHall;
@@ -17,6 +15,8 @@
 use leadstage_lib::gateway::replica_news::Part;
 use leadstage_lib::gateway::replica_news::ReplicaNews;
 use leadstage_lib::gateway::replica_record::Incarnation;
+use leadstage_lib::gateway::transfer_slots;
+use leadstage_lib::gateway::transfer_slots::TransferSlots;
 use leadstage_lib::ids::VmId;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -67,7 +67,7 @@
     progress: NewsProgress,
     relay: NewsRelay,
     lack: LackOfNews,
-    handouts: Handouts,
+    transfer_slots: TransferSlots,
     link_free: Duration,
     core_free: Duration,
     received: usize,
@@ -105,7 +105,7 @@
                 progress,
                 relay: NewsRelay::default(),
                 lack: LackOfNews::new(&mut rng),
-                handouts: Handouts::new(handouts::at_once(link * 1e6)),
+                transfer_slots: TransferSlots::new(transfer_slots::max_concurrent(link * 1e6)),
                 link_free: Duration::ZERO,
                 core_free: Duration::ZERO,
                 received: 0,
@@ -205,7 +205,7 @@
                 Event::Ask { node, from } => self.on_ask(node, from, now),
                 Event::Answer { node, from } => {
                     let took = WAY;
-                    self.nodes[from].handouts.end(took);
+                    self.nodes[from].transfer_slots.release(took);
                     self.nodes[node].lack.on_answer();
                     self.nodes[node].progress.on_known(NEWS_AT);
                     self.note_known(node, now);
@@ -265,7 +265,7 @@
             return self.nodes[node].lack.on_answer();
         }
         let now = self.handle(from, now + 2 * WAY);
-        match self.nodes[from].handouts.ask() {
+        match self.nodes[from].transfer_slots.try_acquire() {
             Ok(()) => {
                 self.fetched += 1;
                 let bytes = self.case.leaving * 14 + 600;
--- a/lib/tests/test_gateway_full_engines.rs
+++ b/lib/tests/test_gateway_full_engines.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::choice::EngineRequest;
-use leadstage_lib::gateway::lead_queue::Asked;
 use leadstage_lib::gateway::lead_queue::Engines;
 use leadstage_lib::gateway::lead_queue::LeadQueue;
-use leadstage_lib::gateway::lead_queue::Terms;
+use leadstage_lib::gateway::lead_queue::QueueReply;
+use leadstage_lib::gateway::lead_queue::QueueTerms;
 use leadstage_lib::gateway::load::GenerationSize;
 use leadstage_lib::gateway::load::LoadBook;
 use leadstage_lib::gateway::load::READS_AHEAD;
@@ -212,10 +212,10 @@
             Lead::ByTurn => (kind.objective() - reading).saturating_sub(READS_AHEAD),
             _ => may_wait,
         };
-        let terms = Terms { priority, in_time, may_wait, tokens: 0.0 };
+        let terms = QueueTerms { priority, in_time, may_wait, tokens: 0.0 };
         let mut queue = self.take_queue();
         let asked = queue.ask(caller, &terms, self, self.now);
-        assert!(!matches!(asked, Asked::Refused(..)), "nothing is known of when there is room");
+        assert!(!matches!(asked, QueueReply::Refused(..)), "nothing is known of when there is room");
         self.queue = queue;
     }
 
--- a/lib/tests/test_gateway_lead_queue.rs
+++ b/lib/tests/test_gateway_lead_queue.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::lead_queue::Asked;
 use leadstage_lib::gateway::lead_queue::Engines;
 use leadstage_lib::gateway::lead_queue::LeadQueue;
+use leadstage_lib::gateway::lead_queue::QueueReply;
+use leadstage_lib::gateway::lead_queue::QueueTerms;
 use leadstage_lib::gateway::lead_queue::Settled;
-use leadstage_lib::gateway::lead_queue::Terms;
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::shortage::Shortage;
 
@@ -52,8 +52,8 @@
 fn queue(policy: Policy, generations: &[Generation]) -> LeadQueue<Generation> {
     let mut queue = LeadQueue::new(policy);
     for (name, tokens) in generations.iter().copied() {
-        let terms = Terms { priority: 0, in_time: s(5), may_wait: s(10), tokens };
-        assert!(matches!(queue.ask((name, tokens), &terms, &mut left(0.0), s(0)), Asked::Waits));
+        let terms = QueueTerms { priority: 0, in_time: s(5), may_wait: s(10), tokens };
+        assert!(matches!(queue.ask((name, tokens), &terms, &mut left(0.0), s(0)), QueueReply::Waits));
     }
     queue
 }
--- a/lib/tests/test_gateway_learned.rs
+++ b/lib/tests/test_gateway_learned.rs
@@ -44,7 +44,7 @@
     let mut now = from;
     for n in keys {
         let tokens = 1_500 + 700 * (n as u32 % 3);
-        clocks.on_given(&key(n), engine, tokens, now);
+        clocks.on_assigned(&key(n), engine, tokens, now);
         now += Duration::from_secs_f64(f64::from(tokens) * ms_per_token / 1_000.0);
         clocks.on_first_event(&key(n), &engine.record.id, now);
     }
@@ -119,8 +119,8 @@
 fn test_clock_moves_with_late_events() {
     let mut clocks = ReadingClocks::default();
     let engine = warm("e1");
-    clocks.on_given(&key(1), &engine, 1_000, NOW);
-    clocks.on_given(&key(2), &engine, 1_000, NOW);
+    clocks.on_assigned(&key(1), &engine, 1_000, NOW);
+    clocks.on_assigned(&key(2), &engine, 1_000, NOW);
     assert_eq!(clocks.wait("e1", NOW), Duration::from_millis(280));
     let later = NOW + Duration::from_millis(190);
     clocks.on_first_event(&key(1), "e1", later);
--- a/lib/tests/test_gateway_limit_grants.rs
+++ b/lib/tests/test_gateway_limit_grants.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::cold_start::Giver;
-use leadstage_lib::gateway::limit_asks::LimitAsks;
-use leadstage_lib::gateway::limit_book::LimitBook;
-use leadstage_lib::gateway::limit_grants::GRANTED_PART;
+use leadstage_lib::gateway::limit_grants::GRANTED_FRACTION;
 use leadstage_lib::gateway::limit_grants::Grant;
-use leadstage_lib::gateway::limit_grants::Granter;
+use leadstage_lib::gateway::limit_grants::GranterRole;
 use leadstage_lib::gateway::limit_grants::LimitGrants;
+use leadstage_lib::gateway::limit_permits::LimitPermits;
+use leadstage_lib::gateway::replica_rate_limiter::ReplicaRateLimiter;
 use leadstage_lib::ids::Timestamp;
 use leadstage_lib::ids::UpstreamId;
 use rand::RngExt;
@@ -61,7 +61,7 @@
     let mut grants = LimitGrants::default();
     grants.set_nodes(1, s(0.0));
     assert_eq!(grants_between(&mut grants, 0, 0.0, 2.0), 0);
-    let grant = grants.ask(&replica(), LIMIT, Granter::First, 0, s(1.9));
+    let grant = grants.request(&replica(), LIMIT, GranterRole::Primary, 0, s(1.9));
     assert_eq!(grant, Grant { granted: false, ask_again_after: s(2.0) });
 }
 
@@ -84,7 +84,7 @@
     let mut grants = six_nodes();
     let ask = |n: u32| {
         let at = s(10.0 + 0.01 * f64::from(n));
-        grants.ask(&replica(), LIMIT, Granter::Substitute, 0, at).granted
+        grants.request(&replica(), LIMIT, GranterRole::Substitute, 0, at).granted
     };
     let given = (0..2_000).map(ask).filter(|granted| *granted).count();
     assert!((15..=17).contains(&given), "{given}");
@@ -127,9 +127,10 @@
 #[test]
 fn test_who_is_refused_asks_again_when_there_is_a_grant() {
     let mut grants = six_nodes();
-    let mut ask = |urgency: u8, at: f64| grants.ask(&replica(), LIMIT, Granter::First, urgency, s(at));
+    let mut ask =
+        |urgency: u8, at: f64| grants.request(&replica(), LIMIT, GranterRole::Primary, urgency, s(at));
     let refused = ask(4, 10.0);
-    let saved_up_after = 1.4 / (LIMIT * GRANTED_PART);
+    let saved_up_after = 1.4 / (LIMIT * GRANTED_FRACTION);
     assert!(!refused.granted);
     assert!((refused.ask_again_after.as_secs_f64() - saved_up_after).abs() < 1e-6, "{refused:?}");
     assert!(!ask(4, 10.0 + saved_up_after - 0.001).granted);
@@ -149,7 +150,7 @@
         let (mut asks, mut granted, mut now) = (0, 0, 10.0);
         while now < 10.0 + LASTS_S {
             for (node, at) in may_ask_at.iter_mut().enumerate().filter(|(_, at)| **at <= now) {
-                let grant = grants.ask(&replica(), LIMIT, Granter::First, 0, s(now));
+                let grant = grants.request(&replica(), LIMIT, GranterRole::Primary, 0, s(now));
                 let pause = grant.ask_again_after.as_secs_f64();
                 let few_apart = 2.0 * FEW_APART_S * rng.random::<f64>();
                 *at = now + if node < with_few { pause.max(few_apart) } else { pause };
@@ -160,7 +161,7 @@
         }
         let asks_per_grant = f64::from(asks) / f64::from(granted);
         assert!((2.0..=4.0).contains(&asks_per_grant), "{nodes} {with_few}: {asks} {granted}");
-        let part = f64::from(granted) / (LIMIT * GRANTED_PART * LASTS_S);
+        let part = f64::from(granted) / (LIMIT * GRANTED_FRACTION * LASTS_S);
         assert!(part >= 0.9, "{nodes} {with_few}: {granted}");
     }
 }
@@ -169,9 +170,9 @@
 #[test]
 fn test_permits_are_not_saved_up() {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut nodes: Vec<LimitAsks> = (0..60).map(|_| LimitAsks::default()).collect();
+    let mut nodes: Vec<LimitPermits> = (0..60).map(|_| LimitPermits::default()).collect();
     nodes.iter_mut().for_each(|node| node.set_nodes(60));
-    let mut used_in = |nodes: &mut Vec<LimitAsks>, from: f64, until: f64| {
+    let mut used_in = |nodes: &mut Vec<LimitPermits>, from: f64, until: f64| {
         let mut used = 0;
         let mut at = from;
         while at < until {
@@ -194,23 +195,23 @@
 /// Callers that are refused come back one after the other, and none later than in 5 s.
 #[test]
 fn test_callers_come_back_one_after_the_other() {
-    let mut book = LimitBook::default();
+    let mut book = ReplicaRateLimiter::default();
     let service = "booking".into();
-    let mut after = || book.comes_back_after(&service, 6.0, 3, s(10.0)).as_secs_f64();
+    let mut after = || book.next_retry_delay(&service, 6.0, 3, s(10.0)).as_secs_f64();
     let times: Vec<f64> = (0..12).map(|_| after()).collect();
     for (n, time) in times.iter().enumerate().take(8) {
         let expected = (n + 1) as f64 * 3.0 / (6.0 * 0.85);
         assert!((time - expected).abs() < 1e-6, "{times:?}");
     }
     assert!(times.iter().all(|time| *time <= 5.0), "{times:?}");
-    assert_eq!(book.comes_back_after(&service, 0.0, 3, s(100.0)), s(5.0));
+    assert_eq!(book.next_retry_delay(&service, 0.0, 3, s(100.0)), s(5.0));
 }
 
 #[test]
 fn test_replicas_without_a_limit_need_no_grant() {
-    let mut book = LimitBook::default();
+    let mut book = ReplicaRateLimiter::default();
     let mut rng = StdRng::seed_from_u64(1);
     assert!(book.allows(&replica(), Giver::Node, s(0.0), &mut rng));
-    assert!(!book.may_ask(&replica(), s(10.0), &mut rng));
-    assert!(book.grant(&replica(), Granter::First, 0, s(0.0)).granted);
+    assert!(!book.may_request(&replica(), s(10.0), &mut rng));
+    assert!(book.grant(&replica(), GranterRole::Primary, 0, s(0.0)).granted);
 }
--- a/lib/tests/test_gateway_limit_model.rs
+++ b/lib/tests/test_gateway_limit_model.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::cold_start::Giver;
-use leadstage_lib::gateway::limit_book::LimitBook;
-use leadstage_lib::gateway::limit_grants::Granter;
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
+use leadstage_lib::gateway::limit_grants::GranterRole;
+use leadstage_lib::gateway::replica_limits::LimitReport;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
+use leadstage_lib::gateway::replica_rate_limiter::ReplicaRateLimiter;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::ids::Timestamp;
 use leadstage_lib::ids::UpstreamId;
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Asked {
     granter: usize,
-    as_granter: Granter,
+    role: GranterRole,
 }
 
 /// How a fleet decides which calls go to the replica.
@@ -85,7 +85,7 @@
 
 /// One node grants each call.
 struct Grants {
-    books: Vec<LimitBook>,
+    books: Vec<ReplicaRateLimiter>,
     replica: UpstreamId,
     messages: u64,
 }
@@ -94,9 +94,9 @@
     fn new(nodes: usize, limit: f64) -> Self {
         let of = Incarnation { id: "r".into(), born: 1 };
         let book = |_| {
-            let mut book = LimitBook::default();
-            let times = AnswerTimes { sent: Duration::ZERO, came: Duration::ZERO };
-            book.limits.on_answer(&of, LimitWord::Named(limit), times);
+            let mut book = ReplicaRateLimiter::default();
+            let times = ResponseTimes { sent: Duration::ZERO, received: Duration::ZERO };
+            book.limits.on_answer(&of, LimitReport::Named(limit), times);
             book.set_nodes(nodes, Duration::ZERO);
             book
         };
@@ -110,11 +110,11 @@
     }
 
     fn takes(&mut self, node: usize, granter: Option<Asked>, now: Timestamp, rng: &mut StdRng) -> bool {
-        if self.books[node].may_ask(&self.replica, now, rng) {
-            self.books[node].on_asked(&self.replica, now);
+        if self.books[node].may_request(&self.replica, now, rng) {
+            self.books[node].on_requested(&self.replica, now);
             self.messages += 1;
-            if let Some(Asked { granter, as_granter }) = granter {
-                let grant = self.books[granter].grant(&self.replica, as_granter, 0, now);
+            if let Some(Asked { granter, role }) = granter {
+                let grant = self.books[granter].grant(&self.replica, role, 0, now);
                 self.books[node].on_answer(&self.replica, grant.ask_again_after, now);
                 self.messages += 1;
                 if grant.granted {
@@ -125,16 +125,16 @@
         let book = &mut self.books[node];
         let may = book.allows(&self.replica, Giver::Node, now, rng);
         if may {
-            book.on_given(&self.replica, Giver::Node, now, rng);
+            book.on_assigned(&self.replica, Giver::Node, now, rng);
         }
         may
     }
 
     fn is_asked_in_vain(&mut self, node: usize, granter: usize, now: Timestamp, rng: &mut StdRng) {
-        if !self.books[node].may_ask(&self.replica, now, rng) {
+        if !self.books[node].may_request(&self.replica, now, rng) {
             return;
         }
-        self.books[granter].grant(&self.replica, Granter::First, 0, now);
+        self.books[granter].grant(&self.replica, GranterRole::Primary, 0, now);
     }
 
     fn messages(&self) -> u64 {
@@ -210,10 +210,10 @@
         }
         let granter = granter(case, nodes, node, is_troubled, is_noticed);
         let granter = granter.filter(|_| case != Case::Lossy || rng.random_bool(0.49));
-        let mut granter = granter.map(|granter| Asked { granter, as_granter: Granter::First });
+        let mut granter = granter.map(|granter| Asked { granter, role: GranterRole::Primary });
         if case == Case::Slow && rng.random_bool(0.5) {
             way.is_asked_in_vain(node, 0, Duration::from_secs_f64(now), &mut rng);
-            granter = Some(Asked { granter: 1, as_granter: Granter::Substitute });
+            granter = Some(Asked { granter: 1, role: GranterRole::Substitute });
         }
         if way.takes(node, granter, Duration::from_secs_f64(now), &mut rng) {
             arrivals.push(now + rng.random::<f64>() * WAY_S);
--- a/lib/tests/test_gateway_limit_regular_calls.rs
+++ b/lib/tests/test_gateway_limit_regular_calls.rs
@@ -11,10 +11,10 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use leadstage_lib::gateway::limit_book::LimitBook;
-use leadstage_lib::gateway::limit_grants::Granter;
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
+use leadstage_lib::gateway::limit_grants::GranterRole;
+use leadstage_lib::gateway::replica_limits::LimitReport;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
+use leadstage_lib::gateway::replica_rate_limiter::ReplicaRateLimiter;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::ids::UpstreamId;
 use rand::RngExt;
@@ -44,11 +44,11 @@
 }
 
 /// Knows both limits and all nodes.
-fn book() -> LimitBook {
-    let mut book = LimitBook::default();
-    let times = AnswerTimes { sent: Duration::ZERO, came: Duration::ZERO };
+fn book() -> ReplicaRateLimiter {
+    let mut book = ReplicaRateLimiter::default();
+    let times = ResponseTimes { sent: Duration::ZERO, received: Duration::ZERO };
     for (n, limit) in LIMITS.into_iter().enumerate() {
-        book.limits.on_answer(&Incarnation { id: replica(n), born: 1 }, LimitWord::Named(limit), times);
+        book.limits.on_answer(&Incarnation { id: replica(n), born: 1 }, LimitReport::Named(limit), times);
     }
     book.set_nodes(CALLS_PER_SECOND.len(), Duration::ZERO);
     book
@@ -75,12 +75,12 @@
     let mut granted = LIMITS.map(|_| Vec::new());
     for (now, node) in calls(&mut rng) {
         let mut asked: Vec<usize> = (0..LIMITS.len()).collect();
-        asked.retain(|n| books[node].may_ask(&replica(*n), now, &mut rng));
+        asked.retain(|n| books[node].may_request(&replica(*n), now, &mut rng));
         let Some(n) = asked.choose(&mut rng).copied() else {
             continue;
         };
-        books[node].on_asked(&replica(n), now);
-        let grant = books[GRANTER].grant(&replica(n), Granter::First, urgency, now);
+        books[node].on_requested(&replica(n), now);
+        let grant = books[GRANTER].grant(&replica(n), GranterRole::Primary, urgency, now);
         books[node].on_answer(&replica(n), grant.ask_again_after, now);
         if grant.granted {
             granted[n].push(now);
--- a/lib/tests/test_gateway_low_limit.rs
+++ b/lib/tests/test_gateway_low_limit.rs
@@ -8,10 +8,10 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::limit_book::LimitBook;
-use leadstage_lib::gateway::limit_grants::Granter;
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
+use leadstage_lib::gateway::limit_grants::GranterRole;
+use leadstage_lib::gateway::replica_limits::LimitReport;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
+use leadstage_lib::gateway::replica_rate_limiter::ReplicaRateLimiter;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::ids::UpstreamId;
 use rand::RngExt;
@@ -43,10 +43,10 @@
     Duration::from_secs_f64(s)
 }
 
-fn book() -> LimitBook {
-    let mut book = LimitBook::default();
-    let times = AnswerTimes { sent: NAMED_AT, came: NAMED_AT };
-    book.limits.on_answer(&Incarnation { id: replica(), born: 1 }, LimitWord::Named(LIMIT), times);
+fn book() -> ReplicaRateLimiter {
+    let mut book = ReplicaRateLimiter::default();
+    let times = ResponseTimes { sent: NAMED_AT, received: NAMED_AT };
+    book.limits.on_answer(&Incarnation { id: replica(), born: 1 }, LimitReport::Named(LIMIT), times);
     book.set_nodes(NODES, Duration::ZERO);
     book
 }
@@ -54,7 +54,7 @@
 /// When the replica gets a request. Each call that may ask does.
 fn granted(seed: u64) -> Vec<Duration> {
     let rng = &mut StdRng::seed_from_u64(seed);
-    let mut books: Vec<LimitBook> = (0..NODES).map(|_| book()).collect();
+    let mut books: Vec<ReplicaRateLimiter> = (0..NODES).map(|_| book()).collect();
     let binds = NAMED_AT + BINDS_AFTER;
     let mut calls: Vec<(Duration, usize)> = Vec::new();
     for node in 0..NODES {
@@ -66,11 +66,11 @@
     calls.sort();
     let mut granted = Vec::new();
     for (now, node) in calls {
-        if !books[node].may_ask(&replica(), now, rng) {
+        if !books[node].may_request(&replica(), now, rng) {
             continue;
         }
-        books[node].on_asked(&replica(), now);
-        let grant = books[0].grant(&replica(), Granter::First, URGENCY, now);
+        books[node].on_requested(&replica(), now);
+        let grant = books[0].grant(&replica(), GranterRole::Primary, URGENCY, now);
         books[node].on_answer(&replica(), grant.ask_again_after, now);
         if grant.granted {
             granted.push(now);
@@ -97,6 +97,6 @@
 #[test]
 fn test_a_node_that_takes_over_has_nothing_saved_up() {
     let mut book = book();
-    let grant = book.grant(&replica(), Granter::First, 0, NAMED_AT + Duration::from_secs(30));
+    let grant = book.grant(&replica(), GranterRole::Primary, 0, NAMED_AT + Duration::from_secs(30));
     assert!(!grant.granted, "{grant:?}");
 }
--- a/lib/tests/test_gateway_questions.rs
+++ b/lib/tests/test_gateway_questions.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::limit_grants::GrantQuestionId;
+use leadstage_lib::gateway::limit_grants::GrantRequestId;
 use leadstage_lib::gateway::questions::Questions;
 use leadstage_lib::ids::Timestamp;
 
@@ -16,7 +16,7 @@
 #[test]
 fn test_an_earlier_question_of_a_call_does_not_end_its_next_one() {
     let run = 7;
-    let [first, second] = [1, 2].map(|number| GrantQuestionId { run, number });
+    let [first, second] = [1, 2].map(|number| GrantRequestId { run, number });
     let mut questions = Questions::default();
     questions.on_asked(first, "a", ms(40));
     assert_eq!(questions.answered(first), Some("a"));
--- a/lib/tests/test_gateway_replica_limits.rs
+++ b/lib/tests/test_gateway_replica_limits.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
+use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
+use leadstage_lib::gateway::replica_limits::LimitReport;
 use leadstage_lib::gateway::replica_limits::ReplicaLimits;
-use leadstage_lib::gateway::replica_limits::ToldLimit;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::ids::Timestamp;
 
@@ -19,17 +19,17 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn times(sent: f64, came: f64) -> AnswerTimes {
-    AnswerTimes { sent: s(sent), came: s(came) }
+fn times(sent: f64, received: f64) -> ResponseTimes {
+    ResponseTimes { sent: s(sent), received: s(received) }
 }
 
-fn told(born: u64, limit: Option<f64>, age: f64) -> ToldLimit {
-    ToldLimit { replica: start(born), limit, age: s(age) }
+fn told(born: u64, limit: Option<f64>, age: f64) -> AnnouncedLimit {
+    AnnouncedLimit { replica: start(born), limit, age: s(age) }
 }
 
 fn limited() -> ReplicaLimits {
     let mut limits = ReplicaLimits::default();
-    assert!(limits.on_answer(&start(1), LimitWord::Named(3.0), times(9.9, 10.0)));
+    assert!(limits.on_answer(&start(1), LimitReport::Named(3.0), times(9.9, 10.0)));
     limits
 }
 
@@ -37,11 +37,11 @@
 #[test]
 fn test_an_answer_to_an_earlier_request_takes_no_limit_back() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(1), LimitWord::NotNamed, times(9.0, 12.0)));
+    assert!(!limits.on_answer(&start(1), LimitReport::NotNamed, times(9.0, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(!limits.on_answer(&start(1), LimitWord::Silent, times(11.0, 12.0)));
+    assert!(!limits.on_answer(&start(1), LimitReport::Silent, times(11.0, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(limits.on_answer(&start(1), LimitWord::NotNamed, times(10.1, 10.2)));
+    assert!(limits.on_answer(&start(1), LimitReport::NotNamed, times(10.1, 10.2)));
     assert_eq!(limits.limit(REPLICA), None);
     assert!(limits.in_force().is_empty());
 }
@@ -49,10 +49,10 @@
 #[test]
 fn test_a_limit_that_is_named_again_holds_from_then() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(1), LimitWord::Named(3.1), times(10.9, 11.0)));
-    assert!(!limits.on_answer(&start(1), LimitWord::NotNamed, times(10.5, 11.5)));
+    assert!(!limits.on_answer(&start(1), LimitReport::Named(3.1), times(10.9, 11.0)));
+    assert!(!limits.on_answer(&start(1), LimitReport::NotNamed, times(10.5, 11.5)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(limits.on_answer(&start(1), LimitWord::Named(4.0), times(11.9, 12.0)));
+    assert!(limits.on_answer(&start(1), LimitReport::Named(4.0), times(11.9, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(4.0));
 }
 
@@ -60,11 +60,11 @@
 #[test]
 fn test_nothing_carries_over_to_another_start() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(0), LimitWord::Named(1.0), times(20.0, 20.0)));
+    assert!(!limits.on_answer(&start(0), LimitReport::Named(1.0), times(20.0, 20.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    limits.on_answer(&start(2), LimitWord::Named(5.0), times(5.0, 5.1));
+    limits.on_answer(&start(2), LimitReport::Named(5.0), times(5.0, 5.1));
     assert_eq!(limits.limit(REPLICA), Some(5.0));
-    assert!(!limits.on_answer(&start(1), LimitWord::NotNamed, times(30.0, 30.1)));
+    assert!(!limits.on_answer(&start(1), LimitReport::NotNamed, times(30.0, 30.1)));
     assert_eq!(limits.limit(REPLICA), Some(5.0));
     limits.forget(REPLICA);
     assert_eq!(limits.limit(REPLICA), None);
@@ -93,7 +93,7 @@
     assert_ne!(a.digest(), b.digest());
     b.on_told(a.all(s(11.0)), s(511.0));
     assert_eq!(a.digest(), b.digest());
-    a.on_answer(&start(1), LimitWord::NotNamed, times(11.5, 11.6));
+    a.on_answer(&start(1), LimitReport::NotNamed, times(11.5, 11.6));
     assert_eq!(a.digest(), 0);
     b.on_told(a.all(s(12.0)), s(512.0));
     assert_eq!(b.digest(), 0);
@@ -105,12 +105,12 @@
 #[test]
 fn test_nodes_that_heard_slightly_different_figures_come_to_the_same() {
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
-    b.on_answer(&start(1), LimitWord::Named(3.1), times(10.0, 10.1));
+    b.on_answer(&start(1), LimitReport::Named(3.1), times(10.0, 10.1));
     assert!(a.on_told(b.all(s(10.5)), s(10.5)).is_empty());
     assert_eq!(a.limit(REPLICA), Some(3.1));
     assert_eq!(a.digest(), b.digest());
     // Neither an own answer nor an older word brings the difference back.
-    assert!(!b.on_answer(&start(1), LimitWord::Named(3.0), times(10.9, 11.0)));
+    assert!(!b.on_answer(&start(1), LimitReport::Named(3.0), times(10.9, 11.0)));
     assert!(a.on_told(vec![told(1, Some(3.0), 4.0)], s(11.0)).is_empty());
     assert_eq!(a.digest(), b.digest());
 }
@@ -122,7 +122,7 @@
     let mut limits = limited();
     limits.retain(|_| true, s(10_000.0));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    limits.on_answer(&start(1), LimitWord::NotNamed, times(10_001.0, 10_001.1));
+    limits.on_answer(&start(1), LimitReport::NotNamed, times(10_001.0, 10_001.1));
     limits.retain(|_| true, s(10_030.0));
     assert_eq!(limits.all(s(10_030.0)).len(), 1);
     limits.retain(|_| true, s(10_062.0));
@@ -136,12 +136,12 @@
 #[test]
 fn test_a_replica_that_comes_into_need_is_left_to_others_for_a_while() {
     let mut limits = limited();
-    assert!(limits.is_left_to_others(REPLICA, s(12.9)));
-    limits.on_answer(&start(1), LimitWord::Named(2.0), times(11.0, 11.1));
-    assert!(!limits.is_left_to_others(REPLICA, s(13.1)));
-    limits.on_answer(&start(1), LimitWord::NotNamed, times(20.0, 20.1));
-    assert!(!limits.is_left_to_others(REPLICA, s(20.2)));
-    limits.on_answer(&start(1), LimitWord::Named(2.0), times(29.9, 30.0));
-    assert!(limits.is_left_to_others(REPLICA, s(31.0)));
-    assert!(!limits.is_left_to_others("r-2", s(31.0)));
+    assert!(limits.is_newly_limited(REPLICA, s(12.9)));
+    limits.on_answer(&start(1), LimitReport::Named(2.0), times(11.0, 11.1));
+    assert!(!limits.is_newly_limited(REPLICA, s(13.1)));
+    limits.on_answer(&start(1), LimitReport::NotNamed, times(20.0, 20.1));
+    assert!(!limits.is_newly_limited(REPLICA, s(20.2)));
+    limits.on_answer(&start(1), LimitReport::Named(2.0), times(29.9, 30.0));
+    assert!(limits.is_newly_limited(REPLICA, s(31.0)));
+    assert!(!limits.is_newly_limited("r-2", s(31.0)));
 }
--- a/lib/tests/test_gateway_waiting.rs
+++ b/lib/tests/test_gateway_waiting.rs
@@ -4,14 +4,14 @@
 
 use leadstage_lib::gateway::room_forecast::RoomForecast;
 use leadstage_lib::gateway::waiting;
+use leadstage_lib::gateway::waiting::WaitQueue;
 use leadstage_lib::gateway::waiting::Waiting;
-use leadstage_lib::gateway::waiting::WaitingRoom;
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn room(items: &[(&'static str, u8, u64, f64)]) -> WaitingRoom<&'static str> {
-    let mut room = WaitingRoom::default();
+fn room(items: &[(&'static str, u8, u64, f64)]) -> WaitQueue<&'static str> {
+    let mut room = WaitQueue::default();
     for (item, priority, until, tokens) in items.iter().copied() {
         let until = Duration::from_secs(until);
         room.push(Waiting { item, priority, due: until, until, tokens });
@@ -19,11 +19,11 @@
     room
 }
 
-fn in_room(room: &mut WaitingRoom<&'static str>) -> Vec<&'static str> {
+fn in_room(room: &mut WaitQueue<&'static str>) -> Vec<&'static str> {
     in_room_at(room, 0)
 }
 
-fn in_room_at(room: &mut WaitingRoom<&'static str>, now_s: u64) -> Vec<&'static str> {
+fn in_room_at(room: &mut WaitQueue<&'static str>, now_s: u64) -> Vec<&'static str> {
     let now = Duration::from_secs(now_s);
     std::iter::from_fn(|| room.pop(now).map(|waiting| waiting.item)).collect()
 }
@@ -36,10 +36,10 @@
 fn test_waiting_room_is_ordered_and_ends_in_time() {
     let mut room =
         room(&[("late", 1, 9, 0.0), ("first", 0, 9, 0.0), ("second", 0, 9, 0.0), ("over", 0, 5, 0.0)]);
-    assert!(!room.lets_pass(0, Duration::ZERO), "one as urgent waits");
-    assert_eq!(room.lost(Duration::from_secs(5), unknown), [("over", None)]);
+    assert!(!room.is_next(0, Duration::ZERO), "one as urgent waits");
+    assert_eq!(room.take_unservable(Duration::from_secs(5), unknown), [("over", None)]);
     assert_eq!(in_room(&mut room), ["first", "second", "late"]);
-    assert!(room.lets_pass(0, Duration::ZERO));
+    assert!(room.is_next(0, Duration::ZERO));
 }
 
 /// Those that can begin in time go before those that can't any more, and these go before all once they
@@ -47,13 +47,13 @@
 #[test]
 fn test_who_can_still_begin_in_time_goes_first() {
     let order_at = |now_s| {
-        let mut room = WaitingRoom::default();
+        let mut room = WaitQueue::default();
         let items = [("old", 1, 2, 10), ("late", 0, 4, 12), ("urgent", 0, 8, 16), ("new", 1, 9, 17)];
         for (item, priority, due, until) in items {
             let (due, until) = (Duration::from_secs(due), Duration::from_secs(until));
             room.push(Waiting { item, priority, due, until, tokens: 1.0 });
         }
-        let passes = (0..2).map(|priority| room.lets_pass(priority, Duration::from_secs(now_s)));
+        let passes = (0..2).map(|priority| room.is_next(priority, Duration::from_secs(now_s)));
         let passes: Vec<bool> = passes.collect();
         (in_room_at(&mut room, now_s), passes)
     };
@@ -72,35 +72,35 @@
 #[test]
 fn test_who_is_late_for_long_is_one_of_four() {
     let at = Duration::from_secs;
-    let mut room = WaitingRoom::default();
+    let mut room = WaitQueue::default();
     for (item, due) in [("o1", 1), ("o2", 2), ("o3", 3), ("a", 50), ("b", 50), ("c", 50), ("d", 50)] {
         room.push(Waiting { item, priority: 0, due: at(due), until: at(due + 10), tokens: 1.0 });
     }
     // What is put back was given nothing.
     let first = room.pop(at(20)).expect("seven wait");
     room.put_back(first);
-    assert!(!room.lets_pass(0, at(20)));
+    assert!(!room.is_next(0, at(20)));
     assert_eq!(in_room_at(&mut room, 20), ["o1", "a", "b", "c", "o2", "d", "o3"]);
     room.push(Waiting { item: "o4", priority: 0, due: at(1), until: at(11), tokens: 1.0 });
     for _ in 0..3 {
-        assert!(room.lets_pass(0, at(20)), "it is not its turn");
-        room.on_passed();
+        assert!(room.is_next(0, at(20)), "it is not its turn");
+        room.on_direct_placement();
     }
-    assert!(!room.lets_pass(0, at(20)), "three have passed it");
+    assert!(!room.is_next(0, at(20)), "three have passed it");
 }
 
 /// One that was taken out and put back keeps its turn, and late ones don't hold up new ones.
 #[test]
 fn test_late_ones_hold_nobody_up() {
     let at = Duration::from_secs;
-    let mut room = WaitingRoom::default();
+    let mut room = WaitQueue::default();
     for (item, due) in [("first", 2), ("second", 3)] {
         room.push(Waiting { item, priority: 0, due: at(due), until: at(20), tokens: 1.0 });
     }
     let first = room.pop(at(1)).expect("two wait");
     room.put_back(first);
-    assert!(!room.lets_pass(1, at(1)));
-    assert!(room.lets_pass(0, at(5)), "both are late");
+    assert!(!room.is_next(1, at(1)));
+    assert!(room.is_next(0, at(5)), "both are late");
     assert_eq!(in_room_at(&mut room, 5), ["first", "second"]);
 }
 
@@ -111,7 +111,7 @@
     let before = |priority| room.tokens_before(priority, Duration::from_secs(10));
     assert_eq!((before(0), before(1)), (94.0, 95.0));
     let one_a_second = |tokens: f64| Some(Duration::from_secs_f64(tokens));
-    let lost = room.lost(Duration::from_secs(10), one_a_second);
+    let lost = room.take_unservable(Duration::from_secs(10), one_a_second);
     let expected = Some(Duration::from_secs(93));
     assert_eq!(lost, [("huge", expected), ("c", Some(Duration::from_secs(5)))]);
     assert_eq!(in_room(&mut room), ["a", "b"]);
@@ -147,10 +147,10 @@
     #[test]
     fn test_returns_are_spread(seed in 0_u64..1_000) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let after = waiting::come_back_after(Some(Duration::from_secs(1)), &mut rng);
+        let after = waiting::retry_delay(Some(Duration::from_secs(1)), &mut rng);
         prop_assert!((0.75..=1.25).contains(&after.as_secs_f64()));
         let bounds = [None, Some(Duration::ZERO), Some(Duration::MAX)]
-            .map(|expected| waiting::come_back_after(expected, &mut rng).as_secs_f64());
+            .map(|expected| waiting::retry_delay(expected, &mut rng).as_secs_f64());
         prop_assert!((0.11..=0.19).contains(&bounds[0]) && (0.07..=0.13).contains(&bounds[1]));
         prop_assert!((3.7..=6.3).contains(&bounds[2]));
     }
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -122,7 +122,7 @@
                 self.upgrades.on_written(&mut self.placing, &self.fleet, written)
             }
             ToControl::Sampled(sample) => self.upgrades.on_sample(sample),
-            ToControl::LimitWord(of, word, times) => {
+            ToControl::LimitReport(of, word, times) => {
                 self.limits.on_answer(&mut self.placing.knowledge, &self.fleet, &of, word, times)
             }
             ToControl::GrantSilent(question) => self.placing.on_grant_silent(&self.fleet, question),
--- a/node/src/gateway/control/grant_questions.rs
+++ b/node/src/gateway/control/grant_questions.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadstage_lib::gateway::limit_grants::GrantQuestionId;
+use leadstage_lib::gateway::limit_grants::GrantRequestId;
 use leadstage_lib::gateway::limit_grants::LEAST_URGENT;
 use leadstage_lib::gateway::questions::Questions;
-use leadstage_lib::gateway::replica_limits::ToldLimit;
+use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::ids::VmId;
 
@@ -36,8 +36,8 @@
 }
 
 impl GrantQuestion {
-    fn id(&self) -> GrantQuestionId {
-        GrantQuestionId { run: self.ask.key.run, number: self.tries }
+    fn id(&self) -> GrantRequestId {
+        GrantRequestId { run: self.ask.key.run, number: self.tries }
     }
 }
 
@@ -45,7 +45,7 @@
 pub struct GrantQuestions {
     shared: Arc<Shared>,
     outbox: Outbox,
-    open: Questions<GrantQuestionId, GrantQuestion>,
+    open: Questions<GrantRequestId, GrantQuestion>,
 }
 
 impl GrantQuestions {
@@ -55,7 +55,7 @@
     }
 
     /// Asks another node, at `address`.
-    pub fn ask(&mut self, question: GrantQuestion, limit: ToldLimit, address: SocketAddr) {
+    pub fn ask(&mut self, question: GrantQuestion, limit: AnnouncedLimit, address: SocketAddr) {
         let id = question.id();
         let ask = AskGrant { question: id, limit, urgency: urgency(&question.ask) };
         self.outbox.send(address, &PeerMessage::AskGrant(ask));
@@ -64,12 +64,12 @@
     }
 
     /// Takes a question out, as its answer came.
-    pub fn answered(&mut self, id: GrantQuestionId) -> Option<GrantQuestion> {
+    pub fn answered(&mut self, id: GrantRequestId) -> Option<GrantQuestion> {
         self.open.answered(id)
     }
 
     /// Takes a question out if who was asked is to be passed over.
-    pub fn overdue(&mut self, id: GrantQuestionId) -> Option<GrantQuestion> {
+    pub fn overdue(&mut self, id: GrantRequestId) -> Option<GrantQuestion> {
         self.open.overdue(id, self.shared.now())
     }
 }
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use leadstage_lib::gateway::closed_halls::ClosedHalls;
-use leadstage_lib::gateway::closed_halls::ClosedHallsBook;
+use leadstage_lib::gateway::closed_halls::ClosedHallsTracker;
 use leadstage_lib::gateway::closed_halls::HallChange;
 use leadstage_lib::gateway::retelling::Retelling;
 use leadstage_lib::ids::HallId;
@@ -34,14 +34,14 @@
 /// The way of closed halls into this node, and on to others.
 pub struct HallIntake {
     shared: Arc<Shared>,
-    book: ClosedHallsBook,
+    book: ClosedHallsTracker,
     retelling: Retelling<HallId>,
 }
 
 impl HallIntake {
     /// Nothing has come yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        HallIntake { shared, book: ClosedHallsBook::default(), retelling: Retelling::default() }
+        HallIntake { shared, book: ClosedHallsTracker::default(), retelling: Retelling::default() }
     }
 
     /// The store told of the closed halls.
@@ -60,7 +60,7 @@
                     Change::Unreadable(_) => None,
                 });
                 let halls: Vec<HallChange> = halls.collect();
-                self.book.told().after(halls, changes.at)
+                self.book.stored().after(halls, changes.at)
             }
         };
         if self.take(placing, told, Source::Store) {
@@ -87,10 +87,10 @@
     /// Returns whether it changed anything.
     fn take(&mut self, placing: &mut Placing, mut told: ClosedHalls, source: Source) -> bool {
         // Nearly all that nodes tell is known.
-        if told.at <= self.book.told().at {
+        if told.at <= self.book.stored().at {
             return false;
         }
-        let beyond = told.limit();
+        let beyond = told.truncate();
         if beyond > 0 {
             warn!(event = "halls_left_out", halls = beyond; "more halls are closed than there can be");
         }
--- a/node/src/gateway/control/knowledge.rs
+++ b/node/src/gateway/control/knowledge.rs
@@ -10,11 +10,11 @@
 use leadstage_lib::gateway::cold_start::ColdStarts;
 use leadstage_lib::gateway::cold_start::Giver;
 use leadstage_lib::gateway::evacuation;
-use leadstage_lib::gateway::limit_book::LimitBook;
 use leadstage_lib::gateway::load::GenerationSize;
 use leadstage_lib::gateway::load::LoadBook;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::replica::Replica;
+use leadstage_lib::gateway::replica_rate_limiter::ReplicaRateLimiter;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::room_forecast::RoomForecast;
@@ -41,7 +41,7 @@
     forecasts: HashMap<ServiceId, RoomForecast>,
     cold: RefCell<ColdStarts>,
     /// The limits that replicas name.
-    pub limits: RefCell<LimitBook>,
+    pub limits: RefCell<ReplicaRateLimiter>,
     /// The model services that this node leads.
     led: Vec<ServiceId>,
     tried: TriedReplicas,
@@ -184,8 +184,8 @@
         let now = self.shared.now();
         let giver = self.giver(&wanted.service);
         if let Some(replica) = self.replicas.get(id) {
-            self.cold.get_mut().on_given(id, now);
-            self.limits.get_mut().on_given(id, giver, now, &mut rand::rng());
+            self.cold.get_mut().on_assigned(id, now);
+            self.limits.get_mut().on_assigned(id, giver, now, &mut rand::rng());
             self.book.add(key, wanted.at(&replica.record.id), replica, now);
         }
     }
--- a/node/src/gateway/control/knowledge/eligible.rs
+++ b/node/src/gateway/control/knowledge/eligible.rs
@@ -165,11 +165,11 @@
 
     fn passes(&self, Screen { wanted, halls, leaves_to_others }: &Screen<'_>, replica: &Replica) -> bool {
         let id = &replica.record.id;
-        let is_left_to_others = || self.limits.borrow().limits.is_left_to_others(id, self.shared.now());
+        let is_newly_limited = || self.limits.borrow().limits.is_newly_limited(id, self.shared.now());
         takes_requests(replica, halls)
             && !is_excluded(wanted, id)
             && self.shared.settings.regions.allows(&wanted.regions, &replica.record.hall)
-            && !(*leaves_to_others && is_left_to_others())
+            && !(*leaves_to_others && is_newly_limited())
     }
 
     /// Whether a request may go to a replica that names no limit, should that have room.
@@ -204,7 +204,7 @@
         let limit = |replica: &Replica| limits.limits.limit(&replica.record.id);
         let named = open.try_fold(limit(first)?, |named, replica| Some(named + limit(replica)?))?;
         let nodes = if self.giver(service) == Giver::Lead { 1 } else { self.shared.nodes() };
-        Some(limits.comes_back_after(service, named, nodes, self.shared.now()))
+        Some(limits.next_retry_delay(service, named, nodes, self.shared.now()))
     }
 
     /// A replica that names a limit and that this node may ask a grant at, for a plain call.
@@ -236,7 +236,7 @@
             pool.has(replica)
                 && self.passes(screen, replica)
                 && replica.is_usable(now)
-                && self.limits.borrow_mut().may_ask(&replica.record.id, now, rng)
+                && self.limits.borrow_mut().may_request(&replica.record.id, now, rng)
                 && self.is_warm_enough(replica, Giver::Node, now)
         });
         open.choose(rng).map(|replica| replica.record.clone())
--- a/node/src/gateway/control/lead_desk.rs
+++ b/node/src/gateway/control/lead_desk.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadstage_lib::gateway::lead_queue::Asked;
 use leadstage_lib::gateway::lead_queue::Engines;
 use leadstage_lib::gateway::lead_queue::LeadQueue;
+use leadstage_lib::gateway::lead_queue::QueueReply;
+use leadstage_lib::gateway::lead_queue::QueueTerms;
 use leadstage_lib::gateway::lead_queue::Settled;
-use leadstage_lib::gateway::lead_queue::Terms;
 use leadstage_lib::gateway::load::READS_AHEAD;
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::rebalance::Rebalancer;
@@ -120,9 +120,11 @@
         };
         let queue = self.queues.entry(room.clone()).or_insert_with(|| LeadQueue::new(self.policy));
         match queue.ask(ask, &terms, &mut EnginesOf { knowledge, room, now }, now) {
-            Asked::Given(ask, replica) => Outcome::Decided(Box::new(Decision { ask, chosen: Ok(replica) })),
-            Asked::Refused(ask, expected) => Outcome::Decided(Box::new(refusal(ask, expected))),
-            Asked::Waits => Outcome::Waits(key, there),
+            QueueReply::Placed(ask, replica) => {
+                Outcome::Decided(Box::new(Decision { ask, chosen: Ok(replica) }))
+            }
+            QueueReply::Refused(ask, expected) => Outcome::Decided(Box::new(refusal(ask, expected))),
+            QueueReply::Waits => Outcome::Waits(key, there),
         }
     }
 
@@ -184,14 +186,14 @@
 }
 
 /// What holds for a generation that may wait.
-fn terms(knowledge: &Knowledge, ask: &Ask) -> Terms {
+fn terms(knowledge: &Knowledge, ask: &Ask) -> QueueTerms {
     let Ask { priority, patience, leaves_after, .. } = *ask;
     if ask.wanted.from.is_some() {
-        return Terms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
+        return QueueTerms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
     }
     let (service, size) = (&ask.wanted.service, ask.wanted.size.unwrap_or_default());
     let reading = knowledge.book.reading.usual_time(service, size.prompt);
-    Terms {
+    QueueTerms {
         priority,
         in_time: patience.saturating_sub(reading + READS_AHEAD),
         may_wait: leaves_after.saturating_sub(reading),
--- a/node/src/gateway/control/limit_intake.rs
+++ b/node/src/gateway/control/limit_intake.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use leadstage_lib::gateway::digest::TellingAll;
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
-use leadstage_lib::gateway::replica_limits::ToldLimit;
+use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
+use leadstage_lib::gateway::replica_limits::LimitReport;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use log::info;
 
@@ -37,8 +37,8 @@
         knowledge: &mut Knowledge,
         fleet: &Fleet,
         of: &Incarnation,
-        word: LimitWord,
-        times: AnswerTimes,
+        word: LimitReport,
+        times: ResponseTimes,
     ) {
         let now = self.shared.now();
         let limits = &mut knowledge.limits.get_mut().limits;
@@ -48,12 +48,12 @@
         let limit = limits.limit(&of.id);
         let asked_ms_ago = now.saturating_sub(times.sent).as_millis() as u64;
         info!(event = "limit_named", upstream = &*of.id, limit:? = limit, asked_ms_ago; "a replica named another limit, or none");
-        fleet.tell(&PeerMessage::Limits(limits.told(&of.id, now).into_iter().collect()));
+        fleet.tell(&PeerMessage::Limits(limits.announced(&of.id, now).into_iter().collect()));
         self.publish(knowledge);
     }
 
     /// Another node told some.
-    pub fn on_told(&mut self, knowledge: &mut Knowledge, fleet: &Fleet, told: Vec<ToldLimit>) {
+    pub fn on_told(&mut self, knowledge: &mut Knowledge, fleet: &Fleet, told: Vec<AnnouncedLimit>) {
         let news = knowledge.limits.get_mut().limits.on_told(told, self.shared.now());
         self.publish(knowledge);
         for told in &news {
--- a/node/src/gateway/control/placing/plain_calls.rs
+++ b/node/src/gateway/control/placing/plain_calls.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::limit_grants::Grant;
-use leadstage_lib::gateway::limit_grants::GrantQuestionId;
-use leadstage_lib::gateway::limit_grants::Granter;
+use leadstage_lib::gateway::limit_grants::GrantRequestId;
+use leadstage_lib::gateway::limit_grants::GranterRole;
 use leadstage_lib::ids::UpstreamId;
 use leadstage_lib::ids::VmId;
 use leadstage_lib::rendezvous;
@@ -40,8 +40,8 @@
         };
         let now = self.shared.now();
         let limits = self.knowledge.limits.get_mut();
-        limits.on_asked(&replica.id, now);
-        let limit = limits.limits.told(&replica.id, now);
+        limits.on_requested(&replica.id, now);
+        let limit = limits.limits.announced(&replica.id, now);
         let hashed = self.hashed_for(&replica.id);
         let granter = self.granters.lead_of(&hashed, &self.own, fleet.alive(), fleet.version(), now);
         let address = address_of(&granter).filter(|_| granter != self.own);
@@ -78,9 +78,9 @@
         let hashed = self.hashed_for(replica);
         let first = rendezvous::pick(&hashed, fleet.alive().chain(std::iter::once(&self.own)));
         let is_first = first.is_none_or(|first| *first == self.own);
-        let as_granter = if is_first { Granter::First } else { Granter::Substitute };
+        let role = if is_first { GranterRole::Primary } else { GranterRole::Substitute };
         let now = self.shared.now();
-        let grant = self.knowledge.limits.get_mut().grant(replica, as_granter, urgency, now);
+        let grant = self.knowledge.limits.get_mut().grant(replica, role, urgency, now);
         if grant.granted {
             info!(event = "limit_grant", upstream = &**replica, to = &**asker, urgency, is_first, pause_ms = grant.ask_again_after.as_millis() as u64; "a request to a replica that names a limit is granted");
         }
@@ -88,7 +88,7 @@
     }
 
     /// A node that was asked for a grant answered.
-    pub fn on_granted(&mut self, fleet: &Fleet, id: GrantQuestionId, grant: Grant) {
+    pub fn on_granted(&mut self, fleet: &Fleet, id: GrantRequestId, grant: Grant) {
         if let Some(question) = self.grants.answered(id) {
             self.granters.on_answer(&question.granter);
             self.on_grant(fleet, question, grant);
@@ -96,7 +96,7 @@
     }
 
     /// A node that was asked for a grant did not answer in time.
-    pub fn on_grant_silent(&mut self, fleet: &Fleet, id: GrantQuestionId) {
+    pub fn on_grant_silent(&mut self, fleet: &Fleet, id: GrantRequestId) {
         let Some(question) = self.grants.overdue(id) else {
             return;
         };
--- a/node/src/gateway/ingress/plain.rs
+++ b/node/src/gateway/ingress/plain.rs
@@ -95,7 +95,7 @@
     match best {
         Ok(answer) => Ok(reply(answer)),
         Err(refusal) => {
-            let retry_after = Some(waiting::come_back_after(expected, &mut rand::rng()));
+            let retry_after = Some(waiting::retry_delay(expected, &mut rand::rng()));
             Err(Refusal { retry_after, ..refusal })
         }
     }
--- a/node/src/gateway/ingress/streams.rs
+++ b/node/src/gateway/ingress/streams.rs
@@ -154,7 +154,7 @@
 
 /// The caller comes back when there should be room, if that is known.
 fn refuse(code: Code, expected: Option<Duration>) -> Refusal {
-    Refusal { code, retry_after: Some(waiting::come_back_after(expected, &mut rand::rng())) }
+    Refusal { code, retry_after: Some(waiting::retry_delay(expected, &mut rand::rng())) }
 }
 
 async fn attempt(traffic: &Traffic, req: &CallerRequest, run: RunGuard, sent: u32) -> Attempt {
--- a/node/src/gateway/messages.rs
+++ b/node/src/gateway/messages.rs
@@ -11,11 +11,11 @@
 use leadstage_lib::gateway::config_text::PartOfConfig;
 use leadstage_lib::gateway::crash_ledger::Suspect;
 use leadstage_lib::gateway::fingerprint::Fingerprint;
-use leadstage_lib::gateway::limit_grants::GrantQuestionId;
+use leadstage_lib::gateway::limit_grants::GrantRequestId;
 use leadstage_lib::gateway::pending_ends::Shown;
 use leadstage_lib::gateway::replica::LeavingSign;
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
+use leadstage_lib::gateway::replica_limits::LimitReport;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
 use leadstage_lib::gateway::replica_list::ReplicaList;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
@@ -46,7 +46,7 @@
     /// The lead did not answer within its bound.
     LeadSilent(RunId),
     /// Whoever grants requests to a replica that names a limit did not answer within its bound.
-    GrantSilent(GrantQuestionId),
+    GrantSilent(GrantRequestId),
     /// A generation's first event came.
     FirstEvent(RunId),
     /// The copy of a generation to this engine is complete.
@@ -58,7 +58,7 @@
     /// A replica was asked for its health.
     Health(Incarnation, Health),
     /// What a replica's answer says of its limit.
-    LimitWord(Incarnation, LimitWord, AnswerTimes),
+    LimitReport(Incarnation, LimitReport, ResponseTimes),
     /// A run broke at its replica, perhaps as that ended.
     RunBroke(BrokenRun),
     /// A run of a request ended well that something speaks against.
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::fleet_size::FleetSize;
-use leadstage_lib::gateway::handouts;
 use leadstage_lib::gateway::peers_by_hall::PeersByHall;
+use leadstage_lib::gateway::transfer_slots;
 use leadstage_lib::gateway::trial_evidence::Census;
 use leadstage_lib::ids::HallId;
 use leadstage_lib::ids::Timestamp;
@@ -202,7 +202,7 @@
     }
 
     fn announce(&self, message: &PeerMessage) {
-        let count = handouts::at_once(self.own_link_bits_per_second).max(FAN_OUT);
+        let count = transfer_slots::max_concurrent(self.own_link_bits_per_second).max(FAN_OUT);
         let wide = self.wide.sample(count / 2, &mut rand::rng()).into_iter().filter_map(address_of);
         let wide: Vec<SocketAddr> = wide.collect();
         let others = self.some(count).into_iter().filter(|node| !wide.contains(node));
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -10,11 +10,11 @@
 use leadstage_lib::gateway::crash_ledger::Suspect;
 use leadstage_lib::gateway::inventory::Inventory;
 use leadstage_lib::gateway::limit_grants::Grant;
-use leadstage_lib::gateway::limit_grants::GrantQuestionId;
+use leadstage_lib::gateway::limit_grants::GrantRequestId;
 use leadstage_lib::gateway::load::GenerationSize;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::regions::AllowedRegions;
-use leadstage_lib::gateway::replica_limits::ToldLimit;
+use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
 use leadstage_lib::gateway::replica_news::PackedNews;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
@@ -102,11 +102,11 @@
     /// Requests under which replicas ended. What is new is passed on.
     Suspects(Vec<Suspect>),
     /// Limits that replicas name, or take back. What is new is passed on.
-    Limits(Vec<ToldLimit>),
+    Limits(Vec<AnnouncedLimit>),
     /// May the sender send a request to a replica that names a limit?
     AskGrant(AskGrant),
     /// Whether it may.
-    Granted(GrantQuestionId, Grant),
+    Granted(GrantRequestId, Grant),
     /// An upgrade has come to another stage; all stand in the datagram.
     UpgradesChanged,
     /// How the replicas of both versions have answered the sender's requests.
@@ -233,9 +233,9 @@
 #[derive(Debug, Deserialize, Serialize)]
 pub struct AskGrant {
     /// Names the question at the asking node.
-    pub question: GrantQuestionId,
+    pub question: GrantRequestId,
     /// The replica's limit, as far as the asking node knows.
-    pub limit: ToldLimit,
+    pub limit: AnnouncedLimit,
     /// Its urgency; 0 goes first.
     pub urgency: u8,
 }
--- a/node/src/gateway/peers/peer_port.rs
+++ b/node/src/gateway/peers/peer_port.rs
@@ -21,9 +21,9 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use leadstage_lib::gateway::config_text::Edition;
-use leadstage_lib::gateway::handouts;
-use leadstage_lib::gateway::handouts::Handouts;
 use leadstage_lib::gateway::routing::ConfigVersion;
+use leadstage_lib::gateway::transfer_slots;
+use leadstage_lib::gateway::transfer_slots::TransferSlots;
 use leadstage_platform::store::Revision;
 use log::warn;
 use tokio::net::TcpListener;
@@ -54,32 +54,35 @@
 
 /// A place for a large transfer.
 struct Place {
-    handouts: Rc<RefCell<Handouts>>,
+    transfer_slots: Rc<RefCell<TransferSlots>>,
     since: Instant,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.handouts.borrow_mut().end(self.since.elapsed());
+        self.transfer_slots.borrow_mut().release(self.since.elapsed());
     }
 }
 
 /// What one connection needs to answer.
 struct Connection {
     shared: Arc<Shared>,
-    handouts: Rc<RefCell<Handouts>>,
+    transfer_slots: Rc<RefCell<TransferSlots>>,
     /// Holds the place until the connection ends: the receiver closes it when it has all.
     transfer: RefCell<Option<AbortOnDropHandle<()>>>,
 }
 
 /// Hands the configuration and the replicas out until the process ends.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
-    let most = handouts::at_once(shared.settings.link_bits_per_second());
-    let handouts = Rc::new(RefCell::new(Handouts::new(most)));
+    let most = transfer_slots::max_concurrent(shared.settings.link_bits_per_second());
+    let transfer_slots = Rc::new(RefCell::new(TransferSlots::new(most)));
     loop {
         let stream = small_port::accept(&listener, "peer").await;
-        let connection =
-            Connection { shared: shared.clone(), handouts: handouts.clone(), transfer: RefCell::default() };
+        let connection = Connection {
+            shared: shared.clone(),
+            transfer_slots: transfer_slots.clone(),
+            transfer: RefCell::default(),
+        };
         tokio::task::spawn_local(connection.serve(stream));
     }
 }
@@ -147,7 +150,7 @@
     /// something large.
     fn hand_out(&self, bytes: Bytes) -> Response<Full<Bytes>> {
         if bytes.len() > SMALL_BYTES {
-            if let Err(after) = self.handouts.borrow_mut().ask() {
+            if let Err(after) = self.transfer_slots.borrow_mut().try_acquire() {
                 let mut res = status(StatusCode::SERVICE_UNAVAILABLE);
                 let after = HeaderValue::from_str(&format!("{:.3}", after.as_secs_f64()));
                 res.headers_mut().insert(header::RETRY_AFTER, after.expect("a number is a valid value"));
@@ -159,7 +162,7 @@
     }
 
     fn take_place(&self, bytes: usize) {
-        let place = Place { handouts: self.handouts.clone(), since: Instant::now() };
+        let place = Place { transfer_slots: self.transfer_slots.clone(), since: Instant::now() };
         let longest = Duration::from_secs_f64(bytes as f64 * 8.0 / LEAST_BITS_PER_SECOND);
         let holds = tokio::task::spawn_local(async move {
             tokio::time::sleep(longest.max(LEAST_PLACE_TIME)).await;
--- a/node/src/gateway/upstream/replica_words.rs
+++ b/node/src/gateway/upstream/replica_words.rs
@@ -7,8 +7,8 @@
 use http::StatusCode;
 use http::response::Parts;
 use leadstage_lib::gateway::replica::LeavingSign;
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
+use leadstage_lib::gateway::replica_limits::LimitReport;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::ids::Timestamp;
@@ -124,15 +124,15 @@
 
     /// What a replica's answer says of its limit. The control loop hears of those only that may change what
     /// is known.
-    fn on_limit_word(&self, replica: &ReplicaRecord, word: LimitWord, sent: Timestamp) {
+    fn on_limit_word(&self, replica: &ReplicaRecord, word: LimitReport, sent: Timestamp) {
         let may_change = match word {
-            LimitWord::Named(_) => true,
-            LimitWord::NotNamed => self.shared.limits().contains_key(&replica.id),
-            LimitWord::Silent => false,
+            LimitReport::Named(_) => true,
+            LimitReport::NotNamed => self.shared.limits().contains_key(&replica.id),
+            LimitReport::Silent => false,
         };
         if may_change {
-            let times = AnswerTimes { sent, came: self.shared.now() };
-            self.shared.tell(ToControl::LimitWord(replica.incarnation(), word, times));
+            let times = ResponseTimes { sent, received: self.shared.now() };
+            self.shared.tell(ToControl::LimitReport(replica.incarnation(), word, times));
         }
     }
 
--- a/testutils/src/fleet_model/lead.rs
+++ b/testutils/src/fleet_model/lead.rs
@@ -5,11 +5,11 @@
 
 use leadstage_lib::gateway::choice::EngineRequest;
 use leadstage_lib::gateway::evacuation;
-use leadstage_lib::gateway::lead_queue::Asked;
 use leadstage_lib::gateway::lead_queue::Engines;
 use leadstage_lib::gateway::lead_queue::LeadQueue;
+use leadstage_lib::gateway::lead_queue::QueueReply;
+use leadstage_lib::gateway::lead_queue::QueueTerms;
 use leadstage_lib::gateway::lead_queue::Settled;
-use leadstage_lib::gateway::lead_queue::Terms;
 use leadstage_lib::gateway::load::GenerationSize;
 use leadstage_lib::gateway::load::LoadBook;
 use leadstage_lib::gateway::load::READS_AHEAD;
@@ -114,9 +114,9 @@
         let (run, terms) = (ask.run, self.fleet.terms(&ask));
         let mut engines = EnginesAt { fleet: &mut self.fleet, now, rng };
         match self.queue.ask(ask, &terms, &mut engines, now) {
-            Asked::Given(_, engine) => Answer::Placed(run, engine),
-            Asked::Refused(_, expected) => Answer::Refused(run, expected),
-            Asked::Waits => Answer::Waits,
+            QueueReply::Placed(_, engine) => Answer::Placed(run, engine),
+            QueueReply::Refused(_, expected) => Answer::Refused(run, expected),
+            QueueReply::Waits => Answer::Waits,
         }
     }
 
@@ -175,9 +175,9 @@
         self.table.on_entry(record, now, &mut ListChange::default());
     }
 
-    fn terms(&self, ask: &Ask) -> Terms {
+    fn terms(&self, ask: &Ask) -> QueueTerms {
         let reading = self.book.reading.usual_time(SERVICE, ask.size.prompt);
-        Terms {
+        QueueTerms {
             priority: ask.priority,
             in_time: ask.patience.saturating_sub(reading + READS_AHEAD),
             may_wait: ask.leaves_after.saturating_sub(reading),
--- a/testutils/src/fleet_model/play/callers.rs
+++ b/testutils/src/fleet_model/play/callers.rs
@@ -86,7 +86,7 @@
         if caller.attempts_left == 0 {
             return self.over(run, Outcome::Refused);
         }
-        let after = waiting::come_back_after(expected, &mut self.rng);
+        let after = waiting::retry_delay(expected, &mut self.rng);
         self.push(self.now + after, Event::Returns(run));
     }
 
