--- a/lib/src/gateway/closed_halls.rs
+++ b/lib/src/gateway/closed_halls.rs
@@ -1,8 +1,9 @@
-//! Halls that the operator has closed: their replicas are to get nothing new until they are open again.
+//! Halls that the operator has closed: their replicas receive no new requests until the hall is open
+//! again.
 //!
-//! The store's revision orders all that is known of them. Whoever follows the store knows at each
-//! revision which halls are closed, and tells all of them at once, so that of two words the one with the
-//! higher revision holds, in whatever order they come: an older one undoes nothing.
+//! Updates are ordered by the store's revision. Each update lists every hall that is closed at its
+//! revision, so the update with the highest revision wins regardless of the order of arrival, and an
+//! older update has no effect.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,36 +16,37 @@
 use crate::ids::HallId;
 use crate::ids::Timestamp;
 
-/// Halls that are told at most: each message between nodes tells them, in some ten bytes each, and the
-/// largest deployments have five. More names come from a writer that means no halls.
+/// Maximum number of closed halls in an update. Each message between nodes carries the list, at about ten
+/// bytes per hall, and the largest deployments have five halls. More names come from a writer that writes
+/// something other than halls.
 pub const MAX_CLOSED_HALLS: usize = 32;
 
-/// The halls that are closed as of a revision.
+/// The set of halls that are closed at a store revision.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct ClosedHalls {
-    /// The store's revision; 0 where nothing is known.
+    /// The store's revision; 0 if nothing is known.
     pub at: Revision,
-    /// The halls.
+    /// The closed halls.
     pub halls: BTreeSet<HallId>,
 }
 
-/// What a hall has become.
+/// A change of one hall's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HallChange {
-    /// Nothing new goes there.
+    /// The hall receives no new requests.
     Closed(HallId),
-    /// It takes requests again.
+    /// The hall accepts requests again.
     Opened(HallId),
 }
 
 impl ClosedHalls {
-    /// Whether a hall's replicas may get requests.
+    /// Whether replicas in a hall may receive requests.
     pub fn is_open(&self, hall: &str) -> bool {
         !self.halls.contains(hall)
     }
 
-    /// The halls after changes that end at revision `at`, in their order. They may begin before
-    /// [`Self::at`]: for each hall the last one counts.
+    /// Returns the closed halls after applying `changes`, which end at revision `at`, in order. The
+    /// changes may start before [`Self::at`]: the last change of each hall decides.
     pub fn after(&self, changes: impl IntoIterator<Item = HallChange>, at: Revision) -> ClosedHalls {
         let mut halls = self.halls.clone();
         for change in changes {
@@ -56,7 +58,7 @@
         ClosedHalls { at, halls }
     }
 
-    /// Takes another word in if it is newer; returns what it changed.
+    /// Replaces this set by `other` if that is newer. Returns the changes.
     pub fn take(&mut self, other: ClosedHalls) -> Vec<HallChange> {
         if other.at <= self.at {
             return Vec::new();
@@ -66,14 +68,14 @@
         changes
     }
 
-    /// What differs from these to others.
+    /// Returns the changes that turn this set into `other`.
     pub fn changes_to(&self, other: &ClosedHalls) -> Vec<HallChange> {
         let closed = other.halls.difference(&self.halls).cloned().map(HallChange::Closed);
         let opened = self.halls.difference(&other.halls).cloned().map(HallChange::Opened);
         closed.chain(opened).collect()
     }
 
-    /// Leaves out what is beyond [`MAX_CLOSED_HALLS`]; returns how many halls that were.
+    /// Removes halls beyond [`MAX_CLOSED_HALLS`]. Returns the number of removed halls.
     pub fn truncate(&mut self) -> usize {
         let excess: Vec<HallId> = self.halls.iter().skip(MAX_CLOSED_HALLS).cloned().collect();
         excess.iter().for_each(|hall| drop(self.halls.take(hall)));
@@ -81,11 +83,12 @@
     }
 }
 
-/// The operator has written again what a copy of the store lacks this long after the store's return.
+/// How long halls stay closed that are missing from a restored copy of the store. The operator has
+/// written them again within this time.
 const CARRY_OVER_FOR: Duration = Duration::from_secs(3);
 
-/// The closed halls as the store tells them, and those that a copy of it lacks: they stay closed until the operator has
-/// had the time to close them again.
+/// The closed halls according to the store, and those that a restored copy of the store lacks. The latter
+/// stay closed until the operator has had time to close them again.
 #[derive(Debug, Default)]
 pub struct ClosedHallsTracker {
     stored: ClosedHalls,
@@ -94,12 +97,12 @@
 }
 
 impl ClosedHallsTracker {
-    /// What the store told last.
+    /// The latest state that the store reported.
     pub fn stored(&self) -> &ClosedHalls {
         &self.stored
     }
 
-    /// Takes a word in; returns whether it is newer than what is known.
+    /// Applies an update from the store. Returns whether it is newer than the known state.
     pub fn take(&mut self, stored: ClosedHalls, now: Timestamp) -> bool {
         if stored.at <= self.stored.at {
             return false;
@@ -113,12 +116,12 @@
         true
     }
 
-    /// The operator has opened a hall.
+    /// Records that the operator has opened a hall.
     pub fn on_opened(&mut self, hall: &str) {
         self.carried.remove(hall);
     }
 
-    /// The halls that are closed now.
+    /// Returns the halls that are closed at `now`.
     pub fn in_force(&mut self, now: Timestamp) -> ClosedHalls {
         if now >= self.carried_until {
             self.carried.clear();
--- a/lib/src/gateway/lead.rs
+++ b/lib/src/gateway/lead.rs
@@ -1,8 +1,8 @@
-//! Which node places the generations of a service: its lead.
+//! Selects the lead of a service: the node that places its generations.
 //!
-//! Every node picks the lead by rendezvous hashing over the nodes that it takes to be
-//! alive, so no election is needed. Two leads at once, or none, cost balance and nothing
-//! else: no promise depends on there being one.
+//! Every node selects the lead by rendezvous hashing over the nodes that it considers alive, so no
+//! election is needed. Having two leads at once, or none, only costs load balance: no guarantee depends
+//! on a single lead.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,30 +12,30 @@
 use crate::ids::VmId;
 use crate::rendezvous;
 
-/// A lead that did not answer is not asked again for this long. Membership tells of a dead
-/// node after some seconds; a stalled one is back sooner.
+/// How long a lead that did not answer is avoided. Membership reports a dead node after some seconds; a
+/// stalled node recovers sooner.
 const AVOID_SILENT_FOR: Duration = Duration::from_millis(1_500);
 
-/// Remembers which nodes did not answer lately.
+/// Selects leads and avoids nodes that have recently failed to answer.
 #[derive(Debug, Default)]
 pub struct Leads {
     avoided: HashMap<VmId, Timestamp>,
     pick_cache: RefCell<PickCache>,
 }
 
-/// Leads that were picked among the same nodes: a pick hashes each of them.
+/// Leads that were picked from the same set of nodes, cached because each pick hashes all nodes.
 #[derive(Debug, Default)]
 struct PickCache {
     version: u64,
     leads: HashMap<String, VmId>,
 }
 
-/// Leads that are remembered at most.
+/// Maximum number of cached picks.
 const MAX_CACHED_PICKS: usize = 256;
 
 impl Leads {
-    /// The lead of a service among the nodes that are alive; `own` is one of them. `version` tells whether these
-    /// are the same as before.
+    /// Returns the lead of a service among the nodes that are alive; `own` is one of them. `version`
+    /// changes whenever the set of nodes does.
     pub fn lead_of<'a>(
         &self,
         service: &str,
@@ -61,13 +61,13 @@
         lead.clone()
     }
 
-    /// A node did not answer in time.
+    /// Records that a node did not answer in time.
     pub fn on_silence(&mut self, vm: &VmId, now: Timestamp) {
         self.avoided.retain(|_, until| *until > now);
         self.avoided.insert(vm.clone(), now + AVOID_SILENT_FOR);
     }
 
-    /// A node answered.
+    /// Records that a node answered.
     pub fn on_answer(&mut self, vm: &VmId) {
         self.avoided.remove(vm);
     }
--- a/lib/src/gateway/lead_queue.rs
+++ b/lib/src/gateway/lead_queue.rs
@@ -1,15 +1,18 @@
-//! A lead's queue of generations that want an engine: who is given one at once, who waits, who goes when one
-//! has room, and who is told that there will be none in time.
+//! A lead's queue of generations that need an engine. It decides which generations are placed at once,
+//! which wait, which are placed when an engine has room, and which are refused because no engine will
+//! have room in time.
 //!
-//! Where memory is short, one that needs less may fit where the first one does not: up to
-//! [`MAX_SKIPPED`] are passed over then. They keep their places, and one that had been late for long has had its
-//! turn. Where no engine reads soon, none does for a smaller prompt either.
+//! Where memory is short, a generation that needs less memory may fit where the first one does not. Up to
+//! [`MAX_SKIPPED`] generations are skipped in that case. They keep their places, and an overdue
+//! generation that is skipped has used its turn. Where no engine can read a prompt soon, this holds for
+//! smaller prompts as well, so none are skipped.
 //!
-//! On modelled engines whose memory holds six long streams (`test_fleet_model`), 20 days each at 1.14 and 1.3
-//! times the usual load, 0.864 and 0.736 of what could be were earned so and 0.840 and 0.723 with nobody
-//! passed over (+- 0.01); with two 0.866 and 0.736, with eight 0.874 and 0.738. Of prompts over 4,500 tokens
-//! 0.53 and 0.37 began in time with none, 0.55 to 0.57 and 0.36 to 0.37 with two or eight. On engines that are
-//! short of reading it was 0.878 at 1.4 times the load, 0.869 with none (60 days, +- 0.002).
+//! On modelled engines whose memory holds six long streams (`test_fleet_model`), over 20 days each at
+//! 1.14 and 1.3 times the usual load, the earned share of the possible value is 0.864 and 0.736 with up
+//! to four skipped, 0.840 and 0.723 with none (+- 0.01), 0.866 and 0.736 with two, and 0.874 and 0.738
+//! with eight. Of prompts over 4,500 tokens, 0.53 and 0.37 begin in time with none, and 0.55 to 0.57 and
+//! 0.36 to 0.37 with two or eight. On engines that are short of reading capacity, at 1.4 times the load,
+//! the share is 0.878, and 0.869 with none (60 days, +- 0.002).
 
 use std::time::Duration;
 
@@ -21,58 +24,58 @@
 use crate::gateway::waiting::Waiting;
 use crate::ids::Timestamp;
 
-/// Generations that are passed over in one look at most. Each costs a choice among all engines, and what eight
-/// gain over two is within what days differ by.
+/// Maximum number of generations that are skipped in one pass. Each costs a choice among all engines, and
+/// the gain of eight over two is within the variation between days.
 const MAX_SKIPPED: usize = 4;
 
-/// Where generations can go.
+/// The engines on which generations can be placed.
 pub trait Engines<T> {
     /// A place at an engine.
     type Place;
 
-    /// Finds a place and takes it.
+    /// Chooses an engine for `item` and reserves the place.
     fn choose(&mut self, item: &T) -> Result<Self::Place, Shortage>;
 
-    /// Time until so many tokens of memory are free, where that can be told.
+    /// Returns the time until `tokens` of memory are free, if it can be estimated.
     fn time_until(&self, tokens: f64) -> Option<Duration>;
 }
 
-/// What holds for one that asks.
+/// The conditions under which a generation is queued.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueTerms {
-    /// Its urgency; 0 goes first.
+    /// Its urgency; 0 is the most urgent.
     pub priority: u8,
-    /// Given an engine within this, it begins in time.
+    /// The generation begins in time if it is placed within this time.
     pub in_time: Duration,
-    /// It is given up after this.
+    /// The generation is abandoned after this time.
     pub may_wait: Duration,
-    /// Tokens of memory that it needs.
+    /// Tokens of memory that the generation needs.
     pub tokens: f64,
 }
 
-/// What becomes at once of one that asks.
+/// The immediate result of queueing a generation.
 #[derive(Debug)]
 pub enum QueueReply<T, P> {
-    /// It has a place.
+    /// The generation is placed.
     Placed(T, P),
-    /// No engine has room in time; when one has, if that is known.
+    /// No engine will have room in time. Holds the expected time until one has, if known.
     Refused(T, Option<Duration>),
-    /// It waits.
+    /// The generation waits.
     Waits,
 }
 
-/// What became of one that waited.
+/// The result for a generation that waited.
 #[derive(Debug)]
 pub struct Settled<T, P> {
-    /// Which one.
+    /// The generation.
     pub item: T,
-    /// A place, or when there is room, if that is known.
+    /// The place, or the expected time until there is room, if known.
     pub outcome: Result<P, Option<Duration>>,
-    /// What it waited for.
+    /// How long it waited for each kind of shortage.
     pub waited: ShortageTimes,
 }
 
-/// Those that wait in one place.
+/// A queue of waiting generations.
 #[derive(Debug)]
 pub struct LeadQueue<T> {
     queue: WaitQueue<QueueEntry<T>>,
@@ -80,16 +83,16 @@
     max_skipped: usize,
 }
 
-/// One that waits.
+/// A waiting generation.
 #[derive(Debug)]
 struct QueueEntry<T> {
     item: T,
-    /// What had been short in its queue when it came.
+    /// The queue's accumulated shortage times when the generation was added.
     shortage_at_start: ShortageTimes,
 }
 
 impl<T> LeadQueue<T> {
-    /// None waits yet.
+    /// Creates an empty queue.
     pub fn new(policy: Policy) -> Self {
         LeadQueue {
             queue: WaitQueue::default(),
@@ -98,7 +101,8 @@
         }
     }
 
-    /// One asks for a place. It waits if it can be expected to begin before its caller leaves.
+    /// Requests a place for a generation. It is placed at once or waits if it can be expected to begin
+    /// before its caller leaves; otherwise it is refused.
     pub fn ask<E: Engines<T>>(
         &mut self,
         item: T,
@@ -130,7 +134,8 @@
         QueueReply::Waits
     }
 
-    /// Gives places to those that can go on now, and gives up those that can't be expected to begin in time.
+    /// Places the waiting generations that now fit, and abandons those that cannot be expected to begin
+    /// in time.
     pub fn settle<E: Engines<T>>(&mut self, engines: &mut E, now: Timestamp) -> Vec<Settled<T, E::Place>> {
         let times = self.shortage.times(now);
         let mut settled = Vec::new();
@@ -160,12 +165,12 @@
         settled
     }
 
-    /// How many wait.
+    /// The number of waiting generations.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether none waits.
+    /// Whether no generation waits.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
--- a/lib/src/gateway/limit_grants.rs
+++ b/lib/src/gateway/limit_grants.rs
@@ -1,17 +1,19 @@
-//! Grants requests to replicas that name limits, one by one.
+//! Grants requests to replicas that announce limits, one request at a time.
 //!
-//! A limit holds for all nodes together, so one node grants what a limit allows: the lead of a model service
-//! for its engines, and for each other replica the first of the nodes by a hash. Each grant is for one
-//! request that is there already, so nothing is granted to nodes that have no use for it.
+//! A limit applies to all nodes together, so a single node grants the requests that it allows: the lead
+//! of a model service for its engines, and for any other replica the first node by a hash. Each grant is
+//! for one pending request, so no grant goes to a node that cannot use it.
 //!
-//! Weighed against a share of the limit for each node, on a model of the fleet (`test_gateway_limit_model`): where
-//! calls come unevenly, shares leave most of what is named unused, and of a limit of 0.4 a second most
-//! of 66 or 410 nodes have none.
+//! The alternative is a fixed share of the limit for each node. In a model of the fleet
+//! (`test_gateway_limit_model`), shares leave most of the limit unused when calls are unevenly
+//! distributed, and with a limit of 0.4 a second most of 66 or 410 nodes get none.
 //!
-//! Nodes may see different fleets, or get no answer from who grants, and then two of them grant at once. What bounds
-//! that: a node that has just begun to grant has nothing saved up, a node that has just started grants nothing, one
-//! that takes another one for the first grants a quarter, and one that sees fewer nodes than a short time ago grants a
-//! smaller part, as the others may be on the far side of a cut with another one that grants.
+//! Nodes may have different views of the fleet or receive no answer from the granting node, so two nodes
+//! may grant at once. Four rules bound the excess: a node that begins to grant starts with no saved
+//! grants; a node that has just started grants nothing; a node that considers another one the primary
+//! grants a quarter of the rate; and a node that sees fewer nodes than a short time ago grants a smaller
+//! fraction, as the missing nodes may be on the other side of a network partition, with another granting
+//! node.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,75 +26,79 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// Part of a limit that is granted. The rest is for what nodes send by themselves (`limit_asks`), and for
-/// streams that go on at their engine without being placed anew.
+/// Fraction of a limit that is granted. The remainder covers requests that nodes send on their own
+/// permits (`limit_permits`) and streams that resume at their engine without a new placement.
 pub const GRANTED_FRACTION: f64 = 0.85;
-/// Part of that which a node grants that is not the first for a replica: who asks it got no answer from the first
-/// one in time, which may just be slow and grant to others.
+/// Fraction of the granted rate that a substitute may grant. A node sends its request to a substitute
+/// when the primary did not answer in time, but the primary may only be slow and still grant to others.
 const SUBSTITUTE_FRACTION: f64 = 0.25;
-/// Requests that go to a replica even if it names less: without any, nobody would learn that its need is over. One
-/// in 5 s is within the 5 requests beyond a limit that a replica may get in 4 s.
+/// Minimum rate of requests to a replica, even if its limit is lower: without any request, no node would
+/// learn that the limit is withdrawn. One request in 5 s is within the 5 requests beyond its limit that a
+/// replica may receive in 4 s.
 pub const MIN_RATE: PerSecond = 0.2;
-/// Grants that may be saved up while there are no requests.
+/// Maximum number of grants that accumulate while there are no requests.
 const MAX_SAVED_GRANTS: f64 = 2.0;
-/// What must be saved up beyond one grant for each rank of urgency: while urgent requests take all that a
-/// limit allows, it never is for others. The least urgent rank needs less than [`MAX_SAVED_GRANTS`].
+/// Saved grants required beyond one for each rank of urgency. While urgent requests use up the limit,
+/// this reserve is never reached for the less urgent ones. The requirement of the least urgent rank is
+/// below [`MAX_SAVED_GRANTS`].
 const RESERVE_PER_URGENCY_RANK: f64 = 0.1;
-/// The last rank of urgency.
+/// The lowest rank of urgency.
 pub const LEAST_URGENT: u8 = 9;
-/// Asks for each grant that all nodes make together. With three, a grant waits a third of the time that it
-/// takes to save one up; more only cost messages.
+/// Requests for a grant that all nodes together make for each grant. With three, a saved grant waits a
+/// third of the time that it takes to accumulate; more requests only cost messages.
 const REQUESTS_PER_GRANT: f64 = 3.0;
-/// The least pause between two asks of a node for one replica.
+/// Minimum pause between two requests of a node for grants of one replica.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
-/// The longest one: with 410 nodes, 20 asks a second reach whoever grants for a replica.
+/// Maximum pause: with 410 nodes, the granting node of a replica receives 20 requests a second.
 const MAX_PAUSE: Duration = Duration::from_secs(20);
-/// A node that has just started grants nothing for this long: until others are met, it takes itself for
-/// the one to grant.
+/// A node grants nothing for this long after its start: until it knows other nodes, it considers itself
+/// the primary.
 const STARTUP_DELAY: Duration = Duration::from_secs(2);
-/// Whoever grants for a replica is asked within this after the limit was named, where there are calls.
+/// The granting node receives the first request within this time after the limit was announced, where
+/// there are calls.
 const FIRST_REQUEST_WITHIN: Duration = Duration::from_secs(5);
-/// Nodes that were seen within this count as perhaps being behind a cut: cuts that last longer than nodes
-/// take to be replaced.
+/// Nodes seen within this time count as possibly partitioned. Partitions that last longer than that
+/// outlast the replacement of nodes.
 const FLEET_SIZE_MEMORY: Duration = Duration::from_secs(20);
 
-/// Names a question of one node for a grant: a call may ask for several replicas, one after the other.
+/// Identifies a node's request for a grant: a call may request grants for several replicas, one after the
+/// other.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct GrantRequestId {
     /// The call.
     pub run: RunId,
-    /// Which of its questions; from 1 on.
+    /// The number of the request within the call, starting from 1.
     pub number: u32,
 }
 
-/// The answer to a node that asks for a grant.
+/// The answer to a request for a grant.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Grant {
     /// Whether one request may be sent now.
     pub granted: bool,
-    /// The node may ask again after this.
+    /// How long the node waits before it requests another grant.
     pub ask_again_after: Duration,
 }
 
-/// Who a node takes itself for that is asked for a grant.
+/// The role in which a node answers a request for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GranterRole {
-    /// The one that grants what a limit allows.
+    /// Grants the full rate that a limit allows.
     Primary,
-    /// One that is asked in the first one's place.
+    /// Grants in place of the primary.
     Substitute,
 }
 
-/// What is saved up for one replica, and when the next node is to ask.
+/// The saved grants of one replica, and the time of the next node's turn.
 #[derive(Debug, Default)]
 struct Account {
     saved: f64,
     saved_at: Timestamp,
-    /// When the last node asks that was told a time.
+    /// The latest turn that was assigned to a node.
     last_turn_at: Timestamp,
 }
 
-/// Grants requests to replicas that name limits.
+/// Grants requests to replicas that announce limits.
 #[derive(Debug, Default)]
 pub struct LimitGrants {
     accounts: HashMap<UpstreamId, Account>,
@@ -102,7 +108,7 @@
 }
 
 impl LimitGrants {
-    /// How many nodes there are now, as far as this one knows.
+    /// Sets the number of nodes that this node currently knows.
     pub fn set_nodes(&mut self, nodes: usize, now: Timestamp) {
         self.nodes = nodes;
         if nodes >= self.max_nodes || self.max_nodes_at + FLEET_SIZE_MEMORY <= now {
@@ -110,8 +116,8 @@
         }
     }
 
-    /// A replica has named a limit since some moment: what it takes from then on is saved up. A node that begins to
-    /// grant later than this has nothing saved up, as another one may have granted before.
+    /// Accumulates grants from the moment at which a replica announced a limit. A node that begins to
+    /// grant later than that starts with no saved grants, as another node may have granted before.
     pub fn accrue_from(&mut self, replica: &UpstreamId, named_at: Timestamp, now: Timestamp) {
         if now < named_at + FIRST_REQUEST_WITHIN && !self.accounts.contains_key(replica) {
             let from = named_at.max(STARTUP_DELAY).min(now);
@@ -119,27 +125,27 @@
         }
     }
 
-    /// Whether a request of an urgency may be granted to a replica, by the first node.
+    /// Whether the primary may grant a request of this urgency to a replica.
     pub fn may_grant(&mut self, replica: &UpstreamId, limit: PerSecond, urgency: u8, now: Timestamp) -> bool {
         let rate = self.rate(limit, GranterRole::Primary, now);
         self.account(replica, rate, now).can_grant(urgency)
     }
 
-    /// A replica's account, up to date.
+    /// Returns the account of a replica, brought up to date.
     fn account(&mut self, replica: &UpstreamId, rate: PerSecond, now: Timestamp) -> &mut Account {
         let account = self.accounts.entry(replica.clone()).or_insert_with(|| Account::new(now));
         account.save(rate, now);
         account
     }
 
-    /// One was granted.
+    /// Records a grant.
     pub fn on_granted(&mut self, replica: &str) {
         if let Some(account) = self.accounts.get_mut(replica) {
             account.saved -= 1.0;
         }
     }
 
-    /// A node has a request for a replica.
+    /// Handles a node's request for a grant to send one request to a replica.
     pub fn request(
         &mut self,
         replica: &UpstreamId,
@@ -157,7 +163,7 @@
         Grant { granted, ask_again_after: account.pause(rate, urgency, now) }
     }
 
-    /// Grants a second under a limit.
+    /// Returns the number of grants a second under a limit.
     fn rate(&self, limit: PerSecond, role: GranterRole, now: Timestamp) -> PerSecond {
         if now < STARTUP_DELAY {
             return 0.0;
@@ -167,7 +173,7 @@
         (limit * GRANTED_FRACTION).max(MIN_RATE) * visible_fraction * fraction
     }
 
-    /// Forgets replicas that name no limit any more.
+    /// Removes replicas that no longer have a limit.
     pub fn retain(&mut self, is_limited: impl Fn(&str) -> bool) {
         self.accounts.retain(|replica, _| is_limited(replica));
     }
@@ -188,13 +194,15 @@
         self.saved >= saved_grants_needed(urgency)
     }
 
-    /// How long a node that asks pauses: until another request of its urgency can be granted, and until
-    /// its turn among the nodes that ask. Turns are as far apart as asks are to be; a node with few calls
-    /// takes few of them, so those with more ask in its place.
+    /// Returns how long the requesting node pauses: until another request of its urgency can be granted,
+    /// and until its turn among the requesting nodes. Turns are spaced by the intended interval between
+    /// requests; a node with few calls uses few turns, so nodes with more calls make its requests
+    /// instead.
     ///
-    /// Where each node paused for as long as their number called for, nobody asked in place of those with few
-    /// calls, and what was saved up meanwhile was lost: of a limit 0.71 were used where three nodes got 30, 8 and 1
-    /// calls a second, and 0.82 with turns (least of 400 plays of 8 s, `test_gateway_limit_regular_calls`).
+    /// A pause in proportion to the number of nodes leaves the turns of nodes with few calls unused, and
+    /// the grants that accumulate meanwhile are lost: 0.71 of a limit are used where three nodes receive
+    /// 30, 8 and 1 calls a second, and 0.82 with turns (least of 400 runs of 8 s,
+    /// `test_gateway_limit_regular_calls`).
     fn pause(&mut self, rate: PerSecond, urgency: u8, now: Timestamp) -> Duration {
         if rate <= 0.0 {
             return STARTUP_DELAY;
@@ -208,7 +216,7 @@
     }
 }
 
-/// What must be saved up for a request of an urgency.
+/// Returns the saved grants that a request of this urgency requires.
 fn saved_grants_needed(urgency: u8) -> f64 {
     1.0 + f64::from(urgency.min(LEAST_URGENT)) * RESERVE_PER_URGENCY_RANK
 }
--- a/lib/src/gateway/limit_permits.rs
+++ b/lib/src/gateway/limit_permits.rs
@@ -1,10 +1,10 @@
-//! When a node asks for a grant to send a request to a replica that names a limit, and what it sends there
-//! without asking.
+//! Decides when a node requests a grant to send a request to a replica that announces a limit, and which
+//! requests the node may send there without a grant.
 //!
-//! Whoever grants may not answer, or be taken for another one. So that a replica is not left alone meanwhile, each
-//! node has a small share of its limit for itself: permits that come at random times, as often as its
-//! share says, and are good for a moment. Unlike a share that is saved up, they cannot all be
-//! used in the same moment after a pause.
+//! The granting node may not answer, or nodes may disagree on which node it is. So that a replica does
+//! not stay idle meanwhile, each node has a small share of the replica's limit in the form of permits:
+//! they occur at random times, at the rate of the node's share, and expire after a moment. Unlike a share
+//! that accumulates, they cannot all be used at the same moment after a pause.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,15 +17,16 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// Part of a limit that the nodes' permits add up to.
+/// Fraction of a limit that the permits of all nodes add up to.
 const PERMITTED_FRACTION: f64 = 0.1;
-/// A permit is good for so long.
+/// How long a permit is valid.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(1);
-/// Nodes that share at least: one that is cut off knows of few others.
+/// Minimum number of nodes among which a limit is shared: a partitioned node knows of few others.
 const MIN_NODES: usize = 6;
-/// A node that gets no answer asks again after this: by then it asks another one.
+/// A node that receives no answer requests a grant again after this time: by then it sends the request to
+/// another node.
 const RETRY_AFTER_SILENCE: Duration = Duration::from_millis(200);
-/// No permit is further away than this, so that times stay within bounds.
+/// Upper bound on the time to the next permit, so that timestamps stay in range.
 const MAX_PERMIT_WAIT: Duration = Duration::from_secs(24 * 3_600);
 
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +35,7 @@
     permit_at: Timestamp,
 }
 
-/// What this node may send to replicas that name limits.
+/// What this node may send to replicas that announce limits.
 #[derive(Debug, Default)]
 pub struct LimitPermits {
     replicas: HashMap<UpstreamId, ReplicaPermits>,
@@ -42,12 +43,12 @@
 }
 
 impl LimitPermits {
-    /// How many nodes there are now, as far as this one knows.
+    /// Sets the number of nodes that this node currently knows.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes;
     }
 
-    /// Whether this node may ask for a grant now.
+    /// Whether this node may request a grant now.
     pub fn may_request<R: Rng>(
         &mut self,
         replica: &UpstreamId,
@@ -58,12 +59,12 @@
         self.permits(replica, limit, now, rng).may_request_at <= now
     }
 
-    /// It has asked.
+    /// Records that this node has requested a grant.
     pub fn on_requested(&mut self, replica: &str, now: Timestamp) {
         self.set_may_request_at(replica, now + RETRY_AFTER_SILENCE);
     }
 
-    /// It was answered.
+    /// Records the answer to a request for a grant.
     pub fn on_answer(&mut self, replica: &str, ask_again_after: Duration, now: Timestamp) {
         self.set_may_request_at(replica, now + ask_again_after);
     }
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether this node has a permit to send one request without asking.
+    /// Whether this node has a permit to send one request without a grant.
     pub fn has_permit<R: Rng>(
         &mut self,
         replica: &UpstreamId,
@@ -90,7 +91,7 @@
         permits.permit_at <= now
     }
 
-    /// A request was sent without asking.
+    /// Records that a request was sent on a permit.
     pub fn on_permit_used<R: Rng>(&mut self, replica: &str, limit: PerSecond, now: Timestamp, rng: &mut R) {
         let next = self.draw_next_permit(limit, now, rng);
         if let Some(permits) = self.replicas.get_mut(replica) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Forgets replicas that name no limit any more.
+    /// Removes replicas that no longer have a limit.
     pub fn retain(&mut self, is_limited: impl Fn(&str) -> bool) {
         self.replicas.retain(|replica, _| is_limited(replica));
     }
@@ -119,7 +120,8 @@
         permits
     }
 
-    /// Permits are independent of each other: the time to the next one is the same, whenever it is drawn.
+    /// Draws the time of the next permit. Permits are independent of each other, so the distribution of
+    /// the time to the next one does not depend on when it is drawn.
     fn draw_next_permit<R: Rng>(&self, limit: PerSecond, now: Timestamp, rng: &mut R) -> Timestamp {
         let nodes = self.nodes.max(MIN_NODES) as f64;
         let mean_interval = nodes / (limit.max(MIN_RATE) * PERMITTED_FRACTION);
--- a/lib/src/gateway/replica_limits.rs
+++ b/lib/src/gateway/replica_limits.rs
@@ -1,11 +1,11 @@
-//! The limits that replicas in need name in their answers: how many requests a second each takes from
-//! all nodes together, for as long as it says so.
+//! The limits that rate-limited replicas announce in their responses: how many requests a second a replica
+//! accepts from all nodes together, while its responses carry the limit.
 //!
-//! Answers overtake each other: one that was sent before the need began says nothing about it. A limit
-//! therefore holds from when the answer came that named it, and is taken back only by the answer to a
-//! request that was sent later. What one node heard is told to the others, by its age, as their clocks
-//! differ. A limit is kept until it is taken back, however long ago it was named: requests still go there,
-//! one after the other, and the first answer shows whether it holds.
+//! Responses may be reordered: one that was sent before the limit began says nothing about it. A limit
+//! therefore applies from the time at which the response that named it arrived, and only the response to
+//! a request that was sent later withdraws it. Nodes announce limits to each other with their age, as
+//! their clocks differ. A limit is kept until it is withdrawn, however old it is: requests still go there
+//! one at a time, and the first response shows whether the limit still applies.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,46 +23,47 @@
 /// Requests a second.
 pub type PerSecond = f64;
 
-/// A limit that differs from the known one by no more than this part is no news: replicas that measure
-/// their load name another figure in each answer, and all nodes are told of each change. A node takes such a
-/// figure over from another node alone, so that both know the same in the end.
+/// A limit that differs from the known one by no more than this fraction counts as unchanged: replicas
+/// that measure their load name a slightly different limit in each response, and each change is announced
+/// to all nodes. A node adopts such a value only from another node, so that both end up with the same
+/// value.
 const RELATIVE_TOLERANCE: f64 = 0.05;
-/// A replica that has just come into need has been given what it took before: it is left to others for so
-/// long, where there are others. Where three replicas share 39 requests a second, one that names 3 a second got 20
-/// of them in the second before, and what it takes in 4 s would be exceeded by what else it is granted in the
-/// other three.
+/// A newly limited replica is avoided for this long if there are other replicas, because it has just
+/// received its former load. Where three replicas share 39 requests a second, a replica that announces a
+/// limit of 3 a second received 20 of them in the second before, and grants during the other three
+/// seconds would exceed what it accepts in 4 s.
 const AVOID_NEWLY_LIMITED_FOR: Duration = Duration::from_secs(3);
-/// A limit that was taken back is remembered for so long, so that nodes which missed that are told.
+/// A withdrawn limit is remembered for this long, so that nodes that missed the withdrawal are notified.
 const WITHDRAWN_LIMIT_KEPT_FOR: Duration = Duration::from_secs(60);
 
-/// What an answer says of its replica's limit.
+/// What a response states about its replica's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitReport {
-    /// It names one.
+    /// The response names a limit.
     Named(PerSecond),
-    /// It names none.
+    /// The response names no limit.
     NotNamed,
-    /// It says nothing that counts: its value can't be read, or the answer is a failure without one.
+    /// The response says nothing valid: its value cannot be parsed, or it is an error without a limit.
     Silent,
 }
 
-/// When an answer was asked for and when it came.
+/// When the request of a response was sent and when the response was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseTimes {
-    /// When its request was sent.
+    /// When the request was sent.
     pub sent: Timestamp,
-    /// When its head came.
+    /// When the head of the response was received.
     pub received: Timestamp,
 }
 
-/// A replica's limit as one node tells it to another.
+/// A replica's limit as one node announces it to another.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct AnnouncedLimit {
-    /// Which start of the replica.
+    /// The incarnation of the replica.
     pub replica: Incarnation,
-    /// The limit; `None` if it was taken back.
+    /// The limit; `None` if it was withdrawn.
     pub limit: Option<PerSecond>,
-    /// How long ago that was said.
+    /// How long ago the replica stated it.
     pub age: Duration,
 }
 
@@ -71,11 +72,11 @@
     born: Born,
     limit: Option<PerSecond>,
     stated_at: Timestamp,
-    /// When the need began, as far as was heard.
+    /// When the replica became limited, as far as this node knows.
     limited_since: Timestamp,
 }
 
-/// Who says what a replica's limit is.
+/// The source of a statement about a replica's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     Replica,
@@ -85,14 +86,14 @@
 /// The limits that are in force, by replica.
 pub type LimitsInForce = HashMap<UpstreamId, PerSecond>;
 
-/// What a node knows of the replicas' limits.
+/// The limits of replicas that a node knows.
 #[derive(Debug, Default)]
 pub struct ReplicaLimits {
     known: BTreeMap<UpstreamId, Known>,
 }
 
 impl ReplicaLimits {
-    /// An answer of a replica came to this node. Returns whether the limit changed.
+    /// Records what a response to this node states. Returns whether the limit changed.
     pub fn on_answer(&mut self, of: &Incarnation, report: LimitReport, times: ResponseTimes) -> bool {
         let (limit, stated_at) = match report {
             LimitReport::Named(limit) => (Some(limit), times.received),
@@ -102,7 +103,7 @@
         self.record(of, limit, stated_at, Source::Replica)
     }
 
-    /// Another node told some; returns those that are news.
+    /// Applies the limits that another node announced. Returns those that changed.
     pub fn on_told(&mut self, announced: Vec<AnnouncedLimit>, now: Timestamp) -> Vec<AnnouncedLimit> {
         let mut changed = announced;
         changed.retain(|announced| {
@@ -113,7 +114,7 @@
         changed
     }
 
-    /// Notes what was said of a replica's limit. Returns whether it changed.
+    /// Records a statement about a replica's limit. Returns whether the limit changed.
     fn record(
         &mut self,
         of: &Incarnation,
@@ -136,50 +137,50 @@
         changed
     }
 
-    /// Whether a replica came into need so lately that it is left to others.
+    /// Whether a replica became limited so recently that it is avoided.
     pub fn is_newly_limited(&self, replica: &str, now: Timestamp) -> bool {
         let known = self.known.get(replica).filter(|known| known.limit.is_some());
         known.is_some_and(|known| now < known.limited_since + AVOID_NEWLY_LIMITED_FOR)
     }
 
-    /// Since when a replica has named a limit, as far as was heard.
+    /// When a replica became limited, as far as this node knows.
     pub fn named_since(&self, replica: &str) -> Option<Timestamp> {
         self.known.get(replica).filter(|known| known.limit.is_some()).map(|known| known.limited_since)
     }
 
-    /// The limit of a replica.
+    /// Returns the limit of a replica.
     pub fn limit(&self, replica: &str) -> Option<PerSecond> {
         self.known.get(replica)?.limit
     }
 
-    /// All limits that are in force.
+    /// Returns all limits that are in force.
     pub fn in_force(&self) -> LimitsInForce {
         self.known.iter().filter_map(|(id, known)| Some((id.clone(), known.limit?))).collect()
     }
 
-    /// What other nodes are told of one replica.
+    /// Returns what is announced to other nodes about one replica.
     pub fn announced(&self, replica: &str, now: Timestamp) -> Option<AnnouncedLimit> {
         self.known.get_key_value(replica).map(|(id, known)| known.announced(id, now))
     }
 
-    /// What other nodes are told of all.
+    /// Returns what is announced to other nodes about all replicas.
     pub fn all(&self, now: Timestamp) -> Vec<AnnouncedLimit> {
         self.known.iter().map(|(id, known)| known.announced(id, now)).collect()
     }
 
-    /// Stands for the limits in force; 0 for none.
+    /// Returns a digest of the limits in force; 0 for none.
     pub fn digest(&self) -> u64 {
         let in_force =
             self.known.iter().filter_map(|(id, known)| Some((id, known.born, known.limit?.to_bits())));
         digest::of(in_force)
     }
 
-    /// A replica has started again: what it named is over.
+    /// Removes the limit of a replica that has restarted.
     pub fn forget(&mut self, replica: &str) {
         self.known.remove(replica);
     }
 
-    /// Forgets replicas that are gone, and limits that were taken back some time ago.
+    /// Removes replicas that no longer exist, and limits that were withdrawn some time ago.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool, now: Timestamp) {
         self.known.retain(|id, known| {
             is_known(id) && (known.limit.is_some() || known.stated_at + WITHDRAWN_LIMIT_KEPT_FOR > now)
--- a/lib/src/gateway/replica_rate_limiter.rs
+++ b/lib/src/gateway/replica_rate_limiter.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the limits that replicas name, and what it may send there.
+//! Applies the limits that replicas announce to the requests that this node sends.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,29 +17,29 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// Callers are told to come back no later than this, whatever they then find.
+/// Upper bound on the delay after which a refused caller retries, whatever the load is then.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// What a node knows of the limits that replicas name, and what it may send there.
+/// The limits of replicas, with the grants and permits under which this node sends requests to them.
 #[derive(Debug, Default)]
 pub struct ReplicaRateLimiter {
     /// The limits.
     pub limits: ReplicaLimits,
     grants: LimitGrants,
     permits: LimitPermits,
-    /// When the last caller of a service that was refused comes back.
+    /// The time at which the last refused caller of a service is to retry.
     retry_times: HashMap<ServiceId, Timestamp>,
 }
 
 impl ReplicaRateLimiter {
-    /// How many nodes there are now, as far as this one knows.
+    /// Sets the number of nodes that this node currently knows.
     pub fn set_nodes(&mut self, nodes: usize, now: Timestamp) {
         self.grants.set_nodes(nodes, now);
         self.permits.set_nodes(nodes);
     }
 
-    /// Whether a replica may get a request that this node places by itself: a lead grants it, another
-    /// node needs a permit. Replicas without a limit may.
+    /// Whether a replica may receive a request that this node places by itself: a lead needs a grant, any
+    /// other node a permit. Replicas without a limit always may.
     pub fn allows<R: Rng>(
         &mut self,
         replica: &UpstreamId,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A replica was given a request by this node.
+    /// Records that this node placed a request at a replica.
     pub fn on_assigned<R: Rng>(&mut self, replica: &str, giver: Giver, now: Timestamp, rng: &mut R) {
         let Some(limit) = self.limits.limit(replica) else {
             return;
@@ -70,23 +70,24 @@
         }
     }
 
-    /// Whether this node may ask for a grant at a replica now.
+    /// Whether this node may request a grant for a replica now.
     pub fn may_request<R: Rng>(&mut self, replica: &UpstreamId, now: Timestamp, rng: &mut R) -> bool {
         let limit = self.limits.limit(replica);
         limit.is_some_and(|limit| self.permits.may_request(replica, limit, now, rng))
     }
 
-    /// It has asked.
+    /// Records that this node has requested a grant.
     pub fn on_requested(&mut self, replica: &str, now: Timestamp) {
         self.permits.on_requested(replica, now);
     }
 
-    /// It was answered.
+    /// Records the answer to a request for a grant.
     pub fn on_answer(&mut self, replica: &str, ask_again_after: Duration, now: Timestamp) {
         self.permits.on_answer(replica, ask_again_after, now);
     }
 
-    /// A node, perhaps this one, asks for a grant at a replica. One that names no limit needs none.
+    /// Handles a request for a grant from any node, including this one. A replica without a limit needs
+    /// no grant.
     pub fn grant(&mut self, replica: &UpstreamId, role: GranterRole, urgency: u8, now: Timestamp) -> Grant {
         if role == GranterRole::Primary {
             self.accrue_since_named(replica, now);
@@ -103,8 +104,9 @@
         }
     }
 
-    /// When a caller comes back that is refused, as all replicas of its service name limits, `named` together:
-    /// each at a time of its own, as far apart as one node's part of the limits lets requests be.
+    /// Returns the delay after which a refused caller retries when all replicas of its service have
+    /// limits, which add up to `named`. Callers retry at different times, at the interval that one node's
+    /// share of the limits allows between requests.
     pub fn next_retry_delay(
         &mut self,
         service: &ServiceId,
@@ -120,7 +122,7 @@
         at - now
     }
 
-    /// Forgets replicas that are gone, and what no longer counts.
+    /// Removes replicas that no longer exist, and expired state.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool, now: Timestamp) {
         self.limits.retain(is_known, now);
         self.grants.retain(|replica| self.limits.limit(replica).is_some());
--- a/lib/src/gateway/retry_window.rs
+++ b/lib/src/gateway/retry_window.rs
@@ -1,28 +1,28 @@
-//! The retry budget over a sliding window: a node's share of what all nodes may send again.
+//! The retry budget over a sliding window: a node's share of the retries that all nodes may send.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Part of the allowed ratio that the node uses; the rest covers windows that slide
-/// differently at the replicas.
+/// Fraction of the allowed ratio that the node uses. The remainder covers windows that slide differently
+/// at the replicas.
 const SAFETY_FACTOR: f64 = 0.7;
-/// Requests that are counted at most, to bound the memory between two repeats.
+/// Maximum number of counted requests, to bound the memory between two retries.
 const MAX_COUNTED_REQUESTS: usize = 10_000;
 
-/// What this node may send again.
+/// The retries that this node may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryShare {
-    /// The window in which it holds.
+    /// The window to which the budget applies.
     pub window: Duration,
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats beyond the ratio: this node's share of what the fleet may send.
+    /// Retries beyond the ratio: this node's share of the fleet's budget.
     pub slack: f64,
 }
 
-/// Counts requests and repeats of one service in a sliding window.
+/// Counts the requests and retries of one service in a sliding window.
 #[derive(Debug, Default)]
 pub struct RetryWindow {
     requests: VecDeque<Timestamp>,
@@ -30,7 +30,7 @@
 }
 
 impl RetryWindow {
-    /// A request came.
+    /// Records a request.
     pub fn on_request(&mut self, now: Timestamp) {
         self.requests.push_back(now);
         if self.requests.len() > MAX_COUNTED_REQUESTS {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes a repeat; false when the budget is used up.
+    /// Takes a retry from the budget. Returns false if the budget is used up.
     pub fn take(&mut self, now: Timestamp, share: &RetryShare) -> bool {
         self.drop_before(now.saturating_sub(share.window));
         let allowed = (self.requests.len() as f64 * share.ratio + share.slack) * SAFETY_FACTOR;
--- a/lib/src/gateway/waiting.rs
+++ b/lib/src/gateway/waiting.rs
@@ -1,15 +1,16 @@
-//! Generations that wait at their service's lead until an engine has room.
+//! The queue of generations that wait at their service's lead until an engine has room.
 //!
-//! Those that can still begin in time go first, the most urgent of them before others and each kind in
-//! the order of arrival. One that can't any more goes behind them: where engines get 1.1 times what
-//! they can read, a queue by arrival soon has all begin late, this one a tenth. So that late ones are served
-//! too, one that has been late for [`OVERDUE_AFTER_FRACTION`] of the time until its caller leaves goes before all others,
-//! but only as one of several that are given an engine: where far more comes than engines take, all would be
-//! late for long before they are served.
+//! Generations that can still begin in time go first, ordered by urgency and then by arrival. Those that
+//! can no longer begin in time follow: where engines receive 1.1 times the load that they can read,
+//! ordering by arrival alone soon makes all generations begin late, this order a tenth. So that late
+//! generations are served too, a generation that has been late for [`OVERDUE_AFTER_FRACTION`] of the time
+//! until its caller leaves is overdue and goes before all others, but only in a limited share of the
+//! placements: where the load far exceeds the engines' capacity, all generations would be overdue before
+//! they are served.
 //!
-//! One waits only while it can be expected to begin before its caller leaves: a caller that is told at
-//! once comes back when there is room, and one that is held and then refused has lost both its time
-//! and its place.
+//! A generation waits only while it can be expected to begin before its caller leaves. A caller that is
+//! refused at once retries when there is room, while a caller that is held and then refused has lost both
+//! its time and its place.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,64 +22,65 @@
 
 use crate::ids::Timestamp;
 
-/// Callers that are refused come back earlier or later by up to this part, so that those that
-/// were refused together don't return together.
+/// Fraction by which the delay of refused callers is varied in either direction, so that callers refused
+/// at the same time do not retry at the same time.
 const RETRY_DELAY_JITTER: f64 = 0.25;
 
-/// Part of the time between its being late and its caller's leaving after which one goes before all
-/// others. At 1.1 times the prompts that engines read, for 15 s, 404 of 3,256 long streams begin late
-/// (551 with a half, 380 with three quarters), and nobody leaves; at 1.3 times 34 of 6,397 callers leave
-/// (none with a half, 55 with three quarters), as against 296 in a queue by arrival (measured on modelled
-/// engines before [`OVERDUE_INTERVAL`] bounded it).
+/// Fraction of the time from a generation's becoming late to its caller's leaving after which it is
+/// overdue. At 1.1 times the prompts that engines can read, for 15 s, 404 of 3,256 long streams begin
+/// late (551 with 0.5, 380 with 0.75), and no caller leaves. At 1.3 times, 34 of 6,397 callers leave
+/// (none with 0.5, 55 with 0.75), compared to 296 in a queue ordered by arrival. These figures are from
+/// modelled engines without the bound [`OVERDUE_INTERVAL`].
 const OVERDUE_AFTER_FRACTION: f64 = 0.6;
 
-/// Of so many that are given an engine one may have been late for long while others can begin in time: enough
-/// where engines get 1.1 times what they can read, so that nobody leaves there.
+/// One of this many placements may go to an overdue generation while others can begin in time. At 1.1
+/// times the load that engines can read, this is enough that no caller leaves.
 const OVERDUE_INTERVAL: u32 = 4;
-/// The same while more than [`MAX_FEW_OVERDUE`] have been late for long. Far more comes then than engines take, and
-/// each of them that went first would make another one late. On modelled engines
-/// (`test_what_callers_get_at_full_engines`), at 1.3 times what they read, 5,392 of 6,254 begin in time, 390
-/// late, and 472 callers leave; 5,172, 596 and 595 of 6,363 with one of four in any case; 3,555, 2,808 and 34 of
-/// 6,397 where whoever had been late for long went first.
+/// The interval while more than [`MAX_FEW_OVERDUE`] generations are overdue. The load then far exceeds
+/// the engines' capacity, and each overdue generation that goes first makes another one late. On modelled
+/// engines (`test_what_callers_get_at_full_engines`), at 1.3 times the load that they can read, 5,392 of
+/// 6,254 generations begin in time, 390 begin late, and 472 callers leave; with a fixed interval of 4 it
+/// is 5,172, 596 and 595 of 6,363, and 3,555, 2,808 and 34 of 6,397 where overdue generations always go
+/// first.
 const MANY_OVERDUE_INTERVAL: u32 = 32;
-/// While no more than these have been late for long, one of [`OVERDUE_INTERVAL`] is enough for them. With 12 in its
-/// place 40 of some 5,800 callers leave at 1.1 times what modelled engines read, with 40 fewer begin in time
+/// Up to this many overdue generations, [`OVERDUE_INTERVAL`] serves them. With 12 instead, 40 of some
+/// 5,800 callers leave at 1.1 times the load that modelled engines can read; with 40, fewer begin in time
 /// at 1.3 times (5,345).
 const MAX_FEW_OVERDUE: usize = 24;
 
 /// No engine has room for a generation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct NoRoom {
-    /// When there should be room, as far as that is known.
+    /// The expected time until there is room, if known.
     pub expected: Option<Duration>,
 }
 
-/// Something that waits.
+/// An entry of the queue.
 #[derive(Debug)]
 pub struct Waiting<T> {
-    /// What waits.
+    /// The waiting item.
     pub item: T,
-    /// Its urgency; 0 goes first.
+    /// Its urgency; 0 is the most urgent.
     pub priority: u8,
-    /// Given an engine later than this, it begins late.
+    /// If the item is placed after this time, it begins late.
     pub due: Timestamp,
-    /// When it is given up.
+    /// The time at which the item is abandoned.
     pub until: Timestamp,
-    /// Tokens of memory that it needs.
+    /// Tokens of memory that the item needs.
     pub tokens: f64,
 }
 
-/// Whose turn comes first.
+/// The class of an entry, in the order in which entries are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Turn {
-    /// It has been late for long, and it is the turn of such a one: the longest goes first, whatever its
+    /// Overdue, and an overdue entry is next: the one that was due first goes first, regardless of
     /// urgency.
     OverdueFirst { due: Timestamp },
-    /// It can still begin in time.
+    /// Can still begin in time.
     InTime { priority: u8 },
-    /// It has been late for long.
+    /// Overdue, while it is not the turn of an overdue entry.
     Overdue { due: Timestamp },
-    /// It can't begin in time any more.
+    /// Can no longer begin in time.
     Late { priority: u8 },
 }
 
@@ -97,14 +99,14 @@
     }
 }
 
-/// The queue of a service. It is kept by urgency and then by arrival; whose turn it is changes with the
-/// time.
+/// The queue of a service, sorted by urgency and then by arrival. The order of placement depends on the
+/// current time.
 #[derive(Debug)]
 pub struct WaitQueue<T> {
     queue: VecDeque<Waiting<T>>,
-    /// How many were given an engine since the last one that had been late for long.
+    /// Number of placements since the last overdue entry.
     since_overdue: u32,
-    /// The same before the last one was taken out, should it be put back.
+    /// The previous value, restored if the entry that was last taken out is put back.
     since_overdue_before: u32,
 }
 
@@ -119,19 +121,19 @@
 }
 
 impl<T> WaitQueue<T> {
-    /// Adds one behind those that are as urgent.
+    /// Adds an entry behind those of the same urgency.
     pub fn push(&mut self, waiting: Waiting<T>) {
         let at = self.queue.partition_point(|other| other.priority <= waiting.priority);
         self.queue.insert(at, waiting);
     }
 
-    /// Whether none waits that would go before one of this urgency that can begin in time.
+    /// Whether no entry goes before a new one of this urgency that can begin in time.
     pub fn is_next(&self, priority: u8, now: Timestamp) -> bool {
         self.entries_before(priority, now).next().is_none()
     }
 
-    /// Tokens of memory that are needed by those that would go before one of this urgency that can
-    /// begin in time.
+    /// Returns the tokens of memory needed by the entries that go before a new one of this urgency that
+    /// can begin in time.
     pub fn tokens_before(&self, priority: u8, now: Timestamp) -> f64 {
         self.entries_before(priority, now).map(|other| other.tokens).sum()
     }
@@ -141,9 +143,9 @@
         self.queue.iter().filter(move |other| other.turn(now, overdue_first) <= Turn::InTime { priority })
     }
 
-    /// Takes those out that can no longer be expected to begin before they are given up: that time has
-    /// come, or will before `time_until` the memory is free that they and those before them need, where
-    /// that is known.
+    /// Removes the entries that can no longer be expected to begin before they are abandoned: the time of
+    /// abandonment has passed, or by `time_until` the memory for them and the entries before them is
+    /// expected to be free only later. Returns them with that expected time, if known.
     pub fn take_unservable(
         &mut self,
         now: Timestamp,
@@ -173,7 +175,7 @@
         unservable
     }
 
-    /// Where those that wait stand, in the order of their turns.
+    /// Returns the indices of the entries in the order of placement.
     fn in_turn(&self, now: Timestamp) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.queue.len()).collect();
         let overdue_first = self.overdue_first(now);
@@ -181,7 +183,7 @@
         order
     }
 
-    /// Takes the one out whose turn it is.
+    /// Removes and returns the next entry.
     pub fn pop(&mut self, now: Timestamp) -> Option<Waiting<T>> {
         let overdue_first = self.overdue_first(now);
         let turns = self.queue.iter().map(|waiting| waiting.turn(now, overdue_first)).enumerate();
@@ -194,50 +196,51 @@
         self.queue.remove(at)
     }
 
-    /// One was given an engine that did not wait.
+    /// Records that a generation was placed without waiting.
     pub fn on_direct_placement(&mut self) {
         self.since_overdue = self.since_overdue.saturating_add(1);
     }
 
-    /// Whether one that has been late for long goes before those that can begin in time.
+    /// Whether an overdue entry goes before entries that can begin in time.
     fn overdue_first(&self, now: Timestamp) -> bool {
         self.since_overdue + 1 >= self.overdue_interval(now)
     }
 
-    /// Of how many that are given an engine one may have been late for long.
+    /// Returns the number of placements of which one may go to an overdue entry.
     fn overdue_interval(&self, now: Timestamp) -> u32 {
         let is_overdue = |waiting: &&Waiting<T>| matches!(waiting.turn(now, false), Turn::Overdue { .. });
         let overdue = self.queue.iter().filter(is_overdue).count();
         if overdue <= MAX_FEW_OVERDUE { OVERDUE_INTERVAL } else { MANY_OVERDUE_INTERVAL }
     }
 
-    /// Puts one back that was taken out: it goes before those that are as urgent.
+    /// Puts back an entry that was taken out, before those of the same urgency.
     pub fn put_back(&mut self, waiting: Waiting<T>) {
         let at = self.queue.partition_point(|other| other.priority < waiting.priority);
         self.queue.insert(at, waiting);
         self.since_overdue = self.since_overdue_before;
     }
 
-    /// How many wait.
+    /// The number of waiting entries.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether none waits.
+    /// Whether no entry waits.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 }
 
-/// When a caller comes back that is refused while nothing is known of when it would be served: soon,
-/// as its next attempt reaches another node and perhaps another replica.
+/// Delay for a refused caller if the time until there is room is unknown: short, as the next attempt
+/// reaches another node and perhaps another replica.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// The soonest that a caller returns: a lead looks at what became free ten times a second.
+/// Minimum delay: a lead checks ten times a second which engines have room.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The latest: forecasts reach no further than what was seen in the last seconds.
+/// Maximum delay: forecasts extend no further than the observations of the last seconds.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// When a caller comes back that is refused as room is expected after `expected`, if that is known.
+/// Returns the delay after which a refused caller retries when room is expected after `expected`, if
+/// known.
 pub fn retry_delay<R: Rng>(expected: Option<Duration>, rng: &mut R) -> Duration {
     let expected = expected.unwrap_or(DEFAULT_RETRY_DELAY).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     expected.mul_f64(rng.random_range(1.0 - RETRY_DELAY_JITTER..=1.0 + RETRY_DELAY_JITTER))
