--- a/lib/src/gateway/replica_limits.rs
+++ b/lib/src/gateway/replica_limits.rs
@@ -71,7 +71,7 @@
 struct Known {
     born: Born,
     limit: Option<PerSecond>,
-    stated_at: Timestamp,
+    as_of: Timestamp,
     /// When the replica became limited, as far as this node knows.
     limited_since: Timestamp,
 }
@@ -95,12 +95,12 @@
 impl ReplicaLimits {
     /// Records what a response to this node states. Returns whether the limit changed.
     pub fn on_answer(&mut self, of: &Incarnation, report: LimitReport, times: ResponseTimes) -> bool {
-        let (limit, stated_at) = match report {
+        let (limit, as_of) = match report {
             LimitReport::Named(limit) => (Some(limit), times.received),
             LimitReport::NotNamed => (None, times.sent),
             LimitReport::Silent => return false,
         };
-        self.record(of, limit, stated_at, Source::Replica)
+        self.record(of, limit, as_of, Source::Replica)
     }
 
     /// Applies the limits that another node announced. Returns those that changed.
@@ -119,21 +119,20 @@
         &mut self,
         of: &Incarnation,
         limit: Option<PerSecond>,
-        stated_at: Timestamp,
+        as_of: Timestamp,
         source: Source,
     ) -> bool {
         let known = self.known.get(&of.id).copied();
-        let is_newer = known.is_none_or(|known| {
-            of.born > known.born || (of.born == known.born && stated_at > known.stated_at)
-        });
+        let is_newer =
+            known.is_none_or(|known| of.born > known.born || (of.born == known.born && as_of > known.as_of));
         let before = known.filter(|known| known.born == of.born).and_then(|known| known.limit);
         if !is_newer || (known.is_none() && limit.is_none()) {
             return false;
         }
         let changed = !is_nearly_equal(before, limit);
         let limit = if changed || source == Source::Node { limit } else { before };
-        let limited_since = known.filter(|_| before.is_some()).map_or(stated_at, |known| known.limited_since);
-        self.known.insert(of.id.clone(), Known { born: of.born, limit, stated_at, limited_since });
+        let limited_since = known.filter(|_| before.is_some()).map_or(as_of, |known| known.limited_since);
+        self.known.insert(of.id.clone(), Known { born: of.born, limit, as_of, limited_since });
         changed
     }
 
@@ -183,7 +182,7 @@
     /// Removes replicas that no longer exist, and limits that were withdrawn some time ago.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool, now: Timestamp) {
         self.known.retain(|id, known| {
-            is_known(id) && (known.limit.is_some() || known.stated_at + WITHDRAWN_LIMIT_KEPT_FOR > now)
+            is_known(id) && (known.limit.is_some() || known.as_of + WITHDRAWN_LIMIT_KEPT_FOR > now)
         });
     }
 }
@@ -191,7 +190,7 @@
 impl Known {
     fn announced(&self, id: &UpstreamId, now: Timestamp) -> AnnouncedLimit {
         let replica = Incarnation { id: id.clone(), born: self.born };
-        AnnouncedLimit { replica, limit: self.limit, age: now.saturating_sub(self.stated_at) }
+        AnnouncedLimit { replica, limit: self.limit, age: now.saturating_sub(self.as_of) }
     }
 }
 
--- a/lib/tests/limit_windows.rs
+++ b/lib/tests/limit_windows.rs
@@ -6,12 +6,12 @@
 pub const WINDOW_S: f64 = 4.0;
 
 /// Requests that are allowed in a window under a limit.
-pub fn allowed(limit: f64) -> usize {
+pub fn max_allowed(limit: f64) -> usize {
     (limit * 1.5 * WINDOW_S + 5.0) as usize
 }
 
 /// The most of some moments, in their order, that lie within a window.
-pub fn most_within<T: Copy + PartialOrd + Add<Output = T>>(moments: &[T], window: T) -> usize {
-    let until = |end: T| moments.partition_point(|at| *at < end);
-    moments.iter().enumerate().map(|(first, start)| until(*start + window) - first).max().unwrap_or(0)
+pub fn max_within<T: Copy + PartialOrd + Add<Output = T>>(moments: &[T], window: T) -> usize {
+    let count_before = |end: T| moments.partition_point(|at| *at < end);
+    moments.iter().enumerate().map(|(first, start)| count_before(*start + window) - first).max().unwrap_or(0)
 }
--- a/lib/tests/test_gateway_closed_halls.rs
+++ b/lib/tests/test_gateway_closed_halls.rs
@@ -25,11 +25,11 @@
 /// A hall is used by nobody in touch from then on after it was closed.
 const BOUND: Duration = Duration::from_secs(5);
 /// A node that started so long ago is in touch.
-const IN_TOUCH_AFTER: Duration = Duration::from_secs(4);
+const CONNECTED_AFTER: Duration = Duration::from_secs(4);
 /// Time between two glances of a watcher at the most, with the limit on an answer.
-const GLANCE_EVERY: Duration = Duration::from_millis(1_540);
+const POLL_INTERVAL: Duration = Duration::from_millis(1_540);
 /// A glance is up to so old.
-const GLANCE_AGE: Duration = Duration::from_secs(3);
+const MAX_POLL_AGE: Duration = Duration::from_secs(3);
 const WATCHERS: usize = 3;
 
 fn hall(name: &str) -> HallId {
@@ -67,37 +67,37 @@
 
 struct Node {
     started: Duration,
-    knows: ClosedHalls,
+    known: ClosedHalls,
     retelling: Retelling<HallId>,
-    next_glance: Duration,
+    next_poll: Duration,
 }
 
-struct Play {
+struct Fleet {
     rng: SmallRng,
     store: Store,
     nodes: Vec<Node>,
     /// Messages on their way, by when they arrive.
     messages: BTreeMap<(Duration, usize), (usize, ClosedHalls)>,
     sent: usize,
-    loses: f64,
+    loss_rate: f64,
     now: Duration,
 }
 
-impl Play {
-    fn new(nodes: usize, loses: f64, seed: u64) -> Play {
+impl Fleet {
+    fn new(nodes: usize, loss_rate: f64, seed: u64) -> Fleet {
         let node = |_| Node {
             started: Duration::ZERO,
-            knows: ClosedHalls::default(),
+            known: ClosedHalls::default(),
             retelling: Retelling::default(),
-            next_glance: Duration::ZERO,
+            next_poll: Duration::ZERO,
         };
-        Play {
+        Fleet {
             rng: SmallRng::seed_from_u64(seed),
             store: Store { versions: vec![(Duration::ZERO, ClosedHalls { at: 1, halls: BTreeSet::new() })] },
             nodes: (0..nodes).map(node).collect(),
             messages: BTreeMap::new(),
             sent: 0,
-            loses,
+            loss_rate,
             now: Duration::ZERO,
         }
     }
@@ -108,43 +108,43 @@
         self.store.set(name, !is_closed, self.now);
         // Each watcher's watch returns, or its answer is lost.
         for watcher in 0..WATCHERS {
-            if self.rng.random::<f64>() >= self.loses {
+            if self.rng.random::<f64>() >= self.loss_rate {
                 let newest = self.store.newest().clone();
-                self.take(watcher, newest);
+                self.apply(watcher, newest);
             }
         }
     }
 
     /// A node takes a word in, and tells some others if it is news.
-    fn take(&mut self, node: usize, told: ClosedHalls) {
-        let before = self.nodes[node].knows.clone();
-        let changes = self.nodes[node].knows.take(told);
-        let after = &self.nodes[node].knows;
+    fn apply(&mut self, node: usize, update: ClosedHalls) {
+        let before = self.nodes[node].known.clone();
+        let changes = self.nodes[node].known.take(update);
+        let after = &self.nodes[node].known;
         assert!(after.at >= before.at, "it went back");
         for change in &changes {
             let (HallChange::Closed(name) | HallChange::Opened(name)) = change;
             self.nodes[node].retelling.on_news(name.clone());
         }
         if !changes.is_empty() {
-            self.send_to_some(node);
+            self.announce(node);
         }
     }
 
-    fn send_to_some(&mut self, from: usize) {
+    fn announce(&mut self, from: usize) {
         (0..4).for_each(|_| self.send(from));
     }
 
     fn send(&mut self, from: usize) {
-        let knows = self.nodes[from].knows.clone();
+        let known = self.nodes[from].known.clone();
         let copies = 1 + usize::from(self.rng.random::<f64>() < 0.1);
         for _ in 0..copies {
-            if self.rng.random::<f64>() < self.loses {
+            if self.rng.random::<f64>() < self.loss_rate {
                 continue;
             }
             let to = self.rng.random_range(0..self.nodes.len());
-            let late = Duration::from_millis(self.rng.random_range(1..400));
+            let delay = Duration::from_millis(self.rng.random_range(1..400));
             self.sent += 1;
-            self.messages.insert((self.now + late, self.sent), (to, knows.clone()));
+            self.messages.insert((self.now + delay, self.sent), (to, known.clone()));
         }
     }
 
@@ -154,21 +154,21 @@
             if entry.key().0 > self.now {
                 break;
             }
-            let (to, told) = entry.remove();
-            self.take(to, told);
+            let (to, update) = entry.remove();
+            self.apply(to, update);
         }
         for watcher in 0..WATCHERS {
-            if self.nodes[watcher].next_glance <= self.now {
-                self.nodes[watcher].next_glance = self.now + GLANCE_EVERY;
-                let age = GLANCE_AGE.mul_f64(self.rng.random());
+            if self.nodes[watcher].next_poll <= self.now {
+                self.nodes[watcher].next_poll = self.now + POLL_INTERVAL;
+                let age = MAX_POLL_AGE.mul_f64(self.rng.random());
                 let seen = self.store.as_of(self.now.saturating_sub(age)).clone();
-                self.take(watcher, seen);
+                self.apply(watcher, seen);
             }
         }
         for node in 0..self.nodes.len() {
             let now = self.now;
             if !self.nodes[node].retelling.round(now).is_empty() {
-                self.send_to_some(node);
+                self.announce(node);
             }
         }
         // Probes and pulses: two messages a second from each node.
@@ -179,31 +179,31 @@
         }
     }
 
-    fn start_anew(&mut self) {
+    fn restart_node(&mut self) {
         let node = self.rng.random_range(WATCHERS..self.nodes.len());
         self.nodes[node].started = self.now;
-        self.nodes[node].knows = ClosedHalls::default();
+        self.nodes[node].known = ClosedHalls::default();
         self.nodes[node].retelling = Retelling::default();
     }
 
     /// A change of the halls before each pause of so many steps, and a node that starts anew after it: nobody in
     /// touch uses a hall after the bound.
-    fn keeps_to_closed_halls(&mut self, pauses: &[usize]) -> Result<(), TestCaseError> {
+    fn check_closed_halls(&mut self, pauses: &[usize]) -> Result<(), TestCaseError> {
         for pause in pauses {
             self.change();
             for _ in 0..*pause {
                 self.step();
-                let used = self.used_in_spite();
+                let used = self.halls_used_after_bound();
                 prop_assert!(used.is_empty(), "{used:?} at {:?}", self.now);
             }
-            self.start_anew();
+            self.restart_node();
         }
         Ok(())
     }
 
     /// Halls that a node in touch would use in spite of the bound.
-    fn used_in_spite(&self) -> Vec<(usize, &'static str)> {
-        let in_touch = |node: &&(usize, &Node)| self.now >= node.1.started + IN_TOUCH_AFTER;
+    fn halls_used_after_bound(&self) -> Vec<(usize, &'static str)> {
+        let is_connected = |node: &&(usize, &Node)| self.now >= node.1.started + CONNECTED_AFTER;
         let nodes: Vec<(usize, &Node)> = self.nodes.iter().enumerate().collect();
         let overdue = HALLS
             .into_iter()
@@ -211,8 +211,8 @@
         let overdue: Vec<&str> = overdue.collect();
         nodes
             .iter()
-            .filter(in_touch)
-            .flat_map(|(at, node)| overdue.iter().filter(|name| node.knows.is_open(name)).map(|n| (*at, *n)))
+            .filter(is_connected)
+            .flat_map(|(at, node)| overdue.iter().filter(|name| node.known.is_open(name)).map(|n| (*at, *n)))
             .collect()
     }
 }
@@ -223,25 +223,25 @@
     /// In any series of halls closed, opened and closed again, with news that is lost, late and doubled, and
     /// nodes that start: who is in touch uses no hall after the bound, and all know the same in the end.
     #[test]
-    fn test_who_is_in_touch_uses_no_closed_hall(
+    fn test_connected_nodes_use_no_closed_hall(
         nodes in 4..60_usize,
-        loses in 0.0..0.35_f64,
+        loss_rate in 0.0..0.35_f64,
         pauses in proptest::collection::vec(1..400_usize, 1..12),
         seed in any::<u64>(),
     ) {
-        let mut play = Play::new(nodes, loses, seed);
-        play.keeps_to_closed_halls(&pauses)?;
+        let mut fleet = Fleet::new(nodes, loss_rate, seed);
+        fleet.check_closed_halls(&pauses)?;
         for _ in 0..500 {
-            play.step();
+            fleet.step();
         }
-        for node in &play.nodes {
-            prop_assert_eq!(&node.knows, play.store.newest());
+        for node in &fleet.nodes {
+            prop_assert_eq!(&node.known, fleet.store.newest());
         }
     }
 
     /// A watcher's changes may begin before what it knows by now: the last one of each hall counts.
     #[test]
-    fn test_changes_that_are_known_in_part_come_to_the_same(
+    fn test_partly_known_changes_give_the_same_result(
         series in proptest::collection::vec((0..3_usize, any::<bool>()), 1..20),
         known in 0..20_usize,
     ) {
@@ -261,13 +261,13 @@
 /// 34 in 100 messages are lost, none reached it in that time, neither the news, which each node told on once,
 /// nor a message that carries the halls. 13 of 2,000 plays of these changes broke the bound so.
 #[test]
-fn test_news_of_closed_halls_outlast_lost_messages() {
+fn test_announcements_of_closed_halls_outlast_lost_messages() {
     let pauses = [139, 395, 251];
     let recorded = 13_951_568_961_271_417_719;
     let seeds = (0..400).chain([recorded]);
     let broken: Vec<String> = seeds
         .filter_map(|seed| {
-            let kept = Play::new(27, 0.33589591680507574, seed).keeps_to_closed_halls(&pauses);
+            let kept = Fleet::new(27, 0.33589591680507574, seed).check_closed_halls(&pauses);
             kept.err().map(|err| format!("seed {seed}: {err}"))
         })
         .collect();
@@ -275,47 +275,47 @@
 }
 
 #[test]
-fn test_an_older_word_undoes_nothing() {
-    let mut knows = ClosedHalls { at: 7, halls: BTreeSet::from([hall("a")]) };
-    assert_eq!(knows.take(ClosedHalls { at: 6, halls: BTreeSet::new() }), []);
-    assert_eq!(knows.take(ClosedHalls { at: 7, halls: BTreeSet::new() }), []);
-    assert!(!knows.is_open("a"));
-    let changes = knows.take(ClosedHalls { at: 8, halls: BTreeSet::from([hall("b")]) });
+fn test_older_updates_have_no_effect() {
+    let mut known = ClosedHalls { at: 7, halls: BTreeSet::from([hall("a")]) };
+    assert_eq!(known.take(ClosedHalls { at: 6, halls: BTreeSet::new() }), []);
+    assert_eq!(known.take(ClosedHalls { at: 7, halls: BTreeSet::new() }), []);
+    assert!(!known.is_open("a"));
+    let changes = known.take(ClosedHalls { at: 8, halls: BTreeSet::from([hall("b")]) });
     assert_eq!(changes, [HallChange::Closed(hall("b")), HallChange::Opened(hall("a"))]);
 }
 
 #[test]
-fn test_more_halls_than_there_can_be_are_left_out() {
+fn test_excess_halls_are_removed() {
     let halls = (0..MAX_CLOSED_HALLS + 5).map(|n| format!("hall-{n:03}").into()).collect();
-    let mut told = ClosedHalls { at: 1, halls };
-    assert_eq!((told.truncate(), told.halls.len()), (5, MAX_CLOSED_HALLS));
-    assert_eq!(told.truncate(), 0);
+    let mut update = ClosedHalls { at: 1, halls };
+    assert_eq!((update.truncate(), update.halls.len()), (5, MAX_CLOSED_HALLS));
+    assert_eq!(update.truncate(), 0);
 }
 
 /// The operator closes halls again that a copy of the store lacks; until then they stay closed.
 #[test]
-fn test_a_hall_that_a_copy_lacks_stays_closed_for_a_while() {
+fn test_halls_missing_from_a_store_copy_stay_closed_for_a_while() {
     let second = Duration::from_secs(1);
-    let word = |era, number, halls: &[&str]| ClosedHalls {
+    let update = |era, number, halls: &[&str]| ClosedHalls {
         at: revision::in_era(era, number),
         halls: halls.iter().map(|name| hall(name)).collect(),
     };
-    let closed = |book: &mut ClosedHallsTracker, now| {
-        book.in_force(now).halls.iter().map(|hall| hall.to_string()).collect::<Vec<_>>()
+    let closed = |tracker: &mut ClosedHallsTracker, now| {
+        tracker.in_force(now).halls.iter().map(|hall| hall.to_string()).collect::<Vec<_>>()
     };
-    let mut book = ClosedHallsTracker::default();
-    assert!(book.take(word(0, 90, &["a", "b"]), second));
-    assert!(book.take(word(1, 5, &["c"]), 2 * second));
-    assert_eq!(closed(&mut book, 2 * second), ["a", "b", "c"]);
-    assert!(!book.take(word(0, 95, &[]), 2 * second), "a word of the era before");
-    assert!(book.take(word(1, 6, &["a", "c"]), 3 * second), "a is closed again");
-    book.on_opened("b");
-    assert_eq!(closed(&mut book, 3 * second), ["a", "c"]);
-    assert!(book.take(word(1, 7, &["a"]), 4 * second), "c is opened");
-    assert_eq!(closed(&mut book, 4 * second), ["a"]);
-    let mut lost = ClosedHallsTracker::default();
-    lost.take(word(0, 90, &["a"]), second);
-    lost.take(word(1, 5, &[]), 2 * second);
-    assert_eq!(closed(&mut lost, 4 * second), ["a"]);
-    assert_eq!(closed(&mut lost, 5 * second), Vec::<String>::new(), "nobody closed it again");
+    let mut tracker = ClosedHallsTracker::default();
+    assert!(tracker.take(update(0, 90, &["a", "b"]), second));
+    assert!(tracker.take(update(1, 5, &["c"]), 2 * second));
+    assert_eq!(closed(&mut tracker, 2 * second), ["a", "b", "c"]);
+    assert!(!tracker.take(update(0, 95, &[]), 2 * second), "a word of the era before");
+    assert!(tracker.take(update(1, 6, &["a", "c"]), 3 * second), "a is closed again");
+    tracker.on_opened("b");
+    assert_eq!(closed(&mut tracker, 3 * second), ["a", "c"]);
+    assert!(tracker.take(update(1, 7, &["a"]), 4 * second), "c is opened");
+    assert_eq!(closed(&mut tracker, 4 * second), ["a"]);
+    let mut not_renewed = ClosedHallsTracker::default();
+    not_renewed.take(update(0, 90, &["a"]), second);
+    not_renewed.take(update(1, 5, &[]), 2 * second);
+    assert_eq!(closed(&mut not_renewed, 4 * second), ["a"]);
+    assert_eq!(closed(&mut not_renewed, 5 * second), Vec::<String>::new(), "nobody closed it again");
 }
--- a/lib/tests/test_gateway_lead_queue.rs
+++ b/lib/tests/test_gateway_lead_queue.rs
@@ -11,20 +11,20 @@
 use leadstage_lib::gateway::shortage::Shortage;
 
 /// Engines that have so many tokens of memory left together, which all read soon or none.
-struct Left {
+struct ModelEngines {
     tokens: f64,
     reads_soon: bool,
-    asked: usize,
+    attempts: usize,
 }
 
 /// A generation: its name and the memory that it needs.
 type Generation = (&'static str, f64);
 
-impl Engines<Generation> for Left {
+impl Engines<Generation> for ModelEngines {
     type Place = ();
 
     fn choose(&mut self, (_, tokens): &Generation) -> Result<(), Shortage> {
-        self.asked += 1;
+        self.attempts += 1;
         if *tokens > self.tokens {
             return Err(Shortage::Memory);
         }
@@ -44,8 +44,8 @@
     Duration::from_secs(seconds)
 }
 
-fn left(tokens: f64) -> Left {
-    Left { tokens, reads_soon: true, asked: 0 }
+fn engines_with_memory(tokens: f64) -> ModelEngines {
+    ModelEngines { tokens, reads_soon: true, attempts: 0 }
 }
 
 /// A queue in which generations wait for 10 s each that could begin in time for 5 s.
@@ -53,12 +53,15 @@
     let mut queue = LeadQueue::new(policy);
     for (name, tokens) in generations.iter().copied() {
         let terms = QueueTerms { priority: 0, in_time: s(5), may_wait: s(10), tokens };
-        assert!(matches!(queue.ask((name, tokens), &terms, &mut left(0.0), s(0)), QueueReply::Waits));
+        assert!(matches!(
+            queue.ask((name, tokens), &terms, &mut engines_with_memory(0.0), s(0)),
+            QueueReply::Waits
+        ));
     }
     queue
 }
 
-fn given(settled: Vec<Settled<Generation, ()>>) -> Vec<&'static str> {
+fn placed(settled: Vec<Settled<Generation, ()>>) -> Vec<&'static str> {
     settled.into_iter().filter(|settled| settled.outcome.is_ok()).map(|settled| settled.item.0).collect()
 }
 
@@ -66,51 +69,51 @@
 
 /// Memory that would do for a shorter prompt is not kept empty for a longer one, which goes as soon as it fits.
 #[test]
-fn test_shorter_prompts_go_while_the_first_one_does_not_fit() {
+fn test_shorter_prompts_are_placed_while_the_first_does_not_fit() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
-    assert_eq!(given(queue.settle(&mut left(1.2), s(1))), ["short"]);
-    assert_eq!(given(queue.settle(&mut left(5.5), s(2))), ["long", "shorter"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(1.2), s(1))), ["short"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(5.5), s(2))), ["long", "shorter"]);
     assert!(queue.is_empty());
 }
 
 #[test]
-fn test_nobody_is_passed_over_where_that_is_switched_off() {
+fn test_none_are_skipped_where_the_policy_disables_it() {
     let policy = Policy { pass_over: false, ..Policy::default() };
     let mut queue = queue(policy, &LONG_AND_SHORT);
-    assert_eq!(given(queue.settle(&mut left(1.2), s(1))), [""; 0]);
-    assert_eq!(given(queue.settle(&mut left(5.5), s(2))), ["long"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(1.2), s(1))), [""; 0]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(5.5), s(2))), ["long"]);
 }
 
 /// Where no engine reads soon, one look asks once.
 #[test]
-fn test_nobody_is_passed_over_for_reading() {
+fn test_none_are_skipped_for_lack_of_reading_capacity() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
-    let mut engines = Left { tokens: 9.0, reads_soon: false, asked: 0 };
-    assert_eq!(given(queue.settle(&mut engines, s(1))), [""; 0]);
-    assert_eq!((engines.asked, queue.len()), (1, 3));
+    let mut engines = ModelEngines { tokens: 9.0, reads_soon: false, attempts: 0 };
+    assert_eq!(placed(queue.settle(&mut engines, s(1))), [""; 0]);
+    assert_eq!((engines.attempts, queue.len()), (1, 3));
 }
 
 /// A long queue costs a look no more than five choices without a place.
 #[test]
-fn test_few_are_passed_over_in_one_look() {
+fn test_few_are_skipped_in_one_pass() {
     let generations: Vec<Generation> = (0..50).map(|_| ("long", 5.0)).collect();
     let mut queue = queue(Policy::default(), &generations);
-    let mut engines = left(1.0);
-    assert_eq!(given(queue.settle(&mut engines, s(1))), [""; 0]);
-    assert_eq!((engines.asked, queue.len()), (5, 50));
+    let mut engines = engines_with_memory(1.0);
+    assert_eq!(placed(queue.settle(&mut engines, s(1))), [""; 0]);
+    assert_eq!((engines.attempts, queue.len()), (5, 50));
 }
 
 /// Who was passed over keeps its place before those that came later, and is told as others are when it can't
 /// begin any more.
 #[test]
-fn test_who_is_passed_over_keeps_its_place_and_its_end() {
+fn test_skipped_generations_keep_their_place_and_deadline() {
     let mut queue = queue(Policy::default(), &[("first", 5.0), ("second", 5.0), ("short", 1.0)]);
-    assert_eq!(given(queue.settle(&mut left(1.0), s(1))), ["short"]);
-    assert_eq!(given(queue.settle(&mut left(5.0), s(2))), ["first"]);
-    let told = queue.settle(&mut left(0.0), s(10));
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(1.0), s(1))), ["short"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(5.0), s(2))), ["first"]);
+    let refused = queue.settle(&mut engines_with_memory(0.0), s(10));
     assert_eq!(
-        told.iter().map(|settled| (settled.item.0, settled.outcome)).collect::<Vec<_>>(),
+        refused.iter().map(|settled| (settled.item.0, settled.outcome)).collect::<Vec<_>>(),
         [("second", Err(None))]
     );
-    assert_eq!(told[0].waited.memory, s(10));
+    assert_eq!(refused[0].waited.memory, s(10));
 }
--- a/lib/tests/test_gateway_limit_grants.rs
+++ b/lib/tests/test_gateway_limit_grants.rs
@@ -27,15 +27,16 @@
 
 /// Grants of a node that sees six, from `from` to `until`, where somebody asks each 10 ms.
 fn grants_between(grants: &mut LimitGrants, urgency: u8, from: f64, until: f64) -> usize {
-    let asks = (0..).map(|n| from + 0.01 * f64::from(n)).take_while(|at| *at < until);
-    asks.filter(|at| {
-        let may = grants.may_grant(&replica(), LIMIT, urgency, s(*at));
-        if may {
-            grants.on_granted(&replica());
-        }
-        may
-    })
-    .count()
+    let requests = (0..).map(|n| from + 0.01 * f64::from(n)).take_while(|at| *at < until);
+    requests
+        .filter(|at| {
+            let is_granted = grants.may_grant(&replica(), LIMIT, urgency, s(*at));
+            if is_granted {
+                grants.on_granted(&replica());
+            }
+            is_granted
+        })
+        .count()
 }
 
 fn six_nodes() -> LimitGrants {
@@ -47,7 +48,7 @@
 /// Whoever begins to grant has nothing saved up, and after a pause no more than two requests: 4 a second for
 /// 4 s are 13 or 14 with the part that is granted, where 29 are allowed.
 #[test]
-fn test_nothing_is_saved_up_at_the_start_and_little_after_a_pause() {
+fn test_no_grants_are_saved_at_the_start_and_few_after_a_pause() {
     let mut grants = six_nodes();
     assert!(!grants.may_grant(&replica(), LIMIT, 0, s(10.0)));
     let at_start = grants_between(&mut grants, 0, 10.0, 14.0);
@@ -71,8 +72,8 @@
     let mut grants = six_nodes();
     grants_between(&mut grants, 0, 10.0, 20.0);
     grants.set_nodes(2, s(20.0));
-    let behind_cut = grants_between(&mut grants, 0, 20.0, 30.0);
-    assert!((10..=12).contains(&behind_cut), "{behind_cut}");
+    let during_partition = grants_between(&mut grants, 0, 20.0, 30.0);
+    assert!((10..=12).contains(&during_partition), "{during_partition}");
     grants.set_nodes(2, s(41.0));
     let later = grants_between(&mut grants, 0, 41.0, 51.0);
     assert!((32..=35).contains(&later), "{later}");
@@ -82,30 +83,30 @@
 #[test]
 fn test_a_substitute_grants_a_quarter() {
     let mut grants = six_nodes();
-    let ask = |n: u32| {
+    let request = |n: u32| {
         let at = s(10.0 + 0.01 * f64::from(n));
         grants.request(&replica(), LIMIT, GranterRole::Substitute, 0, at).granted
     };
-    let given = (0..2_000).map(ask).filter(|granted| *granted).count();
-    assert!((15..=17).contains(&given), "{given}");
+    let granted = (0..2_000).map(request).filter(|granted| *granted).count();
+    assert!((15..=17).contains(&granted), "{granted}");
 }
 
 /// While urgent calls take all that the limit allows, others get nothing; as soon as they don't, others do.
 #[test]
 fn test_urgent_requests_go_first() {
     let mut grants = six_nodes();
-    let mut given = [0, 0];
+    let mut granted = [0, 0];
     for n in 0..1_000 {
         let at = s(10.0 + 0.01 * f64::from(n));
-        for (urgency, given) in [4, 0].into_iter().zip(&mut given) {
+        for (urgency, granted) in [4, 0].into_iter().zip(&mut granted) {
             if grants.may_grant(&replica(), LIMIT, urgency, at) {
                 grants.on_granted(&replica());
-                *given += 1;
+                *granted += 1;
             }
         }
     }
-    assert_eq!(given[0], 0);
-    assert!(given[1] >= 30, "{given:?}");
+    assert_eq!(granted[0], 0);
+    assert!(granted[1] >= 30, "{granted:?}");
     assert!(grants_between(&mut grants, 9, 20.0, 30.0) >= 30);
 }
 
@@ -113,66 +114,66 @@
 #[test]
 fn test_a_limit_of_zero_lets_one_request_through_now_and_then() {
     let mut grants = six_nodes();
-    let mut given = 0;
+    let mut granted = 0;
     for n in 0..4_000 {
         if grants.may_grant(&replica(), 0.0, 0, s(10.0 + 0.01 * f64::from(n))) {
             grants.on_granted(&replica());
-            given += 1;
+            granted += 1;
         }
     }
-    assert!((7..=8).contains(&given), "{given}");
+    assert!((7..=8).contains(&granted), "{granted}");
 }
 
 /// Who is refused may ask again when a grant will be there, and not before.
 #[test]
-fn test_who_is_refused_asks_again_when_there_is_a_grant() {
+fn test_refused_nodes_request_again_when_a_grant_is_available() {
     let mut grants = six_nodes();
-    let mut ask =
+    let mut request =
         |urgency: u8, at: f64| grants.request(&replica(), LIMIT, GranterRole::Primary, urgency, s(at));
-    let refused = ask(4, 10.0);
+    let refused = request(4, 10.0);
     let saved_up_after = 1.4 / (LIMIT * GRANTED_FRACTION);
     assert!(!refused.granted);
     assert!((refused.ask_again_after.as_secs_f64() - saved_up_after).abs() < 1e-6, "{refused:?}");
-    assert!(!ask(4, 10.0 + saved_up_after - 0.001).granted);
-    assert!(ask(4, 10.0 + saved_up_after + 0.001).granted);
+    assert!(!request(4, 10.0 + saved_up_after - 0.001).granted);
+    assert!(request(4, 10.0 + saved_up_after + 0.001).granted);
 }
 
 /// All nodes that ask make some three asks for each grant together, however many they are and however many
 /// of them have few calls.
 #[test]
-fn test_pauses_grow_with_the_nodes_that_ask() {
-    const LASTS_S: f64 = 60.0;
+fn test_pauses_grow_with_the_number_of_requesting_nodes() {
+    const DURATION_S: f64 = 60.0;
     /// Time between two calls of a node with few.
-    const FEW_APART_S: f64 = 5.0;
+    const MEAN_CALL_INTERVAL_S: f64 = 5.0;
     for (nodes, with_few) in [(30, 0), (30, 20), (100, 0), (100, 70)] {
         let (mut grants, mut rng) = (six_nodes(), StdRng::seed_from_u64(1));
-        let mut may_ask_at: Vec<f64> = (0..nodes).map(|node| 10.0 + f64::from(node) * 0.01).collect();
-        let (mut asks, mut granted, mut now) = (0, 0, 10.0);
-        while now < 10.0 + LASTS_S {
-            for (node, at) in may_ask_at.iter_mut().enumerate().filter(|(_, at)| **at <= now) {
+        let mut may_request_at: Vec<f64> = (0..nodes).map(|node| 10.0 + f64::from(node) * 0.01).collect();
+        let (mut requests, mut granted, mut now) = (0, 0, 10.0);
+        while now < 10.0 + DURATION_S {
+            for (node, at) in may_request_at.iter_mut().enumerate().filter(|(_, at)| **at <= now) {
                 let grant = grants.request(&replica(), LIMIT, GranterRole::Primary, 0, s(now));
                 let pause = grant.ask_again_after.as_secs_f64();
-                let few_apart = 2.0 * FEW_APART_S * rng.random::<f64>();
-                *at = now + if node < with_few { pause.max(few_apart) } else { pause };
-                asks += 1;
+                let call_interval = 2.0 * MEAN_CALL_INTERVAL_S * rng.random::<f64>();
+                *at = now + if node < with_few { pause.max(call_interval) } else { pause };
+                requests += 1;
                 granted += i32::from(grant.granted);
             }
             now += 0.01;
         }
-        let asks_per_grant = f64::from(asks) / f64::from(granted);
-        assert!((2.0..=4.0).contains(&asks_per_grant), "{nodes} {with_few}: {asks} {granted}");
-        let part = f64::from(granted) / (LIMIT * GRANTED_FRACTION * LASTS_S);
-        assert!(part >= 0.9, "{nodes} {with_few}: {granted}");
+        let requests_per_grant = f64::from(requests) / f64::from(granted);
+        assert!((2.0..=4.0).contains(&requests_per_grant), "{nodes} {with_few}: {requests} {granted}");
+        let fraction = f64::from(granted) / (LIMIT * GRANTED_FRACTION * DURATION_S);
+        assert!(fraction >= 0.9, "{nodes} {with_few}: {granted}");
     }
 }
 
 /// Permits come as often as the shares say, and not all at once after a pause.
 #[test]
-fn test_permits_are_not_saved_up() {
+fn test_permits_do_not_accumulate() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut nodes: Vec<LimitPermits> = (0..60).map(|_| LimitPermits::default()).collect();
     nodes.iter_mut().for_each(|node| node.set_nodes(60));
-    let mut used_in = |nodes: &mut Vec<LimitPermits>, from: f64, until: f64| {
+    let mut count_used = |nodes: &mut Vec<LimitPermits>, from: f64, until: f64| {
         let mut used = 0;
         let mut at = from;
         while at < until {
@@ -186,32 +187,32 @@
         }
         used
     };
-    let steady = used_in(&mut nodes, 10.0, 110.0);
+    let steady = count_used(&mut nodes, 10.0, 110.0);
     assert!((25..=55).contains(&steady), "a tenth of 4 a second for 100 s, {steady}");
-    let after_pause = used_in(&mut nodes, 1_000.0, 1_000.1);
+    let after_pause = count_used(&mut nodes, 1_000.0, 1_000.1);
     assert!(after_pause <= 3, "{after_pause}");
 }
 
 /// Callers that are refused come back one after the other, and none later than in 5 s.
 #[test]
-fn test_callers_come_back_one_after_the_other() {
-    let mut book = ReplicaRateLimiter::default();
+fn test_refused_callers_retry_one_after_the_other() {
+    let mut limiter = ReplicaRateLimiter::default();
     let service = "booking".into();
-    let mut after = || book.next_retry_delay(&service, 6.0, 3, s(10.0)).as_secs_f64();
-    let times: Vec<f64> = (0..12).map(|_| after()).collect();
+    let mut next_delay = || limiter.next_retry_delay(&service, 6.0, 3, s(10.0)).as_secs_f64();
+    let times: Vec<f64> = (0..12).map(|_| next_delay()).collect();
     for (n, time) in times.iter().enumerate().take(8) {
         let expected = (n + 1) as f64 * 3.0 / (6.0 * 0.85);
         assert!((time - expected).abs() < 1e-6, "{times:?}");
     }
     assert!(times.iter().all(|time| *time <= 5.0), "{times:?}");
-    assert_eq!(book.next_retry_delay(&service, 0.0, 3, s(100.0)), s(5.0));
+    assert_eq!(limiter.next_retry_delay(&service, 0.0, 3, s(100.0)), s(5.0));
 }
 
 #[test]
 fn test_replicas_without_a_limit_need_no_grant() {
-    let mut book = ReplicaRateLimiter::default();
+    let mut limiter = ReplicaRateLimiter::default();
     let mut rng = StdRng::seed_from_u64(1);
-    assert!(book.allows(&replica(), Giver::Node, s(0.0), &mut rng));
-    assert!(!book.may_request(&replica(), s(10.0), &mut rng));
-    assert!(book.grant(&replica(), GranterRole::Primary, 0, s(0.0)).granted);
+    assert!(limiter.allows(&replica(), Giver::Node, s(0.0), &mut rng));
+    assert!(!limiter.may_request(&replica(), s(10.0), &mut rng));
+    assert!(limiter.grant(&replica(), GranterRole::Primary, 0, s(0.0)).granted);
 }
--- a/lib/tests/test_gateway_limit_model.rs
+++ b/lib/tests/test_gateway_limit_model.rs
@@ -23,23 +23,23 @@
 
 use crate::limit_windows;
 
-const LASTS_S: f64 = 60.0;
+const DURATION_S: f64 = 60.0;
 /// Calls begin to come.
-const BEGINS_S: f64 = 5.0;
+const CALLS_BEGIN_S: f64 = 5.0;
 /// From here on the limit binds, and its use is counted.
-const BINDS_S: f64 = 8.0;
+const LIMIT_APPLIES_S: f64 = 8.0;
 /// Requests that may be saved up while no calls come.
-const SAVED_UP_IN_PAUSE: f64 = 2.0;
+const MAX_SAVED_IN_PAUSE: f64 = 2.0;
 const SEEDS: u64 = 5;
 /// Time on the way to the replica, a new connection at the worst.
-const WAY_S: f64 = 0.25;
+const MAX_TRANSIT_S: f64 = 0.25;
 /// Time between two looks of a node at its fleet.
-const LOOKS_AT_FLEET_S: f64 = 0.5;
+const FLEET_CHECK_INTERVAL_S: f64 = 0.5;
 /// When something happens to whoever grants, and for how long nodes don't know.
-const TROUBLE_S: f64 = 20.0;
-const UNNOTICED_S: f64 = 4.0;
+const FAULT_BEGINS_S: f64 = 20.0;
+const FAULT_UNNOTICED_S: f64 = 4.0;
 /// When the trouble ends.
-const TROUBLE_ENDS_S: f64 = 35.0;
+const FAULT_ENDS_S: f64 = 35.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Case {
@@ -64,77 +64,89 @@
 
 /// Who is asked for a grant.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct GrantTarget {
     granter: usize,
     role: GranterRole,
 }
 
 /// How a fleet decides which calls go to the replica.
-trait Way {
+trait Method {
     /// A fleet of so many nodes.
     fn new(nodes: usize, limit: f64) -> Self;
     /// Nodes see another fleet; `seen` is how many each of them sees.
-    fn on_fleet(&mut self, seen: impl Fn(usize) -> usize, now: Timestamp);
+    fn on_fleet_change(&mut self, seen: impl Fn(usize) -> usize, now: Timestamp);
     /// Whether a call at a node goes to the replica; whoever grants is none if it does not answer.
-    fn takes(&mut self, node: usize, granter: Option<Asked>, now: Timestamp, rng: &mut StdRng) -> bool;
+    fn sends_to_replica(
+        &mut self,
+        node: usize,
+        granter: Option<GrantTarget>,
+        now: Timestamp,
+        rng: &mut StdRng,
+    ) -> bool;
     /// Whoever grants answers a question of a node too late, if that may ask.
-    fn is_asked_in_vain(&mut self, node: usize, granter: usize, now: Timestamp, rng: &mut StdRng);
+    fn on_late_answer(&mut self, node: usize, granter: usize, now: Timestamp, rng: &mut StdRng);
     /// Messages so far.
     fn messages(&self) -> u64;
 }
 
 /// One node grants each call.
 struct Grants {
-    books: Vec<ReplicaRateLimiter>,
+    limiters: Vec<ReplicaRateLimiter>,
     replica: UpstreamId,
     messages: u64,
 }
 
-impl Way for Grants {
+impl Method for Grants {
     fn new(nodes: usize, limit: f64) -> Self {
         let of = Incarnation { id: "r".into(), born: 1 };
-        let book = |_| {
-            let mut book = ReplicaRateLimiter::default();
+        let limiter = |_| {
+            let mut limiter = ReplicaRateLimiter::default();
             let times = ResponseTimes { sent: Duration::ZERO, received: Duration::ZERO };
-            book.limits.on_answer(&of, LimitReport::Named(limit), times);
-            book.set_nodes(nodes, Duration::ZERO);
-            book
+            limiter.limits.on_answer(&of, LimitReport::Named(limit), times);
+            limiter.set_nodes(nodes, Duration::ZERO);
+            limiter
         };
-        Grants { books: (0..nodes).map(book).collect(), replica: of.id.clone(), messages: 0 }
+        Grants { limiters: (0..nodes).map(limiter).collect(), replica: of.id.clone(), messages: 0 }
     }
 
-    fn on_fleet(&mut self, seen: impl Fn(usize) -> usize, now: Timestamp) {
-        for (node, book) in self.books.iter_mut().enumerate() {
-            book.set_nodes(seen(node), now);
+    fn on_fleet_change(&mut self, seen: impl Fn(usize) -> usize, now: Timestamp) {
+        for (node, limiter) in self.limiters.iter_mut().enumerate() {
+            limiter.set_nodes(seen(node), now);
         }
     }
 
-    fn takes(&mut self, node: usize, granter: Option<Asked>, now: Timestamp, rng: &mut StdRng) -> bool {
-        if self.books[node].may_request(&self.replica, now, rng) {
-            self.books[node].on_requested(&self.replica, now);
+    fn sends_to_replica(
+        &mut self,
+        node: usize,
+        granter: Option<GrantTarget>,
+        now: Timestamp,
+        rng: &mut StdRng,
+    ) -> bool {
+        if self.limiters[node].may_request(&self.replica, now, rng) {
+            self.limiters[node].on_requested(&self.replica, now);
             self.messages += 1;
-            if let Some(Asked { granter, role }) = granter {
-                let grant = self.books[granter].grant(&self.replica, role, 0, now);
-                self.books[node].on_answer(&self.replica, grant.ask_again_after, now);
+            if let Some(GrantTarget { granter, role }) = granter {
+                let grant = self.limiters[granter].grant(&self.replica, role, 0, now);
+                self.limiters[node].on_answer(&self.replica, grant.ask_again_after, now);
                 self.messages += 1;
                 if grant.granted {
                     return true;
                 }
             }
         }
-        let book = &mut self.books[node];
-        let may = book.allows(&self.replica, Giver::Node, now, rng);
-        if may {
-            book.on_assigned(&self.replica, Giver::Node, now, rng);
+        let limiter = &mut self.limiters[node];
+        let may_send = limiter.allows(&self.replica, Giver::Node, now, rng);
+        if may_send {
+            limiter.on_assigned(&self.replica, Giver::Node, now, rng);
         }
-        may
+        may_send
     }
 
-    fn is_asked_in_vain(&mut self, node: usize, granter: usize, now: Timestamp, rng: &mut StdRng) {
-        if !self.books[node].may_request(&self.replica, now, rng) {
+    fn on_late_answer(&mut self, node: usize, granter: usize, now: Timestamp, rng: &mut StdRng) {
+        if !self.limiters[node].may_request(&self.replica, now, rng) {
             return;
         }
-        self.books[granter].grant(&self.replica, GranterRole::Primary, 0, now);
+        self.limiters[granter].grant(&self.replica, GranterRole::Primary, 0, now);
     }
 
     fn messages(&self) -> u64 {
@@ -149,26 +161,32 @@
     saved: Vec<(f64, Timestamp)>,
 }
 
-impl Way for Shares {
+impl Method for Shares {
     fn new(nodes: usize, limit: f64) -> Self {
         Shares { limit, seen: vec![nodes; nodes], saved: vec![(0.0, Duration::ZERO); nodes] }
     }
 
-    fn on_fleet(&mut self, seen: impl Fn(usize) -> usize, _now: Timestamp) {
+    fn on_fleet_change(&mut self, seen: impl Fn(usize) -> usize, _now: Timestamp) {
         self.seen.iter_mut().enumerate().for_each(|(node, count)| *count = seen(node));
     }
 
-    fn takes(&mut self, node: usize, _granter: Option<Asked>, now: Timestamp, _rng: &mut StdRng) -> bool {
+    fn sends_to_replica(
+        &mut self,
+        node: usize,
+        _granter: Option<GrantTarget>,
+        now: Timestamp,
+        _rng: &mut StdRng,
+    ) -> bool {
         let rate = self.limit / self.seen[node] as f64;
         let (saved, at) = &mut self.saved[node];
         *saved = (*saved + (now - *at).as_secs_f64() * rate).min(1.0);
         *at = now;
-        let may = *saved >= 1.0;
-        *saved -= f64::from(u8::from(may));
-        may
+        let may_send = *saved >= 1.0;
+        *saved -= f64::from(u8::from(may_send));
+        may_send
     }
 
-    fn is_asked_in_vain(&mut self, _node: usize, _granter: usize, _now: Timestamp, _rng: &mut StdRng) {}
+    fn on_late_answer(&mut self, _node: usize, _granter: usize, _now: Timestamp, _rng: &mut StdRng) {}
 
     fn messages(&self) -> u64 {
         0
@@ -176,60 +194,60 @@
 }
 
 #[derive(Debug, Default)]
-struct Played {
+struct Figures {
     /// The most requests in a window, against what is allowed.
-    most: f64,
+    peak_ratio: f64,
     /// Part of what was named that was used.
     used: f64,
     /// The same, where what a pause leaves saved up counts as named too.
-    used_of_saved: f64,
+    used_with_saved: f64,
     /// Messages a second.
     messages: f64,
 }
 
-fn play<W: Way>(case: Case, nodes: usize, limit: f64, seed: u64) -> Played {
+fn run<W: Method>(case: Case, nodes: usize, limit: f64, seed: u64) -> Figures {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut way = W::new(nodes, limit);
-    let (mut arrivals, mut now, mut looks_at) = (Vec::new(), BEGINS_S, BEGINS_S);
+    let mut method = W::new(nodes, limit);
+    let (mut arrivals, mut now, mut next_check) = (Vec::new(), CALLS_BEGIN_S, CALLS_BEGIN_S);
     let calls_per_second = (10.0 * limit).max(2.0);
-    while now < LASTS_S {
+    while now < DURATION_S {
         now += exponential(1.0 / calls_per_second, &mut rng);
-        let is_troubled = (TROUBLE_S..TROUBLE_ENDS_S).contains(&now);
-        let is_noticed = is_troubled && now >= TROUBLE_S + UNNOTICED_S;
-        if now >= looks_at {
-            looks_at = now + LOOKS_AT_FLEET_S;
-            way.on_fleet(|node| seen(case, nodes, node, is_noticed), Duration::from_secs_f64(now));
+        let is_faulty = (FAULT_BEGINS_S..FAULT_ENDS_S).contains(&now);
+        let is_noticed = is_faulty && now >= FAULT_BEGINS_S + FAULT_UNNOTICED_S;
+        if now >= next_check {
+            next_check = now + FLEET_CHECK_INTERVAL_S;
+            method.on_fleet_change(|node| seen(case, nodes, node, is_noticed), Duration::from_secs_f64(now));
         }
-        if case == Case::Pause && is_troubled {
+        if case == Case::Pause && is_faulty {
             continue;
         }
-        let is_busy_one = case == Case::Uneven && rng.random_bool(0.7);
-        let mut node = if is_busy_one { nodes - 1 } else { rng.random_range(0..nodes) };
-        if case == Case::Lost && is_troubled && node == 0 {
+        let goes_to_busy_node = case == Case::Uneven && rng.random_bool(0.7);
+        let mut node = if goes_to_busy_node { nodes - 1 } else { rng.random_range(0..nodes) };
+        if case == Case::Lost && is_faulty && node == 0 {
             node = 1;
         }
-        let granter = granter(case, nodes, node, is_troubled, is_noticed);
+        let granter = granter(case, nodes, node, is_faulty, is_noticed);
         let granter = granter.filter(|_| case != Case::Lossy || rng.random_bool(0.49));
-        let mut granter = granter.map(|granter| Asked { granter, role: GranterRole::Primary });
+        let mut granter = granter.map(|granter| GrantTarget { granter, role: GranterRole::Primary });
         if case == Case::Slow && rng.random_bool(0.5) {
-            way.is_asked_in_vain(node, 0, Duration::from_secs_f64(now), &mut rng);
-            granter = Some(Asked { granter: 1, role: GranterRole::Substitute });
+            method.on_late_answer(node, 0, Duration::from_secs_f64(now), &mut rng);
+            granter = Some(GrantTarget { granter: 1, role: GranterRole::Substitute });
         }
-        if way.takes(node, granter, Duration::from_secs_f64(now), &mut rng) {
-            arrivals.push(now + rng.random::<f64>() * WAY_S);
+        if method.sends_to_replica(node, granter, Duration::from_secs_f64(now), &mut rng) {
+            arrivals.push(now + rng.random::<f64>() * MAX_TRANSIT_S);
         }
     }
-    arrivals.retain(|at| *at >= BINDS_S);
+    arrivals.retain(|at| *at >= LIMIT_APPLIES_S);
     arrivals.sort_by(f64::total_cmp);
-    let most = limit_windows::most_within(&arrivals, limit_windows::WINDOW_S);
-    let saved_up = if case == Case::Pause { SAVED_UP_IN_PAUSE } else { 0.0 };
-    let idle = if case == Case::Pause { TROUBLE_ENDS_S - TROUBLE_S } else { 0.0 };
-    let named = limit * (LASTS_S - BINDS_S - idle);
-    Played {
-        most: most as f64 / limit_windows::allowed(limit) as f64,
-        used: arrivals.len() as f64 / named,
-        used_of_saved: arrivals.len() as f64 / (named + saved_up),
-        messages: way.messages() as f64 / (LASTS_S - BEGINS_S),
+    let most = limit_windows::max_within(&arrivals, limit_windows::WINDOW_S);
+    let saved_in_pause = if case == Case::Pause { MAX_SAVED_IN_PAUSE } else { 0.0 };
+    let idle = if case == Case::Pause { FAULT_ENDS_S - FAULT_BEGINS_S } else { 0.0 };
+    let allowance = limit * (DURATION_S - LIMIT_APPLIES_S - idle);
+    Figures {
+        peak_ratio: most as f64 / limit_windows::max_allowed(limit) as f64,
+        used: arrivals.len() as f64 / allowance,
+        used_with_saved: arrivals.len() as f64 / (allowance + saved_in_pause),
+        messages: method.messages() as f64 / (DURATION_S - CALLS_BEGIN_S),
     }
 }
 
@@ -245,13 +263,13 @@
 }
 
 /// Who grants to a node: the first one, unless it is gone or behind the cut.
-fn granter(case: Case, nodes: usize, node: usize, is_troubled: bool, is_noticed: bool) -> Option<usize> {
-    let is_away = match case {
-        Case::Lost => is_troubled,
-        Case::Cut => is_troubled && node >= nodes / 3,
+fn granter(case: Case, nodes: usize, node: usize, is_faulty: bool, is_noticed: bool) -> Option<usize> {
+    let is_unreachable = match case {
+        Case::Lost => is_faulty,
+        Case::Cut => is_faulty && node >= nodes / 3,
         _ => false,
     };
-    match (is_away, is_noticed) {
+    match (is_unreachable, is_noticed) {
         (false, _) => Some(0),
         (true, false) => None,
         (true, true) => Some(nodes - 1),
@@ -263,14 +281,14 @@
 }
 
 /// The worst of the seeds for windows, the mean for the rest.
-fn play_seeds<W: Way>(case: Case, nodes: usize, limit: f64) -> Played {
-    let plays: Vec<Played> = (0..SEEDS).map(|seed| play::<W>(case, nodes, limit, seed)).collect();
-    let mean = |of: fn(&Played) -> f64| plays.iter().map(of).sum::<f64>() / plays.len() as f64;
-    Played {
-        most: plays.iter().map(|played| played.most).fold(0.0, f64::max),
-        used: mean(|played| played.used),
-        used_of_saved: mean(|played| played.used_of_saved),
-        messages: mean(|played| played.messages),
+fn run_seeds<W: Method>(case: Case, nodes: usize, limit: f64) -> Figures {
+    let runs: Vec<Figures> = (0..SEEDS).map(|seed| run::<W>(case, nodes, limit, seed)).collect();
+    let mean = |of: fn(&Figures) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
+    Figures {
+        peak_ratio: runs.iter().map(|figures| figures.peak_ratio).fold(0.0, f64::max),
+        used: mean(|figures| figures.used),
+        used_with_saved: mean(|figures| figures.used_with_saved),
+        messages: mean(|figures| figures.messages),
     }
 }
 
@@ -281,26 +299,26 @@
     for nodes in [6, 66, 410] {
         for limit in [0.4, 3.1, 30.0] {
             for case in CASES {
-                let shares = play_seeds::<Shares>(case, nodes, limit);
-                let grants = play_seeds::<Grants>(case, nodes, limit);
+                let shares = run_seeds::<Shares>(case, nodes, limit);
+                let grants = run_seeds::<Grants>(case, nodes, limit);
                 writeln!(
                     table,
                     "{nodes:5} {limit:5} {:7} {:12.2} {:4.2} {:13.2} {:4.2} {:10.1}",
                     format!("{case:?}"),
-                    shares.most,
+                    shares.peak_ratio,
                     shares.used,
-                    grants.most,
+                    grants.peak_ratio,
                     grants.used,
                     grants.messages
                 )
                 .expect("a string takes it");
-                assert!(grants.most <= 1.0, "{nodes} nodes, limit {limit}, {case:?}: {grants:?}");
+                assert!(grants.peak_ratio <= 1.0, "{nodes} nodes, limit {limit}, {case:?}: {grants:?}");
                 let is_steady = matches!(case, Case::Even | Case::Uneven | Case::Pause);
                 assert!(
                     !is_steady || grants.used >= 0.75,
                     "{nodes} nodes, limit {limit}, {case:?}: {grants:?}"
                 );
-                assert!(grants.used_of_saved <= 1.0, "{nodes} nodes, limit {limit}, {case:?}: {grants:?}");
+                assert!(grants.used_with_saved <= 1.0, "{nodes} nodes, limit {limit}, {case:?}: {grants:?}");
             }
         }
     }
--- a/lib/tests/test_gateway_limit_regular_calls.rs
+++ b/lib/tests/test_gateway_limit_regular_calls.rs
@@ -31,11 +31,11 @@
 /// The node that grants for both replicas.
 const GRANTER: usize = 1;
 /// Nodes grant nothing in their first 2 s.
-const BEGINS: Duration = Duration::from_secs(5);
-const LASTS: Duration = Duration::from_secs(8);
+const CALLS_BEGIN: Duration = Duration::from_secs(5);
+const DURATION: Duration = Duration::from_secs(8);
 /// Calls of a regular load come as late as this.
-const LATE_BY_S: f64 = 0.003;
-const LEAST_USED: f64 = 0.75;
+const MAX_DELAY_S: f64 = 0.003;
+const MIN_USED_FRACTION: f64 = 0.75;
 const SEEDS: u64 = 400;
 const URGENCIES: [u8; 3] = [0, 4, 9];
 
@@ -44,14 +44,14 @@
 }
 
 /// Knows both limits and all nodes.
-fn book() -> ReplicaRateLimiter {
-    let mut book = ReplicaRateLimiter::default();
+fn limiter() -> ReplicaRateLimiter {
+    let mut limiter = ReplicaRateLimiter::default();
     let times = ResponseTimes { sent: Duration::ZERO, received: Duration::ZERO };
     for (n, limit) in LIMITS.into_iter().enumerate() {
-        book.limits.on_answer(&Incarnation { id: replica(n), born: 1 }, LimitReport::Named(limit), times);
+        limiter.limits.on_answer(&Incarnation { id: replica(n), born: 1 }, LimitReport::Named(limit), times);
     }
-    book.set_nodes(CALLS_PER_SECOND.len(), Duration::ZERO);
-    book
+    limiter.set_nodes(CALLS_PER_SECOND.len(), Duration::ZERO);
+    limiter
 }
 
 /// The calls of a regular load: when, and at which node.
@@ -59,9 +59,9 @@
     let mut calls = Vec::new();
     for (node, rate) in CALLS_PER_SECOND.into_iter().enumerate() {
         let phase: f64 = rng.random();
-        for n in 0..(LASTS.as_secs_f64() * rate) as u32 {
-            let at = (f64::from(n) + phase) / rate + rng.random::<f64>() * LATE_BY_S;
-            calls.push((BEGINS + Duration::from_secs_f64(at), node));
+        for n in 0..(DURATION.as_secs_f64() * rate) as u32 {
+            let at = (f64::from(n) + phase) / rate + rng.random::<f64>() * MAX_DELAY_S;
+            calls.push((CALLS_BEGIN + Duration::from_secs_f64(at), node));
         }
     }
     calls.sort();
@@ -71,17 +71,17 @@
 /// When each replica gets a request. A call asks for one replica; what gets no grant goes elsewhere.
 fn granted(urgency: u8, seed: u64) -> [Vec<Duration>; LIMITS.len()] {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut books = CALLS_PER_SECOND.map(|_| book());
+    let mut limiters = CALLS_PER_SECOND.map(|_| limiter());
     let mut granted = LIMITS.map(|_| Vec::new());
     for (now, node) in calls(&mut rng) {
-        let mut asked: Vec<usize> = (0..LIMITS.len()).collect();
-        asked.retain(|n| books[node].may_request(&replica(*n), now, &mut rng));
-        let Some(n) = asked.choose(&mut rng).copied() else {
+        let mut candidates: Vec<usize> = (0..LIMITS.len()).collect();
+        candidates.retain(|n| limiters[node].may_request(&replica(*n), now, &mut rng));
+        let Some(n) = candidates.choose(&mut rng).copied() else {
             continue;
         };
-        books[node].on_requested(&replica(n), now);
-        let grant = books[GRANTER].grant(&replica(n), GranterRole::Primary, urgency, now);
-        books[node].on_answer(&replica(n), grant.ask_again_after, now);
+        limiters[node].on_requested(&replica(n), now);
+        let grant = limiters[GRANTER].grant(&replica(n), GranterRole::Primary, urgency, now);
+        limiters[node].on_answer(&replica(n), grant.ask_again_after, now);
         if grant.granted {
             granted[n].push(now);
         }
@@ -95,18 +95,21 @@
     let window = Duration::from_secs_f64(limit_windows::WINDOW_S);
     let mut table = String::from("urgency limit  used: least mean  most in 4 s allowed\n");
     for urgency in URGENCIES {
-        let plays: Vec<_> = (0..SEEDS).map(|seed| granted(urgency, seed)).collect();
+        let runs: Vec<_> = (0..SEEDS).map(|seed| granted(urgency, seed)).collect();
         for (n, limit) in LIMITS.into_iter().enumerate() {
-            let used = plays.iter().map(|play| play[n].len() as f64 / (limit * LASTS.as_secs_f64()));
-            let least = used.clone().fold(f64::MAX, f64::min);
+            let used = runs.iter().map(|run| run[n].len() as f64 / (limit * DURATION.as_secs_f64()));
+            let min_used = used.clone().fold(f64::MAX, f64::min);
             let mean = used.sum::<f64>() / SEEDS as f64;
-            let most =
-                plays.iter().map(|play| limit_windows::most_within(&play[n], window)).max().unwrap_or(0);
-            let allowed = limit_windows::allowed(limit);
-            writeln!(table, "{urgency:7} {limit:5} {least:12.2} {mean:4.2} {most:12} {allowed:7}")
-                .expect("a string takes it");
-            assert!(most <= allowed, "{table}");
-            assert!(least >= LEAST_USED, "{table}");
+            let max_in_window =
+                runs.iter().map(|run| limit_windows::max_within(&run[n], window)).max().unwrap_or(0);
+            let allowed = limit_windows::max_allowed(limit);
+            writeln!(
+                table,
+                "{urgency:7} {limit:5} {min_used:12.2} {mean:4.2} {max_in_window:12} {allowed:7}"
+            )
+            .expect("a string takes it");
+            assert!(max_in_window <= allowed, "{table}");
+            assert!(min_used >= MIN_USED_FRACTION, "{table}");
         }
     }
     insta::assert_snapshot!(table);
--- a/lib/tests/test_gateway_low_limit.rs
+++ b/lib/tests/test_gateway_low_limit.rs
@@ -28,11 +28,11 @@
 /// When the replica names its limit.
 const NAMED_AT: Duration = Duration::from_secs(20);
 /// A replica in need is left to others for so long.
-const BINDS_AFTER: Duration = Duration::from_secs(3);
-const LASTS: Duration = Duration::from_secs(32);
+const AVOIDED_FOR: Duration = Duration::from_secs(3);
+const DURATION: Duration = Duration::from_secs(32);
 /// The first call that asks comes so long after the limit binds, from and until.
-const FIRST_ASK_S: (f64, f64) = (0.5, 0.75);
-const LEAST_USED: f64 = 0.75;
+const FIRST_REQUEST_S: (f64, f64) = (0.5, 0.75);
+const MIN_USED_FRACTION: f64 = 0.75;
 const SEEDS: u64 = 500;
 
 fn replica() -> UpstreamId {
@@ -43,35 +43,35 @@
     Duration::from_secs_f64(s)
 }
 
-fn book() -> ReplicaRateLimiter {
-    let mut book = ReplicaRateLimiter::default();
+fn limiter() -> ReplicaRateLimiter {
+    let mut limiter = ReplicaRateLimiter::default();
     let times = ResponseTimes { sent: NAMED_AT, received: NAMED_AT };
-    book.limits.on_answer(&Incarnation { id: replica(), born: 1 }, LimitReport::Named(LIMIT), times);
-    book.set_nodes(NODES, Duration::ZERO);
-    book
+    limiter.limits.on_answer(&Incarnation { id: replica(), born: 1 }, LimitReport::Named(LIMIT), times);
+    limiter.set_nodes(NODES, Duration::ZERO);
+    limiter
 }
 
 /// When the replica gets a request. Each call that may ask does.
 fn granted(seed: u64) -> Vec<Duration> {
     let rng = &mut StdRng::seed_from_u64(seed);
-    let mut books: Vec<ReplicaRateLimiter> = (0..NODES).map(|_| book()).collect();
-    let binds = NAMED_AT + BINDS_AFTER;
+    let mut limiters: Vec<ReplicaRateLimiter> = (0..NODES).map(|_| limiter()).collect();
+    let takes_effect = NAMED_AT + AVOIDED_FOR;
     let mut calls: Vec<(Duration, usize)> = Vec::new();
     for node in 0..NODES {
-        let first = rng.random_range(FIRST_ASK_S.0..FIRST_ASK_S.1);
-        let count = (LASTS.as_secs_f64() * CALLS_PER_SECOND) as u32;
-        calls.extend((0..count).map(|n| (binds + s(first + f64::from(n) / CALLS_PER_SECOND), node)));
+        let first = rng.random_range(FIRST_REQUEST_S.0..FIRST_REQUEST_S.1);
+        let count = (DURATION.as_secs_f64() * CALLS_PER_SECOND) as u32;
+        calls.extend((0..count).map(|n| (takes_effect + s(first + f64::from(n) / CALLS_PER_SECOND), node)));
     }
-    calls.retain(|(at, _)| *at < binds + LASTS);
+    calls.retain(|(at, _)| *at < takes_effect + DURATION);
     calls.sort();
     let mut granted = Vec::new();
     for (now, node) in calls {
-        if !books[node].may_request(&replica(), now, rng) {
+        if !limiters[node].may_request(&replica(), now, rng) {
             continue;
         }
-        books[node].on_requested(&replica(), now);
-        let grant = books[0].grant(&replica(), GranterRole::Primary, URGENCY, now);
-        books[node].on_answer(&replica(), grant.ask_again_after, now);
+        limiters[node].on_requested(&replica(), now);
+        let grant = limiters[0].grant(&replica(), GranterRole::Primary, URGENCY, now);
+        limiters[node].on_answer(&replica(), grant.ask_again_after, now);
         if grant.granted {
             granted.push(now);
         }
@@ -80,23 +80,26 @@
 }
 
 #[test]
-fn test_a_low_limit_is_used_from_when_it_binds() {
-    let needed = (LIMIT * LASTS.as_secs_f64() * LEAST_USED).ceil() as usize;
+fn test_a_low_limit_is_used_from_when_it_takes_effect() {
+    let needed = (LIMIT * DURATION.as_secs_f64() * MIN_USED_FRACTION).ceil() as usize;
     for seed in 0..SEEDS {
         let granted = granted(seed);
         assert!(granted.len() >= needed, "seed {seed}: {} of {needed}", granted.len());
-        let most = limit_windows::most_within(&granted, s(limit_windows::WINDOW_S));
-        assert!(most <= limit_windows::allowed(LIMIT), "seed {seed}: {most} in a window");
+        let max_in_window = limit_windows::max_within(&granted, s(limit_windows::WINDOW_S));
+        assert!(
+            max_in_window <= limit_windows::max_allowed(LIMIT),
+            "seed {seed}: {max_in_window} in a window"
+        );
         // Something is to spare: the last one that is needed does not come at the very end.
-        let last = granted[needed - 1] - NAMED_AT - BINDS_AFTER;
-        assert!(last <= LASTS - Duration::from_secs(1), "seed {seed}: the last needed one after {last:?}");
+        let last = granted[needed - 1] - NAMED_AT - AVOIDED_FOR;
+        assert!(last <= DURATION - Duration::from_secs(1), "seed {seed}: the last needed one after {last:?}");
     }
 }
 
 /// A node that takes over long after a limit was named has nothing saved up: the one before it granted all.
 #[test]
-fn test_a_node_that_takes_over_has_nothing_saved_up() {
-    let mut book = book();
-    let grant = book.grant(&replica(), GranterRole::Primary, 0, NAMED_AT + Duration::from_secs(30));
+fn test_a_node_that_takes_over_has_no_saved_grants() {
+    let mut limiter = limiter();
+    let grant = limiter.grant(&replica(), GranterRole::Primary, 0, NAMED_AT + Duration::from_secs(30));
     assert!(!grant.granted, "{grant:?}");
 }
--- a/lib/tests/test_gateway_replica_limits.rs
+++ b/lib/tests/test_gateway_replica_limits.rs
@@ -11,7 +11,7 @@
 
 const REPLICA: &str = "r-1";
 
-fn start(born: u64) -> Incarnation {
+fn incarnation(born: u64) -> Incarnation {
     Incarnation { id: REPLICA.into(), born }
 }
 
@@ -23,64 +23,64 @@
     ResponseTimes { sent: s(sent), received: s(received) }
 }
 
-fn told(born: u64, limit: Option<f64>, age: f64) -> AnnouncedLimit {
-    AnnouncedLimit { replica: start(born), limit, age: s(age) }
+fn announced(born: u64, limit: Option<f64>, age: f64) -> AnnouncedLimit {
+    AnnouncedLimit { replica: incarnation(born), limit, age: s(age) }
 }
 
 fn limited() -> ReplicaLimits {
     let mut limits = ReplicaLimits::default();
-    assert!(limits.on_answer(&start(1), LimitReport::Named(3.0), times(9.9, 10.0)));
+    assert!(limits.on_answer(&incarnation(1), LimitReport::Named(3.0), times(9.9, 10.0)));
     limits
 }
 
 /// A long call that was sent before the need began is answered after another one that named the limit.
 #[test]
-fn test_an_answer_to_an_earlier_request_takes_no_limit_back() {
+fn test_a_response_to_an_earlier_request_withdraws_no_limit() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(1), LimitReport::NotNamed, times(9.0, 12.0)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(9.0, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(!limits.on_answer(&start(1), LimitReport::Silent, times(11.0, 12.0)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::Silent, times(11.0, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(limits.on_answer(&start(1), LimitReport::NotNamed, times(10.1, 10.2)));
+    assert!(limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(10.1, 10.2)));
     assert_eq!(limits.limit(REPLICA), None);
     assert!(limits.in_force().is_empty());
 }
 
 #[test]
-fn test_a_limit_that_is_named_again_holds_from_then() {
+fn test_a_repeated_limit_applies_from_its_response() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(1), LimitReport::Named(3.1), times(10.9, 11.0)));
-    assert!(!limits.on_answer(&start(1), LimitReport::NotNamed, times(10.5, 11.5)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::Named(3.1), times(10.9, 11.0)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(10.5, 11.5)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(limits.on_answer(&start(1), LimitReport::Named(4.0), times(11.9, 12.0)));
+    assert!(limits.on_answer(&incarnation(1), LimitReport::Named(4.0), times(11.9, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(4.0));
 }
 
 /// What an earlier start named, or named none, says nothing of a later one.
 #[test]
-fn test_nothing_carries_over_to_another_start() {
+fn test_limits_do_not_carry_over_to_another_incarnation() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(0), LimitReport::Named(1.0), times(20.0, 20.0)));
+    assert!(!limits.on_answer(&incarnation(0), LimitReport::Named(1.0), times(20.0, 20.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    limits.on_answer(&start(2), LimitReport::Named(5.0), times(5.0, 5.1));
+    limits.on_answer(&incarnation(2), LimitReport::Named(5.0), times(5.0, 5.1));
     assert_eq!(limits.limit(REPLICA), Some(5.0));
-    assert!(!limits.on_answer(&start(1), LimitReport::NotNamed, times(30.0, 30.1)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(30.0, 30.1)));
     assert_eq!(limits.limit(REPLICA), Some(5.0));
     limits.forget(REPLICA);
     assert_eq!(limits.limit(REPLICA), None);
 }
 
 #[test]
-fn test_what_other_nodes_tell_counts_from_when_it_was_said() {
+fn test_announced_limits_are_ordered_by_their_age() {
     let mut limits = limited();
-    assert!(limits.on_told(vec![told(1, None, 4.0)], s(12.0)).is_empty());
+    assert!(limits.on_told(vec![announced(1, None, 4.0)], s(12.0)).is_empty());
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert_eq!(limits.on_told(vec![told(1, None, 1.0)], s(12.0)).len(), 1);
+    assert_eq!(limits.on_told(vec![announced(1, None, 1.0)], s(12.0)).len(), 1);
     assert_eq!(limits.limit(REPLICA), None);
-    assert_eq!(limits.on_told(vec![told(1, Some(2.0), 0.5)], s(12.0)).len(), 1);
+    assert_eq!(limits.on_told(vec![announced(1, Some(2.0), 0.5)], s(12.0)).len(), 1);
     assert_eq!(limits.limit(REPLICA), Some(2.0));
-    for wrong in [f64::NAN, f64::INFINITY, -1.0] {
-        assert!(limits.on_told(vec![told(1, Some(wrong), 0.0)], s(12.0)).is_empty());
+    for invalid in [f64::NAN, f64::INFINITY, -1.0] {
+        assert!(limits.on_told(vec![announced(1, Some(invalid), 0.0)], s(12.0)).is_empty());
     }
     assert_eq!(limits.limit(REPLICA), Some(2.0));
 }
@@ -93,7 +93,7 @@
     assert_ne!(a.digest(), b.digest());
     b.on_told(a.all(s(11.0)), s(511.0));
     assert_eq!(a.digest(), b.digest());
-    a.on_answer(&start(1), LimitReport::NotNamed, times(11.5, 11.6));
+    a.on_answer(&incarnation(1), LimitReport::NotNamed, times(11.5, 11.6));
     assert_eq!(a.digest(), 0);
     b.on_told(a.all(s(12.0)), s(512.0));
     assert_eq!(b.digest(), 0);
@@ -103,26 +103,26 @@
 /// theirs for as long as the need lasted: their digests never agreed, and each told the other all limits once a
 /// second. What differs so little is told to nobody else.
 #[test]
-fn test_nodes_that_heard_slightly_different_figures_come_to_the_same() {
+fn test_nodes_with_slightly_different_limits_converge() {
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
-    b.on_answer(&start(1), LimitReport::Named(3.1), times(10.0, 10.1));
+    b.on_answer(&incarnation(1), LimitReport::Named(3.1), times(10.0, 10.1));
     assert!(a.on_told(b.all(s(10.5)), s(10.5)).is_empty());
     assert_eq!(a.limit(REPLICA), Some(3.1));
     assert_eq!(a.digest(), b.digest());
     // Neither an own answer nor an older word brings the difference back.
-    assert!(!b.on_answer(&start(1), LimitReport::Named(3.0), times(10.9, 11.0)));
-    assert!(a.on_told(vec![told(1, Some(3.0), 4.0)], s(11.0)).is_empty());
+    assert!(!b.on_answer(&incarnation(1), LimitReport::Named(3.0), times(10.9, 11.0)));
+    assert!(a.on_told(vec![announced(1, Some(3.0), 4.0)], s(11.0)).is_empty());
     assert_eq!(a.digest(), b.digest());
 }
 
 /// A limit is not dropped because nobody asked; one that was taken back is forgotten in time, as is what
 /// is known of replicas that are gone.
 #[test]
-fn test_what_is_kept() {
+fn test_limits_are_kept_until_withdrawn() {
     let mut limits = limited();
     limits.retain(|_| true, s(10_000.0));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    limits.on_answer(&start(1), LimitReport::NotNamed, times(10_001.0, 10_001.1));
+    limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(10_001.0, 10_001.1));
     limits.retain(|_| true, s(10_030.0));
     assert_eq!(limits.all(s(10_030.0)).len(), 1);
     limits.retain(|_| true, s(10_062.0));
@@ -134,14 +134,14 @@
 
 /// It was given what it took before until a moment ago. Another figure is the same need, another need is not.
 #[test]
-fn test_a_replica_that_comes_into_need_is_left_to_others_for_a_while() {
+fn test_newly_limited_replicas_are_avoided_for_a_while() {
     let mut limits = limited();
     assert!(limits.is_newly_limited(REPLICA, s(12.9)));
-    limits.on_answer(&start(1), LimitReport::Named(2.0), times(11.0, 11.1));
+    limits.on_answer(&incarnation(1), LimitReport::Named(2.0), times(11.0, 11.1));
     assert!(!limits.is_newly_limited(REPLICA, s(13.1)));
-    limits.on_answer(&start(1), LimitReport::NotNamed, times(20.0, 20.1));
+    limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(20.0, 20.1));
     assert!(!limits.is_newly_limited(REPLICA, s(20.2)));
-    limits.on_answer(&start(1), LimitReport::Named(2.0), times(29.9, 30.0));
+    limits.on_answer(&incarnation(1), LimitReport::Named(2.0), times(29.9, 30.0));
     assert!(limits.is_newly_limited(REPLICA, s(31.0)));
     assert!(!limits.is_newly_limited("r-2", s(31.0)));
 }
--- a/lib/tests/test_gateway_waiting.rs
+++ b/lib/tests/test_gateway_waiting.rs
@@ -10,22 +10,22 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn room(items: &[(&'static str, u8, u64, f64)]) -> WaitQueue<&'static str> {
-    let mut room = WaitQueue::default();
+fn queue(items: &[(&'static str, u8, u64, f64)]) -> WaitQueue<&'static str> {
+    let mut queue = WaitQueue::default();
     for (item, priority, until, tokens) in items.iter().copied() {
         let until = Duration::from_secs(until);
-        room.push(Waiting { item, priority, due: until, until, tokens });
+        queue.push(Waiting { item, priority, due: until, until, tokens });
     }
-    room
+    queue
 }
 
-fn in_room(room: &mut WaitQueue<&'static str>) -> Vec<&'static str> {
-    in_room_at(room, 0)
+fn drain(queue: &mut WaitQueue<&'static str>) -> Vec<&'static str> {
+    drain_at(queue, 0)
 }
 
-fn in_room_at(room: &mut WaitQueue<&'static str>, now_s: u64) -> Vec<&'static str> {
+fn drain_at(queue: &mut WaitQueue<&'static str>, now_s: u64) -> Vec<&'static str> {
     let now = Duration::from_secs(now_s);
-    std::iter::from_fn(|| room.pop(now).map(|waiting| waiting.item)).collect()
+    std::iter::from_fn(|| queue.pop(now).map(|waiting| waiting.item)).collect()
 }
 
 fn unknown(_: f64) -> Option<Duration> {
@@ -33,29 +33,29 @@
 }
 
 #[test]
-fn test_waiting_room_is_ordered_and_ends_in_time() {
-    let mut room =
-        room(&[("late", 1, 9, 0.0), ("first", 0, 9, 0.0), ("second", 0, 9, 0.0), ("over", 0, 5, 0.0)]);
-    assert!(!room.is_next(0, Duration::ZERO), "one as urgent waits");
-    assert_eq!(room.take_unservable(Duration::from_secs(5), unknown), [("over", None)]);
-    assert_eq!(in_room(&mut room), ["first", "second", "late"]);
-    assert!(room.is_next(0, Duration::ZERO));
+fn test_queue_is_ordered_and_entries_expire() {
+    let mut queue =
+        queue(&[("late", 1, 9, 0.0), ("first", 0, 9, 0.0), ("second", 0, 9, 0.0), ("over", 0, 5, 0.0)]);
+    assert!(!queue.is_next(0, Duration::ZERO), "one as urgent waits");
+    assert_eq!(queue.take_unservable(Duration::from_secs(5), unknown), [("over", None)]);
+    assert_eq!(drain(&mut queue), ["first", "second", "late"]);
+    assert!(queue.is_next(0, Duration::ZERO));
 }
 
 /// Those that can begin in time go before those that can't any more, and these go before all once they
 /// have been late for six tenths of the time that their callers stay.
 #[test]
-fn test_who_can_still_begin_in_time_goes_first() {
+fn test_generations_that_can_begin_in_time_go_first() {
     let order_at = |now_s| {
-        let mut room = WaitQueue::default();
+        let mut queue = WaitQueue::default();
         let items = [("old", 1, 2, 10), ("late", 0, 4, 12), ("urgent", 0, 8, 16), ("new", 1, 9, 17)];
         for (item, priority, due, until) in items {
             let (due, until) = (Duration::from_secs(due), Duration::from_secs(until));
-            room.push(Waiting { item, priority, due, until, tokens: 1.0 });
+            queue.push(Waiting { item, priority, due, until, tokens: 1.0 });
         }
-        let passes = (0..2).map(|priority| room.is_next(priority, Duration::from_secs(now_s)));
-        let passes: Vec<bool> = passes.collect();
-        (in_room_at(&mut room, now_s), passes)
+        let is_next = (0..2).map(|priority| queue.is_next(priority, Duration::from_secs(now_s)));
+        let is_next: Vec<bool> = is_next.collect();
+        (drain_at(&mut queue, now_s), is_next)
     };
     assert_eq!(order_at(1), (vec!["late", "urgent", "old", "new"], vec![false, false]));
     assert_eq!(order_at(5), (vec!["urgent", "new", "late", "old"], vec![false, false]));
@@ -70,55 +70,55 @@
 /// While others can begin in time, one of four that are given an engine has been late for long; where none can,
 /// all of them follow each other.
 #[test]
-fn test_who_is_late_for_long_is_one_of_four() {
+fn test_one_of_four_placements_is_overdue() {
     let at = Duration::from_secs;
-    let mut room = WaitQueue::default();
+    let mut queue = WaitQueue::default();
     for (item, due) in [("o1", 1), ("o2", 2), ("o3", 3), ("a", 50), ("b", 50), ("c", 50), ("d", 50)] {
-        room.push(Waiting { item, priority: 0, due: at(due), until: at(due + 10), tokens: 1.0 });
+        queue.push(Waiting { item, priority: 0, due: at(due), until: at(due + 10), tokens: 1.0 });
     }
     // What is put back was given nothing.
-    let first = room.pop(at(20)).expect("seven wait");
-    room.put_back(first);
-    assert!(!room.is_next(0, at(20)));
-    assert_eq!(in_room_at(&mut room, 20), ["o1", "a", "b", "c", "o2", "d", "o3"]);
-    room.push(Waiting { item: "o4", priority: 0, due: at(1), until: at(11), tokens: 1.0 });
+    let first = queue.pop(at(20)).expect("seven wait");
+    queue.put_back(first);
+    assert!(!queue.is_next(0, at(20)));
+    assert_eq!(drain_at(&mut queue, 20), ["o1", "a", "b", "c", "o2", "d", "o3"]);
+    queue.push(Waiting { item: "o4", priority: 0, due: at(1), until: at(11), tokens: 1.0 });
     for _ in 0..3 {
-        assert!(room.is_next(0, at(20)), "it is not its turn");
-        room.on_direct_placement();
+        assert!(queue.is_next(0, at(20)), "it is not its turn");
+        queue.on_direct_placement();
     }
-    assert!(!room.is_next(0, at(20)), "three have passed it");
+    assert!(!queue.is_next(0, at(20)), "three have passed it");
 }
 
 /// One that was taken out and put back keeps its turn, and late ones don't hold up new ones.
 #[test]
-fn test_late_ones_hold_nobody_up() {
+fn test_late_generations_do_not_delay_others() {
     let at = Duration::from_secs;
-    let mut room = WaitQueue::default();
+    let mut queue = WaitQueue::default();
     for (item, due) in [("first", 2), ("second", 3)] {
-        room.push(Waiting { item, priority: 0, due: at(due), until: at(20), tokens: 1.0 });
+        queue.push(Waiting { item, priority: 0, due: at(due), until: at(20), tokens: 1.0 });
     }
-    let first = room.pop(at(1)).expect("two wait");
-    room.put_back(first);
-    assert!(!room.is_next(1, at(1)));
-    assert!(room.is_next(0, at(5)), "both are late");
-    assert_eq!(in_room_at(&mut room, 5), ["first", "second"]);
+    let first = queue.pop(at(1)).expect("two wait");
+    queue.put_back(first);
+    assert!(!queue.is_next(1, at(1)));
+    assert!(queue.is_next(0, at(5)), "both are late");
+    assert_eq!(drain_at(&mut queue, 5), ["first", "second"]);
 }
 
 /// Who can no longer be served in time is told at once, and does not count for those behind it.
 #[test]
-fn test_who_cannot_begin_in_time_is_told_at_once() {
-    let mut room = room(&[("a", 0, 14, 3.0), ("huge", 0, 14, 90.0), ("b", 0, 14, 1.0), ("c", 1, 13, 1.0)]);
-    let before = |priority| room.tokens_before(priority, Duration::from_secs(10));
+fn test_generations_that_cannot_begin_in_time_are_refused_at_once() {
+    let mut queue = queue(&[("a", 0, 14, 3.0), ("huge", 0, 14, 90.0), ("b", 0, 14, 1.0), ("c", 1, 13, 1.0)]);
+    let before = |priority| queue.tokens_before(priority, Duration::from_secs(10));
     assert_eq!((before(0), before(1)), (94.0, 95.0));
     let one_a_second = |tokens: f64| Some(Duration::from_secs_f64(tokens));
-    let lost = room.take_unservable(Duration::from_secs(10), one_a_second);
+    let unservable = queue.take_unservable(Duration::from_secs(10), one_a_second);
     let expected = Some(Duration::from_secs(93));
-    assert_eq!(lost, [("huge", expected), ("c", Some(Duration::from_secs(5)))]);
-    assert_eq!(in_room(&mut room), ["a", "b"]);
+    assert_eq!(unservable, [("huge", expected), ("c", Some(Duration::from_secs(5)))]);
+    assert_eq!(drain(&mut queue), ["a", "b"]);
 }
 
 #[test]
-fn test_nothing_is_forecast_before_something_was_seen() {
+fn test_no_forecast_without_observations() {
     let mut forecast = RoomForecast::default();
     assert_eq!(forecast.time_until(1.0, Duration::from_secs(9)), None);
     forecast.on_freed(1_000.0, Duration::from_secs(9));
@@ -145,7 +145,7 @@
 
     /// Callers that are refused together return spread over half of the time.
     #[test]
-    fn test_returns_are_spread(seed in 0_u64..1_000) {
+    fn test_retry_delays_are_spread(seed in 0_u64..1_000) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let after = waiting::retry_delay(Some(Duration::from_secs(1)), &mut rng);
         prop_assert!((0.75..=1.25).contains(&after.as_secs_f64()));
