--- a/lib/tests/limit_windows.rs
+++ b/lib/tests/limit_windows.rs
@@ -1,16 +1,17 @@
-//! What replicas that name limits may get at the most: one and a half times the limit, and 5 requests, in any 4 s.
+//! The bound on what a replica with a limit may receive: one and a half times the limit, plus 5 requests,
+//! in any 4 s.
 
 use std::ops::Add;
 
-/// Seconds in which requests are counted.
+/// Length of the window in which requests are counted.
 pub const WINDOW_S: f64 = 4.0;
 
-/// Requests that are allowed in a window under a limit.
+/// Returns the number of requests max_allowed in a window under a limit.
 pub fn max_allowed(limit: f64) -> usize {
     (limit * 1.5 * WINDOW_S + 5.0) as usize
 }
 
-/// The most of some moments, in their order, that lie within a window.
+/// Returns the maximum number of `moments`, which are sorted, within a window.
 pub fn max_within<T: Copy + PartialOrd + Add<Output = T>>(moments: &[T], window: T) -> usize {
     let count_before = |end: T| moments.partition_point(|at| *at < end);
     moments.iter().enumerate().map(|(first, start)| count_before(*start + window) - first).max().unwrap_or(0)
--- a/lib/tests/test_gateway_closed_halls.rs
+++ b/lib/tests/test_gateway_closed_halls.rs
@@ -1,8 +1,9 @@
-//! Closed halls: whoever is in touch knows of one in time, and nobody goes back to an older word.
+//! Closed halls: every connected node learns of a closed hall in time, and no node returns to an older
+//! state.
 //!
-//! A model of the fleet's news: watchers hear of each change from the store, some late, as an answer is
-//! lost and only their next glance at the store tells, some seconds old; nodes tell each other with each
-//! message, which may be lost, doubled or late; nodes start anew and know nothing.
+//! The model of a fleet: watchers receive each change from the store, or, if that response is lost, see
+//! it at their next poll, whose result may be some seconds old. Nodes announce changes to each other with
+//! each message, and messages may be lost, duplicated or delayed. Nodes restart without any state.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,13 +23,13 @@
 
 const HALLS: [&str; 3] = ["a", "b", "c"];
 const STEP: Duration = Duration::from_millis(20);
-/// A hall is used by nobody in touch from then on after it was closed.
+/// Time after a hall was closed from which no connected node uses it.
 const BOUND: Duration = Duration::from_secs(5);
-/// A node that started so long ago is in touch.
+/// Time after its start from which a node counts as connected.
 const CONNECTED_AFTER: Duration = Duration::from_secs(4);
-/// Time between two glances of a watcher at the most, with the limit on an answer.
+/// Maximum time between two polls of a watcher, including the timeout of a response.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_540);
-/// A glance is up to so old.
+/// Maximum age of the result of a poll.
 const MAX_POLL_AGE: Duration = Duration::from_secs(3);
 const WATCHERS: usize = 3;
 
@@ -36,14 +37,14 @@
     name.into()
 }
 
-/// The store: what it held at each revision, and since when.
+/// The store: its contents at each revision, and since when.
 struct Store {
     versions: Vec<(Duration, ClosedHalls)>,
 }
 
 impl Store {
     fn newest(&self) -> &ClosedHalls {
-        &self.versions.last().expect("one at least").1
+        &self.versions.last().expect("the store holds an initial state").1
     }
 
     fn as_of(&self, then: Duration) -> &ClosedHalls {
@@ -51,7 +52,7 @@
         &self.versions[at.saturating_sub(1)].1
     }
 
-    /// Since when a hall has been closed without a break, if it is.
+    /// Returns since when a hall has been closed without interruption, if it is closed.
     fn closed_since(&self, name: &str) -> Option<Duration> {
         let closed = self.versions.iter().rev().take_while(|(_, halls)| !halls.is_open(name));
         closed.last().map(|(since, _)| *since)
@@ -76,7 +77,7 @@
     rng: SmallRng,
     store: Store,
     nodes: Vec<Node>,
-    /// Messages on their way, by when they arrive.
+    /// Messages in flight, by time of arrival.
     messages: BTreeMap<(Duration, usize), (usize, ClosedHalls)>,
     sent: usize,
     loss_rate: f64,
@@ -106,7 +107,7 @@
         let name = HALLS[self.rng.random_range(0..HALLS.len())];
         let is_closed = !self.store.newest().is_open(name);
         self.store.set(name, !is_closed, self.now);
-        // Each watcher's watch returns, or its answer is lost.
+        // Each watcher's watch returns, or its response is lost.
         for watcher in 0..WATCHERS {
             if self.rng.random::<f64>() >= self.loss_rate {
                 let newest = self.store.newest().clone();
@@ -115,12 +116,12 @@
         }
     }
 
-    /// A node takes a word in, and tells some others if it is news.
+    /// Applies an update at a node, which announces changes to some other nodes.
     fn apply(&mut self, node: usize, update: ClosedHalls) {
         let before = self.nodes[node].known.clone();
         let changes = self.nodes[node].known.take(update);
         let after = &self.nodes[node].known;
-        assert!(after.at >= before.at, "it went back");
+        assert!(after.at >= before.at, "the revision decreased");
         for change in &changes {
             let (HallChange::Closed(name) | HallChange::Opened(name)) = change;
             self.nodes[node].retelling.on_news(name.clone());
@@ -186,8 +187,8 @@
         self.nodes[node].retelling = Retelling::default();
     }
 
-    /// A change of the halls before each pause of so many steps, and a node that starts anew after it: nobody in
-    /// touch uses a hall after the bound.
+    /// Changes a hall before each pause, given in steps, and restarts a node after it. Checks that no
+    /// connected node uses a closed hall after the bound.
     fn check_closed_halls(&mut self, pauses: &[usize]) -> Result<(), TestCaseError> {
         for pause in pauses {
             self.change();
@@ -201,7 +202,7 @@
         Ok(())
     }
 
-    /// Halls that a node in touch would use in spite of the bound.
+    /// Returns the halls that connected nodes would use although the bound has passed.
     fn halls_used_after_bound(&self) -> Vec<(usize, &'static str)> {
         let is_connected = |node: &&(usize, &Node)| self.now >= node.1.started + CONNECTED_AFTER;
         let nodes: Vec<(usize, &Node)> = self.nodes.iter().enumerate().collect();
@@ -220,8 +221,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In any series of halls closed, opened and closed again, with news that is lost, late and doubled, and
-    /// nodes that start: who is in touch uses no hall after the bound, and all know the same in the end.
+    /// For any series of closed and reopened halls, with lost, delayed and duplicated messages and
+    /// restarting nodes: connected nodes use no hall after the bound, and all nodes agree in the end.
     #[test]
     fn test_connected_nodes_use_no_closed_hall(
         nodes in 4..60_usize,
@@ -239,7 +240,8 @@
         }
     }
 
-    /// A watcher's changes may begin before what it knows by now: the last one of each hall counts.
+    /// A watcher's changes may start before the revision that it already known: the last change of each
+    /// hall decides.
     #[test]
     fn test_partly_known_changes_give_the_same_result(
         series in proptest::collection::vec((0..3_usize, any::<bool>()), 1..20),
@@ -257,9 +259,10 @@
     }
 }
 
-/// A node used a closed hall 5.02 s after it was closed. It had been up for 15 s and knew the revision before: where
-/// 34 in 100 messages are lost, none reached it in that time, neither the news, which each node told on once,
-/// nor a message that carries the halls. 13 of 2,000 plays of these changes broke the bound so.
+/// Each change is announced repeatedly, so that it outlasts lost messages. With 34 in 100 messages lost and
+/// a single announcement per node, neither the announcement nor a later message with the halls reached
+/// one node, up for 15 s and at the previous revision, and it used a closed hall 5.02 s after it was
+/// closed. This broke the bound in 13 of 2,000 runs of these changes.
 #[test]
 fn test_announcements_of_closed_halls_outlast_lost_messages() {
     let pauses = [139, 395, 251];
@@ -292,7 +295,8 @@
     assert_eq!(update.truncate(), 0);
 }
 
-/// The operator closes halls again that a copy of the store lacks; until then they stay closed.
+/// Halls that a restored copy of the store lacks stay closed until the operator has had time to close
+/// them again.
 #[test]
 fn test_halls_missing_from_a_store_copy_stay_closed_for_a_while() {
     let second = Duration::from_secs(1);
@@ -307,7 +311,7 @@
     assert!(tracker.take(update(0, 90, &["a", "b"]), second));
     assert!(tracker.take(update(1, 5, &["c"]), 2 * second));
     assert_eq!(closed(&mut tracker, 2 * second), ["a", "b", "c"]);
-    assert!(!tracker.take(update(0, 95, &[]), 2 * second), "a word of the era before");
+    assert!(!tracker.take(update(0, 95, &[]), 2 * second), "an update of the previous era");
     assert!(tracker.take(update(1, 6, &["a", "c"]), 3 * second), "a is closed again");
     tracker.on_opened("b");
     assert_eq!(closed(&mut tracker, 3 * second), ["a", "c"]);
@@ -317,5 +321,9 @@
     not_renewed.take(update(0, 90, &["a"]), second);
     not_renewed.take(update(1, 5, &[]), 2 * second);
     assert_eq!(closed(&mut not_renewed, 4 * second), ["a"]);
-    assert_eq!(closed(&mut not_renewed, 5 * second), Vec::<String>::new(), "nobody closed it again");
+    assert_eq!(
+        closed(&mut not_renewed, 5 * second),
+        Vec::<String>::new(),
+        "the operator did not close it again"
+    );
 }
--- a/lib/tests/test_gateway_lead_queue.rs
+++ b/lib/tests/test_gateway_lead_queue.rs
@@ -1,4 +1,4 @@
-//! A lead's queue where engines lack memory, or do not read soon.
+//! The queue of a lead whose engines lack memory or cannot read prompts soon.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::shortage::Shortage;
 
-/// Engines that have so many tokens of memory left together, which all read soon or none.
+/// Model engines with `tokens` of free memory in total; either all of them can read a prompt soon or
+/// none.
 struct ModelEngines {
     tokens: f64,
     reads_soon: bool,
@@ -48,7 +49,7 @@
     ModelEngines { tokens, reads_soon: true, attempts: 0 }
 }
 
-/// A queue in which generations wait for 10 s each that could begin in time for 5 s.
+/// Returns a queue of generations that wait up to 10 s each and can begin in time for 5 s.
 fn queue(policy: Policy, generations: &[Generation]) -> LeadQueue<Generation> {
     let mut queue = LeadQueue::new(policy);
     for (name, tokens) in generations.iter().copied() {
@@ -67,7 +68,8 @@
 
 const LONG_AND_SHORT: [Generation; 3] = [("long", 5.0), ("short", 1.0), ("shorter", 0.5)];
 
-/// Memory that would do for a shorter prompt is not kept empty for a longer one, which goes as soon as it fits.
+/// Memory that suffices for a shorter prompt is not kept free for a longer one, which is placed once it
+/// fits.
 #[test]
 fn test_shorter_prompts_are_placed_while_the_first_does_not_fit() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
@@ -84,7 +86,7 @@
     assert_eq!(placed(queue.settle(&mut engines_with_memory(5.5), s(2))), ["long"]);
 }
 
-/// Where no engine reads soon, one look asks once.
+/// Where no engine can read a prompt soon, one pass tries a single placement.
 #[test]
 fn test_none_are_skipped_for_lack_of_reading_capacity() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
@@ -93,7 +95,7 @@
     assert_eq!((engines.attempts, queue.len()), (1, 3));
 }
 
-/// A long queue costs a look no more than five choices without a place.
+/// In a long queue, one pass tries at most five placements without success.
 #[test]
 fn test_few_are_skipped_in_one_pass() {
     let generations: Vec<Generation> = (0..50).map(|_| ("long", 5.0)).collect();
@@ -103,8 +105,8 @@
     assert_eq!((engines.attempts, queue.len()), (5, 50));
 }
 
-/// Who was passed over keeps its place before those that came later, and is told as others are when it can't
-/// begin any more.
+/// A skipped generation keeps its place before later ones, and is refused like any other when it can no
+/// longer begin.
 #[test]
 fn test_skipped_generations_keep_their_place_and_deadline() {
     let mut queue = queue(Policy::default(), &[("first", 5.0), ("second", 5.0), ("short", 1.0)]);
--- a/lib/tests/test_gateway_limit_grants.rs
+++ b/lib/tests/test_gateway_limit_grants.rs
@@ -1,4 +1,4 @@
-//! Who may send a request to a replica that names a limit.
+//! Which nodes may send a request to a replica that announces a limit.
 
 use std::time::Duration;
 
@@ -25,7 +25,8 @@
     "r-1".into()
 }
 
-/// Grants of a node that sees six, from `from` to `until`, where somebody asks each 10 ms.
+/// Returns the number of grants between `from` and `until` by a node that sees six nodes, with a request
+/// every 10 ms.
 fn grants_between(grants: &mut LimitGrants, urgency: u8, from: f64, until: f64) -> usize {
     let requests = (0..).map(|n| from + 0.01 * f64::from(n)).take_while(|at| *at < until);
     requests
@@ -45,8 +46,8 @@
     grants
 }
 
-/// Whoever begins to grant has nothing saved up, and after a pause no more than two requests: 4 a second for
-/// 4 s are 13 or 14 with the part that is granted, where 29 are allowed.
+/// A node that begins to grant has no saved grants, and after a pause no more than two: 4 a second for 4
+/// s give 13 or 14 with the granted fraction, where 29 are allowed.
 #[test]
 fn test_no_grants_are_saved_at_the_start_and_few_after_a_pause() {
     let mut grants = six_nodes();
@@ -66,7 +67,8 @@
     assert_eq!(grant, Grant { granted: false, ask_again_after: s(2.0) });
 }
 
-/// Behind a cut others may grant as well: each side grants the part of the nodes that it sees.
+/// During a partition other nodes may grant as well, so each side grants the fraction of the nodes that
+/// it sees.
 #[test]
 fn test_a_node_that_sees_fewer_nodes_grants_less_for_a_while() {
     let mut grants = six_nodes();
@@ -79,7 +81,7 @@
     assert!((32..=35).contains(&later), "{later}");
 }
 
-/// The first node may be slow rather than gone, and grant to others at the same time.
+/// The primary may be slow rather than gone, and grant to other nodes at the same time.
 #[test]
 fn test_a_substitute_grants_a_quarter() {
     let mut grants = six_nodes();
@@ -91,7 +93,7 @@
     assert!((15..=17).contains(&granted), "{granted}");
 }
 
-/// While urgent calls take all that the limit allows, others get nothing; as soon as they don't, others do.
+/// While urgent requests use up the limit, others receive no grants; once they stop, others do.
 #[test]
 fn test_urgent_requests_go_first() {
     let mut grants = six_nodes();
@@ -110,7 +112,8 @@
     assert!(grants_between(&mut grants, 9, 20.0, 30.0) >= 30);
 }
 
-/// A replica that names next to nothing is asked now and then, or nobody would learn that its need is over.
+/// A replica with a limit near zero still receives a request now and then, as otherwise no node would
+/// learn that its limit is withdrawn.
 #[test]
 fn test_a_limit_of_zero_lets_one_request_through_now_and_then() {
     let mut grants = six_nodes();
@@ -124,7 +127,7 @@
     assert!((7..=8).contains(&granted), "{granted}");
 }
 
-/// Who is refused may ask again when a grant will be there, and not before.
+/// A refused node may request again when a grant is available, and not earlier.
 #[test]
 fn test_refused_nodes_request_again_when_a_grant_is_available() {
     let mut grants = six_nodes();
@@ -138,12 +141,12 @@
     assert!(request(4, 10.0 + saved_up_after + 0.001).granted);
 }
 
-/// All nodes that ask make some three asks for each grant together, however many they are and however many
-/// of them have few calls.
+/// All requesting nodes together make about three requests per grant, whatever their number and however
+/// many of them have few calls.
 #[test]
 fn test_pauses_grow_with_the_number_of_requesting_nodes() {
     const DURATION_S: f64 = 60.0;
-    /// Time between two calls of a node with few.
+    /// Mean time between two calls of a node with few calls.
     const MEAN_CALL_INTERVAL_S: f64 = 5.0;
     for (nodes, with_few) in [(30, 0), (30, 20), (100, 0), (100, 70)] {
         let (mut grants, mut rng) = (six_nodes(), StdRng::seed_from_u64(1));
@@ -167,7 +170,7 @@
     }
 }
 
-/// Permits come as often as the shares say, and not all at once after a pause.
+/// Permits occur at the rate of the nodes' shares, and do not accumulate during a pause.
 #[test]
 fn test_permits_do_not_accumulate() {
     let mut rng = StdRng::seed_from_u64(7);
@@ -193,7 +196,7 @@
     assert!(after_pause <= 3, "{after_pause}");
 }
 
-/// Callers that are refused come back one after the other, and none later than in 5 s.
+/// Refused callers retry one after the other, and none later than after 5 s.
 #[test]
 fn test_refused_callers_retry_one_after_the_other() {
     let mut limiter = ReplicaRateLimiter::default();
--- a/lib/tests/test_gateway_limit_model.rs
+++ b/lib/tests/test_gateway_limit_model.rs
@@ -1,9 +1,9 @@
-//! A model of a fleet whose calls go to a replica that names a limit: what the replica gets and how
-//! many messages that takes, by grants and by a share of the limit for each node.
+//! A model of a fleet that sends calls to a replica with a limit. It compares grants with a fixed share
+//! of the limit for each node: the requests that the replica receives, and the number of messages.
 //!
-//! A replica may get one and a half times its limit and 5 requests in any 4 s, and should get three quarters
-//! of what it names while there are calls for it. Each call asks for nothing but this replica; where it does not go
-//! there, another one takes it.
+//! A replica may receive one and a half times its limit plus 5 requests in any 4 s, and should receive
+//! three quarters of its limit while there are calls for it. Each call tries only this replica; if it is
+//! not sent there, another replica takes it.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -24,58 +24,59 @@
 use crate::limit_windows;
 
 const DURATION_S: f64 = 60.0;
-/// Calls begin to come.
+/// When calls begin.
 const CALLS_BEGIN_S: f64 = 5.0;
-/// From here on the limit binds, and its use is counted.
+/// When the limit takes effect; its use is counted from here on.
 const LIMIT_APPLIES_S: f64 = 8.0;
-/// Requests that may be saved up while no calls come.
+/// Grants that may accumulate while there are no calls.
 const MAX_SAVED_IN_PAUSE: f64 = 2.0;
 const SEEDS: u64 = 5;
-/// Time on the way to the replica, a new connection at the worst.
+/// Maximum delay until a request arrives at the replica, over a new connection.
 const MAX_TRANSIT_S: f64 = 0.25;
-/// Time between two looks of a node at its fleet.
+/// Interval at which a node checks its view of the fleet.
 const FLEET_CHECK_INTERVAL_S: f64 = 0.5;
-/// When something happens to whoever grants, and for how long nodes don't know.
+/// When the fault at the granting node begins, and how long nodes do not notice it.
 const FAULT_BEGINS_S: f64 = 20.0;
 const FAULT_UNNOTICED_S: f64 = 4.0;
-/// When the trouble ends.
+/// When the fault ends.
 const FAULT_ENDS_S: f64 = 35.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Case {
-    /// Each node gets as many calls as any other.
+    /// All nodes receive the same share of the calls.
     Even,
-    /// One node gets seven of ten calls.
+    /// One node receives seven of ten calls.
     Uneven,
-    /// No call comes for some time.
+    /// There are no calls for some time.
     Pause,
     /// Three of ten messages are lost.
     Lossy,
-    /// Whoever grants answers half of the questions too late; another one is asked for them.
+    /// The granting node answers half of the requests too late; a substitute is used for them.
     Slow,
-    /// Whoever grants is gone, and noticed after some seconds.
+    /// The granting node is gone, which is noticed after some seconds.
     Lost,
-    /// A third of the nodes is cut off from the others, but not from the replica.
+    /// A third of the nodes is partitioned from the others, but not from the replica.
     Cut,
 }
 
 const CASES: [Case; 7] =
     [Case::Even, Case::Uneven, Case::Pause, Case::Lossy, Case::Slow, Case::Lost, Case::Cut];
 
-/// Who is asked for a grant.
+/// The node that receives a request for a grant.
 #[derive(Clone, Copy, Debug)]
 struct GrantTarget {
     granter: usize,
     role: GranterRole,
 }
 
-/// How a fleet decides which calls go to the replica.
+/// The method by which a fleet decides which calls go to the replica.
 trait Method {
-    /// A fleet of so many nodes.
+    /// Creates a fleet of `nodes` nodes.
     fn new(nodes: usize, limit: f64) -> Self;
-    /// Nodes see another fleet; `seen` is how many each of them sees.
+    /// Changes the nodes' view of the fleet; `seen` returns how many nodes each one sees.
     fn on_fleet_change(&mut self, seen: impl Fn(usize) -> usize, now: Timestamp);
-    /// Whether a call at a node goes to the replica; whoever grants is none if it does not answer.
+    /// Whether a call at a node goes to the replica; `granter` is `None` if the granting node does not
+    /// answer.
     fn sends_to_replica(
         &mut self,
         node: usize,
@@ -83,13 +84,13 @@
         now: Timestamp,
         rng: &mut StdRng,
     ) -> bool;
-    /// Whoever grants answers a question of a node too late, if that may ask.
+    /// The granting node answers a node's request, if that may request, too late.
     fn on_late_answer(&mut self, node: usize, granter: usize, now: Timestamp, rng: &mut StdRng);
-    /// Messages so far.
+    /// The number of messages so far.
     fn messages(&self) -> u64;
 }
 
-/// One node grants each call.
+/// A single node grants each call.
 struct Grants {
     limiters: Vec<ReplicaRateLimiter>,
     replica: UpstreamId,
@@ -154,7 +155,7 @@
     }
 }
 
-/// Each node has the same share of the limit, and saves up one request at most.
+/// Each node has the same share of the limit, and accumulates at most one request.
 struct Shares {
     limit: f64,
     seen: Vec<usize>,
@@ -195,11 +196,11 @@
 
 #[derive(Debug, Default)]
 struct Figures {
-    /// The most requests in a window, against what is allowed.
+    /// The maximum number of requests in a window, relative to the allowed number.
     peak_ratio: f64,
-    /// Part of what was named that was used.
+    /// The used fraction of the limit.
     used: f64,
-    /// The same, where what a pause leaves saved up counts as named too.
+    /// The same, where the limit includes the grants saved during a pause.
     used_with_saved: f64,
     /// Messages a second.
     messages: f64,
@@ -251,7 +252,7 @@
     }
 }
 
-/// How many nodes a node sees.
+/// Returns how many nodes a node sees.
 fn seen(case: Case, nodes: usize, node: usize, is_noticed: bool) -> usize {
     let side = nodes / 3;
     match case {
@@ -262,7 +263,7 @@
     }
 }
 
-/// Who grants to a node: the first one, unless it is gone or behind the cut.
+/// Returns the node that grants requests of a node: the first one, unless it is gone or partitioned.
 fn granter(case: Case, nodes: usize, node: usize, is_faulty: bool, is_noticed: bool) -> Option<usize> {
     let is_unreachable = match case {
         Case::Lost => is_faulty,
@@ -280,7 +281,7 @@
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-/// The worst of the seeds for windows, the mean for the rest.
+/// Returns the maximum over the seeds for windows, and the mean for the other figures.
 fn run_seeds<W: Method>(case: Case, nodes: usize, limit: f64) -> Figures {
     let runs: Vec<Figures> = (0..SEEDS).map(|seed| run::<W>(case, nodes, limit, seed)).collect();
     let mean = |of: fn(&Figures) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
@@ -292,7 +293,8 @@
     }
 }
 
-/// Grants keep each limit at each size and use it wherever the calls come; shares do neither.
+/// Grants keep to each limit and use it at each fleet size, however the calls are distributed; shares do
+/// neither.
 #[test]
 fn test_grants_keep_and_use_limits_at_each_size() {
     let mut table = String::from("nodes limit case    shares: most used  grants: most used messages/s\n");
@@ -311,7 +313,7 @@
                     grants.used,
                     grants.messages
                 )
-                .expect("a string takes it");
+                .expect("writing to a string cannot fail");
                 assert!(grants.peak_ratio <= 1.0, "{nodes} nodes, limit {limit}, {case:?}: {grants:?}");
                 let is_steady = matches!(case, Case::Even | Case::Uneven | Case::Pause);
                 assert!(
--- a/lib/tests/test_gateway_limit_regular_calls.rs
+++ b/lib/tests/test_gateway_limit_regular_calls.rs
@@ -1,12 +1,11 @@
-//! Limits of two replicas, and calls that come to few nodes at regular times.
+//! Limits of two replicas, with calls that arrive at few nodes at regular times.
 //!
-//! What was seen: one node got 30 calls a second, another one 8, a third one 1, all of middling urgency. In 8 s a
-//! replica that named 4.4 requests a second got 26, of 35 that it named; three quarters are the aim.
-//! The order of events: whoever grants saves up 3.74 grants a second; each node that asks pauses, and asks with its
-//! next call after the pause, so asks came 300, 375 and 1,000 ms apart; a request of middling urgency
-//! needs 1.4 grants saved up, and 2.0 are saved up at most.
-//! The cause: what is saved up within 160 ms after a request could be granted is lost, and asks are further apart.
-//! The evidence: its grants were 121 to 480 ms apart, 3.35 a second.
+//! The test guards against unused limits. Grants accumulate at 3.74 a second up to 2.0, and a request of
+//! medium urgency needs 1.4. A node that has paused sends its next request with its next call, so with
+//! 30, 8 and 1 calls a second at three nodes the requests were 300, 375 and 1,000 ms apart. Grants that
+//! accumulate more than 160 ms after a request could be granted are lost: they were 121 to 480 ms apart,
+//! 3.35 a second, and a replica with a limit of 4.4 a second received 26 of 35 requests in 8 s, below the
+//! intended three quarters.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -24,7 +23,7 @@
 
 use crate::limit_windows;
 
-/// What the replicas name, in requests a second.
+/// The limits of the replicas, in requests a second.
 const LIMITS: [f64; 2] = [3.0, 4.4];
 /// Calls a second at each node.
 const CALLS_PER_SECOND: [f64; 6] = [30.0, 0.0, 0.0, 1.0, 8.0, 0.0];
@@ -33,7 +32,7 @@
 /// Nodes grant nothing in their first 2 s.
 const CALLS_BEGIN: Duration = Duration::from_secs(5);
 const DURATION: Duration = Duration::from_secs(8);
-/// Calls of a regular load come as late as this.
+/// Maximum delay of a call against the regular times.
 const MAX_DELAY_S: f64 = 0.003;
 const MIN_USED_FRACTION: f64 = 0.75;
 const SEEDS: u64 = 400;
@@ -43,7 +42,7 @@
     format!("replica-{n}").into()
 }
 
-/// Knows both limits and all nodes.
+/// Returns a rate limiter that knows both limits and all nodes.
 fn limiter() -> ReplicaRateLimiter {
     let mut limiter = ReplicaRateLimiter::default();
     let times = ResponseTimes { sent: Duration::ZERO, received: Duration::ZERO };
@@ -54,7 +53,7 @@
     limiter
 }
 
-/// The calls of a regular load: when, and at which node.
+/// Returns the calls of a regular load: their times and nodes.
 fn calls(rng: &mut StdRng) -> Vec<(Duration, usize)> {
     let mut calls = Vec::new();
     for (node, rate) in CALLS_PER_SECOND.into_iter().enumerate() {
@@ -68,7 +67,8 @@
     calls
 }
 
-/// When each replica gets a request. A call asks for one replica; what gets no grant goes elsewhere.
+/// Returns when each replica receives requests. A call requests a grant for one replica; calls without a
+/// grant go elsewhere.
 fn granted(urgency: u8, seed: u64) -> [Vec<Duration>; LIMITS.len()] {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut limiters = CALLS_PER_SECOND.map(|_| limiter());
@@ -89,7 +89,7 @@
     granted
 }
 
-/// Three quarters of a limit are used in each of the plays, whatever the calls' urgency, by grants alone.
+/// In each run, grants alone use three quarters of a limit, for any urgency of the calls.
 #[test]
 fn test_limits_are_used_by_regular_calls_of_few_nodes() {
     let window = Duration::from_secs_f64(limit_windows::WINDOW_S);
@@ -107,7 +107,7 @@
                 table,
                 "{urgency:7} {limit:5} {min_used:12.2} {mean:4.2} {max_in_window:12} {allowed:7}"
             )
-            .expect("a string takes it");
+            .expect("writing to a string cannot fail");
             assert!(max_in_window <= allowed, "{table}");
             assert!(min_used >= MIN_USED_FRACTION, "{table}");
         }
--- a/lib/tests/test_gateway_low_limit.rs
+++ b/lib/tests/test_gateway_low_limit.rs
@@ -1,10 +1,10 @@
-//! A limit below one request a second, and many nodes with calls.
+//! A limit below one request a second, with calls at many nodes.
 //!
-//! What was seen: sixteen nodes with four calls a second each used ten of the 12.8 requests that a replica named in 32 s, which is
-//! what three quarters of them need, the tenth one 0.12 s before the end.
-//! The order of events: the replica names its limit; for 3 s it is left to others; then the first node asks for a grant, and the
-//! account of whoever grants begins with nothing, so that the first grant comes 4.1 s later.
-//! The cause: what could have been saved up since the limit was named is lost.
+//! The test guards against grants lost at the start of a limit. A newly limited replica is avoided for 3
+//! s, and only then does the first node request a grant. While the account of the granting node was empty
+//! at that time, the first grant came 4.1 s later: sixteen nodes with four calls a second each used ten
+//! of the 12.8 requests allowed in 32 s, just the required three quarters, the tenth 0.12 s before the
+//! end.
 
 use std::time::Duration;
 
@@ -23,14 +23,14 @@
 const LIMIT: f64 = 0.4;
 const NODES: usize = 16;
 const CALLS_PER_SECOND: f64 = 4.0;
-/// What is in the middle must have 1.4 grants saved up.
+/// A medium urgency, which requires 1.4 saved grants.
 const URGENCY: u8 = 4;
-/// When the replica names its limit.
+/// When the replica announces its limit.
 const NAMED_AT: Duration = Duration::from_secs(20);
-/// A replica in need is left to others for so long.
+/// How long a newly limited replica is avoided.
 const AVOIDED_FOR: Duration = Duration::from_secs(3);
 const DURATION: Duration = Duration::from_secs(32);
-/// The first call that asks comes so long after the limit binds, from and until.
+/// Minimum and maximum time from when the limit takes effect to the first request for a grant.
 const FIRST_REQUEST_S: (f64, f64) = (0.5, 0.75);
 const MIN_USED_FRACTION: f64 = 0.75;
 const SEEDS: u64 = 500;
@@ -51,7 +51,7 @@
     limiter
 }
 
-/// When the replica gets a request. Each call that may ask does.
+/// Returns when the replica receives requests. Each call that may request a grant does so.
 fn granted(seed: u64) -> Vec<Duration> {
     let rng = &mut StdRng::seed_from_u64(seed);
     let mut limiters: Vec<ReplicaRateLimiter> = (0..NODES).map(|_| limiter()).collect();
@@ -90,13 +90,14 @@
             max_in_window <= limit_windows::max_allowed(LIMIT),
             "seed {seed}: {max_in_window} in a window"
         );
-        // Something is to spare: the last one that is needed does not come at the very end.
+        // There is a margin: the last required grant does not come at the very end.
         let last = granted[needed - 1] - NAMED_AT - AVOIDED_FOR;
         assert!(last <= DURATION - Duration::from_secs(1), "seed {seed}: the last needed one after {last:?}");
     }
 }
 
-/// A node that takes over long after a limit was named has nothing saved up: the one before it granted all.
+/// A node that takes over long after a limit was announced has no saved grants, as its predecessor
+/// granted them all.
 #[test]
 fn test_a_node_that_takes_over_has_no_saved_grants() {
     let mut limiter = limiter();
--- a/lib/tests/test_gateway_replica_limits.rs
+++ b/lib/tests/test_gateway_replica_limits.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the limits that replicas name.
+//! The limits of replicas as a node knows them.
 
 use std::time::Duration;
 
@@ -33,7 +33,8 @@
     limits
 }
 
-/// A long call that was sent before the need began is answered after another one that named the limit.
+/// The response to a long call that was sent before the limit began arrives after another response that
+/// named the limit.
 #[test]
 fn test_a_response_to_an_earlier_request_withdraws_no_limit() {
     let mut limits = limited();
@@ -56,7 +57,7 @@
     assert_eq!(limits.limit(REPLICA), Some(4.0));
 }
 
-/// What an earlier start named, or named none, says nothing of a later one.
+/// Statements of an earlier incarnation, with or without a limit, do not apply to a later one.
 #[test]
 fn test_limits_do_not_carry_over_to_another_incarnation() {
     let mut limits = limited();
@@ -85,7 +86,8 @@
     assert_eq!(limits.limit(REPLICA), Some(2.0));
 }
 
-/// Nodes that know the same tell each other nothing; a node that missed the end of a need is told of it.
+/// Nodes that know the same limits announce nothing to each other; a node that missed the withdrawal of a
+/// limit is notified.
 #[test]
 fn test_digests_stand_for_the_limits_in_force() {
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
@@ -99,9 +101,10 @@
     assert_eq!(b.digest(), 0);
 }
 
-/// A replica that measures its load names another figure in each answer. Two nodes that heard 3.0 and 3.1 kept to
-/// theirs for as long as the need lasted: their digests never agreed, and each told the other all limits once a
-/// second. What differs so little is told to nobody else.
+/// A replica that measures its load names a slightly different limit in each response. Two nodes that
+/// received 3.0 and 3.1 must agree in the end: if each keeps its own value for as long as the limit
+/// lasts, their digests never match and each announces all limits to the other once a second. Such a
+/// small difference is not forwarded to further nodes.
 #[test]
 fn test_nodes_with_slightly_different_limits_converge() {
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
@@ -109,14 +112,14 @@
     assert!(a.on_told(b.all(s(10.5)), s(10.5)).is_empty());
     assert_eq!(a.limit(REPLICA), Some(3.1));
     assert_eq!(a.digest(), b.digest());
-    // Neither an own answer nor an older word brings the difference back.
+    // Neither a node's own response nor an older announcement restores the difference.
     assert!(!b.on_answer(&incarnation(1), LimitReport::Named(3.0), times(10.9, 11.0)));
     assert!(a.on_told(vec![announced(1, Some(3.0), 4.0)], s(11.0)).is_empty());
     assert_eq!(a.digest(), b.digest());
 }
 
-/// A limit is not dropped because nobody asked; one that was taken back is forgotten in time, as is what
-/// is known of replicas that are gone.
+/// A limit does not expire for lack of requests; a withdrawn one is removed in time, as is the state of
+/// replicas that no longer exist.
 #[test]
 fn test_limits_are_kept_until_withdrawn() {
     let mut limits = limited();
@@ -132,7 +135,8 @@
     assert_eq!(limits.limit(REPLICA), None);
 }
 
-/// It was given what it took before until a moment ago. Another figure is the same need, another need is not.
+/// A newly limited replica has just received its former load. A different value continues the same
+/// limitation; a limit after a withdrawal starts a new one.
 #[test]
 fn test_newly_limited_replicas_are_avoided_for_a_while() {
     let mut limits = limited();
--- a/lib/tests/test_gateway_waiting.rs
+++ b/lib/tests/test_gateway_waiting.rs
@@ -1,4 +1,4 @@
-//! Generations that wait for room: in which order, how long, and when they are told.
+//! Generations that wait for room: their order, how long they wait, and when they are refused.
 
 use std::time::Duration;
 
@@ -36,13 +36,13 @@
 fn test_queue_is_ordered_and_entries_expire() {
     let mut queue =
         queue(&[("late", 1, 9, 0.0), ("first", 0, 9, 0.0), ("second", 0, 9, 0.0), ("over", 0, 5, 0.0)]);
-    assert!(!queue.is_next(0, Duration::ZERO), "one as urgent waits");
+    assert!(!queue.is_next(0, Duration::ZERO), "an equally urgent generation waits");
     assert_eq!(queue.take_unservable(Duration::from_secs(5), unknown), [("over", None)]);
     assert_eq!(drain(&mut queue), ["first", "second", "late"]);
     assert!(queue.is_next(0, Duration::ZERO));
 }
 
-/// Those that can begin in time go before those that can't any more, and these go before all once they
+/// Generations that can begin in time go before those that cannot, and the latter go before all once they
 /// have been late for six tenths of the time that their callers stay.
 #[test]
 fn test_generations_that_can_begin_in_time_go_first() {
@@ -59,16 +59,12 @@
     };
     assert_eq!(order_at(1), (vec!["late", "urgent", "old", "new"], vec![false, false]));
     assert_eq!(order_at(5), (vec!["urgent", "new", "late", "old"], vec![false, false]));
-    assert_eq!(
-        order_at(7),
-        (vec!["old", "urgent", "new", "late"], vec![false, false]),
-        "old is late for long"
-    );
+    assert_eq!(order_at(7), (vec!["old", "urgent", "new", "late"], vec![false, false]), "old is overdue");
     assert_eq!(order_at(12).0, ["old", "late", "urgent", "new"]);
 }
 
-/// While others can begin in time, one of four that are given an engine has been late for long; where none can,
-/// all of them follow each other.
+/// While others can begin in time, one of four placements goes to an overdue generation; where none can,
+/// overdue ones follow each other.
 #[test]
 fn test_one_of_four_placements_is_overdue() {
     let at = Duration::from_secs;
@@ -76,20 +72,20 @@
     for (item, due) in [("o1", 1), ("o2", 2), ("o3", 3), ("a", 50), ("b", 50), ("c", 50), ("d", 50)] {
         queue.push(Waiting { item, priority: 0, due: at(due), until: at(due + 10), tokens: 1.0 });
     }
-    // What is put back was given nothing.
-    let first = queue.pop(at(20)).expect("seven wait");
+    // An entry that is put back does not count as a placement.
+    let first = queue.pop(at(20)).expect("seven entries wait");
     queue.put_back(first);
     assert!(!queue.is_next(0, at(20)));
     assert_eq!(drain_at(&mut queue, 20), ["o1", "a", "b", "c", "o2", "d", "o3"]);
     queue.push(Waiting { item: "o4", priority: 0, due: at(1), until: at(11), tokens: 1.0 });
     for _ in 0..3 {
-        assert!(queue.is_next(0, at(20)), "it is not its turn");
+        assert!(queue.is_next(0, at(20)), "it is not the turn of an overdue entry");
         queue.on_direct_placement();
     }
-    assert!(!queue.is_next(0, at(20)), "three have passed it");
+    assert!(!queue.is_next(0, at(20)), "three placements went before it");
 }
 
-/// One that was taken out and put back keeps its turn, and late ones don't hold up new ones.
+/// An entry that was taken out and put back keeps its turn, and late entries do not delay new ones.
 #[test]
 fn test_late_generations_do_not_delay_others() {
     let at = Duration::from_secs;
@@ -97,14 +93,15 @@
     for (item, due) in [("first", 2), ("second", 3)] {
         queue.push(Waiting { item, priority: 0, due: at(due), until: at(20), tokens: 1.0 });
     }
-    let first = queue.pop(at(1)).expect("two wait");
+    let first = queue.pop(at(1)).expect("two entries wait");
     queue.put_back(first);
     assert!(!queue.is_next(1, at(1)));
     assert!(queue.is_next(0, at(5)), "both are late");
     assert_eq!(drain_at(&mut queue, 5), ["first", "second"]);
 }
 
-/// Who can no longer be served in time is told at once, and does not count for those behind it.
+/// A generation that can no longer begin in time is refused at once, and does not count for those behind
+/// it.
 #[test]
 fn test_generations_that_cannot_begin_in_time_are_refused_at_once() {
     let mut queue = queue(&[("a", 0, 14, 3.0), ("huge", 0, 14, 90.0), ("b", 0, 14, 1.0), ("c", 1, 13, 1.0)]);
@@ -127,8 +124,8 @@
 }
 
 proptest! {
-    /// Memory that becomes free evenly is forecast to within a quarter, after a few seconds as
-    /// after many; once none becomes free the forecast grows.
+    /// Memory that becomes free at a steady rate is forecast to within a quarter, after a few seconds as
+    /// well as after many; once none becomes free, the forecast increases.
     #[test]
     fn test_room_is_forecast(per_second in 100.0_f64..1e6, seconds in 3_u64..60) {
         let mut forecast = RoomForecast::default();
@@ -137,13 +134,13 @@
             now += Duration::from_millis(100);
             forecast.on_freed(per_second / 10.0, now);
         }
-        let expected = forecast.time_until(10.0 * per_second, now).expect("enough was seen").as_secs_f64();
+        let expected = forecast.time_until(10.0 * per_second, now).expect("observed long enough").as_secs_f64();
         prop_assert!((7.5..=12.5).contains(&expected), "{} s instead of 10", expected);
         let later = forecast.time_until(10.0 * per_second, now + Duration::from_secs(10));
-        prop_assert!(later.expect("enough was seen").as_secs_f64() > 3.0 * expected);
+        prop_assert!(later.expect("observed long enough").as_secs_f64() > 3.0 * expected);
     }
 
-    /// Callers that are refused together return spread over half of the time.
+    /// Callers that are refused at the same time retry over a range of half the delay.
     #[test]
     fn test_retry_delays_are_spread(seed in 0_u64..1_000) {
         let mut rng = SmallRng::seed_from_u64(seed);
