--- a/lib/src/gateway/limit_grants.rs
+++ b/lib/src/gateway/limit_grants.rs
@@ -57,8 +57,8 @@
 /// The granting node receives the first request within this time after the limit was announced, where
 /// there are calls.
 const FIRST_REQUEST_WITHIN: Duration = Duration::from_secs(5);
-/// Nodes seen within this time count as possibly partitioned. Partitions that last longer than that
-/// outlast the replacement of nodes.
+/// Nodes seen within this time count as possibly partitioned. This covers partitions that outlast the
+/// replacement of a node.
 const FLEET_SIZE_MEMORY: Duration = Duration::from_secs(20);
 
 /// Identifies a node's request for a grant: a call may request grants for several replicas, one after the
--- a/lib/src/gateway/replica_limits.rs
+++ b/lib/src/gateway/replica_limits.rs
@@ -104,7 +104,7 @@
     }
 
     /// Applies the limits that another node announced. Returns those that changed.
-    pub fn on_told(&mut self, announced: Vec<AnnouncedLimit>, now: Timestamp) -> Vec<AnnouncedLimit> {
+    pub fn on_announced(&mut self, announced: Vec<AnnouncedLimit>, now: Timestamp) -> Vec<AnnouncedLimit> {
         let mut changed = announced;
         changed.retain(|announced| {
             let limit = announced.limit.filter(|limit| limit.is_finite() && *limit >= 0.0);
@@ -143,7 +143,7 @@
     }
 
     /// When a replica became limited, as far as this node knows.
-    pub fn named_since(&self, replica: &str) -> Option<Timestamp> {
+    pub fn limited_since(&self, replica: &str) -> Option<Timestamp> {
         self.known.get(replica).filter(|known| known.limit.is_some()).map(|known| known.limited_since)
     }
 
--- a/lib/src/gateway/replica_rate_limiter.rs
+++ b/lib/src/gateway/replica_rate_limiter.rs
@@ -99,7 +99,7 @@
     }
 
     fn accrue_since_named(&mut self, replica: &UpstreamId, now: Timestamp) {
-        if let Some(named_at) = self.limits.named_since(replica) {
+        if let Some(named_at) = self.limits.limited_since(replica) {
             self.grants.accrue_from(replica, named_at, now);
         }
     }
--- a/lib/tests/test_gateway_replica_limits.rs
+++ b/lib/tests/test_gateway_replica_limits.rs
@@ -74,14 +74,14 @@
 #[test]
 fn test_announced_limits_are_ordered_by_their_age() {
     let mut limits = limited();
-    assert!(limits.on_told(vec![announced(1, None, 4.0)], s(12.0)).is_empty());
+    assert!(limits.on_announced(vec![announced(1, None, 4.0)], s(12.0)).is_empty());
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert_eq!(limits.on_told(vec![announced(1, None, 1.0)], s(12.0)).len(), 1);
+    assert_eq!(limits.on_announced(vec![announced(1, None, 1.0)], s(12.0)).len(), 1);
     assert_eq!(limits.limit(REPLICA), None);
-    assert_eq!(limits.on_told(vec![announced(1, Some(2.0), 0.5)], s(12.0)).len(), 1);
+    assert_eq!(limits.on_announced(vec![announced(1, Some(2.0), 0.5)], s(12.0)).len(), 1);
     assert_eq!(limits.limit(REPLICA), Some(2.0));
     for invalid in [f64::NAN, f64::INFINITY, -1.0] {
-        assert!(limits.on_told(vec![announced(1, Some(invalid), 0.0)], s(12.0)).is_empty());
+        assert!(limits.on_announced(vec![announced(1, Some(invalid), 0.0)], s(12.0)).is_empty());
     }
     assert_eq!(limits.limit(REPLICA), Some(2.0));
 }
@@ -93,11 +93,11 @@
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
     assert_eq!(b.digest(), 0);
     assert_ne!(a.digest(), b.digest());
-    b.on_told(a.all(s(11.0)), s(511.0));
+    b.on_announced(a.all(s(11.0)), s(511.0));
     assert_eq!(a.digest(), b.digest());
     a.on_answer(&incarnation(1), LimitReport::NotNamed, times(11.5, 11.6));
     assert_eq!(a.digest(), 0);
-    b.on_told(a.all(s(12.0)), s(512.0));
+    b.on_announced(a.all(s(12.0)), s(512.0));
     assert_eq!(b.digest(), 0);
 }
 
@@ -109,12 +109,12 @@
 fn test_nodes_with_slightly_different_limits_converge() {
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
     b.on_answer(&incarnation(1), LimitReport::Named(3.1), times(10.0, 10.1));
-    assert!(a.on_told(b.all(s(10.5)), s(10.5)).is_empty());
+    assert!(a.on_announced(b.all(s(10.5)), s(10.5)).is_empty());
     assert_eq!(a.limit(REPLICA), Some(3.1));
     assert_eq!(a.digest(), b.digest());
     // Neither a node's own response nor an older announcement restores the difference.
     assert!(!b.on_answer(&incarnation(1), LimitReport::Named(3.0), times(10.9, 11.0)));
-    assert!(a.on_told(vec![announced(1, Some(3.0), 4.0)], s(11.0)).is_empty());
+    assert!(a.on_announced(vec![announced(1, Some(3.0), 4.0)], s(11.0)).is_empty());
     assert_eq!(a.digest(), b.digest());
 }
 
--- a/node/src/gateway/control/limit_intake.rs
+++ b/node/src/gateway/control/limit_intake.rs
@@ -54,7 +54,7 @@
 
     /// Another node told some.
     pub fn on_told(&mut self, knowledge: &mut Knowledge, fleet: &Fleet, told: Vec<AnnouncedLimit>) {
-        let news = knowledge.limits.get_mut().limits.on_told(told, self.shared.now());
+        let news = knowledge.limits.get_mut().limits.on_announced(told, self.shared.now());
         self.publish(knowledge);
         for told in &news {
             info!(event = "limit_told", upstream = &*told.replica.id, limit:? = told.limit, said_ms_ago = told.age.as_millis() as u64; "another node told a replica's limit");
