--- a/lib/src/gateway/replica_rate_limiter.rs
+++ b/lib/src/gateway/replica_rate_limiter.rs
@@ -43,14 +43,14 @@
     pub fn allows<R: Rng>(
         &mut self,
         replica: &UpstreamId,
-        giver: Giver,
+        placed_by: Giver,
         now: Timestamp,
         rng: &mut R,
     ) -> bool {
         let Some(limit) = self.limits.limit(replica) else {
             return true;
         };
-        match giver {
+        match placed_by {
             Giver::Lead => {
                 self.accrue_since_named(replica, now);
                 self.grants.may_grant(replica, limit, 0, now)
@@ -60,11 +60,11 @@
     }
 
     /// Records that this node placed a request at a replica.
-    pub fn on_assigned<R: Rng>(&mut self, replica: &str, giver: Giver, now: Timestamp, rng: &mut R) {
+    pub fn on_assigned<R: Rng>(&mut self, replica: &str, placed_by: Giver, now: Timestamp, rng: &mut R) {
         let Some(limit) = self.limits.limit(replica) else {
             return;
         };
-        match giver {
+        match placed_by {
             Giver::Lead => self.grants.on_granted(replica),
             Giver::Node => self.permits.on_permit_used(replica, limit, now, rng),
         }
--- a/lib/tests/test_gateway_lead_queue.rs
+++ b/lib/tests/test_gateway_lead_queue.rs
@@ -14,7 +14,7 @@
 /// none.
 struct ModelEngines {
     tokens: f64,
-    reads_soon: bool,
+    has_prefill_capacity: bool,
     attempts: usize,
 }
 
@@ -29,7 +29,7 @@
         if *tokens > self.tokens {
             return Err(Shortage::Memory);
         }
-        if !self.reads_soon {
+        if !self.has_prefill_capacity {
             return Err(Shortage::Reading);
         }
         self.tokens -= tokens;
@@ -46,7 +46,7 @@
 }
 
 fn engines_with_memory(tokens: f64) -> ModelEngines {
-    ModelEngines { tokens, reads_soon: true, attempts: 0 }
+    ModelEngines { tokens, has_prefill_capacity: true, attempts: 0 }
 }
 
 /// Returns a queue of generations that wait up to 10 s each and can begin in time for 5 s.
@@ -88,9 +88,9 @@
 
 /// Where no engine can read a prompt soon, one pass tries a single placement.
 #[test]
-fn test_none_are_skipped_for_lack_of_reading_capacity() {
+fn test_none_are_skipped_for_lack_of_prefill_capacity() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
-    let mut engines = ModelEngines { tokens: 9.0, reads_soon: false, attempts: 0 };
+    let mut engines = ModelEngines { tokens: 9.0, has_prefill_capacity: false, attempts: 0 };
     assert_eq!(placed(queue.settle(&mut engines, s(1))), [""; 0]);
     assert_eq!((engines.attempts, queue.len()), (1, 3));
 }
