--- a/lib/src/gateway/lead_queue.rs
+++ b/lib/src/gateway/lead_queue.rs
@@ -4,14 +4,14 @@
 //!
 //! Where memory is short, a generation that needs less memory may fit where the first one does not. Up to
 //! [`MAX_SKIPPED`] generations are skipped in that case. They keep their places, and an overdue
-//! generation that is skipped has used its turn. Where no engine can read a prompt soon, this holds for
-//! smaller prompts as well, so none are skipped.
+//! generation that is skipped has used its turn. Where no engine has prefill capacity soon, there is none
+//! for smaller prompts either, so no generation is skipped.
 //!
 //! On modelled engines whose memory holds six long streams (`test_fleet_model`), over 20 days each at
 //! 1.14 and 1.3 times the usual load, the earned share of the possible value is 0.864 and 0.736 with up
 //! to four skipped, 0.840 and 0.723 with none (+- 0.01), 0.866 and 0.736 with two, and 0.874 and 0.738
 //! with eight. Of prompts over 4,500 tokens, 0.53 and 0.37 begin in time with none, and 0.55 to 0.57 and
-//! 0.36 to 0.37 with two or eight. On engines that are short of reading capacity, at 1.4 times the load,
+//! 0.36 to 0.37 with two or eight. On engines that are short of prefill capacity, at 1.4 times the load,
 //! the share is 0.878, and 0.869 with none (60 days, +- 0.002).
 
 use std::time::Duration;
--- a/lib/src/gateway/waiting.rs
+++ b/lib/src/gateway/waiting.rs
@@ -1,12 +1,11 @@
 //! The queue of generations that wait at their service's lead until an engine has room.
 //!
 //! Generations that can still begin in time go first, ordered by urgency and then by arrival. Those that
-//! can no longer begin in time follow: where engines receive 1.1 times the load that they can read,
-//! ordering by arrival alone soon makes all generations begin late, this order a tenth. So that late
-//! generations are served too, a generation that has been late for [`OVERDUE_AFTER_FRACTION`] of the time
-//! until its caller leaves is overdue and goes before all others, but only in a limited share of the
-//! placements: where the load far exceeds the engines' capacity, all generations would be overdue before
-//! they are served.
+//! can no longer begin in time follow: at 1.1 times the engines' prefill capacity, ordering by arrival
+//! alone soon makes all generations begin late, this order a tenth. So that late generations are served
+//! too, a generation that has been late for [`OVERDUE_AFTER_FRACTION`] of the time until its caller
+//! leaves is overdue and goes before all others, but only in a limited share of the placements: where the
+//! load far exceeds the capacity, all generations would be overdue before they are served.
 //!
 //! A generation waits only while it can be expected to begin before its caller leaves. A caller that is
 //! refused at once retries when there is room, while a caller that is held and then refused has lost both
@@ -27,25 +26,25 @@
 const RETRY_DELAY_JITTER: f64 = 0.25;
 
 /// Fraction of the time from a generation's becoming late to its caller's leaving after which it is
-/// overdue. At 1.1 times the prompts that engines can read, for 15 s, 404 of 3,256 long streams begin
-/// late (551 with 0.5, 380 with 0.75), and no caller leaves. At 1.3 times, 34 of 6,397 callers leave
-/// (none with 0.5, 55 with 0.75), compared to 296 in a queue ordered by arrival. These figures are from
+/// overdue. At 1.1 times the engines' prefill capacity, for 15 s, 404 of 3,256 long streams begin late
+/// (551 with 0.5, 380 with 0.75), and no caller leaves. At 1.3 times, 34 of 6,397 callers leave (none
+/// with 0.5, 55 with 0.75), compared to 296 in a queue ordered by arrival. These figures are from
 /// modelled engines without the bound [`OVERDUE_INTERVAL`].
 const OVERDUE_AFTER_FRACTION: f64 = 0.6;
 
 /// One of this many placements may go to an overdue generation while others can begin in time. At 1.1
-/// times the load that engines can read, this is enough that no caller leaves.
+/// times the engines' prefill capacity, this is enough that no caller leaves.
 const OVERDUE_INTERVAL: u32 = 4;
 /// The interval while more than [`MAX_FEW_OVERDUE`] generations are overdue. The load then far exceeds
 /// the engines' capacity, and each overdue generation that goes first makes another one late. On modelled
-/// engines (`test_what_callers_get_at_full_engines`), at 1.3 times the load that they can read, 5,392 of
-/// 6,254 generations begin in time, 390 begin late, and 472 callers leave; with a fixed interval of 4 it
-/// is 5,172, 596 and 595 of 6,363, and 3,555, 2,808 and 34 of 6,397 where overdue generations always go
+/// engines (`test_what_callers_get_at_full_engines`), at 1.3 times their prefill capacity, 5,392 of 6,254
+/// generations begin in time, 390 begin late, and 472 callers leave; with a fixed interval of 4 it is
+/// 5,172, 596 and 595 of 6,363, and 3,555, 2,808 and 34 of 6,397 where overdue generations always go
 /// first.
 const MANY_OVERDUE_INTERVAL: u32 = 32;
 /// Up to this many overdue generations, [`OVERDUE_INTERVAL`] serves them. With 12 instead, 40 of some
-/// 5,800 callers leave at 1.1 times the load that modelled engines can read; with 40, fewer begin in time
-/// at 1.3 times (5,345).
+/// 5,800 callers leave at 1.1 times the prefill capacity of modelled engines; with 40, fewer begin in
+/// time at 1.3 times (5,345).
 const MAX_FEW_OVERDUE: usize = 24;
 
 /// No engine has room for a generation.
--- a/lib/tests/test_gateway_lead_queue.rs
+++ b/lib/tests/test_gateway_lead_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a lead whose engines lack memory or cannot read prompts soon.
+//! The queue of a lead whose engines are short of memory or of prefill capacity.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::shortage::Shortage;
 
-/// Model engines with `tokens` of free memory in total; either all of them can read a prompt soon or
+/// Model engines with `tokens` of free memory in total; either all of them have prefill capacity soon or
 /// none.
 struct ModelEngines {
     tokens: f64,
@@ -86,7 +86,7 @@
     assert_eq!(placed(queue.settle(&mut engines_with_memory(5.5), s(2))), ["long"]);
 }
 
-/// Where no engine can read a prompt soon, one pass tries a single placement.
+/// Where no engine has prefill capacity soon, one pass tries a single placement.
 #[test]
 fn test_none_are_skipped_for_lack_of_prefill_capacity() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
