--- a/lib/tests/test_gateway_waiting.rs
+++ b/lib/tests/test_gateway_waiting.rs
@@ -134,10 +134,10 @@
             now += Duration::from_millis(100);
             forecast.on_freed(per_second / 10.0, now);
         }
-        let expected = forecast.time_until(10.0 * per_second, now).expect("observed long enough").as_secs_f64();
+        let expected = forecast.time_until(10.0 * per_second, now).expect("enough samples").as_secs_f64();
         prop_assert!((7.5..=12.5).contains(&expected), "{} s instead of 10", expected);
         let later = forecast.time_until(10.0 * per_second, now + Duration::from_secs(10));
-        prop_assert!(later.expect("observed long enough").as_secs_f64() > 3.0 * expected);
+        prop_assert!(later.expect("enough samples").as_secs_f64() > 3.0 * expected);
     }
 
     /// Callers that are refused at the same time retry over a range of half the delay.
