--- a/lib/src/gateway/choice.rs
+++ b/lib/src/gateway/choice.rs
@@ -217,8 +217,8 @@
     ) -> f64 {
         let is_near = replica.record.hall == *hall || !self.policy.stay_in_hall;
         let elsewhere = if is_near { 0.0 } else { costs.other_hall };
-        let failures = f64::from(replica.failures()) * COST_PER_FAILURE_MS;
-        let errors = if self.policy.avoid_errors { replica.errors(now) } else { 0.0 };
+        let failures = f64::from(replica.consecutive_failures()) * COST_PER_FAILURE_MS;
+        let errors = if self.policy.avoid_errors { replica.error_share(now) } else { 0.0 };
         elsewhere + failures + errors * errors * costs.all_errors + rng.random::<f64>() * SPREAD_MS
     }
 }
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -6,25 +6,25 @@
 
 use derive_more::Display;
 
+use crate::gateway::leaving_announcements::MAX_LEAVING_TIME;
 use crate::gateway::replica_record;
 use crate::gateway::replica_record::Incarnation;
 use crate::gateway::replica_record::ReplicaRecord;
 use crate::gateway::revision;
 use crate::gateway::revision::Revision;
-use crate::gateway::said_leaving::LONGEST_LEAVING;
 use crate::ids::Timestamp;
 
 /// A replica that failed gets no new work for this long after the first failure; doubled
 /// with each further one. Long enough that a dead replica costs few requests, short enough
 /// that one that only stumbled is missed briefly.
-const FIRST_REST: Duration = Duration::from_millis(300);
+const FIRST_BACKOFF: Duration = Duration::from_millis(300);
 /// The longest rest after failures.
-const LONGEST_REST: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Weight of the newest answer in a replica's share of errors.
-const NEWEST_WEIGHT: f64 = 0.2;
+const NEWEST_ANSWER_WEIGHT: f64 = 0.2;
 /// A share of errors counts half as much after this time, so that a replica that recovered
 /// is tried again.
-const ERRORS_HALVE_IN: Duration = Duration::from_secs(3);
+const ERROR_HALF_LIFE: Duration = Duration::from_secs(3);
 
 /// Why a replica is taken to be leaving.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -34,19 +34,19 @@
     Listed,
     /// It says so in its answers.
     #[display("says so in its answers")]
-    Said,
+    Announced,
     /// Its entry went away while the list was followed.
     #[display("no longer listed")]
     Unlisted,
     /// Its entry did not come back after the store had been away.
     #[display("not listed again")]
-    Lapsed,
+    Expired,
     /// It says so when asked for its health.
     #[display("not well or leaving when asked")]
-    Unwell,
+    Unhealthy,
     /// Another node has learnt that it leaves.
     #[display("told by another node")]
-    Told,
+    ReportedByPeer,
     /// Another instance answers at its address.
     #[display("another instance at its address")]
     Replaced,
@@ -54,10 +54,13 @@
 
 impl LeavingSign {
     /// Whether an entry that says that the replica stays is believed more than this sign.
-    pub(super) fn is_taken_back(self) -> bool {
+    pub(super) fn is_revocable(self) -> bool {
         match self {
-            LeavingSign::Unlisted | LeavingSign::Lapsed | LeavingSign::Unwell | LeavingSign::Told => true,
-            LeavingSign::Listed | LeavingSign::Said | LeavingSign::Replaced => false,
+            LeavingSign::Unlisted
+            | LeavingSign::Expired
+            | LeavingSign::Unhealthy
+            | LeavingSign::ReportedByPeer => true,
+            LeavingSign::Listed | LeavingSign::Announced | LeavingSign::Replaced => false,
         }
     }
 
@@ -65,11 +68,11 @@
     fn ends_by(self, now: Timestamp) -> Option<Timestamp> {
         match self {
             LeavingSign::Listed => None,
-            LeavingSign::Said => Some(now + LONGEST_LEAVING),
+            LeavingSign::Announced => Some(now + MAX_LEAVING_TIME),
             LeavingSign::Unlisted
-            | LeavingSign::Lapsed
-            | LeavingSign::Unwell
-            | LeavingSign::Told
+            | LeavingSign::Expired
+            | LeavingSign::Unhealthy
+            | LeavingSign::ReportedByPeer
             | LeavingSign::Replaced => Some(now),
         }
     }
@@ -86,10 +89,10 @@
     pub leaving_since: Timestamp,
     /// When it works at full speed.
     pub warm_at: Timestamp,
-    failures: u32,
-    rest_until: Timestamp,
-    errors: f64,
-    errors_at: Timestamp,
+    consecutive_failures: u32,
+    backoff_until: Timestamp,
+    error_share: f64,
+    error_share_at: Timestamp,
     /// Since when its entry has been missing, perhaps only because the store was away.
     pub(super) missing_since: Option<Timestamp>,
     /// By when it is known to have ended, or to be about to, whatever its entry said.
@@ -106,10 +109,10 @@
             record: Arc::new(record),
             leaving,
             leaving_since: now,
-            failures: 0,
-            errors: 0.0,
-            errors_at: now,
-            rest_until: Timestamp::ZERO,
+            consecutive_failures: 0,
+            error_share: 0.0,
+            error_share_at: now,
+            backoff_until: Timestamp::ZERO,
             missing_since: None,
             ends_by: None,
             changed_at: 0,
@@ -118,7 +121,7 @@
 
     /// Whether it may get new work.
     pub fn is_usable(&self, now: Timestamp) -> bool {
-        self.leaving.is_none() && self.rest_until <= now
+        self.leaving.is_none() && self.backoff_until <= now
     }
 
     /// It is cold for so long, at least; for no time where it is warm.
@@ -129,8 +132,8 @@
     }
 
     /// Whether what is said of one start of it holds for this one, not for an earlier one.
-    pub(super) fn is_concerned(&self, of: &Incarnation) -> bool {
-        replica_record::holds_for(of.born, self.record.born)
+    pub(super) fn is_covered_by(&self, incarnation: &Incarnation) -> bool {
+        replica_record::applies_to(incarnation.born, self.record.born)
     }
 
     /// Whether its entry is missing, perhaps only because the store was away.
@@ -144,16 +147,16 @@
     }
 
     /// The share of its answers that were errors of its own lately, or failed to come, 0 to 1.
-    pub fn errors(&self, now: Timestamp) -> f64 {
-        let halvings = now.saturating_sub(self.errors_at).as_secs_f64() / ERRORS_HALVE_IN.as_secs_f64();
-        self.errors * 0.5_f64.powf(halvings)
+    pub fn error_share(&self, now: Timestamp) -> f64 {
+        let halvings = now.saturating_sub(self.error_share_at).as_secs_f64() / ERROR_HALF_LIFE.as_secs_f64();
+        self.error_share * 0.5_f64.powf(halvings)
     }
 
     /// A sign that it leaves; the first one counts, and the first that no entry takes back. Returns whether it is
     /// news.
     pub(super) fn on_sign(&mut self, sign: LeavingSign, now: Timestamp) -> bool {
         match self.leaving {
-            Some(known) if !known.is_taken_back() || sign.is_taken_back() => return false,
+            Some(known) if !known.is_revocable() || sign.is_revocable() => return false,
             Some(_) => {}
             None => self.leaving_since = now,
         }
@@ -170,40 +173,41 @@
 
     /// Whether its end was learnt from the store before that came back from the copy that a list at `at` tells of.
     pub(super) fn ended_before_copy(&self, at: Revision) -> bool {
-        let is_end = matches!(self.leaving, Some(LeavingSign::Unlisted | LeavingSign::Told));
+        let is_end = matches!(self.leaving, Some(LeavingSign::Unlisted | LeavingSign::ReportedByPeer));
         is_end && self.changed_at > 0 && revision::era(self.changed_at) < revision::era(at)
     }
 
     /// It stays after all.
-    pub(super) fn stay(&mut self) {
+    pub(super) fn cancel_leaving(&mut self) {
         (self.leaving, self.ends_by) = (None, None);
     }
 
     /// A request failed there for a reason of the replica's; `rests` if it gets no new work for a while.
-    pub(super) fn on_failure(&mut self, rests: bool, now: Timestamp) {
-        if rests {
-            let rest = FIRST_REST.saturating_mul(1 << self.failures.min(8)).min(LONGEST_REST);
-            self.failures += 1;
-            self.rest_until = now + rest;
+    pub(super) fn on_failure(&mut self, backs_off: bool, now: Timestamp) {
+        if backs_off {
+            let backoff =
+                FIRST_BACKOFF.saturating_mul(1 << self.consecutive_failures.min(8)).min(MAX_BACKOFF);
+            self.consecutive_failures += 1;
+            self.backoff_until = now + backoff;
         }
-        self.note_error(true, now);
+        self.update_error_share(true, now);
     }
 
-    fn note_error(&mut self, is_error: bool, now: Timestamp) {
+    fn update_error_share(&mut self, is_error: bool, now: Timestamp) {
         let newest = if is_error { 1.0 } else { 0.0 };
-        let before = self.errors(now);
-        self.errors = before + NEWEST_WEIGHT * (newest - before);
-        self.errors_at = now;
+        let before = self.error_share(now);
+        self.error_share = before + NEWEST_ANSWER_WEIGHT * (newest - before);
+        self.error_share_at = now;
     }
 
     pub(super) fn on_answer(&mut self, is_error: bool, now: Timestamp) {
-        self.note_error(is_error, now);
-        self.failures = 0;
-        self.rest_until = Timestamp::ZERO;
+        self.update_error_share(is_error, now);
+        self.consecutive_failures = 0;
+        self.backoff_until = Timestamp::ZERO;
     }
 
     /// Failures in a row.
-    pub fn failures(&self) -> u32 {
-        self.failures
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures
     }
 }
--- a/lib/src/gateway/lack_of_news.rs
+++ b/lib/src/gateway/replica_catch_up.rs
@@ -14,14 +14,14 @@
 use crate::ids::Timestamp;
 
 /// What another node knows usually comes by itself; it is fetched from that node if it has not come within this.
-const NEWS_FIRST: Duration = Duration::from_millis(120);
+const UPDATE_WAIT: Duration = Duration::from_millis(120);
 /// With many replicas news are gathered for longer before they are told, up to this.
-const NEWS_FIRST_PER_REPLICA: Duration = Duration::from_micros(15);
-const MOST_FOR_REPLICAS: Duration = Duration::from_millis(150);
+const UPDATE_WAIT_PER_REPLICA: Duration = Duration::from_micros(15);
+const MAX_UPDATE_WAIT_FOR_REPLICAS: Duration = Duration::from_millis(150);
 /// A node that lacks something asks nodes of other halls for it after some time between these.
-const FAR_PATIENCE: Range<Duration> = Duration::from_millis(200)..Duration::from_millis(1_200);
+const FAR_DELAY: Range<Duration> = Duration::from_millis(200)..Duration::from_millis(1_200);
 /// A node that knows no replicas leaves a busy node alone no longer than this, and asks another one.
-const LONGEST_BUSY_AT_START: Duration = Duration::from_millis(60);
+const MAX_BUSY_DELAY_AT_START: Duration = Duration::from_millis(60);
 
 /// Who knows more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,60 +36,65 @@
 
 /// What a node lacks.
 #[derive(Debug)]
-pub struct LackOfNews {
+pub struct ReplicaCatchUp {
     /// Another node is asked.
-    fetches: bool,
+    is_fetching: bool,
     /// A node that was busy said that it may be asked from then on; news may come before.
-    asks_from: Timestamp,
+    fetch_not_before: Timestamp,
     /// Since when others have known more.
-    since: Option<Timestamp>,
-    far_patience: Duration,
+    behind_since: Option<Timestamp>,
+    far_delay: Duration,
 }
 
-impl LackOfNews {
+impl ReplicaCatchUp {
     /// Nothing is known to be missing.
     pub fn new<R: Rng>(rng: &mut R) -> Self {
-        let far_patience = rng.random_range(FAR_PATIENCE);
-        LackOfNews { fetches: false, asks_from: Timestamp::ZERO, since: None, far_patience }
+        let far_delay = rng.random_range(FAR_DELAY);
+        ReplicaCatchUp {
+            is_fetching: false,
+            fetch_not_before: Timestamp::ZERO,
+            behind_since: None,
+            far_delay,
+        }
     }
 
     /// Another node knows the replicas up to `theirs`, this one up to `own`. Returns the pause after which that one is
     /// to be asked, if it is and news have not come meanwhile.
-    pub fn on_theirs(
+    pub fn on_peer_revision(
         &mut self,
-        theirs: Revision,
+        peer_revision: Revision,
         own: Revision,
         source: Source,
         replicas: usize,
         now: Timestamp,
     ) -> Option<Duration> {
-        if self.fetches || theirs <= own || now < self.asks_from {
+        if self.is_fetching || peer_revision <= own || now < self.fetch_not_before {
             return None;
         }
-        let since = *self.since.get_or_insert(now);
-        if source == Source::Far && now < since + self.far_patience {
+        let behind_since = *self.behind_since.get_or_insert(now);
+        if source == Source::Far && now < behind_since + self.far_delay {
             return None;
         }
-        self.fetches = true;
+        self.is_fetching = true;
         // News of a few changes is of no use to who knows nothing.
-        let for_replicas = NEWS_FIRST_PER_REPLICA * replicas as u32;
-        let news_first = NEWS_FIRST + for_replicas.min(MOST_FOR_REPLICAS);
-        Some(if own > 0 { news_first } else { Duration::ZERO })
+        let wait_for_replicas = UPDATE_WAIT_PER_REPLICA * replicas as u32;
+        let update_wait = UPDATE_WAIT + wait_for_replicas.min(MAX_UPDATE_WAIT_FOR_REPLICAS);
+        Some(if own > 0 { update_wait } else { Duration::ZERO })
     }
 
     /// More is known than before.
-    pub fn on_news(&mut self) {
-        self.since = None;
+    pub fn on_updates(&mut self) {
+        self.behind_since = None;
     }
 
     /// The node that was asked answered, or did not; or it was not asked after all.
     pub fn on_answer(&mut self) {
-        self.fetches = false;
+        self.is_fetching = false;
     }
 
     /// The node that was asked hands out to others, and may be asked again after some time.
     pub fn on_busy(&mut self, after: Duration, own: Revision, now: Timestamp) {
-        self.fetches = false;
-        self.asks_from = now + if own > 0 { after } else { after.min(LONGEST_BUSY_AT_START) };
+        self.is_fetching = false;
+        self.fetch_not_before = now + if own > 0 { after } else { after.min(MAX_BUSY_DELAY_AT_START) };
     }
 }
--- a/lib/src/gateway/replica_limits.rs
+++ b/lib/src/gateway/replica_limits.rs
@@ -15,8 +15,8 @@
 use serde::Serialize;
 
 use crate::gateway::digest;
-use crate::gateway::replica_record::Born;
 use crate::gateway::replica_record::Incarnation;
+use crate::gateway::replica_record::StartTime;
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
-    born: Born,
+    born: StartTime,
     limit: Option<PerSecond>,
     said: Timestamp,
     /// When the need began, as far as was heard.
--- a/lib/src/gateway/replica_list.rs
+++ b/lib/src/gateway/replica_list.rs
@@ -15,7 +15,7 @@
 
 /// Something, with the revision at which it was learnt.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
-pub struct Changed<T> {
+pub struct AtRevision<T> {
     /// The revision.
     pub at: Revision,
     /// What was learnt.
@@ -33,15 +33,15 @@
     /// Whether replicas that are not named are gone.
     pub is_whole: bool,
     /// Replicas that stay.
-    pub staying: Vec<Changed<ReplicaRecord>>,
+    pub staying: Vec<AtRevision<ReplicaRecord>>,
     /// Replicas that are known to leave.
-    pub leaving: Vec<Changed<Incarnation>>,
+    pub leaving: Vec<AtRevision<Incarnation>>,
 }
 
 /// Zstandard's level: a list of 10,000 replicas shrinks to a quarter in some milliseconds.
-const LEVEL: i32 = 3;
+const COMPRESSION_LEVEL: i32 = 3;
 /// Bytes of a list at most, once it is unpacked.
-const MOST_BYTES: usize = 64 << 20;
+const MAX_UNPACKED_BYTES: usize = 64 << 20;
 
 /// A list can't be packed or unpacked.
 #[derive(Debug, Display, Error, From)]
@@ -58,12 +58,12 @@
     /// Packs it to be handed to another node.
     pub fn pack(&self) -> Result<Bytes, ListError> {
         let encoded = postcard::to_allocvec(self)?;
-        Ok(zstd::bulk::compress(&encoded, LEVEL)?.into())
+        Ok(zstd::bulk::compress(&encoded, COMPRESSION_LEVEL)?.into())
     }
 
     /// Unpacks what another node handed over.
     pub fn unpack(packed: &[u8]) -> Result<ReplicaList, ListError> {
-        let encoded = zstd::bulk::decompress(packed, MOST_BYTES)?;
+        let encoded = zstd::bulk::decompress(packed, MAX_UNPACKED_BYTES)?;
         Ok(postcard::from_bytes(&encoded)?)
     }
 }
--- a/lib/src/gateway/replica_record.rs
+++ b/lib/src/gateway/replica_record.rs
@@ -16,7 +16,7 @@
 
 /// When a replica started, Unix milliseconds; 0 where that is not told. Of two with the same id, the one
 /// that started later is another replica, which knows nothing of the first.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// One start of a replica: what is said of it says nothing of a later start under the same id.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -24,13 +24,13 @@
     /// The replica's id.
     pub id: UpstreamId,
     /// When it started.
-    pub born: Born,
+    pub born: StartTime,
 }
 
 /// Whether what one start of a replica said holds for another start, by when they began: for itself and earlier ones, and for
 /// all where it is not known who said it.
-pub fn holds_for(said_by: Born, start: Born) -> bool {
-    said_by == 0 || start <= said_by
+pub fn applies_to(reported_start: StartTime, start: StartTime) -> bool {
+    reported_start == 0 || start <= reported_start
 }
 
 /// A replica as the platform lists it.
@@ -51,7 +51,7 @@
     /// Time until it works at full speed, from the reading on.
     pub cold: Duration,
     /// When it started.
-    pub born: Born,
+    pub born: StartTime,
     /// The version of its software.
     pub version: SoftwareVersion,
 }
--- a/lib/src/gateway/replica_news.rs
+++ b/lib/src/gateway/replica_updates.rs
@@ -26,17 +26,17 @@
 
 /// Pause between two messages, for each replica: none to speak of with some ten, 30 ms with
 /// 3,000. The changes grow with the replicas, so the messages a second stay about the same.
-const PAUSE_PER_REPLICA: Duration = Duration::from_micros(10);
+const BATCH_DELAY_PER_REPLICA: Duration = Duration::from_micros(10);
 /// The pause grows no longer than this: what came meanwhile is told in several messages.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(100);
 /// Changes in one message at most, some 60 bytes each: a datagram holds 16 KiB.
-const MOST_CHANGES: usize = 150;
+const MAX_CHANGES_PER_MESSAGE: usize = 150;
 /// News of more than this part of the replicas are not told: the list is less to read than what is told several times.
-const MOST_PART: f64 = 0.2;
+const MAX_CHANGED_SHARE: f64 = 0.2;
 /// Parts that are told in any case, in a fleet of any size.
-const LEAST_PARTS: usize = 2;
+const ALWAYS_SENT_PARTS: usize = 2;
 /// News of which some parts have come, at most; what is beyond is fetched.
-const MOST_OPEN: usize = 32;
+const MAX_INCOMPLETE_UPDATES: usize = 32;
 
 /// Which part of the news a message is.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,7 +55,7 @@
 
 /// What a watcher has learnt of the replicas.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
-pub struct ReplicaNews {
+pub struct ReplicaUpdate {
     /// The revision up to which the watcher knew the replicas before; 0 for a sign that
     /// does not come from the store.
     pub before: Revision,
@@ -69,32 +69,32 @@
     pub part: Part,
 }
 
-impl ReplicaNews {
+impl ReplicaUpdate {
     /// The news in messages, those that leave first; `None` where so much has changed of so many replicas that the
     /// nodes rather fetch what they lack from each other: they see in each message up to where its sender knows them.
-    pub fn into_parts(mut self, replicas: usize) -> Option<Vec<ReplicaNews>> {
+    pub fn into_parts(mut self, replicas: usize) -> Option<Vec<ReplicaUpdate>> {
         let changes = self.added.len() + self.leaving.len();
-        let count = changes.div_ceil(MOST_CHANGES).max(1);
-        if count > LEAST_PARTS && changes as f64 > replicas as f64 * MOST_PART {
+        let count = changes.div_ceil(MAX_CHANGES_PER_MESSAGE).max(1);
+        if count > ALWAYS_SENT_PARTS && changes as f64 > replicas as f64 * MAX_CHANGED_SHARE {
             return None;
         }
         let of = u16::try_from(count).ok()?;
         let (mut leaving, mut added) = (self.leaving.drain(..), self.added.drain(..));
         let parts = (0..of).map(|number| {
-            let leaving: Vec<Incarnation> = leaving.by_ref().take(MOST_CHANGES).collect();
-            let added = added.by_ref().take(MOST_CHANGES - leaving.len()).collect();
-            ReplicaNews { before: self.before, at: self.at, added, leaving, part: Part { number, of } }
+            let leaving: Vec<Incarnation> = leaving.by_ref().take(MAX_CHANGES_PER_MESSAGE).collect();
+            let added = added.by_ref().take(MAX_CHANGES_PER_MESSAGE - leaving.len()).collect();
+            ReplicaUpdate { before: self.before, at: self.at, added, leaving, part: Part { number, of } }
         });
         Some(parts.collect())
     }
 }
 
 /// Zstandard's level for the changes in a message.
-const LEVEL: i32 = 1;
+const COMPRESSION_LEVEL: i32 = 1;
 /// Fewer bytes are not packed: names are repeated too seldom in them.
-const LEAST_PACKED: usize = 400;
+const MIN_COMPRESSED_BYTES: usize = 400;
 /// Bytes of the changes in a message at most, once they are unpacked.
-const MOST_UNPACKED: usize = 64 << 10;
+const MAX_UNPACKED_BYTES: usize = 64 << 10;
 
 /// The changes of some news as nodes tell them.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
@@ -107,7 +107,7 @@
 
 /// News as nodes tell each other: a node that has had it need not look into it, and passes it on as it came.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
-pub struct PackedNews {
+pub struct PackedUpdate {
     /// As in [`ReplicaNews`].
     pub before: Revision,
     /// As in [`ReplicaNews`].
@@ -119,7 +119,7 @@
 
 /// News that can't be packed or unpacked.
 #[derive(Debug, Display, Error, From)]
-pub enum NewsError {
+pub enum UpdateError {
     /// It is not compressed as it should be, or too large.
     #[display("not unpacked: {_0}")]
     Packing(io::Error),
@@ -128,43 +128,43 @@
     Encoding(postcard::Error),
 }
 
-impl ReplicaNews {
+impl ReplicaUpdate {
     /// Packs it to be told.
-    pub fn pack(&self) -> Result<PackedNews, NewsError> {
+    pub fn pack(&self) -> Result<PackedUpdate, UpdateError> {
         let encoded = postcard::to_allocvec(&(&self.added, &self.leaving))?;
-        let changes = if encoded.len() < LEAST_PACKED {
+        let changes = if encoded.len() < MIN_COMPRESSED_BYTES {
             Changes::Encoded(encoded)
         } else {
-            Changes::Compressed(zstd::bulk::compress(&encoded, LEVEL)?)
+            Changes::Compressed(zstd::bulk::compress(&encoded, COMPRESSION_LEVEL)?)
         };
-        Ok(PackedNews { before: self.before, at: self.at, part: self.part, changes })
+        Ok(PackedUpdate { before: self.before, at: self.at, part: self.part, changes })
     }
 }
 
-impl PackedNews {
+impl PackedUpdate {
     /// The news.
-    pub fn unpack(&self) -> Result<ReplicaNews, NewsError> {
+    pub fn unpack(&self) -> Result<ReplicaUpdate, UpdateError> {
         let (added, leaving) = match &self.changes {
             Changes::Encoded(encoded) => postcard::from_bytes(encoded)?,
             Changes::Compressed(packed) => {
-                postcard::from_bytes(&zstd::bulk::decompress(packed, MOST_UNPACKED)?)?
+                postcard::from_bytes(&zstd::bulk::decompress(packed, MAX_UNPACKED_BYTES)?)?
             }
         };
-        Ok(ReplicaNews { before: self.before, at: self.at, added, leaving, part: self.part })
+        Ok(ReplicaUpdate { before: self.before, at: self.at, added, leaving, part: self.part })
     }
 }
 
 /// Up to which revision a node knows the replicas, by the parts of news that came in any order.
 #[derive(Debug, Default)]
-pub struct NewsProgress {
+pub struct UpdateProgress {
     at: Revision,
     /// News of which parts are missing, by both revisions.
-    open: BTreeMap<(Revision, Revision), BTreeSet<u16>>,
+    incomplete: BTreeMap<(Revision, Revision), BTreeSet<u16>>,
     /// News that came whole and begins beyond what is known.
     ahead: BTreeMap<Revision, Revision>,
 }
 
-impl NewsProgress {
+impl UpdateProgress {
     /// The revision.
     pub fn at(&self) -> Revision {
         self.at
@@ -180,38 +180,38 @@
             self.at = self.at.max(ahead);
         }
         let at = self.at;
-        self.open.retain(|(_, news_at), _| *news_at > at);
+        self.incomplete.retain(|(_, update_at), _| *update_at > at);
     }
 
     /// Whether a part of some news has come before, or all that is in it.
-    pub fn has(&self, news: &PackedNews) -> bool {
-        let open = self.open.get(&(news.before, news.at));
-        news.at <= self.at
-            || open.is_some_and(|parts| parts.contains(&news.part.number))
-            || self.ahead.get(&news.before) == Some(&news.at)
+    pub fn has(&self, update: &PackedUpdate) -> bool {
+        let incomplete = self.incomplete.get(&(update.before, update.at));
+        update.at <= self.at
+            || incomplete.is_some_and(|parts| parts.contains(&update.part.number))
+            || self.ahead.get(&update.before) == Some(&update.at)
     }
 
     /// A part of some news came. Returns whether something before it, or another part of it, is still missing.
-    pub fn on_part(&mut self, news: &ReplicaNews) -> bool {
-        if news.at <= self.at {
+    pub fn on_part(&mut self, update: &ReplicaUpdate) -> bool {
+        if update.at <= self.at {
             return false;
         }
-        let key = (news.before, news.at);
-        let parts = self.open.entry(key).or_default();
-        parts.insert(news.part.number);
-        if parts.len() >= usize::from(news.part.of) {
-            self.open.remove(&key);
-            let ahead = self.ahead.entry(news.before).or_default();
-            *ahead = news.at.max(*ahead);
+        let key = (update.before, update.at);
+        let parts = self.incomplete.entry(key).or_default();
+        parts.insert(update.part.number);
+        if parts.len() >= usize::from(update.part.of) {
+            self.incomplete.remove(&key);
+            let ahead = self.ahead.entry(update.before).or_default();
+            *ahead = update.at.max(*ahead);
             self.on_known(self.at);
         }
-        while self.open.len() > MOST_OPEN {
-            self.open.pop_first();
+        while self.incomplete.len() > MAX_INCOMPLETE_UPDATES {
+            self.incomplete.pop_first();
         }
-        while self.ahead.len() > MOST_OPEN {
+        while self.ahead.len() > MAX_INCOMPLETE_UPDATES {
             self.ahead.pop_first();
         }
-        news.at > self.at
+        update.at > self.at
     }
 }
 
@@ -222,58 +222,58 @@
 /// it knows the replicas, fills all links within a tenth of a second: with 66 nodes on links of
 /// 10 Mbit/s connections between nodes failed for 0.4 s and 163 of 949 streams came late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NewsRelay {
+pub struct UpdateRelay {
     /// The newest news that was passed on, and its part.
-    passed: (Revision, u16),
+    newest_forwarded: (Revision, u16),
 }
 
-impl NewsRelay {
+impl UpdateRelay {
     /// Whether to pass news on; `is_new` says that it changed what this node believes.
-    pub fn passes_on(&mut self, news: &ReplicaNews, is_new: bool) -> bool {
-        let this = (news.at, news.part.number);
-        let is_newest = this > self.passed;
-        self.passed = self.passed.max(this);
+    pub fn should_forward(&mut self, update: &ReplicaUpdate, is_new: bool) -> bool {
+        let this = (update.at, update.part.number);
+        let is_newest = this > self.newest_forwarded;
+        self.newest_forwarded = self.newest_forwarded.max(this);
         is_new || is_newest
     }
 }
 
 /// News that waits to be told.
 #[derive(Debug, Default)]
-pub struct NewsGathering {
-    waiting: Option<ReplicaNews>,
-    next: Timestamp,
+pub struct UpdateBatcher {
+    pending: Option<ReplicaUpdate>,
+    next_send: Timestamp,
 }
 
-impl NewsGathering {
+impl UpdateBatcher {
     /// Adds news that follows what waits already. Returns how long it waits, if it is the
     /// first that does.
-    pub fn add(&mut self, news: ReplicaNews, now: Timestamp) -> Option<Duration> {
-        match &mut self.waiting {
-            Some(waiting) => {
-                merge(waiting, news);
+    pub fn add(&mut self, update: ReplicaUpdate, now: Timestamp) -> Option<Duration> {
+        match &mut self.pending {
+            Some(pending) => {
+                merge(pending, update);
                 None
             }
             None => {
-                self.waiting = Some(news);
-                Some(self.next.saturating_sub(now))
+                self.pending = Some(update);
+                Some(self.next_send.saturating_sub(now))
             }
         }
     }
 
     /// Takes what waits; what comes next waits for a pause that grows with the replicas.
-    pub fn take(&mut self, replicas: usize, now: Timestamp) -> Option<ReplicaNews> {
-        let news = self.waiting.take()?;
-        self.next = now + (PAUSE_PER_REPLICA * replicas as u32).min(LONGEST_PAUSE);
-        Some(news)
+    pub fn take(&mut self, replicas: usize, now: Timestamp) -> Option<ReplicaUpdate> {
+        let update = self.pending.take()?;
+        self.next_send = now + (BATCH_DELAY_PER_REPLICA * replicas as u32).min(MAX_BATCH_DELAY);
+        Some(update)
     }
 }
 
-fn merge(waiting: &mut ReplicaNews, news: ReplicaNews) {
-    let leaves = |id: &UpstreamId| news.leaving.iter().any(|leaving| leaving.id == *id);
-    let is_named = |id: &UpstreamId| leaves(id) || news.added.iter().any(|r| r.id == *id);
-    waiting.added.retain(|record| !is_named(&record.id));
-    waiting.leaving.retain(|leaving| !is_named(&leaving.id));
-    waiting.added.extend(news.added);
-    waiting.leaving.extend(news.leaving);
-    waiting.at = news.at;
+fn merge(pending: &mut ReplicaUpdate, update: ReplicaUpdate) {
+    let leaves = |id: &UpstreamId| update.leaving.iter().any(|leaving| leaving.id == *id);
+    let is_named = |id: &UpstreamId| leaves(id) || update.added.iter().any(|r| r.id == *id);
+    pending.added.retain(|record| !is_named(&record.id));
+    pending.leaving.retain(|leaving| !is_named(&leaving.id));
+    pending.added.extend(update.added);
+    pending.leaving.extend(update.leaving);
+    pending.at = update.at;
 }
--- a/lib/src/gateway/replicas.rs
+++ b/lib/src/gateway/replicas.rs
@@ -13,11 +13,10 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-use crate::gateway::lapses::LAPSED_GRACE;
 use crate::gateway::policy::Policy;
 use crate::gateway::replica::LeavingSign;
 use crate::gateway::replica::Replica;
-use crate::gateway::replica_list::Changed;
+use crate::gateway::replica_list::AtRevision;
 use crate::gateway::replica_list::ReplicaList;
 use crate::gateway::replica_record::Incarnation;
 use crate::gateway::replica_record::ReplicaRecord;
@@ -25,6 +24,7 @@
 use crate::gateway::routing::ServiceId;
 use crate::gateway::service_index::ServiceIndex;
 use crate::gateway::service_index::Slot;
+use crate::gateway::store_outages::RELIST_GRACE;
 use crate::ids::HallId;
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
@@ -66,7 +66,7 @@
 
 /// What of a replica the table's indices go by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Indexed {
+struct IndexKeys {
     /// Its service and hall, if it stays.
     stays: Option<(ServiceId, HallId)>,
     ends_by: Option<Timestamp>,
@@ -74,10 +74,10 @@
     changed_at: Option<Revision>,
 }
 
-impl Indexed {
+impl IndexKeys {
     fn of(replica: &Replica) -> Self {
         let stays = replica.leaving.is_none();
-        Indexed {
+        IndexKeys {
             stays: stays.then(|| (replica.record.service.clone(), replica.record.hall.clone())),
             ends_by: replica.ends_by,
             missing_since: replica.missing_since,
@@ -99,10 +99,10 @@
     fn insert(&mut self, replica: Replica) {
         let slot = self.free.pop().unwrap_or(self.slots.len() as Slot);
         let id = replica.record.id.clone();
-        self.index(&id, slot, None, Some(&Indexed::of(&replica)));
+        self.index(&id, slot, None, Some(&IndexKeys::of(&replica)));
         self.by_id.insert(id, slot);
         match self.slots.get_mut(slot as usize) {
-            Some(place) => *place = Some(replica),
+            Some(entry) => *entry = Some(replica),
             None => self.slots.push(Some(replica)),
         }
     }
@@ -111,9 +111,9 @@
     fn update<T>(&mut self, id: &str, change: impl FnOnce(&mut Replica) -> T) -> Option<T> {
         let slot = *self.by_id.get(id)?;
         let replica = self.slots.get_mut(slot as usize)?.as_mut()?;
-        let before = Indexed::of(replica);
+        let before = IndexKeys::of(replica);
         let result = change(replica);
-        let after = Indexed::of(replica);
+        let after = IndexKeys::of(replica);
         if before != after {
             let id = replica.record.id.clone();
             self.index(&id, slot, Some(&before), Some(&after));
@@ -127,23 +127,23 @@
         };
         if let Some(replica) = self.slots[slot as usize].take() {
             self.forgotten_up_to = replica.changed_at.max(self.forgotten_up_to);
-            self.index(id, slot, Some(&Indexed::of(&replica)), None);
+            self.index(id, slot, Some(&IndexKeys::of(&replica)), None);
         }
         self.free.push(slot);
     }
 
     /// Brings the indices from what a replica was to what it is.
-    fn index(&mut self, id: &UpstreamId, slot: Slot, before: Option<&Indexed>, after: Option<&Indexed>) {
-        let stayed = before.and_then(|before| before.stays.as_ref());
-        let stays = after.and_then(|after| after.stays.as_ref());
-        if stayed != stays {
+    fn index(&mut self, id: &UpstreamId, slot: Slot, before: Option<&IndexKeys>, after: Option<&IndexKeys>) {
+        let staying_before = before.and_then(|before| before.stays.as_ref());
+        let staying_after = after.and_then(|after| after.stays.as_ref());
+        if staying_before != staying_after {
             self.version += 1;
-            if let Some((service, hall)) = stayed
+            if let Some((service, hall)) = staying_before
                 && let Some(index) = self.staying.get_mut(service)
             {
                 index.remove(hall, slot);
             }
-            if let Some((service, hall)) = stays {
+            if let Some((service, hall)) = staying_after {
                 self.staying.entry(service.clone()).or_default().insert(hall, slot);
             }
         }
@@ -153,21 +153,23 @@
         if let Some(by) = after.and_then(|after| after.ends_by) {
             self.ending.insert((by, id.clone()));
         }
-        let (missed, misses) = (before.and_then(|b| b.missing_since), after.and_then(|a| a.missing_since));
-        if missed != misses {
-            match misses {
+        let (missing_before, missing_after) =
+            (before.and_then(|b| b.missing_since), after.and_then(|a| a.missing_since));
+        if missing_before != missing_after {
+            match missing_after {
                 Some(since) => self.missing.insert(id.clone(), since),
                 None => self.missing.remove(id),
             };
         }
-        let (changed, changes) = (before.and_then(|b| b.changed_at), after.and_then(|a| a.changed_at));
-        if changed != changes {
-            changed.map(|at| self.changed.remove(&(at, id.clone())));
-            changes.map(|at| self.changed.insert((at, id.clone())));
+        let (changed_before, changed_after) =
+            (before.and_then(|b| b.changed_at), after.and_then(|a| a.changed_at));
+        if changed_before != changed_after {
+            changed_before.map(|at| self.changed.remove(&(at, id.clone())));
+            changed_after.map(|at| self.changed.insert((at, id.clone())));
         }
     }
 
-    fn name(&mut self, name: &Arc<str>) -> Arc<str> {
+    fn intern(&mut self, name: &Arc<str>) -> Arc<str> {
         if let Some(known) = self.names.get(name) {
             return known.clone();
         }
@@ -176,18 +178,18 @@
     }
 
     /// The record with names that it shares with others held once.
-    fn interned(&mut self, record: ReplicaRecord) -> ReplicaRecord {
+    fn with_interned_names(&mut self, record: ReplicaRecord) -> ReplicaRecord {
         ReplicaRecord {
-            service: self.name(&record.service),
-            hall: self.name(&record.hall),
-            version: self.name(&record.version),
+            service: self.intern(&record.service),
+            hall: self.intern(&record.hall),
+            version: self.intern(&record.version),
             ..record
         }
     }
 
     /// A replica's entry changed or appeared. One of an earlier start than the known one says nothing.
     pub fn on_entry(&mut self, record: ReplicaRecord, now: Timestamp, change: &mut ListChange) {
-        let mut record = self.interned(record);
+        let mut record = self.with_interned_names(record);
         let id = record.id.clone();
         let Some(replica) = self.get(&id) else {
             if record.leaving {
@@ -227,8 +229,8 @@
             replica.on_cold(record.cold, now);
             if record.leaving && replica.on_sign(LeavingSign::Listed, now) {
                 change.leaving.push(id.clone());
-            } else if !record.leaving && replica.leaving.is_some_and(LeavingSign::is_taken_back) {
-                replica.stay();
+            } else if !record.leaving && replica.leaving.is_some_and(LeavingSign::is_revocable) {
+                replica.cancel_leaving();
                 change.added.push(id.clone());
             }
             replica.record = Arc::new(record);
@@ -241,12 +243,12 @@
     }
 
     fn on_entry_gone(&mut self, id: &str, sign: LeavingSign, now: Timestamp, change: &mut ListChange) {
-        let is_news = self.update(id, |replica| {
-            let is_news = replica.on_sign(sign, now);
+        let is_new = self.update(id, |replica| {
+            let is_new = replica.on_sign(sign, now);
             replica.on_entry_gone(now);
-            is_news.then(|| replica.record.id.clone())
+            is_new.then(|| replica.record.id.clone())
         });
-        change.leaving.extend(is_news.flatten());
+        change.leaving.extend(is_new.flatten());
     }
 
     /// A replica's entry went away, perhaps only because the store was: it is gone if it is
@@ -267,7 +269,12 @@
 
     /// A whole list was read. What it lacks is gone at once, or within [`LAPSED_GRACE`] if
     /// entries may have lapsed because the store was away.
-    pub fn on_list(&mut self, records: Vec<ReplicaRecord>, lapses: bool, now: Timestamp) -> ListChange {
+    pub fn on_list(
+        &mut self,
+        records: Vec<ReplicaRecord>,
+        may_have_expired: bool,
+        now: Timestamp,
+    ) -> ListChange {
         let mut change = ListChange::default();
         let listed: HashSet<UpstreamId> = records.iter().map(|r| r.id.clone()).collect();
         for record in records {
@@ -277,7 +284,7 @@
             self.by_id.keys().filter(|id| !listed.contains(*id)).cloned().collect();
         missing.sort_unstable();
         for id in missing {
-            if lapses {
+            if may_have_expired {
                 self.on_missing(&id, now);
             } else {
                 self.on_unlisted(&id, now, &mut change);
@@ -292,23 +299,23 @@
         &mut self,
         mut records: Vec<ReplicaRecord>,
         at: Revision,
-        lapses: bool,
+        may_have_expired: bool,
         now: Timestamp,
     ) -> ListChange {
         records.retain(|record| {
             let known = self.get(&record.id).filter(|known| record.born <= known.record.born);
             !known.is_some_and(|known| known.ended_before_copy(at))
         });
-        self.on_list(records, lapses, now)
+        self.on_list(records, may_have_expired, now)
     }
 
     /// Takes entries that stayed missing for gone, and forgets what left long ago.
     pub fn tick(&mut self, now: Timestamp, forget_after: Duration) -> ListChange {
         let mut change = ListChange::default();
-        let overdue = self.missing.iter().filter(|(_, since)| now > **since + LAPSED_GRACE);
+        let overdue = self.missing.iter().filter(|(_, since)| now > **since + RELIST_GRACE);
         let overdue: Vec<UpstreamId> = overdue.map(|(id, _)| id.clone()).collect();
         for id in overdue {
-            self.on_entry_gone(&id, LeavingSign::Lapsed, now, &mut change);
+            self.on_entry_gone(&id, LeavingSign::Expired, now, &mut change);
         }
         while let Some((by, id)) = self.ending.first().cloned()
             && now > by + forget_after
@@ -319,7 +326,7 @@
     }
 
     /// Notes that a change was learnt at a revision of the store.
-    pub fn mark(&mut self, change: &ListChange, at: Revision) {
+    pub fn set_changed_at(&mut self, change: &ListChange, at: Revision) {
         for id in change.added.iter().chain(&change.leaving) {
             self.update(id, |replica| replica.changed_at = at);
         }
@@ -352,24 +359,24 @@
         &'a self,
         at: Revision,
         is_whole: bool,
-        which: impl Iterator<Item = &'a Replica>,
+        replicas: impl Iterator<Item = &'a Replica>,
     ) -> ReplicaList {
         let forgotten_up_to = self.forgotten_up_to;
         let mut list = ReplicaList { at, forgotten_up_to, is_whole, ..ReplicaList::default() };
-        for replica in which {
+        for replica in replicas {
             let changed_at = replica.changed_at;
             if replica.leaving.is_some() {
-                list.leaving.push(Changed { at: changed_at, item: replica.record.incarnation() });
+                list.leaving.push(AtRevision { at: changed_at, item: replica.record.incarnation() });
             } else {
-                list.staying.push(Changed { at: changed_at, item: (*replica.record).clone() });
+                list.staying.push(AtRevision { at: changed_at, item: (*replica.record).clone() });
             }
         }
         list
     }
 
     /// Another node handed its list over, whole or what changed.
-    pub fn on_handed_list(&mut self, list: ReplicaList, now: Timestamp) -> ListChange {
-        let records = list.staying.into_iter().map(|Changed { item, .. }| self.without_old_cold(item));
+    pub fn on_peer_list(&mut self, list: ReplicaList, now: Timestamp) -> ListChange {
+        let records = list.staying.into_iter().map(|AtRevision { item, .. }| self.without_stale_cold(item));
         let records: Vec<ReplicaRecord> = records.collect();
         let mut change = if list.is_whole {
             self.on_list(records, true, now)
@@ -378,8 +385,8 @@
             records.into_iter().for_each(|record| self.on_entry(record, now, &mut change));
             change
         };
-        for Changed { item, .. } in list.leaving {
-            if self.on_sign(&item, LeavingSign::Told, now) {
+        for AtRevision { item, .. } in list.leaving {
+            if self.on_sign(&item, LeavingSign::ReportedByPeer, now) {
                 change.leaving.push(item.id);
             }
         }
@@ -388,7 +395,7 @@
 
     /// A record that another node handed over, without the time that it was to be cold when that one read it:
     /// a replica that is known would count as cold anew, and as news to whoever asks next.
-    fn without_old_cold(&self, record: ReplicaRecord) -> ReplicaRecord {
+    fn without_stale_cold(&self, record: ReplicaRecord) -> ReplicaRecord {
         let is_known = self.get(&record.id).is_some_and(|replica| replica.record.born >= record.born);
         let cold = if is_known { Duration::ZERO } else { record.cold };
         ReplicaRecord { cold, ..record }
@@ -396,9 +403,9 @@
 
     /// A sign that a replica leaves; one of an earlier start than the known one says nothing. Returns
     /// whether it is news.
-    pub fn on_sign(&mut self, of: &Incarnation, sign: LeavingSign, now: Timestamp) -> bool {
-        let is_news = self.update(&of.id, |replica| replica.is_concerned(of) && replica.on_sign(sign, now));
-        is_news.unwrap_or(false)
+    pub fn on_sign(&mut self, incarnation: &Incarnation, sign: LeavingSign, now: Timestamp) -> bool {
+        let is_new = self.update(&incarnation.id, |r| r.is_covered_by(incarnation) && r.on_sign(sign, now));
+        is_new.unwrap_or(false)
     }
 
     /// Those of some replicas that are known to leave, by which start of theirs does.
@@ -408,16 +415,16 @@
     }
 
     /// Another node's request failed there, unless that was an earlier start.
-    pub fn on_failure_of(&mut self, of: &Incarnation, now: Timestamp) {
-        if self.get(&of.id).is_some_and(|replica| replica.is_concerned(of)) {
-            self.on_failure(&of.id, now);
+    pub fn on_incarnation_failure(&mut self, incarnation: &Incarnation, now: Timestamp) {
+        if self.get(&incarnation.id).is_some_and(|replica| replica.is_covered_by(incarnation)) {
+            self.on_failure(&incarnation.id, now);
         }
     }
 
     /// A request failed there for a reason of the replica's.
     pub fn on_failure(&mut self, id: &str, now: Timestamp) {
-        let rests = self.policy.rest_after_failures;
-        self.update(id, |replica| replica.on_failure(rests, now));
+        let backs_off = self.policy.rest_after_failures;
+        self.update(id, |replica| replica.on_failure(backs_off, now));
     }
 
     /// A request was answered there, with an error of the replica's own or not.
@@ -459,7 +466,7 @@
         &'a self,
         service: &str,
         hall: &str,
-        most: usize,
+        max_count: usize,
         rng: &mut R,
         mut accepts: impl FnMut(&'a Replica) -> bool,
     ) -> Vec<&'a Replica> {
@@ -468,12 +475,12 @@
         };
         // Two sources of random numbers, as both orders go on while the other one is asked.
         let mut far_rng = rand::rngs::SmallRng::from_rng(rng);
-        let mut near = index.shuffled_in(hall, rng);
-        let mut far = index.shuffled_outside(hall, &mut far_rng);
+        let mut near_slots = index.shuffled_in(hall, rng);
+        let mut far_slots = index.shuffled_outside(hall, &mut far_rng);
         let mut sample = Vec::new();
-        self.fill(&mut sample, &mut near, most / 2, &mut accepts);
-        self.fill(&mut sample, &mut far, most, &mut accepts);
-        self.fill(&mut sample, &mut near, most, &mut accepts);
+        self.fill(&mut sample, &mut near_slots, max_count / 2, &mut accepts);
+        self.fill(&mut sample, &mut far_slots, max_count, &mut accepts);
+        self.fill(&mut sample, &mut near_slots, max_count, &mut accepts);
         sample
     }
 
--- a/lib/src/gateway/service_index.rs
+++ b/lib/src/gateway/service_index.rs
@@ -47,7 +47,7 @@
     pub fn shuffled_in<'a, R: Rng>(&'a self, hall: &str, rng: &'a mut R) -> impl Iterator<Item = Slot> {
         let slots = self.halls.get(hall).map_or(&[][..], SampleSet::as_slice);
         let mut shuffle = Shuffle::new(slots.len());
-        std::iter::from_fn(move || shuffle.next(rng).map(|place| slots[place]))
+        std::iter::from_fn(move || shuffle.next(rng).map(|position| slots[position]))
     }
 
     /// Those of all other halls, likewise.
@@ -60,11 +60,11 @@
             self.halls.iter().filter(|(other, _)| &***other != hall).map(|(_, set)| set.as_slice()).collect();
         let mut shuffle = Shuffle::new(others.iter().map(|slots| slots.len()).sum());
         std::iter::from_fn(move || {
-            let mut place = shuffle.next(rng)?;
+            let mut position = shuffle.next(rng)?;
             for slots in &others {
-                match slots.get(place) {
+                match slots.get(position) {
                     Some(slot) => return Some(*slot),
-                    None => place -= slots.len(),
+                    None => position -= slots.len(),
                 }
             }
             None
--- a/lib/src/gateway/lapses.rs
+++ b/lib/src/gateway/store_outages.rs
@@ -10,23 +10,23 @@
 use crate::ids::Timestamp;
 
 /// Live replicas are listed again within this after the store is back.
-pub const LAPSED_GRACE: Duration = Duration::from_secs(2);
+pub const RELIST_GRACE: Duration = Duration::from_secs(2);
 
 /// When the store was away.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lapses {
-    store_away_at: Option<Timestamp>,
+pub struct StoreOutages {
+    unavailable_at: Option<Timestamp>,
 }
 
-impl Lapses {
+impl StoreOutages {
     /// The store answers nobody, or has come back from a copy.
-    pub fn on_store_away(&mut self, now: Timestamp) {
-        self.store_away_at = Some(now);
+    pub fn on_store_unavailable(&mut self, now: Timestamp) {
+        self.unavailable_at = Some(now);
     }
 
     /// Since when an entry that goes now is missing, if it may only have lapsed: it is gone when
     /// [`LAPSED_GRACE`] after that it is still missing.
     pub fn missing_since(&self, now: Timestamp) -> Option<Timestamp> {
-        self.store_away_at.filter(|away| now < *away + LAPSED_GRACE)
+        self.unavailable_at.filter(|unavailable_at| now < *unavailable_at + RELIST_GRACE)
     }
 }
--- a/lib/tests/test_gateway_fleet_spread.rs
+++ b/lib/tests/test_gateway_fleet_spread.rs
@@ -8,15 +8,15 @@
 
 use leadstage_lib::gateway::handouts;
 use leadstage_lib::gateway::handouts::Handouts;
-use leadstage_lib::gateway::lack_of_news::LackOfNews;
-use leadstage_lib::gateway::lack_of_news::Source;
 use leadstage_lib::gateway::peers_by_hall::PeersByHall;
-use leadstage_lib::gateway::replica_news::NewsProgress;
-use leadstage_lib::gateway::replica_news::NewsRelay;
-use leadstage_lib::gateway::replica_news::PackedNews;
-use leadstage_lib::gateway::replica_news::Part;
-use leadstage_lib::gateway::replica_news::ReplicaNews;
+use leadstage_lib::gateway::replica_catch_up::ReplicaCatchUp;
+use leadstage_lib::gateway::replica_catch_up::Source;
 use leadstage_lib::gateway::replica_record::Incarnation;
+use leadstage_lib::gateway::replica_updates::PackedUpdate;
+use leadstage_lib::gateway::replica_updates::Part;
+use leadstage_lib::gateway::replica_updates::ReplicaUpdate;
+use leadstage_lib::gateway::replica_updates::UpdateProgress;
+use leadstage_lib::gateway::replica_updates::UpdateRelay;
 use leadstage_lib::ids::VmId;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -48,7 +48,7 @@
 }
 
 enum Event {
-    Message(usize, PackedNews),
+    Message(usize, PackedUpdate),
     /// Some other message comes to a node.
     Other(usize),
     Ask {
@@ -64,9 +64,9 @@
 struct Node {
     link: f64,
     share: f64,
-    progress: NewsProgress,
-    relay: NewsRelay,
-    lack: LackOfNews,
+    progress: UpdateProgress,
+    relay: UpdateRelay,
+    lack: ReplicaCatchUp,
     handouts: Handouts,
     link_free: Duration,
     core_free: Duration,
@@ -97,14 +97,14 @@
         let ids: Vec<VmId> = (0..case.nodes).map(|n| format!("{n}").into()).collect();
         let nodes = (0..case.nodes).map(|n| {
             let (link, share) = KINDS[(n / HALLS.len()) % KINDS.len()];
-            let mut progress = NewsProgress::default();
+            let mut progress = UpdateProgress::default();
             progress.on_known(KNOWN);
             Node {
                 link: link * 1e6,
                 share,
                 progress,
-                relay: NewsRelay::default(),
-                lack: LackOfNews::new(&mut rng),
+                relay: UpdateRelay::default(),
+                lack: ReplicaCatchUp::new(&mut rng),
                 handouts: Handouts::new(handouts::at_once(link * 1e6)),
                 link_free: Duration::ZERO,
                 core_free: Duration::ZERO,
@@ -155,7 +155,7 @@
         node.core_free
     }
 
-    fn tell(&mut self, from: usize, count: usize, packed: &PackedNews, now: Duration) {
+    fn tell(&mut self, from: usize, count: usize, packed: &PackedUpdate, now: Duration) {
         let bytes = postcard::to_stdvec(packed).expect("it is encoded").len() + AROUND;
         let told = self.peers[from % HALLS.len()].to_tell(count, &mut self.rng);
         let told: Vec<usize> = told.into_iter().map(|id| id.parse().expect("a number")).collect();
@@ -178,7 +178,7 @@
 
     fn run(&mut self) {
         let of = |n: usize| Incarnation { id: format!("i-{:010x}", n as u64 * 0x9e37_79b9).into(), born: 0 };
-        let news = ReplicaNews {
+        let news = ReplicaUpdate {
             before: KNOWN,
             at: NEWS_AT,
             added: Vec::new(),
@@ -218,11 +218,11 @@
         let node = &mut self.nodes[node];
         if node.progress.at() >= NEWS_AT {
             node.knows_at.get_or_insert(now);
-            node.lack.on_news();
+            node.lack.on_updates();
         }
     }
 
-    fn on_message(&mut self, to: usize, packed: &PackedNews, now: Duration) {
+    fn on_message(&mut self, to: usize, packed: &PackedUpdate, now: Duration) {
         let now = self.handle(to, now);
         let node = &mut self.nodes[to];
         if node.progress.has(packed) {
@@ -230,9 +230,9 @@
         }
         let news = packed.unpack().expect("it is unpacked");
         node.progress.on_part(&news);
-        let passes_on = node.relay.passes_on(&news, true);
+        let should_forward = node.relay.should_forward(&news, true);
         self.note_known(to, now);
-        if passes_on {
+        if should_forward {
             self.tell(to, FAN_OUT, packed, now);
         }
     }
@@ -255,7 +255,7 @@
         };
         let node = &mut self.nodes[to];
         let own = node.progress.at();
-        if let Some(pause) = node.lack.on_theirs(theirs, own, source, self.case.replicas, now) {
+        if let Some(pause) = node.lack.on_peer_revision(theirs, own, source, self.case.replicas, now) {
             self.put(now + pause, Event::Ask { node: to, from });
         }
     }
--- a/lib/tests/test_gateway_replica_index.rs
+++ b/lib/tests/test_gateway_replica_index.rs
@@ -58,7 +58,7 @@
                 3 => table.on_unlisted(&id, now, &mut change),
                 4 => table.on_missing(&id, now),
                 5 => {
-                    if table.on_sign(&record(n, false).incarnation(), LeavingSign::Unwell, now) {
+                    if table.on_sign(&record(n, false).incarnation(), LeavingSign::Unhealthy, now) {
                         change.leaving.push(id.as_str().into());
                     }
                 }
@@ -69,7 +69,7 @@
                 }
             }
             at += 1;
-            table.mark(&change, at);
+            table.set_changed_at(&change, at);
             let all: Vec<&Replica> = table.iter().collect();
             prop_assert_eq!(all.len(), table.len());
             for service in SERVICES {
@@ -91,7 +91,7 @@
 
 /// Half of a sample is near, and each replica is as likely to be in it as any other of its hall.
 #[test]
-fn test_samples_are_even_and_half_near() {
+fn test_samples_are_uniform_and_half_near() {
     let table = table(3_000);
     let rng = &mut SmallRng::seed_from_u64(1);
     let mut seen = std::collections::BTreeMap::new();
@@ -120,13 +120,13 @@
 
 /// What is out of the question empties no sample while others are fine.
 #[test]
-fn test_a_sample_finds_the_few_that_are_fine() {
+fn test_sample_finds_the_few_accepted_replicas() {
     let table = table(9_000);
     let rng = &mut SmallRng::seed_from_u64(2);
-    let fine = |replica: &Replica| replica.record.id.ends_with("777");
-    let expected = ids(table.staying("m").filter(|replica| fine(replica)));
+    let is_accepted = |replica: &Replica| replica.record.id.ends_with("777");
+    let expected = ids(table.staying("m").filter(|replica| is_accepted(replica)));
     assert!(expected.len() >= 3);
-    assert_eq!(ids(table.sample("m", "a", 64, rng, fine)), expected);
+    assert_eq!(ids(table.sample("m", "a", 64, rng, is_accepted)), expected);
     let one_hall = table.sample("m", "a", 64, rng, |replica| &*replica.record.hall == "a");
     assert_eq!(one_hall.len(), 64, "the others may all be out of the question");
 }
@@ -134,34 +134,34 @@
 /// Replicas looked at for one choice, and what a tick, an entry and a question for changes touch: the same with one
 /// hundred times as many.
 #[test]
-fn test_work_does_not_grow_with_the_replicas() {
-    let looked_at = |replicas: usize| {
+fn test_work_does_not_grow_with_the_number_of_replicas() {
+    let inspected_with = |replicas: usize| {
         let table = table(replicas);
-        let looked = Cell::new(0);
+        let inspected = Cell::new(0);
         let rng = &mut SmallRng::seed_from_u64(3);
         for _ in 0..100 {
             table.sample("m", "a", 64, rng, |replica| {
-                looked.set(looked.get() + 1);
+                inspected.set(inspected.get() + 1);
                 // One of five is full, at rest or cold.
                 !replica.record.id.ends_with(['3', '8'])
             });
         }
-        looked.get()
+        inspected.get()
     };
-    let small = looked_at(400);
+    let small = inspected_with(400);
     for replicas in [4_000, 40_000] {
-        let large = looked_at(replicas);
+        let large = inspected_with(replicas);
         assert!(large <= small * 21 / 20, "{replicas} replicas: {large} looked at, {small} of 400");
     }
     let mut table = table(20_000);
-    table.mark(&ListChange { added: vec![record(7, false).id], ..ListChange::default() }, 50);
+    table.set_changed_at(&ListChange { added: vec![record(7, false).id], ..ListChange::default() }, 50);
     let since = table.since(50, 40);
     assert_eq!((since.is_whole, since.staying.len()), (false, 1));
 }
 
 /// A replica that said that it leaves is forgotten some time after its entry is gone, as one that did not say so.
 #[test]
-fn test_replicas_that_said_that_they_leave_are_forgotten() {
+fn test_replicas_listed_as_leaving_are_forgotten() {
     let mut table = table(10);
     let mut change = ListChange::default();
     let now = Duration::from_secs(100);
--- a/lib/tests/test_gateway_replica_list.rs
+++ b/lib/tests/test_gateway_replica_list.rs
@@ -24,18 +24,18 @@
     fn entry(&mut self, id: &str, leaving: bool) {
         let mut change = ListChange::default();
         self.table.on_entry(record(id, leaving), self.now, &mut change);
-        self.took(&change);
+        self.record_change(&change);
     }
 
     fn unlisted(&mut self, id: &str) {
         let mut change = ListChange::default();
         self.table.on_unlisted(id, self.now, &mut change);
-        self.took(&change);
+        self.record_change(&change);
     }
 
     fn sign(&mut self, id: &str) {
-        if self.table.on_sign(&record(id, false).incarnation(), LeavingSign::Unwell, self.now) {
-            self.took(&ListChange { leaving: vec![id.into()], ..ListChange::default() });
+        if self.table.on_sign(&record(id, false).incarnation(), LeavingSign::Unhealthy, self.now) {
+            self.record_change(&ListChange { leaving: vec![id.into()], ..ListChange::default() });
         }
     }
 
@@ -44,9 +44,9 @@
         self.table.tick(self.now, FORGET_AFTER);
     }
 
-    fn took(&mut self, change: &ListChange) {
+    fn record_change(&mut self, change: &ListChange) {
         self.at += 1;
-        self.table.mark(change, self.at);
+        self.table.set_changed_at(change, self.at);
     }
 
     /// Takes what another node hands out to one that knows as much as this.
@@ -54,8 +54,8 @@
         let list = other.table.since(other.at, self.at);
         let size = list.staying.len() + list.leaving.len();
         self.at = list.at;
-        let change = self.table.on_handed_list(list, self.now);
-        self.table.mark(&change, self.at);
+        let change = self.table.on_peer_list(list, self.now);
+        self.table.set_changed_at(&change, self.at);
         size
     }
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn test_only_what_changed_is_handed_over() {
+fn test_only_changes_are_transferred() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
     for n in 0..500 {
         watcher.entry(&format!("engine-{n:03}"), false);
@@ -84,7 +84,7 @@
 
 /// A replica that was taken to be leaving and stays after all is news.
 #[test]
-fn test_a_replica_that_stays_after_all_is_handed_over() {
+fn test_a_replica_that_stays_again_is_transferred() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
     watcher.entry("engine-1", false);
     watcher.unlisted("engine-1");
@@ -97,7 +97,7 @@
 
 /// Who has missed more than is remembered gets all, and sees what is missing.
 #[test]
-fn test_who_knows_too_little_gets_the_whole_list() {
+fn test_a_node_too_far_behind_gets_the_whole_list() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
     watcher.entry("engine-1", false);
     watcher.entry("engine-2", false);
--- a/lib/tests/test_gateway_replica_news.rs
+++ b/lib/tests/test_gateway_replica_updates.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::replica_list::ReplicaList;
-use leadstage_lib::gateway::replica_news::NewsGathering;
-use leadstage_lib::gateway::replica_news::NewsProgress;
-use leadstage_lib::gateway::replica_news::NewsRelay;
-use leadstage_lib::gateway::replica_news::PackedNews;
-use leadstage_lib::gateway::replica_news::Part;
-use leadstage_lib::gateway::replica_news::ReplicaNews;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
+use leadstage_lib::gateway::replica_updates::PackedUpdate;
+use leadstage_lib::gateway::replica_updates::Part;
+use leadstage_lib::gateway::replica_updates::ReplicaUpdate;
+use leadstage_lib::gateway::replica_updates::UpdateBatcher;
+use leadstage_lib::gateway::replica_updates::UpdateProgress;
+use leadstage_lib::gateway::replica_updates::UpdateRelay;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 
 use proptest::prelude::*;
@@ -21,8 +21,8 @@
 
 const REPLICAS: usize = 3_000;
 
-fn news(before: u64, added: &[&str], leaving: &[&str]) -> ReplicaNews {
-    ReplicaNews {
+fn update(before: u64, added: &[&str], leaving: &[&str]) -> ReplicaUpdate {
+    ReplicaUpdate {
         before,
         at: before + 1,
         added: added.iter().map(|id| record(id, false)).collect(),
@@ -32,58 +32,62 @@
 }
 
 #[test]
-fn test_the_first_is_told_at_once_and_what_follows_together() {
-    let mut gathering = NewsGathering::default();
+fn test_first_update_is_sent_at_once_and_later_ones_are_batched() {
+    let mut gathering = UpdateBatcher::default();
     let at = Duration::from_secs(7);
-    assert_eq!(gathering.add(news(1, &["a"], &[]), at), Some(Duration::ZERO));
-    assert_eq!(gathering.take(REPLICAS, at), Some(news(1, &["a"], &[])));
-    let pause = gathering.add(news(2, &["b"], &[]), at);
+    assert_eq!(gathering.add(update(1, &["a"], &[]), at), Some(Duration::ZERO));
+    assert_eq!(gathering.take(REPLICAS, at), Some(update(1, &["a"], &[])));
+    let pause = gathering.add(update(2, &["b"], &[]), at);
     assert_eq!(pause, Some(Duration::from_millis(30)));
-    assert_eq!(gathering.add(news(3, &["c"], &["a"]), at), None, "it is told with the other");
-    let told = gathering.take(REPLICAS, at + Duration::from_millis(30)).expect("it waited");
-    assert_eq!((told.before, told.at, told.added.len(), told.leaving.len()), (2, 4, 2, 1));
+    assert_eq!(gathering.add(update(3, &["c"], &["a"]), at), None, "it is told with the other");
+    let sent = gathering.take(REPLICAS, at + Duration::from_millis(30)).expect("it waited");
+    assert_eq!((sent.before, sent.at, sent.added.len(), sent.leaving.len()), (2, 4, 2, 1));
     assert_eq!(gathering.take(REPLICAS, at), None);
 }
 
 /// Of several news of one replica only the newest is told.
 #[test]
-fn test_newer_news_of_a_replica_replace_older_ones() {
-    let mut gathering = NewsGathering::default();
-    gathering.add(news(1, &["a", "b"], &["c"]), Duration::ZERO);
-    gathering.add(news(2, &["c"], &["a"]), Duration::ZERO);
-    let told = gathering.take(REPLICAS, Duration::ZERO).expect("it waited");
-    let added: Vec<_> = told.added.iter().map(|record| record.id.to_string()).collect();
+fn test_newer_changes_of_a_replica_replace_older_ones() {
+    let mut gathering = UpdateBatcher::default();
+    gathering.add(update(1, &["a", "b"], &["c"]), Duration::ZERO);
+    gathering.add(update(2, &["c"], &["a"]), Duration::ZERO);
+    let sent = gathering.take(REPLICAS, Duration::ZERO).expect("it waited");
+    let added: Vec<_> = sent.added.iter().map(|record| record.id.to_string()).collect();
     assert_eq!(added, ["b", "c"]);
-    assert_eq!(told.leaving, [record("a", true).incarnation()]);
+    assert_eq!(sent.leaving, [record("a", true).incarnation()]);
 }
 
 /// So many replicas that are new, and so many that leave.
-fn many(before: u64, added: usize, leaving: usize) -> ReplicaNews {
+fn update_of_many(before: u64, added: usize, leaving: usize) -> ReplicaUpdate {
     let ids: Vec<String> = (0..added + leaving).map(|n| format!("engine-{n}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    news(before, &ids[..added], &ids[added..])
+    update(before, &ids[..added], &ids[added..])
 }
 
 #[test]
-fn test_many_changes_are_told_in_parts_those_that_leave_first() {
-    let sizes = |news: ReplicaNews, replicas: usize| {
-        let parts = news.into_parts(replicas)?;
+fn test_many_changes_are_split_with_leaving_replicas_first() {
+    let sizes = |update: ReplicaUpdate, replicas: usize| {
+        let parts = update.into_parts(replicas)?;
         Some(parts.iter().map(|part| (part.leaving.len(), part.added.len())).collect::<Vec<_>>())
     };
-    assert_eq!(sizes(many(1, 100, 20), 10_000), Some(vec![(20, 100)]));
-    assert_eq!(sizes(many(1, 200, 193), 10_000), Some(vec![(150, 0), (43, 107), (0, 93)]));
-    assert_eq!(sizes(ReplicaNews { at: 4, ..ReplicaNews::default() }, 10_000), Some(vec![(0, 0)]));
-    assert_eq!(sizes(many(1, 0, 470), 10_000).map(|parts| parts.len()), Some(4));
-    assert_eq!(sizes(many(1, 0, 2_100), 10_000), None, "more than a fifth: the list is less");
-    assert_eq!(sizes(many(1, 300, 0), 300), Some(vec![(0, 150), (0, 150)]), "small fleets are told");
+    assert_eq!(sizes(update_of_many(1, 100, 20), 10_000), Some(vec![(20, 100)]));
+    assert_eq!(sizes(update_of_many(1, 200, 193), 10_000), Some(vec![(150, 0), (43, 107), (0, 93)]));
+    assert_eq!(sizes(ReplicaUpdate { at: 4, ..ReplicaUpdate::default() }, 10_000), Some(vec![(0, 0)]));
+    assert_eq!(sizes(update_of_many(1, 0, 470), 10_000).map(|parts| parts.len()), Some(4));
+    assert_eq!(sizes(update_of_many(1, 0, 2_100), 10_000), None, "more than a fifth: the list is less");
+    assert_eq!(
+        sizes(update_of_many(1, 300, 0), 300),
+        Some(vec![(0, 150), (0, 150)]),
+        "small fleets are told"
+    );
 }
 
 #[test]
-fn test_news_is_known_once_all_parts_and_what_was_before_have_come() {
-    let mut progress = NewsProgress::default();
+fn test_update_is_applied_once_all_parts_and_earlier_updates_arrived() {
+    let mut progress = UpdateProgress::default();
     progress.on_known(1);
-    let first = many(1, 0, 400).into_parts(10_000).expect("parts");
-    let second = news(2, &["x"], &[]);
+    let first = update_of_many(1, 0, 400).into_parts(10_000).expect("parts");
+    let second = update(2, &["x"], &[]);
     assert!(progress.on_part(&first[2]));
     assert!(progress.on_part(&second), "the one before is missing");
     assert!(progress.on_part(&first[0]));
@@ -97,22 +101,22 @@
 proptest! {
     /// News of several steps, in parts, some lost: whatever is known to be known has come.
     #[test]
-    fn test_progress_never_runs_ahead_of_what_has_come(
+    fn test_progress_never_exceeds_the_received_parts(
         sizes in prop::collection::vec(1_usize..500, 1..8),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
         let mut parts = Vec::new();
         for (step, size) in sizes.iter().enumerate() {
-            parts.extend(many(step as u64, *size, 0).into_parts(10_000).expect("parts"));
+            parts.extend(update_of_many(step as u64, *size, 0).into_parts(10_000).expect("parts"));
         }
-        let mut progress = NewsProgress::default();
-        let mut came = std::collections::BTreeSet::new();
+        let mut progress = UpdateProgress::default();
+        let mut received = std::collections::BTreeSet::new();
         for index in order {
             let part = &parts[index.index(parts.len())];
-            came.insert((part.at, part.part));
+            received.insert((part.at, part.part));
             progress.on_part(part);
-            let all_came = |at: u64| parts.iter().filter(|part| part.at <= at).all(|part| came.contains(&(part.at, part.part)));
-            prop_assert!(all_came(progress.at()), "at {}", progress.at());
+            let all_received = |at: u64| parts.iter().filter(|part| part.at <= at).all(|part| received.contains(&(part.at, part.part)));
+            prop_assert!(all_received(progress.at()), "at {}", progress.at());
         }
         for part in &parts {
             progress.on_part(part);
@@ -124,28 +128,28 @@
 /// A fleet in which all nodes have missed an earlier change, so that none can note the newer one:
 /// each message is passed on by each node once, and the news dies out.
 #[test]
-fn test_news_dies_out_among_nodes_that_missed_an_earlier_change() {
+fn test_forwarding_ends_among_nodes_that_missed_an_earlier_change() {
     const NODES: usize = 66;
     const FAN_OUT: usize = 4;
     /// What a few rounds of copies of copies would be.
     const FAR_TOO_MANY: usize = 100_000;
-    let news = ReplicaNews {
+    let update = ReplicaUpdate {
         before: 262,
         at: 267,
         leaving: vec![record("e", true).incarnation()],
-        ..ReplicaNews::default()
+        ..ReplicaUpdate::default()
     };
-    let mut relays = [NewsRelay::default(); NODES];
+    let mut relays = [UpdateRelay::default(); NODES];
     let mut knows = [false; NODES];
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut on_the_way = vec![0_usize];
+    let mut in_flight = vec![0_usize];
     let mut messages = 0;
-    while let Some(node) = on_the_way.pop() {
+    while let Some(node) = in_flight.pop() {
         messages += 1;
         assert!(messages < FAR_TOO_MANY, "a storm");
         let is_new = !std::mem::replace(&mut knows[node], true);
-        if relays[node].passes_on(&news, is_new) {
-            on_the_way.extend((0..FAN_OUT).map(|_| rng.random_range(0..NODES)));
+        if relays[node].should_forward(&update, is_new) {
+            in_flight.extend((0..FAN_OUT).map(|_| rng.random_range(0..NODES)));
         }
     }
     assert!(messages <= 1 + NODES * FAN_OUT, "{messages} messages");
@@ -153,10 +157,10 @@
 }
 
 #[test]
-fn test_what_is_new_to_a_node_is_passed_on_whatever_its_revision() {
-    let mut relay = NewsRelay::default();
-    let at = |at| ReplicaNews { at, ..ReplicaNews::default() };
-    let passed = [
+fn test_new_changes_are_forwarded_whatever_their_revision() {
+    let mut relay = UpdateRelay::default();
+    let at = |at| ReplicaUpdate { at, ..ReplicaUpdate::default() };
+    let forwarded = [
         (at(5), true),
         (at(5), false),
         (at(4), false),
@@ -165,8 +169,8 @@
         (at(0), false),
         (at(6), false),
     ]
-    .map(|(news, is_new)| relay.passes_on(&news, is_new));
-    assert_eq!(passed, [true, false, false, true, true, false, true]);
+    .map(|(update, is_new)| relay.should_forward(&update, is_new));
+    assert_eq!(forwarded, [true, false, false, true, true, false, true]);
 }
 
 /// A record of a large deployment: names as long as there, of which only the id differs from one to the next.
@@ -182,22 +186,23 @@
 }
 
 #[test]
-fn test_news_are_small_and_the_same_after_the_way() {
+fn test_updates_are_small_and_survive_encoding() {
     let added: Vec<ReplicaRecord> = (0..150).map(long_record).collect();
     let leaving = vec![record("x", true).incarnation()];
-    let news = ReplicaNews { before: 3, at: 9, added, leaving, part: Part { number: 1, of: 4 } };
-    let packed = news.pack().expect("it is packed");
+    let update = ReplicaUpdate { before: 3, at: 9, added, leaving, part: Part { number: 1, of: 4 } };
+    let packed = update.pack().expect("it is packed");
     let bytes = postcard::to_stdvec(&packed).expect("it is encoded");
-    let plain = postcard::to_stdvec(&news).expect("it is encoded");
+    let plain = postcard::to_stdvec(&update).expect("it is encoded");
     assert!(bytes.len() < 150 * 20, "{} bytes, {} plain", bytes.len(), plain.len());
-    let came: PackedNews = postcard::from_bytes(&bytes).expect("it is decoded");
-    assert_eq!(came.unpack().expect("it is unpacked"), news);
-    let small = ReplicaNews { leaving: vec![record("x", true).incarnation()], ..ReplicaNews::default() };
-    assert_eq!(small.pack().and_then(|packed| packed.unpack()).expect("it is unpacked"), small);
+    let received: PackedUpdate = postcard::from_bytes(&bytes).expect("it is decoded");
+    assert_eq!(received.unpack().expect("it is unpacked"), update);
+    let small_update =
+        ReplicaUpdate { leaving: vec![record("x", true).incarnation()], ..ReplicaUpdate::default() };
+    assert_eq!(small_update.pack().and_then(|packed| packed.unpack()).expect("it is unpacked"), small_update);
 }
 
 #[test]
-fn test_a_list_is_small_and_the_same_after_the_way() {
+fn test_lists_are_small_and_survive_encoding() {
     let mut table = ReplicaTable::default();
     table.on_list((0..10_000).map(long_record).collect(), false, Duration::ZERO);
     let list = table.since(5, 0);
@@ -210,8 +215,8 @@
 proptest! {
     /// Whatever comes from the network is news or an error.
     #[test]
-    fn test_any_bytes_are_news_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        if let Ok(packed) = postcard::from_bytes::<PackedNews>(&bytes) {
+    fn test_any_bytes_decode_or_fail(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        if let Ok(packed) = postcard::from_bytes::<PackedUpdate>(&bytes) {
             let _ = packed.unpack();
         }
         let _ = ReplicaList::unpack(&bytes);
--- a/lib/tests/test_gateway_replicas.rs
+++ b/lib/tests/test_gateway_replicas.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::lapses::LAPSED_GRACE;
-use leadstage_lib::gateway::lapses::Lapses;
+use leadstage_lib::gateway::leaving_announcements::MAX_LEAVING_TIME;
 use leadstage_lib::gateway::replica::LeavingSign;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::replicas::ListChange;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::retry_window::RetryShare;
 use leadstage_lib::gateway::retry_window::RetryWindow;
-use leadstage_lib::gateway::said_leaving::LONGEST_LEAVING;
+use leadstage_lib::gateway::store_outages::RELIST_GRACE;
+use leadstage_lib::gateway::store_outages::StoreOutages;
 
 /// An entry of service `m`.
 pub fn record(id: &str, leaving: bool) -> ReplicaRecord {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn test_what_says_that_it_leaves_or_is_no_longer_listed_leaves() {
+fn test_announced_or_unlisted_replicas_are_leaving() {
     let mut table = ReplicaTable::default();
     let change = table.on_list(vec![record("a", false), record("b", false)], false, seconds(1));
     assert_eq!(change.added.len(), 2);
@@ -51,21 +51,21 @@
 /// Entries that lapsed while the store was away may come back; after the grace they are
 /// gone.
 #[test]
-fn test_lapsed_entries_get_a_grace() {
+fn test_expired_entries_get_a_grace_period() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false), record("b", false)], false, seconds(1));
     let change = table.on_list(vec![], true, seconds(10));
     assert_eq!(change, ListChange::default());
     assert_eq!(usable(&table, seconds(10)).len(), 2);
     table.on_entry(record("a", false), seconds(11), &mut ListChange::default());
-    let change = table.tick(seconds(10) + LAPSED_GRACE + Duration::from_millis(1), seconds(30));
+    let change = table.tick(seconds(10) + RELIST_GRACE + Duration::from_millis(1), seconds(30));
     assert_eq!(change.leaving, ["b".into()]);
     assert_eq!(usable(&table, seconds(13)), ["a"]);
 }
 
 /// The same for an entry whose end was told while the store had trouble.
 #[test]
-fn test_missing_entry_gets_a_grace_from_its_first_absence() {
+fn test_grace_period_counts_from_the_first_absence() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false)], false, seconds(1));
     table.on_missing("a", seconds(10));
@@ -75,11 +75,11 @@
 }
 
 #[test]
-fn test_an_entry_takes_back_hearsay_but_not_its_own_word() {
+fn test_an_entry_revokes_only_indirect_signs() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false), record("b", false)], false, seconds(1));
-    assert!(table.on_sign(&record("a", false).incarnation(), LeavingSign::Told, seconds(2)));
-    assert!(!table.on_sign(&record("a", false).incarnation(), LeavingSign::Unwell, seconds(2)), "no news");
+    assert!(table.on_sign(&record("a", false).incarnation(), LeavingSign::ReportedByPeer, seconds(2)));
+    assert!(!table.on_sign(&record("a", false).incarnation(), LeavingSign::Unhealthy, seconds(2)), "no news");
     assert!(table.on_sign(&record("b", false).incarnation(), LeavingSign::Replaced, seconds(2)));
     for id in ["a", "b"] {
         table.on_entry(record(id, false), seconds(3), &mut ListChange::default());
@@ -89,14 +89,14 @@
 
 /// Also where it was taken to leave for a weaker sign before.
 #[test]
-fn test_no_entry_takes_back_what_a_replica_said_itself() {
+fn test_no_entry_revokes_an_announcement() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false), record("b", false)], false, seconds(1));
     let of = |id| record(id, false).incarnation();
-    assert!(table.on_sign(&of("a"), LeavingSign::Said, seconds(2)));
-    assert!(!table.on_sign(&of("a"), LeavingSign::Said, seconds(2)), "no news");
-    assert!(table.on_sign(&of("b"), LeavingSign::Unwell, seconds(2)));
-    assert!(table.on_sign(&of("b"), LeavingSign::Said, seconds(2)), "no entry takes it back now");
+    assert!(table.on_sign(&of("a"), LeavingSign::Announced, seconds(2)));
+    assert!(!table.on_sign(&of("a"), LeavingSign::Announced, seconds(2)), "no news");
+    assert!(table.on_sign(&of("b"), LeavingSign::Unhealthy, seconds(2)));
+    assert!(table.on_sign(&of("b"), LeavingSign::Announced, seconds(2)), "no entry takes it back now");
     let mut change = ListChange::default();
     for id in ["a", "b"] {
         table.on_entry(record(id, false), seconds(3), &mut change);
@@ -107,11 +107,11 @@
 /// It serves on for as long as the store is away, and its old entry may be there still: it is forgotten when its entry
 /// is gone, or has ended for sure.
 #[test]
-fn test_a_replica_that_said_that_it_leaves_is_not_forgotten_while_it_may_serve() {
+fn test_announced_replica_is_kept_while_it_may_serve() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false), record("b", false)], false, seconds(1));
     for id in ["a", "b"] {
-        table.on_sign(&record(id, false).incarnation(), LeavingSign::Said, seconds(2));
+        table.on_sign(&record(id, false).incarnation(), LeavingSign::Announced, seconds(2));
     }
     let forget_after = seconds(30);
     table.tick(seconds(100), forget_after);
@@ -119,12 +119,12 @@
     table.on_unlisted("a", seconds(100), &mut ListChange::default());
     table.tick(seconds(131), forget_after);
     assert!(table.get("a").is_none() && table.get("b").is_some());
-    table.tick(seconds(33) + LONGEST_LEAVING, forget_after);
+    table.tick(seconds(33) + MAX_LEAVING_TIME, forget_after);
     assert!(table.is_empty());
 }
 
 #[test]
-fn test_failures_rest_a_replica_longer_each_time() {
+fn test_backoff_grows_with_consecutive_failures() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false)], false, seconds(1));
     table.on_failure("a", seconds(1));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn test_what_left_is_forgotten() {
+fn test_replicas_that_left_are_forgotten() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false)], false, seconds(1));
     table.on_unlisted("a", seconds(2), &mut ListChange::default());
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn test_repeats_keep_to_the_window() {
+fn test_retries_stay_within_the_window() {
     let share = RetryShare { window: seconds(10), ratio: 0.2, slack: 2.0 };
     let mut window = RetryWindow::default();
     for n in 0..50 {
@@ -163,28 +163,28 @@
 }
 
 #[test]
-fn test_errors_count_and_are_forgotten() {
+fn test_error_share_decays() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false)], false, seconds(1));
-    let errors = |table: &ReplicaTable, now| table.get("a").expect("known").errors(now);
+    let error_share = |table: &ReplicaTable, now| table.get("a").expect("known").error_share(now);
     for _ in 0..20 {
         table.on_answer("a", true, seconds(2));
     }
-    assert!(errors(&table, seconds(2)) > 0.95);
-    assert!(errors(&table, seconds(12)) < 0.15);
+    assert!(error_share(&table, seconds(2)) > 0.95);
+    assert!(error_share(&table, seconds(12)) < 0.15);
     assert_eq!(usable(&table, seconds(2)), ["a"], "it answers: it only costs more");
 }
 
 /// A replica whose entry goes after an outage is taken to be gone two seconds after the store was
 /// back, whenever the news of it comes: the spans don't add up.
 #[test]
-fn test_the_grace_of_a_lapsed_entry_counts_from_the_end_of_the_outage() {
+fn test_grace_period_counts_from_the_end_of_the_outage() {
     let second = Duration::from_secs(1);
-    let mut lapses = Lapses::default();
-    assert_eq!(lapses.missing_since(5 * second), None, "the store was never away");
-    lapses.on_store_away(10 * second);
+    let mut outages = StoreOutages::default();
+    assert_eq!(outages.missing_since(5 * second), None, "the store was never away");
+    outages.on_store_unavailable(10 * second);
     for told in [10 * second, 11 * second, 12 * second - Duration::from_millis(1)] {
-        let since = lapses.missing_since(told).expect("it may have lapsed");
+        let since = outages.missing_since(told).expect("it may have lapsed");
         let mut table = ReplicaTable::default();
         table.on_list(vec![record("r", false)], false, Duration::ZERO);
         table.on_missing("r", since);
@@ -192,5 +192,5 @@
         let gone = table.tick(12 * second + Duration::from_millis(1), 60 * second).leaving;
         assert_eq!(gone, ["r".into()], "told at {told:?}");
     }
-    assert_eq!(lapses.missing_since(12 * second), None, "by then live replicas are listed again");
+    assert_eq!(outages.missing_since(12 * second), None, "by then live replicas are listed again");
 }
--- a/lib/tests/test_gateway_restarts.rs
+++ b/lib/tests/test_gateway_restarts.rs
@@ -8,9 +8,9 @@
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::replica::LeavingSign;
 use leadstage_lib::gateway::replica_list::ReplicaList;
-use leadstage_lib::gateway::replica_record::Born;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
+use leadstage_lib::gateway::replica_record::StartTime;
 use leadstage_lib::gateway::replicas::ListChange;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::run_key::RunKey;
@@ -20,7 +20,7 @@
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn born(at: Born) -> ReplicaRecord {
+fn born(at: StartTime) -> ReplicaRecord {
     ReplicaRecord { born: at, ..record("a", false) }
 }
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn test_nothing_of_an_earlier_start_holds() {
+fn test_restart_clears_the_state_of_the_earlier_incarnation() {
     let mut table = ReplicaTable::default();
     entry(&mut table, born(100));
     table.on_failure("a", NOW);
@@ -40,12 +40,12 @@
     assert_eq!((change.added, change.restarted), (vec!["a".into()], vec!["a".into()]));
     let replica = table.get("a").expect("known");
     assert!(replica.is_usable(NOW), "it neither leaves nor rests");
-    assert_eq!((replica.failures(), replica.errors(NOW)), (0, 0.0));
+    assert_eq!((replica.consecutive_failures(), replica.error_share(NOW)), (0, 0.0));
 }
 
 /// Where the start is not told, an entry is of the replica that is known, as it always was.
 #[test]
-fn test_an_entry_without_a_start_is_of_the_known_replica() {
+fn test_entry_without_start_time_belongs_to_the_known_incarnation() {
     let mut table = ReplicaTable::default();
     entry(&mut table, born(0));
     assert_eq!(entry(&mut table, born(0)), ListChange::default());
@@ -53,13 +53,13 @@
     assert_eq!(entry(&mut table, born(0)), ListChange::default());
     assert_eq!(table.get("a").expect("known").record.born, 100);
     let unknown = Incarnation { id: "a".into(), born: 0 };
-    assert!(table.on_sign(&unknown, LeavingSign::Unwell, NOW));
+    assert!(table.on_sign(&unknown, LeavingSign::Unhealthy, NOW));
 }
 
 /// A replica may turn cold again, which is news; a list that another node hands over tells how long it was to
 /// be cold when that node read it.
 #[test]
-fn test_only_fresh_words_make_a_known_replica_cold() {
+fn test_only_entries_of_the_store_make_a_known_replica_cold() {
     let cold = ReplicaRecord { cold: Duration::from_secs(1), ..born(100) };
     let mut table = ReplicaTable::default();
     entry(&mut table, cold.clone());
@@ -68,7 +68,7 @@
     assert!(table.get("a").is_some_and(|a| a.is_cold(NOW) && !a.is_cold(later)));
     for is_whole in [true, false] {
         let handed = ReplicaList { is_whole, ..list.clone() };
-        assert_eq!(table.on_handed_list(handed, later), ListChange::default());
+        assert_eq!(table.on_peer_list(handed, later), ListChange::default());
         assert!(table.get("a").is_some_and(|a| !a.is_cold(later)));
     }
     let mut change = ListChange::default();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn test_what_ran_at_an_earlier_start_is_gone() {
+fn test_restart_drops_runs_of_the_earlier_incarnation() {
     let mut table = ReplicaTable::default();
     entry(&mut table, born(100));
     entry(&mut table, record("b", false));
@@ -98,18 +98,18 @@
 
 /// What is said of some start of a replica.
 #[derive(Clone, Debug)]
-enum Word {
-    Entry(Born),
-    Leaves(Born),
-    Failed(Born),
+enum Report {
+    Entry(StartTime),
+    Leaves(StartTime),
+    Failed(StartTime),
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn report() -> impl Strategy<Value = Report> {
     let start = 1..4_u64;
     prop_oneof![
-        start.clone().prop_map(Word::Entry),
-        start.clone().prop_map(Word::Leaves),
-        start.prop_map(Word::Failed)
+        start.clone().prop_map(Report::Entry),
+        start.clone().prop_map(Report::Leaves),
+        start.prop_map(Report::Failed)
     ]
 }
 
@@ -117,12 +117,12 @@
     /// In whatever order entries and news come, and however often: only what is said of the newest start that
     /// an entry has told counts.
     #[test]
-    fn test_older_words_undo_nothing(words in proptest::collection::vec(word(), 1..30)) {
+    fn test_reports_of_older_incarnations_are_ignored(reports in proptest::collection::vec(report(), 1..30)) {
         let mut table = ReplicaTable::default();
         let (mut newest, mut leaves, mut fails) = (0, false, false);
-        for word in words {
-            match word {
-                Word::Entry(start) => {
+        for report in reports {
+            match report {
+                Report::Entry(start) => {
                     entry(&mut table, born(start));
                     if start > newest {
                         (newest, leaves, fails) = (start, false, false);
@@ -131,19 +131,19 @@
                         leaves = false;
                     }
                 }
-                Word::Leaves(start) => {
-                    table.on_sign(&born(start).incarnation(), LeavingSign::Told, NOW);
+                Report::Leaves(start) => {
+                    table.on_sign(&born(start).incarnation(), LeavingSign::ReportedByPeer, NOW);
                     leaves |= newest > 0 && start >= newest;
                 }
-                Word::Failed(start) => {
-                    table.on_failure_of(&born(start).incarnation(), NOW);
+                Report::Failed(start) => {
+                    table.on_incarnation_failure(&born(start).incarnation(), NOW);
                     fails |= newest > 0 && start >= newest;
                 }
             }
             let known = table.get("a");
             prop_assert_eq!(known.map_or(0, |replica| replica.record.born), newest);
             prop_assert_eq!(known.is_some_and(|replica| replica.leaving.is_some()), leaves);
-            prop_assert_eq!(known.is_some_and(|replica| replica.failures() > 0), fails);
+            prop_assert_eq!(known.is_some_and(|replica| replica.consecutive_failures() > 0), fails);
         }
     }
 }
--- a/lib/tests/test_gateway_revision.rs
+++ b/lib/tests/test_gateway_revision.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::replica::LeavingSign;
-use leadstage_lib::gateway::replica_news::NewsProgress;
-use leadstage_lib::gateway::replica_news::ReplicaNews;
+use leadstage_lib::gateway::replica_updates::ReplicaUpdate;
+use leadstage_lib::gateway::replica_updates::UpdateProgress;
 use leadstage_lib::gateway::replicas::ListChange;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::revision;
@@ -30,28 +30,28 @@
 }
 
 #[test]
-fn test_what_no_store_can_count_to_is_the_largest() {
+fn test_values_out_of_range_are_clamped() {
     let largest = revision::in_era(u64::MAX, u64::MAX);
     assert_eq!(largest, Revision::MAX);
     assert_eq!(revision::era(revision::in_era(3, u64::MAX)), 3);
 }
 
 #[test]
-fn test_news_of_a_later_era_are_newer() {
-    let mut progress = NewsProgress::default();
+fn test_updates_of_a_later_era_are_newer() {
+    let mut progress = UpdateProgress::default();
     progress.on_known(revision::in_era(0, 90));
     let at = revision::in_era(1, 5);
-    let news = ReplicaNews { before: revision::in_era(0, 90), at, ..ReplicaNews::default() };
-    assert!(!progress.has(&news.pack().expect("small")));
-    assert!(!progress.on_part(&news), "nothing is missing");
+    let update = ReplicaUpdate { before: revision::in_era(0, 90), at, ..ReplicaUpdate::default() };
+    assert!(!progress.has(&update.pack().expect("small")));
+    assert!(!progress.on_part(&update), "nothing is missing");
     assert_eq!(progress.at(), at);
-    let late = ReplicaNews { before: 80, at: revision::in_era(0, 95), ..ReplicaNews::default() };
+    let late = ReplicaUpdate { before: 80, at: revision::in_era(0, 95), ..ReplicaUpdate::default() };
     assert!(progress.has(&late.pack().expect("small")), "of the era before");
 }
 
 /// Of what a copy lists, the end of a replica that was learnt before is newer, and what only lapsed is not.
 #[test]
-fn test_a_list_of_a_copy_brings_no_ended_replica_back() {
+fn test_list_of_a_restored_store_revives_no_ended_replica() {
     let mut table = ReplicaTable::default();
     let all = || ["a", "b", "c", "d"].map(|id| record(id, false)).to_vec();
     table.on_list(all(), false, SECOND);
@@ -60,9 +60,9 @@
     table.on_missing("b", Duration::ZERO);
     let lapsed = table.tick(3 * SECOND, 30 * SECOND);
     assert_eq!(lapsed.leaving, ["b".into()]);
-    assert!(table.on_sign(&record("c", false).incarnation(), LeavingSign::Told, SECOND));
+    assert!(table.on_sign(&record("c", false).incarnation(), LeavingSign::ReportedByPeer, SECOND));
     for id in ["a", "b", "c"] {
-        table.mark(&change(id), revision::in_era(0, 90));
+        table.set_changed_at(&change(id), revision::in_era(0, 90));
     }
     let staying = |table: &ReplicaTable| {
         let mut ids: Vec<String> = table.staying("m").map(|replica| replica.record.id.to_string()).collect();
@@ -79,11 +79,11 @@
 
 /// A list of the same era as the end is newer than the end.
 #[test]
-fn test_a_list_of_the_same_era_brings_a_replica_back() {
+fn test_list_of_the_same_era_revives_a_replica() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false)], false, SECOND);
     table.on_unlisted("a", SECOND, &mut ListChange::default());
-    table.mark(&change("a"), revision::in_era(1, 4));
+    table.set_changed_at(&change("a"), revision::in_era(1, 4));
     let change = table.on_store_list(vec![record("a", false)], revision::in_era(1, 5), false, 2 * SECOND);
     assert_eq!(change.added, ["a".into()]);
 }
--- a/lib/tests/test_gateway_trial_evidence.rs
+++ b/lib/tests/test_gateway_trial_evidence.rs
@@ -6,7 +6,7 @@
 use leadstage_lib::gateway::answer_counts::Sample;
 use leadstage_lib::gateway::answer_counts::Side;
 use leadstage_lib::gateway::fleet_size::FleetSize;
-use leadstage_lib::gateway::pauses::Pauses;
+use leadstage_lib::gateway::process_pauses::ProcessPauses;
 use leadstage_lib::gateway::trial_evidence::Census;
 use leadstage_lib::gateway::trial_evidence::Hearing;
 use leadstage_lib::gateway::trial_evidence::TrialEvidence;
@@ -112,16 +112,16 @@
 
 #[test]
 fn test_times_of_a_pause_and_of_what_queued_up_in_it_are_disturbed() {
-    let mut pauses = Pauses::default();
+    let mut pauses = ProcessPauses::default();
     (0..=100).for_each(|tenth| pauses.tick(secs(f64::from(tenth) / 10.0)));
-    assert!(!pauses.disturb(secs(9.0), secs(10.3)));
+    assert!(!pauses.may_affect(secs(9.0), secs(10.3)));
     // The process goes on at 14 s: before the first tick, after it, and once it has recovered.
-    assert!(pauses.disturb(secs(13.9), secs(14.0)));
+    assert!(pauses.may_affect(secs(13.9), secs(14.0)));
     pauses.tick(secs(14.0));
-    assert!(pauses.disturb(secs(9.9), secs(14.1)));
+    assert!(pauses.may_affect(secs(9.9), secs(14.1)));
     (141..170).for_each(|tenth| pauses.tick(secs(f64::from(tenth) / 10.0)));
-    assert!(pauses.disturb(secs(15.9), secs(16.8)));
-    assert!(!pauses.disturb(secs(16.1), secs(16.9)));
+    assert!(pauses.may_affect(secs(15.9), secs(16.8)));
+    assert!(!pauses.may_affect(secs(16.1), secs(16.9)));
 }
 
 #[test]
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -177,7 +177,7 @@
     fn look_out(&mut self, now: Timestamp) {
         let is_away = !self.watchers.store_answers(now);
         if is_away {
-            self.replicas.on_store_away();
+            self.replicas.on_store_unavailable();
         }
         if is_away || self.watchers.doubts_store(now) {
             self.replicas.look_out(&self.placing, &self.fleet);
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -142,12 +142,12 @@
             let is_planned = replica.leaving_since < since + PLANS_COME_WITHIN;
             match replica.leaving {
                 _ if is_later_start => self.on_gone(fleet, &of),
-                Some(LeavingSign::Listed | LeavingSign::Said) => self.pending.on_lives(&of),
+                Some(LeavingSign::Listed | LeavingSign::Announced) => self.pending.on_lives(&of),
                 Some(_) if is_planned => self.pending.on_lives(&of),
-                Some(LeavingSign::Unlisted | LeavingSign::Lapsed | LeavingSign::Replaced) => {
+                Some(LeavingSign::Unlisted | LeavingSign::Expired | LeavingSign::Replaced) => {
                     self.on_gone(fleet, &of)
                 }
-                Some(LeavingSign::Told | LeavingSign::Unwell) | None => {}
+                Some(LeavingSign::ReportedByPeer | LeavingSign::Unhealthy) | None => {}
             }
         }
     }
--- a/node/src/gateway/control/placing.rs
+++ b/node/src/gateway/control/placing.rs
@@ -332,7 +332,7 @@
     /// An engine failed a generation of another node.
     pub fn on_engine_failed(&mut self, engine: &Incarnation) {
         info!(event = "engine_failed", upstream = &*engine.id; "an engine failed another node's generation");
-        self.knowledge.replicas.on_failure_of(engine, self.shared.now());
+        self.knowledge.replicas.on_incarnation_failure(engine, self.shared.now());
     }
 
     /// A replica has started again under its id: what ran there is lost.
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -8,21 +8,21 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use leadstage_lib::gateway::lack_of_news::LackOfNews;
-use leadstage_lib::gateway::lack_of_news::Source;
-use leadstage_lib::gateway::lapses::Lapses;
 use leadstage_lib::gateway::replica::LeavingSign;
 use leadstage_lib::gateway::replica::Replica;
-use leadstage_lib::gateway::replica_news::NewsGathering;
-use leadstage_lib::gateway::replica_news::NewsProgress;
-use leadstage_lib::gateway::replica_news::NewsRelay;
-use leadstage_lib::gateway::replica_news::PackedNews;
-use leadstage_lib::gateway::replica_news::Part;
-use leadstage_lib::gateway::replica_news::ReplicaNews;
+use leadstage_lib::gateway::replica_catch_up::ReplicaCatchUp;
+use leadstage_lib::gateway::replica_catch_up::Source;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
+use leadstage_lib::gateway::replica_updates::PackedUpdate;
+use leadstage_lib::gateway::replica_updates::Part;
+use leadstage_lib::gateway::replica_updates::ReplicaUpdate;
+use leadstage_lib::gateway::replica_updates::UpdateBatcher;
+use leadstage_lib::gateway::replica_updates::UpdateProgress;
+use leadstage_lib::gateway::replica_updates::UpdateRelay;
 use leadstage_lib::gateway::replicas::ListChange;
 use leadstage_lib::gateway::revision;
+use leadstage_lib::gateway::store_outages::StoreOutages;
 use leadstage_lib::ids::Timestamp;
 use leadstage_lib::ids::UpstreamId;
 use leadstage_platform::health::Health;
@@ -59,20 +59,20 @@
 pub struct ReplicaIntake {
     shared: Arc<Shared>,
     lookout: Lookout,
-    gathering: NewsGathering,
+    gathering: UpdateBatcher,
     /// Parts of news that are to be told, one after the other.
-    parts: VecDeque<ReplicaNews>,
-    relay: NewsRelay,
+    parts: VecDeque<ReplicaUpdate>,
+    relay: UpdateRelay,
     /// Up to which revision of the store the replicas are known.
-    progress: NewsProgress,
+    progress: UpdateProgress,
     /// When news last came.
     heard: Timestamp,
-    lapses: Lapses,
+    lapses: StoreOutages,
     /// This node follows the store.
     follows: bool,
     /// The whole list as other nodes are handed it, and up to which revision it holds.
     packed: Option<(Revision, Bytes)>,
-    lack: LackOfNews,
+    lack: ReplicaCatchUp,
 }
 
 impl ReplicaIntake {
@@ -81,15 +81,15 @@
         ReplicaIntake {
             lookout: Lookout::new(shared.clone()),
             shared,
-            gathering: NewsGathering::default(),
+            gathering: UpdateBatcher::default(),
             parts: VecDeque::new(),
-            relay: NewsRelay::default(),
-            progress: NewsProgress::default(),
+            relay: UpdateRelay::default(),
+            progress: UpdateProgress::default(),
             heard: Timestamp::ZERO,
-            lapses: Lapses::default(),
+            lapses: StoreOutages::default(),
             follows: false,
             packed: None,
-            lack: LackOfNews::new(&mut rand::rng()),
+            lack: ReplicaCatchUp::new(&mut rand::rng()),
         }
     }
 
@@ -124,7 +124,7 @@
     /// Tells that replicas leave, with no new revision.
     fn tell_departures(&self, placing: &Placing, fleet: &Fleet, leaving: Vec<Incarnation>) {
         let count = leaving.len();
-        let news = ReplicaNews { leaving, ..ReplicaNews::default() };
+        let news = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
         match news.into_parts(placing.knowledge.replicas.len()) {
             Some(parts) => parts.iter().for_each(|part| self.tell(fleet, part)),
             None => {
@@ -158,8 +158,8 @@
     }
 
     /// The store answers nobody: entries may lapse.
-    pub fn on_store_away(&mut self) {
-        self.lapses.on_store_away(self.shared.now());
+    pub fn on_store_unavailable(&mut self) {
+        self.lapses.on_store_unavailable(self.shared.now());
     }
 
     /// Asks the engines that this node leads whether they leave: the store may not tell.
@@ -179,7 +179,7 @@
         }
         let change = ListChange { leaving: vec![of.id.clone()], ..ListChange::default() };
         self.after_news(placing, &change, 0);
-        self.tell(fleet, &ReplicaNews { leaving: vec![of.clone()], ..ReplicaNews::default() });
+        self.tell(fleet, &ReplicaUpdate { leaving: vec![of.clone()], ..ReplicaUpdate::default() });
     }
 
     /// A replica was asked for its health.
@@ -188,10 +188,12 @@
         self.lookout.on_health(&of.id, now);
         let sign = match health {
             Health::Well { cold } => return placing.knowledge.replicas.on_cold(&of.id, cold, now),
-            Health::Unwell => LeavingSign::Unwell,
-            Health::Leaving => LeavingSign::Said,
+            Health::Unwell => LeavingSign::Unhealthy,
+            Health::Leaving => LeavingSign::Announced,
             Health::Other => LeavingSign::Replaced,
-            Health::Silent | Health::Closed => return placing.knowledge.replicas.on_failure_of(&of, now),
+            Health::Silent | Health::Closed => {
+                return placing.knowledge.replicas.on_incarnation_failure(&of, now);
+            }
         };
         self.on_sign(placing, fleet, &of, sign);
     }
@@ -228,7 +230,7 @@
         // Without any change too, so that nobody takes the new revision for missed news.
         if at > before && before > 0 {
             let part = Part::default();
-            self.gather(placing, fleet, ReplicaNews { before, at, added, leaving, part });
+            self.gather(placing, fleet, ReplicaUpdate { before, at, added, leaving, part });
         } else if before > 0 && !(added.is_empty() && leaving.is_empty()) {
             info!(event = "news_kept", added = added.len(), leaving = leaving.len(), at, before; "news of the store is no newer than what is known, and not told");
         }
@@ -239,7 +241,7 @@
         let before = self.progress.at();
         if before > 0 && revision::era(at) > revision::era(before) {
             info!(event = "store_copy", era = revision::era(at), revision = revision::number(at); "the store has come back from a copy, which may lack replicas");
-            self.lapses.on_store_away(self.shared.now());
+            self.lapses.on_store_unavailable(self.shared.now());
         }
     }
 
@@ -264,7 +266,7 @@
     }
 
     /// Tells other nodes, together with what follows soon.
-    fn gather(&mut self, placing: &Placing, fleet: &Fleet, news: ReplicaNews) {
+    fn gather(&mut self, placing: &Placing, fleet: &Fleet, news: ReplicaUpdate) {
         match self.gathering.add(news, self.shared.now()) {
             Some(Duration::ZERO) => self.tell_gathered(placing, fleet),
             Some(pause) => self.shared.tell_after(pause, ToControl::TellReplicas),
@@ -302,7 +304,7 @@
         }
     }
 
-    fn tell(&self, fleet: &Fleet, news: &ReplicaNews) {
+    fn tell(&self, fleet: &Fleet, news: &ReplicaUpdate) {
         match news.pack() {
             Ok(packed) => fleet.tell(&PeerMessage::Replicas(packed)),
             Err(err) => {
@@ -312,7 +314,7 @@
     }
 
     /// A watcher learnt of replicas. What is new here is passed on.
-    pub fn on_news(&mut self, placing: &mut Placing, fleet: &Fleet, from: SocketAddr, packed: PackedNews) {
+    pub fn on_news(&mut self, placing: &mut Placing, fleet: &Fleet, from: SocketAddr, packed: PackedUpdate) {
         let is_sign = packed.at == 0;
         if !is_sign && self.progress.has(&packed) {
             return;
@@ -337,7 +339,7 @@
             }
         }
         for of in &news.leaving {
-            if placing.knowledge.replicas.on_sign(of, LeavingSign::Told, now) {
+            if placing.knowledge.replicas.on_sign(of, LeavingSign::ReportedByPeer, now) {
                 change.leaving.push(of.id.clone());
             }
         }
@@ -347,7 +349,7 @@
             self.compare(placing, fleet, from, news.at);
         }
         self.after_news(placing, &change, news.at);
-        if self.relay.passes_on(&news, is_news) {
+        if self.relay.should_forward(&news, is_news) {
             fleet.pass_on(&PeerMessage::Replicas(packed));
         }
     }
@@ -365,7 +367,7 @@
             (false, _) => Source::Any,
         };
         let replicas = placing.knowledge.replicas.len();
-        let Some(pause) = self.lack.on_theirs(theirs, own, source, replicas, self.shared.now()) else {
+        let Some(pause) = self.lack.on_peer_revision(theirs, own, source, replicas, self.shared.now()) else {
             return;
         };
         let shared = self.shared.clone();
@@ -399,7 +401,7 @@
         let is_first = !self.is_known();
         info!(event = "replicas_fetched", from:% = from, whole = list.is_whole, staying = list.staying.len(), leaving = list.leaving.len(), at = list.at, before = self.progress.at(); "another node handed its replicas over");
         let at = list.at;
-        let change = placing.knowledge.replicas.on_handed_list(list, self.shared.now());
+        let change = placing.knowledge.replicas.on_peer_list(list, self.shared.now());
         self.progress.on_known(at);
         self.after_news(placing, &change, at);
         if is_first {
@@ -414,7 +416,7 @@
         self.heard = self.shared.now();
         self.on_list_change(placing, change, at);
         if self.shared.replicas_at() < self.progress.at() {
-            self.lack.on_news();
+            self.lack.on_updates();
             self.shared.set_replicas_at(self.progress.at());
         }
     }
@@ -422,7 +424,7 @@
     /// A change that is learnt with news which is not known whole is newer than all that is: whoever is handed what
     /// this node knows later on must get it.
     fn on_list_change(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
-        placing.knowledge.replicas.mark(change, at.max(self.progress.at()));
+        placing.knowledge.replicas.set_changed_at(change, at.max(self.progress.at()));
         self.log_added(placing, change);
         for id in &change.restarted {
             placing.on_restarted(id);
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::answer_counts::Sample;
-use leadstage_lib::gateway::pauses::Pauses;
+use leadstage_lib::gateway::process_pauses::ProcessPauses;
 use leadstage_lib::gateway::retelling::Retelling;
 use leadstage_lib::gateway::routing::ServiceId;
 use leadstage_lib::gateway::upgrade::Stage;
@@ -77,7 +77,7 @@
     /// When the process began.
     started: UnixMillis,
     retelling: Retelling<ServiceId>,
-    pauses: Pauses,
+    pauses: ProcessPauses,
     trials: BTreeMap<ServiceId, Trial>,
     stored: BTreeMap<ServiceId, Stored>,
 }
@@ -89,7 +89,7 @@
             shared,
             started: unix_millis(),
             retelling: Retelling::default(),
-            pauses: Pauses::default(),
+            pauses: ProcessPauses::default(),
             trials: BTreeMap::new(),
             stored: BTreeMap::new(),
         }
@@ -209,7 +209,7 @@
     pub fn on_sample(&mut self, sample: AnswerSample) {
         let now = self.shared.now();
         let is_disturbed = match sample.sample {
-            Sample::Took(_, took) => self.pauses.disturb(now.saturating_sub(took), now),
+            Sample::Took(_, took) => self.pauses.may_affect(now.saturating_sub(took), now),
             Sample::Failed => false,
         };
         if is_disturbed {
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -15,9 +15,9 @@
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::regions::AllowedRegions;
 use leadstage_lib::gateway::replica_limits::ToldLimit;
-use leadstage_lib::gateway::replica_news::PackedNews;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
+use leadstage_lib::gateway::replica_updates::PackedUpdate;
 use leadstage_lib::gateway::routing::ConfigVersion;
 use leadstage_lib::gateway::routing::ServiceId;
 use leadstage_lib::gateway::run_key::RunId;
@@ -92,7 +92,7 @@
     /// The sender's requests at the replicas of services that the receiver leads, or a part of them.
     Inventory(Inventory),
     /// What a watcher has learnt of the replicas; passed on unchanged.
-    Replicas(PackedNews),
+    Replicas(PackedUpdate),
     /// A watcher of the store is there; passed on unchanged.
     Pulse(Pulse),
     /// The sender has a newer configuration; its version stands in the datagram.
--- a/node/src/gateway/upstream/replica_words.rs
+++ b/node/src/gateway/upstream/replica_words.rs
@@ -54,7 +54,7 @@
     pub fn lets_rest(&self, replica: &ReplicaRecord, goes_on: bool) -> bool {
         let (of, now) = (replica.incarnation(), self.shared.now());
         let mut rests = self.rests.borrow_mut();
-        if goes_on { !rests.may_go_on(&of, now) } else { rests.left(&of, now).is_some() }
+        if goes_on { !rests.may_resume(&of, now) } else { rests.remaining(&of, now).is_some() }
     }
 
     /// A request that was sent to `sent` replicas before is about to be sent to one more.
@@ -63,13 +63,13 @@
             self.shared.metrics.on_sent_to_limited();
             info!(event = "sent_to_limited", request = req.id(), upstream = &*replica.id, limit, sent; "a request is sent to a replica that names a limit");
         }
-        if let Some(since) = self.said_leaving.borrow().since(&replica.incarnation()) {
+        if let Some(since) = self.leaving_announcements.borrow().since(&replica.incarnation()) {
             let said_ms_ago = self.shared.now().saturating_sub(since).as_millis() as u64;
             info!(event = "sent_to_leaving", request = req.id(), upstream = &*replica.id, said_ms_ago, sent; "a request is sent to a replica that said that it leaves");
         }
         let (of, now) = (replica.incarnation(), self.shared.now());
         let mut rests = self.rests.borrow_mut();
-        if let Some(left) = rests.left(&of, now) {
+        if let Some(left) = rests.remaining(&of, now) {
             let left_ms = left.as_millis() as u64;
             info!(event = "sent_to_resting", request = req.id(), upstream = &*replica.id, left_ms, sent; "a request is sent to a replica that asked this node for rest");
         }
@@ -91,7 +91,7 @@
         let mut rests = self.rests.borrow_mut();
         match headers::rest_asked(head.status, &head.headers) {
             Some(rest) => {
-                rests.on_asked(replica, rest, self.shared.now());
+                rests.on_retry_after(replica, rest, self.shared.now());
                 info!(event = "rest_asked", request = req.id(), upstream = &*replica.id, rest_ms = rest.as_millis() as u64; "a replica asks this node for rest");
             }
             None if head.status == StatusCode::SERVICE_UNAVAILABLE => {}
@@ -101,9 +101,9 @@
 
     /// A replica said in an answer that it leaves.
     fn on_said_leaving(&self, req: &CallerRequest, replica: &ReplicaRecord) {
-        if self.said_leaving.borrow_mut().on_said(&replica.incarnation(), self.shared.now()) {
+        if self.leaving_announcements.borrow_mut().on_announced(&replica.incarnation(), self.shared.now()) {
             info!(event = "leaving_said", request = req.id(), upstream = &*replica.id; "a replica says in an answer that it leaves");
-            self.shared.tell(ToControl::Sign(replica.incarnation(), LeavingSign::Said));
+            self.shared.tell(ToControl::Sign(replica.incarnation(), LeavingSign::Announced));
         }
     }
 
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 
 use http::HeaderName;
-use leadstage_lib::gateway::asked_rests::AskedRests;
+use leadstage_lib::gateway::leaving_announcements::LeavingAnnouncements;
+use leadstage_lib::gateway::replica_backoffs::ReplicaBackoffs;
 use leadstage_lib::gateway::retry_window::RetryShare;
 use leadstage_lib::gateway::retry_window::RetryWindow;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::gateway::said_leaving::SaidLeaving;
 use leadstage_lib::gateway::sound_runs::SoundRuns;
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::ids::UpstreamId;
@@ -40,9 +40,9 @@
     /// Requests that replicas answered lately.
     pub sound_runs: Rc<RefCell<SoundRuns>>,
     /// Replicas that said in an answer to this node that they leave.
-    pub said_leaving: Rc<RefCell<SaidLeaving>>,
+    pub leaving_announcements: Rc<RefCell<LeavingAnnouncements>>,
     /// Replicas that asked this node for rest.
-    pub rests: Rc<RefCell<AskedRests>>,
+    pub rests: Rc<RefCell<ReplicaBackoffs>>,
     /// The headers of replicas' answers that have been looked at.
     pub seen_headers: Rc<RefCell<HashSet<HeaderName>>>,
 }
@@ -55,7 +55,7 @@
             connections: Rc::default(),
             retries: Rc::default(),
             sound_runs: Rc::default(),
-            said_leaving: Rc::default(),
+            leaving_announcements: Rc::default(),
             rests: Rc::default(),
             seen_headers: Rc::default(),
         }
