--- a/lib/src/gateway/replica_catch_up.rs
+++ b/lib/src/gateway/replica_catch_up.rs
@@ -83,7 +83,7 @@
     }
 
     /// More is known than before.
-    pub fn on_updates(&mut self) {
+    pub fn on_update(&mut self) {
         self.behind_since = None;
     }
 
--- a/lib/tests/test_gateway_fleet_spread.rs
+++ b/lib/tests/test_gateway_fleet_spread.rs
@@ -218,7 +218,7 @@
         let node = &mut self.nodes[node];
         if node.progress.at() >= NEWS_AT {
             node.knows_at.get_or_insert(now);
-            node.lack.on_updates();
+            node.lack.on_update();
         }
     }
 
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -416,7 +416,7 @@
         self.heard = self.shared.now();
         self.on_list_change(placing, change, at);
         if self.shared.replicas_at() < self.progress.at() {
-            self.lack.on_updates();
+            self.lack.on_update();
             self.shared.set_replicas_at(self.progress.at());
         }
     }
