--- a/lib/src/gateway/leaving_announcements.rs
+++ b/lib/src/gateway/leaving_announcements.rs
@@ -1,7 +1,7 @@
-//! Replicas that said in an answer to this node that they leave.
+//! Replicas that announced in a response to this node that they are leaving.
 //!
-//! Such a word is the replica's own and newer than any entry or list that this node may read afterwards, so nothing
-//! but another start of the replica ends it.
+//! Such an announcement comes from the replica itself and is newer than any entry or list that this node
+//! may read afterwards, so only a later incarnation of the replica ends it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,7 +12,8 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// A replica that leaves has ended this long after its word: it serves on for as long as the store is away.
+/// A leaving replica has ended this long after its announcement. It may keep serving for as long as the
+/// store is unavailable.
 pub const MAX_LEAVING_TIME: Duration = Duration::from_secs(600);
 
 #[derive(Clone, Copy, Debug)]
@@ -21,14 +22,15 @@
     at: Timestamp,
 }
 
-/// The replicas that said so.
+/// The replicas that announced that they are leaving.
 #[derive(Debug, Default)]
 pub struct LeavingAnnouncements {
     announcements: HashMap<UpstreamId, Announcement>,
 }
 
 impl LeavingAnnouncements {
-    /// A replica said so. Returns whether this start of it had not before.
+    /// A replica announced that it is leaving. Returns whether this is the first announcement of its
+    /// incarnation.
     pub fn on_announced(&mut self, incarnation: &Incarnation, now: Timestamp) -> bool {
         if self.since(incarnation).is_some() {
             return false;
@@ -38,7 +40,7 @@
         true
     }
 
-    /// When this start of a replica first said so.
+    /// When this incarnation of a replica first announced that it is leaving.
     pub fn since(&self, incarnation: &Incarnation) -> Option<Timestamp> {
         let announcement = self.announcements.get(&incarnation.id)?;
         replica_record::applies_to(announcement.born, incarnation.born).then_some(announcement.at)
--- a/lib/src/gateway/process_pauses.rs
+++ b/lib/src/gateway/process_pauses.rs
@@ -1,25 +1,26 @@
-//! Pauses of this process, after which its times say nothing of replicas: what it was answered meanwhile seems slow, and so does
-//! what it sends at once of all that has queued up.
+//! Pauses of this process, after which its measured times say nothing about replicas: responses that
+//! arrived during a pause seem slow, and so do responses to the requests that queued up and are sent all at
+//! once after it.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Ticks that come further apart than this tell of a pause.
+/// Ticks that are further apart than this indicate a pause.
 const MAX_TICK_GAP: Duration = Duration::from_millis(500);
-/// What has queued up is sent and answered within this.
+/// Time within which the requests that queued up during a pause are sent and answered.
 const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// The last pause, seen from ticks that should come a few times a second.
+/// The last pause, detected from ticks that should come a few times a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessPauses {
     last_tick: Timestamp,
-    /// The end of the last pause, with the time that it takes to recover.
+    /// The end of the last pause plus the recovery time.
     recovered_at: Timestamp,
 }
 
 impl ProcessPauses {
-    /// Time has passed.
+    /// Detects a pause since the last tick. Called a few times a second.
     pub fn tick(&mut self, now: Timestamp) {
         if self.is_pause(now) {
             self.recovered_at = now + RECOVERY_TIME;
@@ -27,7 +28,7 @@
         self.last_tick = now;
     }
 
-    /// Whether something that began then and has just ended took longer because of a pause, perhaps.
+    /// Whether an operation that began at `began` and has just ended may have been slowed down by a pause.
     pub fn may_affect(&self, began: Timestamp, now: Timestamp) -> bool {
         self.is_pause(now) || began < self.recovered_at
     }
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -1,5 +1,5 @@
-//! A replica as a node believes it to be: the platform's entry, signs of leaving, and what the node's own requests
-//! showed.
+//! The state of a replica as known to a node: the platform's entry, signs that the replica is leaving, and
+//! the results of the node's own requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,37 +14,36 @@
 use crate::gateway::revision::Revision;
 use crate::ids::Timestamp;
 
-/// A replica that failed gets no new work for this long after the first failure; doubled
-/// with each further one. Long enough that a dead replica costs few requests, short enough
-/// that one that only stumbled is missed briefly.
+/// A replica that failed gets no new work for this long after the first failure, and for twice as long
+/// after each further one. Long enough that a dead replica costs few requests, short enough that a replica
+/// with a transient failure is soon used again.
 const FIRST_BACKOFF: Duration = Duration::from_millis(300);
-/// The longest rest after failures.
+/// The longest back-off after failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Weight of the newest answer in a replica's share of errors.
 const NEWEST_ANSWER_WEIGHT: f64 = 0.2;
-/// A share of errors counts half as much after this time, so that a replica that recovered
-/// is tried again.
+/// Half-life of a share of errors, so that a replica that recovered is tried again.
 const ERROR_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Why a replica is taken to be leaving.
+/// Why a replica is considered to be leaving.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LeavingSign {
     /// Its entry says so.
     #[display("listed as leaving")]
     Listed,
-    /// It says so in its answers.
+    /// It announces so in its responses, or in its answer to a health check.
     #[display("says so in its answers")]
     Announced,
-    /// Its entry went away while the list was followed.
+    /// Its entry was removed while the list was followed.
     #[display("no longer listed")]
     Unlisted,
-    /// Its entry did not come back after the store had been away.
+    /// Its entry did not come back after the store had been unavailable.
     #[display("not listed again")]
     Expired,
-    /// It says so when asked for its health.
+    /// It answered a health check with an error: it is failing, leaving or too full.
     #[display("not well or leaving when asked")]
     Unhealthy,
-    /// Another node has learnt that it leaves.
+    /// Another node reported that it is leaving.
     #[display("told by another node")]
     ReportedByPeer,
     /// Another instance answers at its address.
@@ -53,7 +52,7 @@
 }
 
 impl LeavingSign {
-    /// Whether an entry that says that the replica stays is believed more than this sign.
+    /// Whether an entry that lists the replica as staying overrides this sign.
     pub(super) fn is_revocable(self) -> bool {
         match self {
             LeavingSign::Unlisted
@@ -64,7 +63,7 @@
         }
     }
 
-    /// By when a replica that shows this sign now has ended, or is about to, where that can be told.
+    /// The time by which a replica that shows this sign now has ended or is about to end, if known.
     fn ends_by(self, now: Timestamp) -> Option<Timestamp> {
         match self {
             LeavingSign::Listed => None,
@@ -78,26 +77,26 @@
     }
 }
 
-/// A replica with what is believed of it.
+/// A replica and its state as known to this node.
 #[derive(Clone, Debug)]
 pub struct Replica {
     /// The platform's entry.
     pub record: Arc<ReplicaRecord>,
-    /// Set from the first sign of leaving on.
+    /// The sign that it is leaving, if there is any.
     pub leaving: Option<LeavingSign>,
-    /// When it was first seen leaving.
+    /// When it was first seen to be leaving.
     pub leaving_since: Timestamp,
-    /// When it works at full speed.
+    /// When it reaches full speed.
     pub warm_at: Timestamp,
     consecutive_failures: u32,
     backoff_until: Timestamp,
     error_share: f64,
     error_share_at: Timestamp,
-    /// Since when its entry has been missing, perhaps only because the store was away.
+    /// Since when its entry has been missing, perhaps only because the store was unavailable.
     pub(super) missing_since: Option<Timestamp>,
-    /// By when it is known to have ended, or to be about to, whatever its entry said.
+    /// The time by which it is known to have ended or to be about to end, whatever its entry said.
     pub(super) ends_by: Option<Timestamp>,
-    /// The store's revision when other nodes would last have learnt something new of it.
+    /// The store's revision at the last change that other nodes need to learn; 0 if there is none.
     pub(super) changed_at: Revision,
 }
 
@@ -124,36 +123,36 @@
         self.leaving.is_none() && self.backoff_until <= now
     }
 
-    /// It is cold for so long, at least; for no time where it is warm.
+    /// Notes that it stays cold for at least this long. Zero changes nothing.
     pub(super) fn on_cold(&mut self, cold: Duration, now: Timestamp) {
         if !cold.is_zero() {
             self.warm_at = self.warm_at.max(now + cold);
         }
     }
 
-    /// Whether what is said of one start of it holds for this one, not for an earlier one.
+    /// Whether a report about an incarnation applies to this one, rather than only to an earlier one.
     pub(super) fn is_covered_by(&self, incarnation: &Incarnation) -> bool {
         replica_record::applies_to(incarnation.born, self.record.born)
     }
 
-    /// Whether its entry is missing, perhaps only because the store was away.
+    /// Whether its entry is missing, perhaps only because the store was unavailable.
     pub fn is_missing(&self) -> bool {
         self.missing_since.is_some()
     }
 
-    /// Whether it bears few requests yet.
+    /// Whether it can process only few requests yet.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         self.warm_at > now
     }
 
-    /// The share of its answers that were errors of its own lately, or failed to come, 0 to 1.
+    /// The recent share of its answers that were errors of its own or failed to arrive, from 0 to 1.
     pub fn error_share(&self, now: Timestamp) -> f64 {
         let halvings = now.saturating_sub(self.error_share_at).as_secs_f64() / ERROR_HALF_LIFE.as_secs_f64();
         self.error_share * 0.5_f64.powf(halvings)
     }
 
-    /// A sign that it leaves; the first one counts, and the first that no entry takes back. Returns whether it is
-    /// news.
+    /// A sign that it is leaving was seen. The first sign counts, and after it the first one that no entry
+    /// revokes. Returns whether the sign was recorded.
     pub(super) fn on_sign(&mut self, sign: LeavingSign, now: Timestamp) -> bool {
         match self.leaving {
             Some(known) if !known.is_revocable() || sign.is_revocable() => return false,
@@ -165,24 +164,26 @@
         true
     }
 
-    /// Its entry is gone: it has ended or is about to, whatever it said before.
+    /// Its entry is gone: it has ended or is about to, whatever it announced before.
     pub(super) fn on_entry_gone(&mut self, now: Timestamp) {
         self.ends_by = Some(self.ends_by.map_or(now, |by| by.min(now)));
         self.missing_since = None;
     }
 
-    /// Whether its end was learnt from the store before that came back from the copy that a list at `at` tells of.
+    /// Whether its end was learnt from the store before the store was restored from the copy that a list at
+    /// revision `at` was read from.
     pub(super) fn ended_before_copy(&self, at: Revision) -> bool {
         let is_end = matches!(self.leaving, Some(LeavingSign::Unlisted | LeavingSign::ReportedByPeer));
         is_end && self.changed_at > 0 && revision::era(self.changed_at) < revision::era(at)
     }
 
-    /// It stays after all.
+    /// It is no longer considered to be leaving.
     pub(super) fn cancel_leaving(&mut self) {
         (self.leaving, self.ends_by) = (None, None);
     }
 
-    /// A request failed there for a reason of the replica's; `rests` if it gets no new work for a while.
+    /// A request failed there because of the replica. If `backs_off` is set, the replica gets no new work
+    /// for a while.
     pub(super) fn on_failure(&mut self, backs_off: bool, now: Timestamp) {
         if backs_off {
             let backoff =
@@ -206,7 +207,7 @@
         self.backoff_until = Timestamp::ZERO;
     }
 
-    /// Failures in a row.
+    /// The number of consecutive failures.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
--- a/lib/src/gateway/replica_backoffs.rs
+++ b/lib/src/gateway/replica_backoffs.rs
@@ -1,7 +1,8 @@
-//! Replicas that turned a request of this node away and asked it for rest.
+//! Back-offs that replicas requested with Retry-After when they refused a request of this node.
 //!
-//! The rest binds this node alone: others may be served there. Once it is over, requests try the replica one after the
-//! other until one is taken: it may still be full, and whoever was kept away would come at once.
+//! A back-off applies to this node only: the replica may still serve other nodes. After it ends, requests
+//! are sent to the replica one at a time until one is accepted: the replica may still be full, and all
+//! requests that were held back would otherwise arrive at once.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,22 +15,22 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// The longest rest that is kept.
+/// The longest back-off that is honoured; longer ones are cut to this.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
-/// Time between two requests that try a replica after its rest.
-const TRIAL_INTERVAL: Duration = Duration::from_millis(250);
-/// A replica that nothing was sent to for so long after its rest is treated like any other.
+/// Minimum interval between requests to a replica after its back-off, until one is accepted.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// A replica is treated like any other once it has been sent nothing for this long after its back-off.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug)]
 struct Backoff {
     service: ServiceId,
     born: StartTime,
-    /// The end of what was asked for.
+    /// The end of the requested back-off.
     until: Timestamp,
-    /// When the next request may be sent there.
-    next_trial: Timestamp,
-    /// Whether a generation that can go on nowhere else went there meanwhile.
+    /// When the next request may be sent to the replica.
+    next_request_at: Timestamp,
+    /// Whether a generation that can resume at no other replica has been sent there during the back-off.
     is_exception_used: bool,
 }
 
@@ -39,14 +40,15 @@
     }
 }
 
-/// The rests.
+/// The back-offs that replicas requested from this node.
 #[derive(Debug, Default)]
 pub struct ReplicaBackoffs {
     backoffs: HashMap<UpstreamId, Backoff>,
 }
 
 impl ReplicaBackoffs {
-    /// A replica asked for rest in an answer that has just come. Of several the one that ends last holds.
+    /// A replica requested a back-off in a response that has just arrived. Of several back-offs, the one
+    /// that ends last applies.
     pub fn on_retry_after(&mut self, replica: &ReplicaRecord, duration: Duration, now: Timestamp) {
         self.backoffs.retain(|_, backoff| now < backoff.until + FORGET_AFTER);
         let incarnation = replica.incarnation();
@@ -57,31 +59,34 @@
         let service = replica.service.clone();
         self.backoffs.insert(
             incarnation.id,
-            Backoff { service, born: incarnation.born, until, next_trial: until, is_exception_used },
+            Backoff { service, born: incarnation.born, until, next_request_at: until, is_exception_used },
         );
     }
 
-    /// A replica answered a request without asking for rest. One that was sent before the rest was over ends nothing.
+    /// A replica answered a request without requesting a back-off. The answer ends a back-off only if the
+    /// request was sent after the back-off was over.
     pub fn on_answer(&mut self, incarnation: &Incarnation, sent: Timestamp) {
         if self.backoffs.get(&incarnation.id).is_some_and(|backoff| sent >= backoff.until) {
             self.backoffs.remove(&incarnation.id);
         }
     }
 
-    /// A request is sent to a replica.
+    /// A request is being sent to a replica.
     pub fn on_sending(&mut self, incarnation: &Incarnation, now: Timestamp) {
         if let Some(backoff) = self.backoffs.get_mut(&incarnation.id) {
-            backoff.next_trial = backoff.next_trial.max(now + TRIAL_INTERVAL);
+            backoff.next_request_at = backoff.next_request_at.max(now + REQUEST_INTERVAL);
         }
     }
 
-    /// For how much longer nothing is to be sent to a replica, if so.
+    /// How much longer nothing may be sent to a replica; `None` if requests may be sent.
     pub fn remaining(&self, incarnation: &Incarnation, now: Timestamp) -> Option<Duration> {
         let backoff = self.backoffs.get(&incarnation.id).filter(|backoff| backoff.applies_to(incarnation))?;
-        (now < backoff.next_trial && now < backoff.until + FORGET_AFTER).then(|| backoff.next_trial - now)
+        (now < backoff.next_request_at && now < backoff.until + FORGET_AFTER)
+            .then(|| backoff.next_request_at - now)
     }
 
-    /// Whether a generation whose memory is at a replica may go on there: one may during a rest.
+    /// Whether a generation whose KV cache is held by a replica may resume there. One generation may do so
+    /// during a back-off.
     pub fn may_resume(&mut self, incarnation: &Incarnation, now: Timestamp) -> bool {
         if self.remaining(incarnation, now).is_none() {
             return true;
@@ -91,7 +96,7 @@
             .is_none_or(|backoff| !std::mem::replace(&mut backoff.is_exception_used, true))
     }
 
-    /// The replicas of a service that nothing is to be sent to, and for how much longer.
+    /// The replicas of a service that are in back-off, with the remaining time of each.
     pub fn of_service(&self, service: &str, now: Timestamp) -> impl Iterator<Item = (&UpstreamId, Duration)> {
         let its = self.backoffs.iter().filter(move |(_, backoff)| *backoff.service == *service);
         its.filter_map(move |(id, backoff)| {
--- a/lib/src/gateway/replica_catch_up.rs
+++ b/lib/src/gateway/replica_catch_up.rs
@@ -1,8 +1,9 @@
-//! When a node fetches what it lacks of the replicas, and from whom.
+//! When a node that lacks replica updates fetches them, and from which node.
 //!
-//! News usually comes by itself; what is still missing after a pause is fetched, from one node at a time. Nodes of the own hall
-//! are asked first: each node asks others only after a time of its own, by which a few of a hall have fetched what the rest of
-//! it then gets from them.
+//! Updates usually arrive on their own; what is still missing after a delay is fetched, from one node at a
+//! time. Nodes of the own hall are queried first. Each node waits for a random delay of its own before it
+//! queries other halls; by then a few nodes of its hall have fetched the updates, and the others get them
+//! from these.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -13,41 +14,44 @@
 use crate::gateway::revision::Revision;
 use crate::ids::Timestamp;
 
-/// What another node knows usually comes by itself; it is fetched from that node if it has not come within this.
+/// Updates that a peer has usually arrive on their own; they are fetched from the peer if they have not
+/// arrived within this time.
 const UPDATE_WAIT: Duration = Duration::from_millis(120);
-/// With many replicas news are gathered for longer before they are told, up to this.
+/// With many replicas, updates are batched for longer before they are sent; this much is added per replica,
+/// up to `MAX_UPDATE_WAIT_FOR_REPLICAS`.
 const UPDATE_WAIT_PER_REPLICA: Duration = Duration::from_micros(15);
 const MAX_UPDATE_WAIT_FOR_REPLICAS: Duration = Duration::from_millis(150);
-/// A node that lacks something asks nodes of other halls for it after some time between these.
+/// A node that lacks updates queries nodes of other halls after a random delay in this range.
 const FAR_DELAY: Range<Duration> = Duration::from_millis(200)..Duration::from_millis(1_200);
-/// A node that knows no replicas leaves a busy node alone no longer than this, and asks another one.
+/// A node that knows no replicas waits at most this long for a busy node, and then queries another one.
 const MAX_BUSY_DELAY_AT_START: Duration = Duration::from_millis(60);
 
-/// Who knows more.
+/// Where a node that knows a later revision runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// A node of the own hall.
     Near,
-    /// Another one; there are enough of the own hall.
+    /// A node of another hall, while enough nodes of the own hall are known.
     Far,
-    /// Any node: few of the own hall are known.
+    /// A node of any hall, as few nodes of the own hall are known.
     Any,
 }
 
-/// What a node lacks.
+/// Whether this node lacks updates, and when it may fetch them.
 #[derive(Debug)]
 pub struct ReplicaCatchUp {
-    /// Another node is asked.
+    /// Whether a fetch is in progress.
     is_fetching: bool,
-    /// A node that was busy said that it may be asked from then on; news may come before.
+    /// The time before which no fetch is started because a busy node asked for a delay; updates may arrive
+    /// earlier.
     fetch_not_before: Timestamp,
-    /// Since when others have known more.
+    /// Since when peers have known a later revision.
     behind_since: Option<Timestamp>,
     far_delay: Duration,
 }
 
 impl ReplicaCatchUp {
-    /// Nothing is known to be missing.
+    /// Creates the state of a node that is not known to lack anything.
     pub fn new<R: Rng>(rng: &mut R) -> Self {
         let far_delay = rng.random_range(FAR_DELAY);
         ReplicaCatchUp {
@@ -58,8 +62,8 @@
         }
     }
 
-    /// Another node knows the replicas up to `theirs`, this one up to `own`. Returns the pause after which that one is
-    /// to be asked, if it is and news have not come meanwhile.
+    /// A peer knows the replicas up to `peer_revision`, this node up to `own`. Returns the delay after
+    /// which the peer is to be queried, unless updates arrive earlier; `None` if it is not to be queried.
     pub fn on_peer_revision(
         &mut self,
         peer_revision: Revision,
@@ -76,23 +80,23 @@
             return None;
         }
         self.is_fetching = true;
-        // News of a few changes is of no use to who knows nothing.
+        // An update with a few changes is of no use to a node that knows no replicas.
         let wait_for_replicas = UPDATE_WAIT_PER_REPLICA * replicas as u32;
         let update_wait = UPDATE_WAIT + wait_for_replicas.min(MAX_UPDATE_WAIT_FOR_REPLICAS);
         Some(if own > 0 { update_wait } else { Duration::ZERO })
     }
 
-    /// More is known than before.
+    /// The known revision has advanced.
     pub fn on_update(&mut self) {
         self.behind_since = None;
     }
 
-    /// The node that was asked answered, or did not; or it was not asked after all.
+    /// The queried node answered or failed to, or the query was not sent after all.
     pub fn on_answer(&mut self) {
         self.is_fetching = false;
     }
 
-    /// The node that was asked hands out to others, and may be asked again after some time.
+    /// The queried node is busy serving other nodes, and may be queried again after `after`.
     pub fn on_busy(&mut self, after: Duration, own: Revision, now: Timestamp) {
         self.is_fetching = false;
         self.fetch_not_before = now + if own > 0 { after } else { after.min(MAX_BUSY_DELAY_AT_START) };
--- a/lib/src/gateway/replica_record.rs
+++ b/lib/src/gateway/replica_record.rs
@@ -1,4 +1,4 @@
-//! A replica as it is listed.
+//! A replica as the platform lists it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,12 @@
 /// The version of a replica's software.
 pub type SoftwareVersion = Arc<str>;
 
-/// When a replica started, Unix milliseconds; 0 where that is not told. Of two with the same id, the one
-/// that started later is another replica, which knows nothing of the first.
+/// When a replica started, in Unix milliseconds; 0 if unknown. Of two replicas with the same id, the one
+/// that started later is a different replica, which has none of the state of the earlier one.
 pub type StartTime = u64;
 
-/// One start of a replica: what is said of it says nothing of a later start under the same id.
+/// One start of a replica. What is reported about an incarnation says nothing about a later one with the
+/// same id.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation {
     /// The replica's id.
@@ -27,8 +28,9 @@
     pub born: StartTime,
 }
 
-/// Whether what one start of a replica said holds for another start, by when they began: for itself and earlier ones, and for
-/// all where it is not known who said it.
+/// Whether a report about the incarnation that started at `reported_start` applies to the one that started
+/// at `start`. A report applies to its own incarnation and to earlier ones, and to all if its start time is
+/// unknown.
 pub fn applies_to(reported_start: StartTime, start: StartTime) -> bool {
     reported_start == 0 || start <= reported_start
 }
@@ -36,19 +38,19 @@
 /// A replica as the platform lists it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct ReplicaRecord {
-    /// Its id; a replica that starts again may have it once more.
+    /// The replica's id; a replica that restarts may keep it.
     pub id: UpstreamId,
-    /// Its service.
+    /// The service that the replica belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its hall.
+    /// The hall that it runs in.
     pub hall: HallId,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it said that it leaves.
+    /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// Time until it works at full speed, from the reading on.
+    /// Time from the reading of the entry until it works at full speed.
     pub cold: Duration,
     /// When it started.
     pub born: StartTime,
@@ -57,7 +59,7 @@
 }
 
 impl ReplicaRecord {
-    /// Which start of the replica this is.
+    /// Returns the incarnation that the entry describes.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), born: self.born }
     }
--- a/lib/src/gateway/replica_updates.rs
+++ b/lib/src/gateway/replica_updates.rs
@@ -1,11 +1,12 @@
-//! What a watcher of the store tells other nodes of the replicas, gathered into few messages.
+//! Replica updates that a watcher of the store sends to other nodes, batched into few messages.
 //!
-//! In a large fleet the store's watch returns hundreds of times a second. The first news
-//! after a pause is told at once, as generations may have to move; what follows within the
-//! pause is told together.
+//! In a large fleet the store's watch returns hundreds of times a second. The first update after a pause is
+//! sent at once, as generations may have to move; updates that follow within the batch delay are sent
+//! together.
 //!
-//! News of hundreds of changes is told in parts, each of which says of how many it is one: a node acts on each part as it
-//! comes, and knows the replicas up to the news' revision once it has them all.
+//! An update with hundreds of changes is sent in parts, each of which carries the number of parts. A node
+//! applies each part on arrival, and knows the replicas up to the update's revision once all parts have
+//! arrived.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,26 +25,27 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// Pause between two messages, for each replica: none to speak of with some ten, 30 ms with
-/// 3,000. The changes grow with the replicas, so the messages a second stay about the same.
+/// Delay between two messages per replica: negligible with some ten replicas, 30 ms with 3,000. The changes
+/// grow with the replicas, so the number of messages a second stays about the same.
 const BATCH_DELAY_PER_REPLICA: Duration = Duration::from_micros(10);
-/// The pause grows no longer than this: what came meanwhile is told in several messages.
+/// The longest batch delay; changes that gather during it are sent in several messages.
 const MAX_BATCH_DELAY: Duration = Duration::from_millis(100);
-/// Changes in one message at most, some 60 bytes each: a datagram holds 16 KiB.
+/// Changes per message at most, some 60 bytes each: a datagram holds 16 KiB.
 const MAX_CHANGES_PER_MESSAGE: usize = 150;
-/// News of more than this part of the replicas are not told: the list is less to read than what is told several times.
+/// Updates that change more than this share of the replicas are not sent: fetching the list takes less data
+/// than changes that are forwarded several times.
 const MAX_CHANGED_SHARE: f64 = 0.2;
-/// Parts that are told in any case, in a fleet of any size.
+/// Up to this number of parts an update is sent in any case, in a fleet of any size.
 const ALWAYS_SENT_PARTS: usize = 2;
-/// News of which some parts have come, at most; what is beyond is fetched.
+/// Maximum number of incomplete updates to keep track of; the changes of the others are fetched.
 const MAX_INCOMPLETE_UPDATES: usize = 32;
 
-/// Which part of the news a message is.
+/// Which part of an update a message is.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Part {
-    /// Its number, from 0 on.
+    /// The number of this part, from 0 on.
     pub number: u16,
-    /// How many there are.
+    /// The number of parts.
     pub of: u16,
 }
 
@@ -53,25 +55,26 @@
     }
 }
 
-/// What a watcher has learnt of the replicas.
+/// Changes of the replicas that a watcher has learnt.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct ReplicaUpdate {
-    /// The revision up to which the watcher knew the replicas before; 0 for a sign that
-    /// does not come from the store.
+    /// The revision up to which the watcher knew the replicas before; 0 for a sign that does not come from
+    /// the store.
     pub before: Revision,
     /// The revision up to which it knows them now.
     pub at: Revision,
-    /// Replicas that are new, or stay after all.
+    /// Replicas that are new or no longer leaving.
     pub added: Vec<ReplicaRecord>,
-    /// Replicas that leave.
+    /// Replicas that are leaving.
     pub leaving: Vec<Incarnation>,
-    /// Which part of the news this is.
+    /// Which part of the update this is.
     pub part: Part,
 }
 
 impl ReplicaUpdate {
-    /// The news in messages, those that leave first; `None` where so much has changed of so many replicas that the
-    /// nodes rather fetch what they lack from each other: they see in each message up to where its sender knows them.
+    /// Splits the update into messages, leaving replicas first. Returns `None` if so many changes affect so
+    /// large a share of the replicas that the nodes had better fetch the list from each other: each message
+    /// between nodes carries the revision that its sender knows.
     pub fn into_parts(mut self, replicas: usize) -> Option<Vec<ReplicaUpdate>> {
         let changes = self.added.len() + self.leaving.len();
         let count = changes.div_ceil(MAX_CHANGES_PER_MESSAGE).max(1);
@@ -89,47 +92,48 @@
     }
 }
 
-/// Zstandard's level for the changes in a message.
+/// Zstandard compression level for the changes in a message.
 const COMPRESSION_LEVEL: i32 = 1;
-/// Fewer bytes are not packed: names are repeated too seldom in them.
+/// Changes of fewer bytes are not compressed: names recur too rarely in them.
 const MIN_COMPRESSED_BYTES: usize = 400;
-/// Bytes of the changes in a message at most, once they are unpacked.
+/// Maximum size of the unpacked changes in a message, in bytes.
 const MAX_UNPACKED_BYTES: usize = 64 << 10;
 
-/// The changes of some news as nodes tell them.
+/// The changes of an update, as they are sent to other nodes.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 enum Changes {
-    /// As they are encoded.
+    /// Encoded only.
     Encoded(Vec<u8>),
-    /// Compressed.
+    /// Encoded and compressed.
     Compressed(Vec<u8>),
 }
 
-/// News as nodes tell each other: a node that has had it need not look into it, and passes it on as it came.
+/// An update as it is sent between nodes. A node that already has it need not unpack it, and forwards it as
+/// received.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct PackedUpdate {
-    /// As in [`ReplicaNews`].
+    /// As in [`ReplicaUpdate`].
     pub before: Revision,
-    /// As in [`ReplicaNews`].
+    /// As in [`ReplicaUpdate`].
     pub at: Revision,
-    /// As in [`ReplicaNews`].
+    /// As in [`ReplicaUpdate`].
     pub part: Part,
     changes: Changes,
 }
 
-/// News that can't be packed or unpacked.
+/// An error while packing or unpacking an update.
 #[derive(Debug, Display, Error, From)]
 pub enum UpdateError {
-    /// It is not compressed as it should be, or too large.
+    /// The compressed data is invalid or too large when unpacked.
     #[display("not unpacked: {_0}")]
     Packing(io::Error),
-    /// What is in it are no changes.
+    /// The unpacked data is not a set of changes.
     #[display("unreadable: {_0}")]
     Encoding(postcard::Error),
 }
 
 impl ReplicaUpdate {
-    /// Packs it to be told.
+    /// Packs the update for sending.
     pub fn pack(&self) -> Result<PackedUpdate, UpdateError> {
         let encoded = postcard::to_allocvec(&(&self.added, &self.leaving))?;
         let changes = if encoded.len() < MIN_COMPRESSED_BYTES {
@@ -142,7 +146,7 @@
 }
 
 impl PackedUpdate {
-    /// The news.
+    /// Unpacks the update.
     pub fn unpack(&self) -> Result<ReplicaUpdate, UpdateError> {
         let (added, leaving) = match &self.changes {
             Changes::Encoded(encoded) => postcard::from_bytes(encoded)?,
@@ -154,23 +158,23 @@
     }
 }
 
-/// Up to which revision a node knows the replicas, by the parts of news that came in any order.
+/// Tracks up to which revision a node knows the replicas, from parts of updates that arrive in any order.
 #[derive(Debug, Default)]
 pub struct UpdateProgress {
     at: Revision,
-    /// News of which parts are missing, by both revisions.
+    /// The received parts of incomplete updates, by the revisions `before` and `at`.
     incomplete: BTreeMap<(Revision, Revision), BTreeSet<u16>>,
-    /// News that came whole and begins beyond what is known.
+    /// Complete updates that begin after the known revision: `at` by `before`.
     ahead: BTreeMap<Revision, Revision>,
 }
 
 impl UpdateProgress {
-    /// The revision.
+    /// The revision up to which the replicas are known.
     pub fn at(&self) -> Revision {
         self.at
     }
 
-    /// All is known up to a revision, from the store or a list.
+    /// The replicas are known up to a revision, from the store or a list.
     pub fn on_known(&mut self, at: Revision) {
         self.at = self.at.max(at);
         while let Some((before, ahead)) = self.ahead.first_key_value().map(|(a, b)| (*a, *b))
@@ -183,7 +187,7 @@
         self.incomplete.retain(|(_, update_at), _| *update_at > at);
     }
 
-    /// Whether a part of some news has come before, or all that is in it.
+    /// Whether this part of an update, or everything in it, is known already.
     pub fn has(&self, update: &PackedUpdate) -> bool {
         let incomplete = self.incomplete.get(&(update.before, update.at));
         update.at <= self.at
@@ -191,7 +195,8 @@
             || self.ahead.get(&update.before) == Some(&update.at)
     }
 
-    /// A part of some news came. Returns whether something before it, or another part of it, is still missing.
+    /// A part of an update arrived. Returns whether an earlier update or another part of this one is still
+    /// missing.
     pub fn on_part(&mut self, update: &ReplicaUpdate) -> bool {
         if update.at <= self.at {
             return false;
@@ -215,20 +220,20 @@
     }
 }
 
-/// Which news a node passes on to others.
+/// Decides which updates a node forwards to other nodes.
 ///
-/// Each copy of a message that is passed on again reaches some more nodes, so whatever a node
-/// would pass on more than once, as while it lacks an earlier change and so cannot note how far
-/// it knows the replicas, fills all links within a tenth of a second: with 66 nodes on links of
-/// 10 Mbit/s connections between nodes failed for 0.4 s and 163 of 949 streams came late.
+/// Each copy of a message that is forwarded again reaches some more nodes. Anything that a node would
+/// forward more than once therefore floods all links within a tenth of a second, for example while the node
+/// lacks an earlier change and so cannot advance its known revision. With 66 nodes on links of 10 Mbit/s,
+/// such a flood made connections between nodes fail for 0.4 s and delayed 163 of 949 streams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UpdateRelay {
-    /// The newest news that was passed on, and its part.
+    /// The newest update that was forwarded: its revision and part.
     newest_forwarded: (Revision, u16),
 }
 
 impl UpdateRelay {
-    /// Whether to pass news on; `is_new` says that it changed what this node believes.
+    /// Whether to forward an update; `is_new` is set if it changed the state of this node.
     pub fn should_forward(&mut self, update: &ReplicaUpdate, is_new: bool) -> bool {
         let this = (update.at, update.part.number);
         let is_newest = this > self.newest_forwarded;
@@ -237,7 +242,7 @@
     }
 }
 
-/// News that waits to be told.
+/// Collects changes that wait to be sent.
 #[derive(Debug, Default)]
 pub struct UpdateBatcher {
     pending: Option<ReplicaUpdate>,
@@ -245,8 +250,8 @@
 }
 
 impl UpdateBatcher {
-    /// Adds news that follows what waits already. Returns how long it waits, if it is the
-    /// first that does.
+    /// Adds an update that follows the pending one. Returns how long it waits if nothing was pending
+    /// before.
     pub fn add(&mut self, update: ReplicaUpdate, now: Timestamp) -> Option<Duration> {
         match &mut self.pending {
             Some(pending) => {
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Takes what waits; what comes next waits for a pause that grows with the replicas.
+    /// Takes the pending update. The next one waits for a delay that grows with the number of replicas.
     pub fn take(&mut self, replicas: usize, now: Timestamp) -> Option<ReplicaUpdate> {
         let update = self.pending.take()?;
         self.next_send = now + (BATCH_DELAY_PER_REPLICA * replicas as u32).min(MAX_BATCH_DELAY);
@@ -269,10 +274,10 @@
 }
 
 fn merge(pending: &mut ReplicaUpdate, update: ReplicaUpdate) {
-    let leaves = |id: &UpstreamId| update.leaving.iter().any(|leaving| leaving.id == *id);
-    let is_named = |id: &UpstreamId| leaves(id) || update.added.iter().any(|r| r.id == *id);
-    pending.added.retain(|record| !is_named(&record.id));
-    pending.leaving.retain(|leaving| !is_named(&leaving.id));
+    let is_leaving = |id: &UpstreamId| update.leaving.iter().any(|leaving| leaving.id == *id);
+    let is_in_update = |id: &UpstreamId| is_leaving(id) || update.added.iter().any(|r| r.id == *id);
+    pending.added.retain(|record| !is_in_update(&record.id));
+    pending.leaving.retain(|leaving| !is_in_update(&leaving.id));
     pending.added.extend(update.added);
     pending.leaving.extend(update.leaving);
     pending.at = update.at;
--- a/lib/src/gateway/replicas.rs
+++ b/lib/src/gateway/replicas.rs
@@ -1,7 +1,7 @@
-//! What a node believes of the replicas.
+//! The state of all replicas, as known to a node.
 //!
-//! Whatever is done for one request or one change costs the same with ten replicas as with ten thousand: replicas
-//! are found by id, those that stay by service and hall, changes by revision, and what is due by its time.
+//! The cost of handling one request or one change does not depend on the number of replicas: replicas are
+//! indexed by id, staying replicas by service and hall, changes by revision, and pending deadlines by time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,15 +29,14 @@
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 
-/// What a new list changed.
+/// The changes that a new list or entry brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListChange {
-    /// Replicas that are newly taken to be leaving.
+    /// Replicas that are now considered to be leaving.
     pub leaving: Vec<UpstreamId>,
-    /// Replicas that appeared, or stay after all.
+    /// Replicas that appeared or are no longer leaving.
     pub added: Vec<UpstreamId>,
-    /// Of these, replicas that have started again under the id that they had: nothing of what was
-    /// believed of them holds.
+    /// The replicas among `added` that restarted under the same id: none of their earlier state applies.
     pub restarted: Vec<UpstreamId>,
 }
 
@@ -46,25 +45,25 @@
 pub struct ReplicaTable {
     policy: Policy,
     slots: Vec<Option<Replica>>,
-    free: Vec<Slot>,
+    free_slots: Vec<Slot>,
     by_id: HashMap<UpstreamId, Slot>,
-    /// Those that stay, by service.
+    /// Staying replicas by service.
     staying: HashMap<ServiceId, ServiceIndex>,
-    /// Those that other nodes would have learnt something new of, by the store's revision.
+    /// Replicas with a change that other nodes need to learn, by the store's revision.
     changed: BTreeSet<(Revision, UpstreamId)>,
-    /// Those whose entries are missing, since when.
+    /// Replicas whose entries are missing, with the time since when.
     missing: BTreeMap<UpstreamId, Timestamp>,
-    /// Those that are to be forgotten, by when they will have ended.
+    /// Replicas to forget, by the time at which they will have ended.
     ending: BTreeSet<(Timestamp, UpstreamId)>,
-    /// The newest change of a replica that is forgotten.
+    /// The revision of the newest change of any forgotten replica.
     forgotten_up_to: Revision,
-    /// Names that many replicas have are held once.
+    /// Interned names that many replicas share.
     names: HashSet<Arc<str>>,
-    /// Rises with each change of which replicas stay.
+    /// Incremented with each change of the set of staying replicas.
     version: u64,
 }
 
-/// What of a replica the table's indices go by.
+/// The properties of a replica that the table's indices depend on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct IndexKeys {
     /// Its service and hall, if it stays.
@@ -87,7 +86,7 @@
 }
 
 impl ReplicaTable {
-    /// A table without replicas.
+    /// Creates an empty table.
     pub fn new(policy: Policy) -> Self {
         ReplicaTable { policy, ..ReplicaTable::default() }
     }
@@ -97,7 +96,7 @@
     }
 
     fn insert(&mut self, replica: Replica) {
-        let slot = self.free.pop().unwrap_or(self.slots.len() as Slot);
+        let slot = self.free_slots.pop().unwrap_or(self.slots.len() as Slot);
         let id = replica.record.id.clone();
         self.index(&id, slot, None, Some(&IndexKeys::of(&replica)));
         self.by_id.insert(id, slot);
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Changes a replica, if it is known, and the indices with it.
+    /// Changes a replica, if it is known, and updates the indices.
     fn update<T>(&mut self, id: &str, change: impl FnOnce(&mut Replica) -> T) -> Option<T> {
         let slot = *self.by_id.get(id)?;
         let replica = self.slots.get_mut(slot as usize)?.as_mut()?;
@@ -129,10 +128,10 @@
             self.forgotten_up_to = replica.changed_at.max(self.forgotten_up_to);
             self.index(id, slot, Some(&IndexKeys::of(&replica)), None);
         }
-        self.free.push(slot);
+        self.free_slots.push(slot);
     }
 
-    /// Brings the indices from what a replica was to what it is.
+    /// Updates the indices from a replica's state `before` to its state `after`.
     fn index(&mut self, id: &UpstreamId, slot: Slot, before: Option<&IndexKeys>, after: Option<&IndexKeys>) {
         let staying_before = before.and_then(|before| before.stays.as_ref());
         let staying_after = after.and_then(|after| after.stays.as_ref());
@@ -177,7 +176,7 @@
         name.clone()
     }
 
-    /// The record with names that it shares with others held once.
+    /// Returns the record with its shared names interned.
     fn with_interned_names(&mut self, record: ReplicaRecord) -> ReplicaRecord {
         ReplicaRecord {
             service: self.intern(&record.service),
@@ -187,7 +186,8 @@
         }
     }
 
-    /// A replica's entry changed or appeared. One of an earlier start than the known one says nothing.
+    /// A replica's entry changed or appeared. An entry of an earlier incarnation than the known one is
+    /// ignored.
     pub fn on_entry(&mut self, record: ReplicaRecord, now: Timestamp, change: &mut ListChange) {
         let mut record = self.with_interned_names(record);
         let id = record.id.clone();
@@ -220,9 +220,9 @@
             return;
         }
         self.update(&id, |replica| {
-            // Others may have missed its entry too, and follow the store no more.
+            // Other nodes may have missed the entry too, and may no longer follow the store.
             let is_back = replica.missing_since.take().is_some() && replica.leaving.is_none();
-            // It may turn cold again at any moment; that is news to other nodes.
+            // A replica may turn cold again at any time; other nodes need to learn of it.
             if is_back || (!record.cold.is_zero() && replica.warm_at < now) {
                 change.added.push(id.clone());
             }
@@ -237,7 +237,7 @@
         });
     }
 
-    /// A replica's entry went away while the list was followed without a break.
+    /// A replica's entry was removed while the list was followed without interruption.
     pub fn on_unlisted(&mut self, id: &str, now: Timestamp, change: &mut ListChange) {
         self.on_entry_gone(id, LeavingSign::Unlisted, now, change);
     }
@@ -251,15 +251,15 @@
         change.leaving.extend(is_new.flatten());
     }
 
-    /// A replica's entry went away, perhaps only because the store was: it is gone if it is
-    /// not back [`LAPSED_GRACE`] after `since`.
+    /// A replica's entry disappeared, perhaps only because the store was unavailable: the replica is
+    /// considered gone if the entry is not back [`RELIST_GRACE`] after `since`.
     pub fn on_missing(&mut self, id: &str, since: Timestamp) {
         self.update(id, |replica| {
             replica.missing_since.get_or_insert(since);
         });
     }
 
-    /// This node follows the store no more: whoever does tells of entries that stay missing.
+    /// This node no longer follows the store; the nodes that do report entries that stay missing.
     pub fn forget_missing(&mut self) {
         let missing: Vec<UpstreamId> = self.missing.keys().cloned().collect();
         for id in missing {
@@ -267,8 +267,8 @@
         }
     }
 
-    /// A whole list was read. What it lacks is gone at once, or within [`LAPSED_GRACE`] if
-    /// entries may have lapsed because the store was away.
+    /// A whole list was read. Replicas that it lacks are gone at once, or after [`RELIST_GRACE`] if their
+    /// entries may have expired because the store was unavailable.
     pub fn on_list(
         &mut self,
         records: Vec<ReplicaRecord>,
@@ -293,8 +293,8 @@
         change
     }
 
-    /// A whole list was read from the store, at a revision. What a copy brings back of replicas that were gone before is
-    /// older than their end: they count as missing.
+    /// A whole list was read from the store, at a revision. If the store was restored from a copy, entries of
+    /// replicas that ended before the restore are older than that end; they are ignored and count as missing.
     pub fn on_store_list(
         &mut self,
         mut records: Vec<ReplicaRecord>,
@@ -309,7 +309,7 @@
         self.on_list(records, may_have_expired, now)
     }
 
-    /// Takes entries that stayed missing for gone, and forgets what left long ago.
+    /// Treats replicas as gone whose entries stayed missing, and forgets replicas that left long ago.
     pub fn tick(&mut self, now: Timestamp, forget_after: Duration) -> ListChange {
         let mut change = ListChange::default();
         let overdue = self.missing.iter().filter(|(_, since)| now > **since + RELIST_GRACE);
@@ -325,25 +325,25 @@
         change
     }
 
-    /// Notes that a change was learnt at a revision of the store.
+    /// Records the revision of the store at which a change became known.
     pub fn set_changed_at(&mut self, change: &ListChange, at: Revision) {
         for id in change.added.iter().chain(&change.leaving) {
             self.update(id, |replica| replica.changed_at = at);
         }
     }
 
-    /// A replica is cold for so long, by its own word or because its hall was closed until now.
+    /// A replica is cold for this long, because it reported so or because its hall was closed until now.
     pub fn on_cold(&mut self, id: &str, cold: Duration, now: Timestamp) {
         self.update(id, |replica| replica.on_cold(cold, now));
     }
 
-    /// All replicas, to be handed to other nodes; known up to the revision `at`.
+    /// Returns all replicas for another node; they are known up to the revision `at`.
     pub fn list(&self, at: Revision) -> ReplicaList {
-        self.listed(at, true, self.iter())
+        self.build_list(at, true, self.iter())
     }
 
-    /// What a node lacks that knows the replicas up to `known`: what changed since, or all if that can't be
-    /// told. This one knows them up to `at`.
+    /// Returns what a node lacks that knows the replicas up to `known`: the changes since then, or the
+    /// whole list if these are no longer known. This node knows the replicas up to `at`.
     pub fn since(&self, at: Revision, known: Revision) -> ReplicaList {
         if known < self.forgotten_up_to {
             return self.list(at);
@@ -352,10 +352,10 @@
             return ReplicaList { is_whole: false, ..self.list(at) };
         }
         let first = (known.saturating_add(1), UpstreamId::from(""));
-        self.listed(at, false, self.changed.range(first..).filter_map(|(_, id)| self.get(id)))
+        self.build_list(at, false, self.changed.range(first..).filter_map(|(_, id)| self.get(id)))
     }
 
-    fn listed<'a>(
+    fn build_list<'a>(
         &'a self,
         at: Revision,
         is_whole: bool,
@@ -374,7 +374,7 @@
         list
     }
 
-    /// Another node handed its list over, whole or what changed.
+    /// Another node sent its list, whole or only the changes.
     pub fn on_peer_list(&mut self, list: ReplicaList, now: Timestamp) -> ListChange {
         let records = list.staying.into_iter().map(|AtRevision { item, .. }| self.without_stale_cold(item));
         let records: Vec<ReplicaRecord> = records.collect();
@@ -393,57 +393,59 @@
         change
     }
 
-    /// A record that another node handed over, without the time that it was to be cold when that one read it:
-    /// a replica that is known would count as cold anew, and as news to whoever asks next.
+    /// A record from another node, without the remaining cold time if the replica is known. That time was
+    /// valid when the other node read it; the replica would count as cold anew, and as changed for the next
+    /// node that fetches the list.
     fn without_stale_cold(&self, record: ReplicaRecord) -> ReplicaRecord {
         let is_known = self.get(&record.id).is_some_and(|replica| replica.record.born >= record.born);
         let cold = if is_known { Duration::ZERO } else { record.cold };
         ReplicaRecord { cold, ..record }
     }
 
-    /// A sign that a replica leaves; one of an earlier start than the known one says nothing. Returns
-    /// whether it is news.
+    /// A sign that a replica is leaving was seen; one of an earlier incarnation than the known one is
+    /// ignored. Returns whether the sign was recorded.
     pub fn on_sign(&mut self, incarnation: &Incarnation, sign: LeavingSign, now: Timestamp) -> bool {
         let is_new = self.update(&incarnation.id, |r| r.is_covered_by(incarnation) && r.on_sign(sign, now));
         is_new.unwrap_or(false)
     }
 
-    /// Those of some replicas that are known to leave, by which start of theirs does.
+    /// Returns the incarnations of those replicas among `ids` that are known to be leaving.
     pub fn leaving_of(&self, ids: &[UpstreamId]) -> Vec<Incarnation> {
         let replicas = ids.iter().filter_map(|id| self.get(id));
         replicas.filter(|replica| replica.leaving.is_some()).map(|r| r.record.incarnation()).collect()
     }
 
-    /// Another node's request failed there, unless that was an earlier start.
+    /// A request of another node or a health check failed at an incarnation of a replica; it is ignored if
+    /// the known incarnation is a later one.
     pub fn on_incarnation_failure(&mut self, incarnation: &Incarnation, now: Timestamp) {
         if self.get(&incarnation.id).is_some_and(|replica| replica.is_covered_by(incarnation)) {
             self.on_failure(&incarnation.id, now);
         }
     }
 
-    /// A request failed there for a reason of the replica's.
+    /// A request failed there because of the replica.
     pub fn on_failure(&mut self, id: &str, now: Timestamp) {
         let backs_off = self.policy.rest_after_failures;
         self.update(id, |replica| replica.on_failure(backs_off, now));
     }
 
-    /// A request was answered there, with an error of the replica's own or not.
+    /// A replica answered a request; `is_error` is set if the answer is an error of the replica's own.
     pub fn on_answer(&mut self, id: &str, is_error: bool, now: Timestamp) {
         self.update(id, |replica| replica.on_answer(is_error, now));
     }
 
-    /// A replica.
+    /// Returns a replica.
     pub fn get(&self, id: &str) -> Option<&Replica> {
         self.slot(*self.by_id.get(id)?)
     }
 
-    /// The replicas of a service that are not known to leave, in no order.
+    /// The replicas of a service that are not known to be leaving, in no order.
     pub fn staying<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         let index = self.staying.get(service);
         index.into_iter().flat_map(ServiceIndex::iter).filter_map(|slot| self.slot(slot))
     }
 
-    /// All replicas of a service, those that leave too, by id; looks at all of all services.
+    /// All replicas of a service including leaving ones, sorted by id. Scans the replicas of all services.
     pub fn of_service(&self, service: &str) -> Vec<&Replica> {
         let mut replicas: Vec<&Replica> =
             self.iter().filter(|replica| *replica.record.service == *service).collect();
@@ -451,7 +453,7 @@
         replicas
     }
 
-    /// How many replicas of a service that stay each hall has.
+    /// The number of staying replicas of a service in each hall.
     pub fn staying_by_hall<'a>(
         &'a self,
         service: &str,
@@ -459,9 +461,9 @@
         self.staying.get(service).into_iter().flat_map(ServiceIndex::halls)
     }
 
-    /// Some of the replicas of a service that stay, picked at random among those that `accepts` takes: half of `most`
-    /// from a hall, if it has so many, and the rest from the others. Where there are more than that, few are looked at;
-    /// where few are taken, all are.
+    /// Returns up to `max_count` staying replicas of a service, picked at random among those that `accepts`
+    /// returns true for: half of them from `hall`, if it has so many, and the others from other halls. If
+    /// there are more than that, only few are inspected; if few are accepted, all are.
     pub fn sample<'a, R: Rng>(
         &'a self,
         service: &str,
@@ -473,7 +475,7 @@
         let Some(index) = self.staying.get(service) else {
             return Vec::new();
         };
-        // Two sources of random numbers, as both orders go on while the other one is asked.
+        // Two random number generators, as both orders are generated alternately.
         let mut far_rng = rand::rngs::SmallRng::from_rng(rng);
         let mut near_slots = index.shuffled_in(hall, rng);
         let mut far_slots = index.shuffled_outside(hall, &mut far_rng);
@@ -484,7 +486,7 @@
         sample
     }
 
-    /// Adds those of `slots` that are accepted until there are so many.
+    /// Adds accepted replicas from `slots` until the sample has `up_to` entries.
     fn fill<'a>(
         &'a self,
         sample: &mut Vec<&'a Replica>,
@@ -499,12 +501,12 @@
         }
     }
 
-    /// How many replicas are known.
+    /// The number of known replicas.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is known.
+    /// Whether no replica is known.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
@@ -514,7 +516,7 @@
         self.slots.iter().flatten()
     }
 
-    /// Rises with each change of which replicas stay.
+    /// A counter that is incremented with each change of the set of staying replicas.
     pub fn version(&self) -> u64 {
         self.version
     }
--- a/lib/src/gateway/run_key.rs
+++ b/lib/src/gateway/run_key.rs
@@ -1,15 +1,15 @@
-//! Names of requests in the fleet.
+//! Identifiers of requests, within a node and across all nodes.
 
 use crate::ids::VmId;
 
-/// Names one request of one node; a node's ids rise.
+/// Identifies a request of one node. A node's ids are assigned in increasing order.
 pub type RunId = u64;
 
-/// Names one request in the fleet.
+/// Identifies a request across all nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RunKey {
-    /// The node that its caller is connected to.
+    /// The node that the request's caller is connected to.
     pub entry: VmId,
-    /// The request.
+    /// The id of the request on that node.
     pub run: RunId,
 }
--- a/lib/src/gateway/service_index.rs
+++ b/lib/src/gateway/service_index.rs
@@ -1,4 +1,4 @@
-//! The replicas of one service that are not known to leave, by hall, for looking at some of many.
+//! The staying replicas of one service, indexed by hall, for random sampling.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,22 @@
 use crate::sample_set::SampleSet;
 use crate::sample_set::Shuffle;
 
-/// Where a table keeps a replica.
+/// The position of a replica in its table.
 pub type Slot = u32;
 
-/// The staying replicas of a service.
+/// The replicas of a service that are not known to be leaving.
 #[derive(Debug, Default)]
 pub struct ServiceIndex {
     halls: BTreeMap<HallId, SampleSet<Slot>>,
 }
 
 impl ServiceIndex {
-    /// A replica of a hall stays.
+    /// Adds a staying replica of a hall.
     pub fn insert(&mut self, hall: &HallId, slot: Slot) {
         self.halls.entry(hall.clone()).or_default().insert(slot);
     }
 
-    /// It does not any more.
+    /// Removes a replica that no longer stays.
     pub fn remove(&mut self, hall: &str, slot: Slot) {
         if let Some(set) = self.halls.get_mut(hall) {
             set.remove(&slot);
@@ -33,24 +33,24 @@
         }
     }
 
-    /// All of them.
+    /// Iterates over all replicas.
     pub fn iter(&self) -> impl Iterator<Item = Slot> {
         self.halls.values().flat_map(|set| set.iter().copied())
     }
 
-    /// How many replicas each hall has.
+    /// Iterates over the halls with the number of replicas in each.
     pub fn halls(&self) -> impl Iterator<Item = (&HallId, usize)> {
         self.halls.iter().map(|(hall, set)| (hall, set.len()))
     }
 
-    /// Those of one hall, in a random order that is made up as they are asked for.
+    /// Iterates over the replicas of one hall in a random order, which is generated lazily.
     pub fn shuffled_in<'a, R: Rng>(&'a self, hall: &str, rng: &'a mut R) -> impl Iterator<Item = Slot> {
         let slots = self.halls.get(hall).map_or(&[][..], SampleSet::as_slice);
         let mut shuffle = Shuffle::new(slots.len());
         std::iter::from_fn(move || shuffle.next(rng).map(|position| slots[position]))
     }
 
-    /// Those of all other halls, likewise.
+    /// Iterates over the replicas of all other halls in a random order, which is generated lazily.
     pub fn shuffled_outside<'a, R: Rng>(
         &'a self,
         hall: &'a str,
--- a/lib/tests/test_gateway_leaving_announcements.rs
+++ b/lib/tests/test_gateway_leaving_announcements.rs
@@ -1,4 +1,4 @@
-//! A replica's own word that it leaves.
+//! Announcements of replicas that they are leaving.
 
 use std::time::Duration;
 
@@ -16,12 +16,15 @@
     let second = Duration::from_secs(1);
     let mut announcements = LeavingAnnouncements::default();
     assert!(announcements.on_announced(&incarnation("a", 7), second));
-    assert!(!announcements.on_announced(&incarnation("a", 7), 2 * second), "it is news once");
+    assert!(
+        !announcements.on_announced(&incarnation("a", 7), 2 * second),
+        "only the first announcement counts"
+    );
     assert_eq!(announcements.since(&incarnation("a", 7)), Some(second));
     assert_eq!(
         announcements.since(&incarnation("a", 0)),
         Some(second),
-        "a start that is not told is taken for the same"
+        "an unknown start time stands for the same incarnation"
     );
     assert_eq!(announcements.since(&incarnation("a", 8)), None);
     assert_eq!(announcements.since(&incarnation("b", 7)), None);
--- a/lib/tests/test_gateway_replica_index.rs
+++ b/lib/tests/test_gateway_replica_index.rs
@@ -1,5 +1,5 @@
-//! The replicas by service, hall, revision and due time: indices that agree with the table, and work that does not grow
-//! with it.
+//! Indices of replicas by service, hall, revision and deadline: they agree with the table, and the work per
+//! operation does not grow with its size.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
 }
 
 proptest! {
-    /// Whatever happens to replicas, each index names just those that it should.
+    /// After any sequence of events, each index contains exactly the replicas that it should.
     #[test]
     fn test_indices_agree_with_the_table(steps in prop::collection::vec((0u8..8, 0usize..40), 1..120)) {
         let mut table = ReplicaTable::default();
@@ -62,7 +62,9 @@
                         change.leaving.push(id.as_str().into());
                     }
                 }
-                6 => table.on_entry(ReplicaRecord { born: n as u64 + at, ..record(n, false) }, now, &mut change),
+                6 => table.on_entry(
+                    ReplicaRecord { born: n as u64 + at, ..record(n, false) }, now, &mut change
+                ),
                 _ => {
                     now += Duration::from_secs(n as u64 / 2);
                     change = table.tick(now, FORGET_AFTER);
@@ -89,7 +91,7 @@
     }
 }
 
-/// Half of a sample is near, and each replica is as likely to be in it as any other of its hall.
+/// Half of a sample is from the near hall, and all replicas of a hall are equally likely to be sampled.
 #[test]
 fn test_samples_are_uniform_and_half_near() {
     let table = table(3_000);
@@ -99,7 +101,7 @@
         let sample = table.sample("m", "a", 64, rng, |_| true);
         assert_eq!(sample.len(), 64);
         assert_eq!(sample.iter().filter(|replica| &*replica.record.hall == "a").count(), 32);
-        assert_eq!(ids(sample.iter().copied()).len(), 64, "none twice");
+        assert_eq!(ids(sample.iter().copied()).len(), 64, "no replica is sampled twice");
         for replica in sample {
             *seen.entry(replica.record.id.clone()).or_insert(0_u32) += 1;
         }
@@ -118,7 +120,7 @@
     }
 }
 
-/// What is out of the question empties no sample while others are fine.
+/// Replicas that are not accepted do not displace accepted ones from a sample.
 #[test]
 fn test_sample_finds_the_few_accepted_replicas() {
     let table = table(9_000);
@@ -128,11 +130,11 @@
     assert!(expected.len() >= 3);
     assert_eq!(ids(table.sample("m", "a", 64, rng, is_accepted)), expected);
     let one_hall = table.sample("m", "a", 64, rng, |replica| &*replica.record.hall == "a");
-    assert_eq!(one_hall.len(), 64, "the others may all be out of the question");
+    assert_eq!(one_hall.len(), 64, "a sample may come from one hall alone");
 }
 
-/// Replicas looked at for one choice, and what a tick, an entry and a question for changes touch: the same with one
-/// hundred times as many.
+/// The number of replicas inspected for one sample, and the changes returned for one query, stay the same
+/// with one hundred times as many replicas.
 #[test]
 fn test_work_does_not_grow_with_the_number_of_replicas() {
     let inspected_with = |replicas: usize| {
@@ -142,7 +144,7 @@
         for _ in 0..100 {
             table.sample("m", "a", 64, rng, |replica| {
                 inspected.set(inspected.get() + 1);
-                // One of five is full, at rest or cold.
+                // One of five is full, in back-off or cold.
                 !replica.record.id.ends_with(['3', '8'])
             });
         }
@@ -151,7 +153,7 @@
     let small = inspected_with(400);
     for replicas in [4_000, 40_000] {
         let large = inspected_with(replicas);
-        assert!(large <= small * 21 / 20, "{replicas} replicas: {large} looked at, {small} of 400");
+        assert!(large <= small * 21 / 20, "{replicas} replicas: {large} inspected, {small} with 400");
     }
     let mut table = table(20_000);
     table.set_changed_at(&ListChange { added: vec![record(7, false).id], ..ListChange::default() }, 50);
@@ -159,7 +161,8 @@
     assert_eq!((since.is_whole, since.staying.len()), (false, 1));
 }
 
-/// A replica that said that it leaves is forgotten some time after its entry is gone, as one that did not say so.
+/// A replica that is listed as leaving is forgotten some time after its entry is gone, like any other
+/// replica.
 #[test]
 fn test_replicas_listed_as_leaving_are_forgotten() {
     let mut table = table(10);
@@ -167,10 +170,10 @@
     let now = Duration::from_secs(100);
     table.on_entry(record(1, true), now, &mut change);
     table.tick(now + 10 * FORGET_AFTER, FORGET_AFTER);
-    assert_eq!(table.len(), 10, "its entry is there");
+    assert_eq!(table.len(), 10, "its entry still exists");
     table.on_unlisted("i-00001", now + 10 * FORGET_AFTER, &mut change);
     table.tick(now + 11 * FORGET_AFTER, FORGET_AFTER);
-    assert_eq!(table.len(), 10, "others may have missed it");
+    assert_eq!(table.len(), 10, "other nodes may have missed its end");
     table.tick(now + 12 * FORGET_AFTER, FORGET_AFTER);
     assert_eq!(table.len(), 9);
 }
--- a/lib/tests/test_gateway_replica_list.rs
+++ b/lib/tests/test_gateway_replica_list.rs
@@ -1,4 +1,4 @@
-//! What nodes hand to each other of the replicas.
+//! Replica lists and changes that nodes fetch from each other.
 
 use std::time::Duration;
 
@@ -49,7 +49,8 @@
         self.table.set_changed_at(change, self.at);
     }
 
-    /// Takes what another node hands out to one that knows as much as this.
+    /// Applies what another node serves to a node that knows as much as this one. Returns the number of
+    /// transferred entries.
     fn fetch(&mut self, other: &Follower) -> usize {
         let list = other.table.since(other.at, self.at);
         let size = list.staying.len() + list.leaving.len();
@@ -82,7 +83,7 @@
     assert_eq!(other.fetch(&watcher), 0);
 }
 
-/// A replica that was taken to be leaving and stays after all is news.
+/// A replica that was considered to be leaving and is listed as staying again counts as changed.
 #[test]
 fn test_a_replica_that_stays_again_is_transferred() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
@@ -95,7 +96,8 @@
     assert_eq!(other.staying(), ["engine-1"]);
 }
 
-/// Who has missed more than is remembered gets all, and sees what is missing.
+/// A node that has missed more than the other one remembers gets the whole list, and detects the missing
+/// replicas.
 #[test]
 fn test_a_node_too_far_behind_gets_the_whole_list() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
@@ -111,8 +113,8 @@
 }
 
 proptest! {
-    /// Whatever happens, and however rarely it asks, a node that is handed the changes agrees
-    /// with the one that follows the store, but for the grace of what lapsed.
+    /// After any sequence of events, and however rarely it fetches, a node that fetches changes agrees with
+    /// the node that follows the store, except during the grace period of expired entries.
     #[test]
     fn test_changes_add_up_to_the_list(steps in prop::collection::vec((0u8..6, 0u8..8), 1..80)) {
         let (mut watcher, mut other) = (Follower::default(), Follower::default());
--- a/lib/tests/test_gateway_replica_updates.rs
+++ b/lib/tests/test_gateway_replica_updates.rs
@@ -1,4 +1,4 @@
-//! How a watcher's news of the replicas is gathered.
+//! Batching, splitting, forwarding and encoding of replica updates.
 
 use std::time::Duration;
 
@@ -33,31 +33,31 @@
 
 #[test]
 fn test_first_update_is_sent_at_once_and_later_ones_are_batched() {
-    let mut gathering = UpdateBatcher::default();
+    let mut batcher = UpdateBatcher::default();
     let at = Duration::from_secs(7);
-    assert_eq!(gathering.add(update(1, &["a"], &[]), at), Some(Duration::ZERO));
-    assert_eq!(gathering.take(REPLICAS, at), Some(update(1, &["a"], &[])));
-    let pause = gathering.add(update(2, &["b"], &[]), at);
+    assert_eq!(batcher.add(update(1, &["a"], &[]), at), Some(Duration::ZERO));
+    assert_eq!(batcher.take(REPLICAS, at), Some(update(1, &["a"], &[])));
+    let pause = batcher.add(update(2, &["b"], &[]), at);
     assert_eq!(pause, Some(Duration::from_millis(30)));
-    assert_eq!(gathering.add(update(3, &["c"], &["a"]), at), None, "it is told with the other");
-    let sent = gathering.take(REPLICAS, at + Duration::from_millis(30)).expect("it waited");
+    assert_eq!(batcher.add(update(3, &["c"], &["a"]), at), None, "it is sent with the other");
+    let sent = batcher.take(REPLICAS, at + Duration::from_millis(30)).expect("it was pending");
     assert_eq!((sent.before, sent.at, sent.added.len(), sent.leaving.len()), (2, 4, 2, 1));
-    assert_eq!(gathering.take(REPLICAS, at), None);
+    assert_eq!(batcher.take(REPLICAS, at), None);
 }
 
-/// Of several news of one replica only the newest is told.
+/// Of several changes of one replica only the newest is sent.
 #[test]
 fn test_newer_changes_of_a_replica_replace_older_ones() {
-    let mut gathering = UpdateBatcher::default();
-    gathering.add(update(1, &["a", "b"], &["c"]), Duration::ZERO);
-    gathering.add(update(2, &["c"], &["a"]), Duration::ZERO);
-    let sent = gathering.take(REPLICAS, Duration::ZERO).expect("it waited");
+    let mut batcher = UpdateBatcher::default();
+    batcher.add(update(1, &["a", "b"], &["c"]), Duration::ZERO);
+    batcher.add(update(2, &["c"], &["a"]), Duration::ZERO);
+    let sent = batcher.take(REPLICAS, Duration::ZERO).expect("it was pending");
     let added: Vec<_> = sent.added.iter().map(|record| record.id.to_string()).collect();
     assert_eq!(added, ["b", "c"]);
     assert_eq!(sent.leaving, [record("a", true).incarnation()]);
 }
 
-/// So many replicas that are new, and so many that leave.
+/// An update with the given numbers of new and leaving replicas.
 fn update_of_many(before: u64, added: usize, leaving: usize) -> ReplicaUpdate {
     let ids: Vec<String> = (0..added + leaving).map(|n| format!("engine-{n}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
@@ -74,12 +74,12 @@
     assert_eq!(sizes(update_of_many(1, 200, 193), 10_000), Some(vec![(150, 0), (43, 107), (0, 93)]));
     assert_eq!(sizes(ReplicaUpdate { at: 4, ..ReplicaUpdate::default() }, 10_000), Some(vec![(0, 0)]));
     assert_eq!(sizes(update_of_many(1, 0, 470), 10_000).map(|parts| parts.len()), Some(4));
-    assert_eq!(sizes(update_of_many(1, 0, 2_100), 10_000), None, "more than a fifth: the list is less");
     assert_eq!(
-        sizes(update_of_many(1, 300, 0), 300),
-        Some(vec![(0, 150), (0, 150)]),
-        "small fleets are told"
+        sizes(update_of_many(1, 0, 2_100), 10_000),
+        None,
+        "more than a fifth: fetching the list takes less"
     );
+    assert_eq!(sizes(update_of_many(1, 300, 0), 300), Some(vec![(0, 150), (0, 150)]), "sent in small fleets");
 }
 
 #[test]
@@ -89,17 +89,18 @@
     let first = update_of_many(1, 0, 400).into_parts(10_000).expect("parts");
     let second = update(2, &["x"], &[]);
     assert!(progress.on_part(&first[2]));
-    assert!(progress.on_part(&second), "the one before is missing");
+    assert!(progress.on_part(&second), "the earlier update is missing");
     assert!(progress.on_part(&first[0]));
     assert!(progress.on_part(&first[0]), "the same part again");
     assert_eq!(progress.at(), 1);
     assert!(!progress.on_part(&first[1]));
-    assert_eq!(progress.at(), 3, "what came ahead counts as well");
-    assert!(!progress.on_part(&first[1]), "old news lack nothing");
+    assert_eq!(progress.at(), 3, "the update that arrived ahead counts as well");
+    assert!(!progress.on_part(&first[1]), "an old update lacks nothing");
 }
 
 proptest! {
-    /// News of several steps, in parts, some lost: whatever is known to be known has come.
+    /// Several updates are sent in parts, some of which get lost: everything up to the known revision has
+    /// arrived.
     #[test]
     fn test_progress_never_exceeds_the_received_parts(
         sizes in prop::collection::vec(1_usize..500, 1..8),
@@ -115,7 +116,10 @@
             let part = &parts[index.index(parts.len())];
             received.insert((part.at, part.part));
             progress.on_part(part);
-            let all_received = |at: u64| parts.iter().filter(|part| part.at <= at).all(|part| received.contains(&(part.at, part.part)));
+            let all_received = |at: u64| parts
+                .iter()
+                .filter(|part| part.at <= at)
+                .all(|part| received.contains(&(part.at, part.part)));
             prop_assert!(all_received(progress.at()), "at {}", progress.at());
         }
         for part in &parts {
@@ -125,13 +129,14 @@
     }
 }
 
-/// A fleet in which all nodes have missed an earlier change, so that none can note the newer one:
-/// each message is passed on by each node once, and the news dies out.
+/// Guards against message storms. In a fleet where all nodes have missed an earlier change, no node can
+/// advance its known revision; each node must still forward a message only once, so that the forwarding
+/// ends.
 #[test]
 fn test_forwarding_ends_among_nodes_that_missed_an_earlier_change() {
     const NODES: usize = 66;
     const FAN_OUT: usize = 4;
-    /// What a few rounds of copies of copies would be.
+    /// Far more messages than correct forwarding sends; a few rounds of repeated forwarding would reach it.
     const FAR_TOO_MANY: usize = 100_000;
     let update = ReplicaUpdate {
         before: 262,
@@ -146,7 +151,7 @@
     let mut messages = 0;
     while let Some(node) = in_flight.pop() {
         messages += 1;
-        assert!(messages < FAR_TOO_MANY, "a storm");
+        assert!(messages < FAR_TOO_MANY, "message storm");
         let is_new = !std::mem::replace(&mut knows[node], true);
         if relays[node].should_forward(&update, is_new) {
             in_flight.extend((0..FAN_OUT).map(|_| rng.random_range(0..NODES)));
@@ -173,7 +178,8 @@
     assert_eq!(forwarded, [true, false, false, true, true, false, true]);
 }
 
-/// A record of a large deployment: names as long as there, of which only the id differs from one to the next.
+/// A record as in a large deployment: names of realistic length, of which only the id differs from one
+/// record to the next.
 fn long_record(n: u64) -> ReplicaRecord {
     let id = n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24;
     ReplicaRecord {
@@ -213,7 +219,7 @@
 }
 
 proptest! {
-    /// Whatever comes from the network is news or an error.
+    /// Arbitrary bytes from the network decode to an update or fail with an error.
     #[test]
     fn test_any_bytes_decode_or_fail(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(packed) = postcard::from_bytes::<PackedUpdate>(&bytes) {
--- a/lib/tests/test_gateway_replicas.rs
+++ b/lib/tests/test_gateway_replicas.rs
@@ -1,4 +1,4 @@
-//! What a node believes of replicas.
+//! State of replicas as known to a node.
 
 use std::time::Duration;
 
@@ -44,12 +44,12 @@
     table.on_entry(record("a", true), seconds(2), &mut change);
     table.on_unlisted("b", seconds(2), &mut change);
     table.on_unlisted("b", seconds(3), &mut change);
-    assert_eq!(change.leaving, ["a".into(), "b".into()], "each is news once");
+    assert_eq!(change.leaving, ["a".into(), "b".into()], "each is reported once");
     assert_eq!(usable(&table, seconds(3)), Vec::<String>::new());
 }
 
-/// Entries that lapsed while the store was away may come back; after the grace they are
-/// gone.
+/// Entries that expired while the store was unavailable may come back; after the grace period their
+/// replicas are gone.
 #[test]
 fn test_expired_entries_get_a_grace_period() {
     let mut table = ReplicaTable::default();
@@ -63,7 +63,7 @@
     assert_eq!(usable(&table, seconds(13)), ["a"]);
 }
 
-/// The same for an entry whose end was told while the store had trouble.
+/// The same for an entry whose removal was reported while the store was disturbed.
 #[test]
 fn test_grace_period_counts_from_the_first_absence() {
     let mut table = ReplicaTable::default();
@@ -79,7 +79,10 @@
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false), record("b", false)], false, seconds(1));
     assert!(table.on_sign(&record("a", false).incarnation(), LeavingSign::ReportedByPeer, seconds(2)));
-    assert!(!table.on_sign(&record("a", false).incarnation(), LeavingSign::Unhealthy, seconds(2)), "no news");
+    assert!(
+        !table.on_sign(&record("a", false).incarnation(), LeavingSign::Unhealthy, seconds(2)),
+        "not recorded again"
+    );
     assert!(table.on_sign(&record("b", false).incarnation(), LeavingSign::Replaced, seconds(2)));
     for id in ["a", "b"] {
         table.on_entry(record(id, false), seconds(3), &mut ListChange::default());
@@ -87,16 +90,16 @@
     assert_eq!(usable(&table, seconds(3)), ["a"]);
 }
 
-/// Also where it was taken to leave for a weaker sign before.
+/// Also if the replica was considered to be leaving before because of a weaker sign.
 #[test]
 fn test_no_entry_revokes_an_announcement() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false), record("b", false)], false, seconds(1));
     let of = |id| record(id, false).incarnation();
     assert!(table.on_sign(&of("a"), LeavingSign::Announced, seconds(2)));
-    assert!(!table.on_sign(&of("a"), LeavingSign::Announced, seconds(2)), "no news");
+    assert!(!table.on_sign(&of("a"), LeavingSign::Announced, seconds(2)), "not recorded again");
     assert!(table.on_sign(&of("b"), LeavingSign::Unhealthy, seconds(2)));
-    assert!(table.on_sign(&of("b"), LeavingSign::Announced, seconds(2)), "no entry takes it back now");
+    assert!(table.on_sign(&of("b"), LeavingSign::Announced, seconds(2)), "no entry revokes it now");
     let mut change = ListChange::default();
     for id in ["a", "b"] {
         table.on_entry(record(id, false), seconds(3), &mut change);
@@ -104,8 +107,8 @@
     assert_eq!((change, usable(&table, seconds(3))), (ListChange::default(), Vec::new()));
 }
 
-/// It serves on for as long as the store is away, and its old entry may be there still: it is forgotten when its entry
-/// is gone, or has ended for sure.
+/// Such a replica keeps serving while the store is unavailable, and its old entry may still exist. It is
+/// forgotten once its entry is gone, or when it must have ended.
 #[test]
 fn test_announced_replica_is_kept_while_it_may_serve() {
     let mut table = ReplicaTable::default();
@@ -159,7 +162,7 @@
     let taken = (0..100).filter(|_| window.take(seconds(5), &share)).count();
     assert_eq!(taken, 8, "0.7 of 50 x 0.2 + 2");
     assert!(!window.take(seconds(14), &share), "the window still holds them");
-    assert!(window.take(seconds(16), &share), "the slack is there again");
+    assert!(window.take(seconds(16), &share), "the slack is available again");
 }
 
 #[test]
@@ -172,25 +175,25 @@
     }
     assert!(error_share(&table, seconds(2)) > 0.95);
     assert!(error_share(&table, seconds(12)) < 0.15);
-    assert_eq!(usable(&table, seconds(2)), ["a"], "it answers: it only costs more");
+    assert_eq!(usable(&table, seconds(2)), ["a"], "it answers: errors only raise its cost");
 }
 
-/// A replica whose entry goes after an outage is taken to be gone two seconds after the store was
-/// back, whenever the news of it comes: the spans don't add up.
+/// A replica whose entry disappears after an outage is considered gone two seconds after the store was
+/// back, whenever the removal is reported: the two periods do not add up.
 #[test]
 fn test_grace_period_counts_from_the_end_of_the_outage() {
     let second = Duration::from_secs(1);
     let mut outages = StoreOutages::default();
-    assert_eq!(outages.missing_since(5 * second), None, "the store was never away");
+    assert_eq!(outages.missing_since(5 * second), None, "the store was never unavailable");
     outages.on_store_unavailable(10 * second);
-    for told in [10 * second, 11 * second, 12 * second - Duration::from_millis(1)] {
-        let since = outages.missing_since(told).expect("it may have lapsed");
+    for reported in [10 * second, 11 * second, 12 * second - Duration::from_millis(1)] {
+        let since = outages.missing_since(reported).expect("it may have expired");
         let mut table = ReplicaTable::default();
         table.on_list(vec![record("r", false)], false, Duration::ZERO);
         table.on_missing("r", since);
         assert!(table.tick(12 * second, 60 * second).leaving.is_empty());
         let gone = table.tick(12 * second + Duration::from_millis(1), 60 * second).leaving;
-        assert_eq!(gone, ["r".into()], "told at {told:?}");
+        assert_eq!(gone, ["r".into()], "reported at {reported:?}");
     }
-    assert_eq!(outages.missing_since(12 * second), None, "by then live replicas are listed again");
+    assert_eq!(outages.missing_since(12 * second), None, "live replicas are listed again by then");
 }
--- a/lib/tests/test_gateway_restarts.rs
+++ b/lib/tests/test_gateway_restarts.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again under the id that they had.
+//! Replicas that restart under the same id.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn born(at: StartTime) -> ReplicaRecord {
+fn record_started_at(at: StartTime) -> ReplicaRecord {
     ReplicaRecord { born: at, ..record("a", false) }
 }
 
@@ -33,34 +33,38 @@
 #[test]
 fn test_restart_clears_the_state_of_the_earlier_incarnation() {
     let mut table = ReplicaTable::default();
-    entry(&mut table, born(100));
+    entry(&mut table, record_started_at(100));
     table.on_failure("a", NOW);
-    table.on_sign(&born(100).incarnation(), LeavingSign::Replaced, NOW);
-    let change = entry(&mut table, born(200));
+    table.on_sign(&record_started_at(100).incarnation(), LeavingSign::Replaced, NOW);
+    let change = entry(&mut table, record_started_at(200));
     assert_eq!((change.added, change.restarted), (vec!["a".into()], vec!["a".into()]));
     let replica = table.get("a").expect("known");
-    assert!(replica.is_usable(NOW), "it neither leaves nor rests");
+    assert!(replica.is_usable(NOW), "it is neither leaving nor in back-off");
     assert_eq!((replica.consecutive_failures(), replica.error_share(NOW)), (0, 0.0));
 }
 
-/// Where the start is not told, an entry is of the replica that is known, as it always was.
+/// Without a start time, an entry belongs to the known incarnation.
 #[test]
 fn test_entry_without_start_time_belongs_to_the_known_incarnation() {
     let mut table = ReplicaTable::default();
-    entry(&mut table, born(0));
-    assert_eq!(entry(&mut table, born(0)), ListChange::default());
-    assert_eq!(entry(&mut table, born(100)), ListChange::default(), "its start is told from now on");
-    assert_eq!(entry(&mut table, born(0)), ListChange::default());
+    entry(&mut table, record_started_at(0));
+    assert_eq!(entry(&mut table, record_started_at(0)), ListChange::default());
+    assert_eq!(
+        entry(&mut table, record_started_at(100)),
+        ListChange::default(),
+        "its start time is known from now on"
+    );
+    assert_eq!(entry(&mut table, record_started_at(0)), ListChange::default());
     assert_eq!(table.get("a").expect("known").record.born, 100);
     let unknown = Incarnation { id: "a".into(), born: 0 };
     assert!(table.on_sign(&unknown, LeavingSign::Unhealthy, NOW));
 }
 
-/// A replica may turn cold again, which is news; a list that another node hands over tells how long it was to
-/// be cold when that node read it.
+/// A replica may turn cold again, which counts as a change. A list from another node, however, carries the
+/// cold time as of when that node read the entry.
 #[test]
 fn test_only_entries_of_the_store_make_a_known_replica_cold() {
-    let cold = ReplicaRecord { cold: Duration::from_secs(1), ..born(100) };
+    let cold = ReplicaRecord { cold: Duration::from_secs(1), ..record_started_at(100) };
     let mut table = ReplicaTable::default();
     entry(&mut table, cold.clone());
     let list = table.list(7);
@@ -80,7 +84,7 @@
 #[test]
 fn test_restart_drops_runs_of_the_earlier_incarnation() {
     let mut table = ReplicaTable::default();
-    entry(&mut table, born(100));
+    entry(&mut table, record_started_at(100));
     entry(&mut table, record("b", false));
     let mut book = LoadBook::new(Policy::default());
     let size = Some(GenerationSize { prompt: 3_000, expected: 700 });
@@ -96,7 +100,7 @@
     assert_eq!((book.copies_from("a"), book.reading.wait("a", NOW)), (0, Duration::ZERO));
 }
 
-/// What is said of some start of a replica.
+/// A report about some incarnation of a replica.
 #[derive(Clone, Debug)]
 enum Report {
     Entry(StartTime),
@@ -114,8 +118,8 @@
 }
 
 proptest! {
-    /// In whatever order entries and news come, and however often: only what is said of the newest start that
-    /// an entry has told counts.
+    /// Entries and reports arrive in any order and any number of times: only reports about the newest
+    /// incarnation that an entry named count.
     #[test]
     fn test_reports_of_older_incarnations_are_ignored(reports in proptest::collection::vec(report(), 1..30)) {
         let mut table = ReplicaTable::default();
@@ -123,20 +127,20 @@
         for report in reports {
             match report {
                 Report::Entry(start) => {
-                    entry(&mut table, born(start));
+                    entry(&mut table, record_started_at(start));
                     if start > newest {
                         (newest, leaves, fails) = (start, false, false);
                     } else if start == newest {
-                        // An entry that says that it stays is believed more than hearsay.
+                        // An entry that lists the replica as staying overrides a report of another node.
                         leaves = false;
                     }
                 }
                 Report::Leaves(start) => {
-                    table.on_sign(&born(start).incarnation(), LeavingSign::ReportedByPeer, NOW);
+                    table.on_sign(&record_started_at(start).incarnation(), LeavingSign::ReportedByPeer, NOW);
                     leaves |= newest > 0 && start >= newest;
                 }
                 Report::Failed(start) => {
-                    table.on_incarnation_failure(&born(start).incarnation(), NOW);
+                    table.on_incarnation_failure(&record_started_at(start).incarnation(), NOW);
                     fails |= newest > 0 && start >= newest;
                 }
             }
--- a/lib/tests/test_gateway_revision.rs
+++ b/lib/tests/test_gateway_revision.rs
@@ -1,4 +1,4 @@
-//! Revisions over a store's returns from copies.
+//! Revisions across restores of the store from a copy.
 
 use std::time::Duration;
 
@@ -20,9 +20,12 @@
 }
 
 proptest! {
-    /// Eras go before numbers, and numbers of one era are as the store has them.
+    /// Revisions are ordered by era first, and within an era by the store's numbers.
     #[test]
-    fn test_revisions_are_ordered_by_era_then_number(a in (0u64..1 << 20, 0u64..1 << 39), b in (0u64..1 << 20, 0u64..1 << 39)) {
+    fn test_revisions_are_ordered_by_era_then_number(
+        a in (0u64..1 << 20, 0u64..1 << 39),
+        b in (0u64..1 << 20, 0u64..1 << 39)
+    ) {
         let of = |(era, number)| revision::in_era(era, number);
         prop_assert_eq!(of(a).cmp(&of(b)), a.cmp(&b));
         prop_assert_eq!((revision::era(of(a)), revision::number(of(a))), a);
@@ -46,10 +49,11 @@
     assert!(!progress.on_part(&update), "nothing is missing");
     assert_eq!(progress.at(), at);
     let late = ReplicaUpdate { before: 80, at: revision::in_era(0, 95), ..ReplicaUpdate::default() };
-    assert!(progress.has(&late.pack().expect("small")), "of the era before");
+    assert!(progress.has(&late.pack().expect("small")), "of the previous era");
 }
 
-/// Of what a copy lists, the end of a replica that was learnt before is newer, and what only lapsed is not.
+/// If a copy lists a replica whose end was learnt before the restore, the end is newer; a replica whose
+/// entry only expired comes back.
 #[test]
 fn test_list_of_a_restored_store_revives_no_ended_replica() {
     let mut table = ReplicaTable::default();
@@ -74,10 +78,10 @@
     assert_eq!((change.added, staying(&table)), (vec!["b".into()], vec!["b".to_owned(), "d".to_owned()]));
     let mut change = ListChange::default();
     table.on_entry(record("a", false), 5 * SECOND, &mut change);
-    assert_eq!(change.added, ["a".into()], "it is written in the new era");
+    assert_eq!(change.added, ["a".into()], "the entry was written in the new era");
 }
 
-/// A list of the same era as the end is newer than the end.
+/// A list of the same era as a replica's end is newer than the end.
 #[test]
 fn test_list_of_the_same_era_revives_a_replica() {
     let mut table = ReplicaTable::default();
