--- a/lib/src/gateway/replica_backoffs.rs
+++ b/lib/src/gateway/replica_backoffs.rs
@@ -19,7 +19,8 @@
 pub const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
 /// Minimum interval between requests to a replica after its back-off, until one is accepted.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
-/// A replica is treated like any other once it has been sent nothing for this long after its back-off.
+/// A back-off that no answer ended is dropped this long after its end; the replica is then treated like any
+/// other.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug)]
