--- a/lib/src/gateway/config_sources.rs
+++ b/lib/src/gateway/config_sources.rs
@@ -1,10 +1,10 @@
-//! Which node a node asks for a newer configuration.
+//! Selects the node from which a newer configuration is fetched.
 //!
-//! Every datagram tells its sender's version, so a node soon hears of many that have a newer one.
-//! Of those that failed least, the ones with the newest version are asked first, and of these the
-//! ones with a wide link; one that is busy handing out says when to come back, and one that fails
-//! rests. A node that was told by the one that has news asks at once. Who merely noticed waits a
-//! random time, so that the first to have a version are not asked by all others.
+//! Every datagram carries its sender's version, so a node soon knows many peers with a newer one. Sources are
+//! ordered by fewest failures, then by newest version, then by whether they have a wide link. A busy source
+//! replies with a time to retry, and a failed one is skipped for a back-off period. A node that receives an
+//! announcement fetches at once. A node that only observed a newer version waits a random time, so that the
+//! first nodes with a version are not queried by all others.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -18,12 +18,12 @@
 use crate::gateway::routing::ConfigVersion;
 use crate::ids::Timestamp;
 
-/// The longest that a node waits that noticed a newer version. The nodes that are told have it
-/// within this: 64 kB, which 1 MB of routes become, take 51 ms on a link of 10 Mbit/s.
+/// The longest random delay after a newer version was observed. Nodes that received an announcement have the
+/// configuration within this time: 1 MB of routes compresses to 64 kB, which takes 51 ms at 10 Mbit/s.
 const NOTICED_SPREAD: Duration = Duration::from_millis(100);
-/// A node that failed to hand its configuration over is left alone for this long.
+/// How long a node is skipped after it failed to deliver its configuration.
 const FAILED_REST: Duration = Duration::from_secs(1);
-/// After so many failures in a row the store is read: the other nodes may be cut off.
+/// Consecutive failures after which the store is read: the other nodes may be unreachable.
 const FAILURES_BEFORE_STORE: u32 = 3;
 
 /// A node that has a newer version.
@@ -32,28 +32,28 @@
     version: ConfigVersion,
     has_wide_link: bool,
     not_before: Timestamp,
-    /// Times in a row that it handed nothing over. Ones that failed go behind all others: four that
-    /// are out of reach, and fail in turn, else keep one in reach from being asked at all.
+    /// Consecutive failures to deliver. Sources that failed rank behind all others: otherwise four
+    /// unreachable ones that fail in turn keep a reachable one from ever being queried.
     failures: u32,
 }
 
 impl Source {
-    /// The order in which sources are asked; the greatest first.
+    /// The key by which sources are ordered; the greatest is queried first.
     fn rank(&self) -> (Reverse<u32>, ConfigVersion, bool) {
         (Reverse(self.failures), self.version, self.has_wide_link)
     }
 }
 
-/// What to do for a newer configuration.
+/// The next step towards a newer configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextSource {
-    /// No node is known to have one.
+    /// No node is known to have a newer configuration.
     Nothing,
-    /// Ask this node.
+    /// Fetch from this node.
     Node(SocketAddr),
-    /// Read the store: no node hands it over.
+    /// Read the store: no node delivers the configuration.
     Store,
-    /// Look again after this.
+    /// Check again after this time.
     Later(Duration),
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl ConfigSources {
-    /// A node told its version, or it was noticed in what it sent about something else.
+    /// Records the version of another node.
     pub fn on_version<R: Rng>(
         &mut self,
         from: SocketAddr,
@@ -93,7 +93,7 @@
         self.sources.values().map(|source| source.version).max()
     }
 
-    /// Whom to ask for something newer than `own`; not one that is being asked.
+    /// Selects the next source of a version newer than `own`, leaving out nodes that are being queried.
     pub fn next<R: Rng>(
         &mut self,
         own: ConfigVersion,
@@ -120,12 +120,12 @@
         first.map_or(NextSource::Nothing, |first| NextSource::Later(first.saturating_sub(now)))
     }
 
-    /// The node hands out to others; it said when to come back.
+    /// The node is busy serving others and replied with a time to retry.
     pub fn on_busy(&mut self, from: SocketAddr, after: Duration, now: Timestamp) {
         self.rest(from, now + after);
     }
 
-    /// The node did not hand its configuration over.
+    /// The node failed to deliver its configuration.
     pub fn on_failed(&mut self, from: SocketAddr, now: Timestamp) {
         self.failures += 1;
         if let Some(source) = self.sources.get_mut(&from) {
@@ -134,13 +134,13 @@
         self.rest(from, now + FAILED_REST);
     }
 
-    /// The node handed its configuration over.
+    /// The node delivered its configuration.
     pub fn on_handed(&mut self, from: SocketAddr) {
         self.failures = 0;
         self.sources.remove(&from);
     }
 
-    /// The node is gone: nobody can get from it what it had.
+    /// The node is gone and can no longer serve as a source.
     pub fn on_gone(&mut self, node: SocketAddr) {
         self.sources.remove(&node);
     }
@@ -150,8 +150,8 @@
         self.failures = 0;
     }
 
-    /// The store has answered, and what it has counts: who said to have something newer, and did not
-    /// hand it over, may say so again.
+    /// The store has answered, and its version is authoritative. All sources are dropped; one that announced
+    /// a newer version without delivering it can announce it again.
     pub fn on_store_read(&mut self) {
         self.sources.clear();
     }
@@ -163,11 +163,11 @@
     }
 }
 
-/// How a node's version was heard.
+/// How a peer's version became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeardHow {
-    /// The node told this one that it has a newer configuration.
+    /// The peer announced that it has a newer configuration.
     Told,
-    /// It stood in a message about something else.
+    /// The version was carried in a message about something else.
     Noticed,
 }
--- a/lib/src/gateway/config_text.rs
+++ b/lib/src/gateway/config_text.rs
@@ -1,8 +1,8 @@
-//! The text of the configuration in force, as nodes hand it to each other: compressed, and only
-//! what differs where the other node has the one before.
+//! The text of the active configuration as nodes transfer it: compressed, and as a delta where the receiver
+//! has the preceding version.
 //!
-//! 5,000 routes are 1 MB of text; that takes 0.8 s on a link of 10 Mbit/s. Compressed they are 64 kB
-//! and take 51 ms, and a change of the version alone is 113 bytes (`test_sizes_on_the_way`).
+//! 5,000 routes are 1 MB of text, which takes 0.8 s on a link of 10 Mbit/s. Compressed they are 64 kB and
+//! take 51 ms, and a change of the version alone is 113 bytes (`test_encoded_sizes`).
 
 use std::io;
 use std::io::Read;
@@ -18,27 +18,27 @@
 
 use crate::gateway::routing::ConfigVersion;
 
-/// Level of compression. Below this one a small change of 5,000 routes is 29 to 53 kB in place of
-/// 113 bytes; level 5 takes twice the time for a few percent.
+/// Compression level. At lower levels the delta of a small change to 5,000 routes is 29 to 53 kB instead of
+/// 113 bytes; level 5 takes twice the time and saves a few percent.
 const LEVEL: i32 = 3;
-/// Back references reach 2 to this power bytes: over all of the text before and the new one.
+/// Binary logarithm of the compression window in bytes; it spans the whole previous text and the new one.
 const WINDOW_LOG: u32 = 22;
-/// Bytes of a text at most; the platform's largest object has 1 MiB.
+/// The largest accepted text; the platform's largest object is 1 MiB.
 const MOST_BYTES: u64 = 4 << 20;
 
-/// Names encoded bytes: two nodes that hand out the same edition hand out the same bytes.
+/// Identifies an encoding of a configuration: all nodes serve the same bytes for the same edition.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("\"{version}-{base}-{bytes}\"")]
 pub struct Edition {
     /// The configuration.
     pub version: ConfigVersion,
-    /// The configuration without which the bytes can't be read; 0 for none.
+    /// The configuration that the delta is based on; 0 for a full text.
     pub base: ConfigVersion,
-    /// How many bytes.
+    /// Length of the encoded bytes.
     pub bytes: usize,
 }
 
-/// Not the name of an edition.
+/// The text does not parse as an edition.
 #[derive(Clone, Copy, Debug, Display, derive_more::Error)]
 #[display("not an edition")]
 pub struct NoEdition;
@@ -53,36 +53,36 @@
     }
 }
 
-/// An edition that may not be whole: its rest is fetched, from whoever has it.
+/// A partially received edition; the remaining bytes can be fetched from any node that serves it.
 #[derive(Debug)]
 pub struct PartOfConfig {
-    /// Which.
+    /// The edition that is being received.
     pub edition: Edition,
-    /// What is here of it, from its beginning.
+    /// The bytes received so far, from the start of the edition.
     pub buf: BytesMut,
 }
 
 impl PartOfConfig {
-    /// Nothing of an edition yet.
+    /// Creates an empty buffer for an edition.
     pub fn new(edition: Edition) -> Self {
         PartOfConfig { edition, buf: BytesMut::new() }
     }
 
-    /// Whether all of it is here.
+    /// Whether all bytes have been received.
     pub fn is_whole(&self) -> bool {
         self.buf.len() == self.edition.bytes
     }
 
-    /// Whether it would be of use to a node with the configuration `own`.
+    /// Whether a node with the configuration `own` can decode it to a newer configuration.
     pub fn serves(&self, own: ConfigVersion) -> bool {
         self.edition.version > own && (self.edition.base == 0 || self.edition.base == own)
     }
 }
 
-/// A configuration's text.
+/// A configuration's text with its cached encodings.
 #[derive(Debug)]
 pub struct ConfigText {
-    /// The configuration.
+    /// The configuration's version.
     pub version: ConfigVersion,
     text: Bytes,
     before: Option<(ConfigVersion, Bytes)>,
@@ -91,7 +91,7 @@
 }
 
 impl ConfigText {
-    /// The text that follows `before`.
+    /// Creates the text that succeeds `previous`.
     pub fn new(version: ConfigVersion, text: Bytes, before: Option<&ConfigText>) -> Arc<ConfigText> {
         Arc::new(ConfigText {
             version,
@@ -102,14 +102,14 @@
         })
     }
 
-    /// What to hand to a node that has the configuration `known`.
+    /// The encoding for a node that has the configuration `known`: a delta if possible, else the full text.
     pub fn encoded_for(&self, known: ConfigVersion) -> io::Result<(Edition, Bytes)> {
         let before = self.before.as_ref().filter(|(version, _)| *version == known);
         let (base, encoded, text) = match before {
             Some((base, text)) => (*base, &self.difference, &text[..]),
             None => (0, &self.whole, &[][..]),
         };
-        // Compressed once, when first asked for.
+        // Compressed lazily, on the first request.
         let bytes = match encoded.get() {
             Some(bytes) => bytes.clone(),
             None => {
@@ -120,13 +120,13 @@
         Ok((Edition { version: self.version, base, bytes: bytes.len() }, bytes))
     }
 
-    /// Decodes what another node handed over.
+    /// Decodes an encoding received from another node.
     pub fn decode(edition: Edition, encoded: &[u8], known: Option<&ConfigText>) -> io::Result<Bytes> {
         let known = known.filter(|known| known.version == edition.base);
         let base = match (edition.base, known) {
             (0, _) => &[],
             (_, Some(known)) => &*known.text,
-            (_, None) => return Err(io::Error::other("the configuration that it differs from is gone")),
+            (_, None) => return Err(io::Error::other("base configuration of the delta is not available")),
         };
         let mut decoder = zstd::stream::read::Decoder::with_ref_prefix(encoded, base)?;
         decoder.window_log_max(WINDOW_LOG)?;
@@ -140,7 +140,7 @@
     let mut encoder = zstd::stream::write::Encoder::with_ref_prefix(Vec::new(), LEVEL, before)?;
     encoder.set_parameter(CParameter::WindowLog(WINDOW_LOG))?;
     encoder.set_pledged_src_size(Some(text.len() as u64))?;
-    // A text that differs from the one that was meant must not be taken.
+    // The checksum rejects a text that was decoded against a wrong base.
     encoder.include_checksum(true)?;
     encoder.write_all(text)?;
     encoder.finish()
--- a/lib/src/gateway/fleet_size.rs
+++ b/lib/src/gateway/fleet_size.rs
@@ -1,26 +1,26 @@
-//! How many nodes a fleet has, as one that may be cut off from most of them knows.
+//! Estimates the number of nodes in the fleet during a network partition.
 //!
-//! Whoever is cut off takes the others for dead after some seconds, and its own side for the fleet. So a size that was
-//! known is kept for a while.
+//! A node that is cut off considers the nodes on the other side dead after some seconds, and its own side the
+//! whole fleet. The largest size that was known is therefore kept for a while.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// A size is kept for one to two of these.
+/// Length of the window for the maximum; a size is kept for one to two windows.
 const KEPT_FOR: Duration = Duration::from_secs(15);
 
-/// The most nodes that anybody has taken to be alive lately.
+/// The largest number of live nodes that any node has recently reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetSize {
     since: Timestamp,
     most: usize,
-    /// The most of the interval before `since`.
+    /// The maximum of the window before `since`.
     before: usize,
 }
 
 impl FleetSize {
-    /// A node, perhaps this one, takes so many to be alive, itself included.
+    /// Records the number of nodes that some node, possibly this one, considers alive, itself included.
     pub fn note(&mut self, nodes: usize, now: Timestamp) {
         let age = now.saturating_sub(self.since);
         if age >= KEPT_FOR {
@@ -30,7 +30,7 @@
         self.most = self.most.max(nodes);
     }
 
-    /// The size.
+    /// The estimated number of nodes.
     pub fn most(&self) -> usize {
         self.most.max(self.before)
     }
--- a/lib/src/gateway/peers_by_hall.rs
+++ b/lib/src/gateway/peers_by_hall.rs
@@ -1,7 +1,8 @@
-//! The other nodes by hall, and whom news is told.
+//! The other nodes by hall, and the selection of gossip targets.
 //!
-//! News goes to few nodes in other halls: links between halls are shared by all, and each byte there has its price. Of
-//! those that a node tells, most are in its own hall; the rest is enough for news to reach every hall within two steps.
+//! Few gossip messages go to other halls: all nodes share the links between halls, and each byte on them is
+//! billed. Most targets of a node are in its own hall; the others suffice to reach every hall within two
+//! steps.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -12,25 +13,25 @@
 use crate::ids::VmId;
 use crate::sample_set::SampleSet;
 
-/// One of so many that are told may be in any hall.
+/// One gossip target in this many is picked from all halls.
 const ONE_ANYWHERE_OF: usize = 4;
-/// With fewer nodes of its own hall a node does not know enough of them to leave others out.
+/// Known nodes of its own hall below which a node picks all gossip targets from all halls.
 const LEAST_NEAR: usize = 8;
 
-/// The other nodes that are taken to be up.
+/// The other nodes that are considered up.
 #[derive(Debug)]
 pub struct PeersByHall {
     own: HallId,
     halls: HashMap<VmId, HallId>,
     up: SampleSet<VmId>,
-    /// Those that are known to be in this node's hall.
+    /// Nodes that are known to be in this node's hall.
     near: SampleSet<VmId>,
-    /// The halls' names, held once.
+    /// The halls' names, interned.
     names: HashSet<HallId>,
 }
 
 impl PeersByHall {
-    /// None yet, for a node of a hall.
+    /// Creates an empty set for a node in the hall `own`.
     pub fn new(own: HallId) -> Self {
         PeersByHall {
             names: HashSet::from([own.clone()]),
@@ -53,7 +54,7 @@
         self.near.remove(node);
     }
 
-    /// A node is in a hall.
+    /// A node's hall became known.
     pub fn on_hall(&mut self, node: &VmId, hall: HallId) {
         if self.halls.get(node) == Some(&hall) || !self.up.contains(node) {
             return;
@@ -83,32 +84,32 @@
         self.near.contains(node)
     }
 
-    /// Whether any is.
+    /// Whether any node is known to be in this one's hall.
     pub fn has_near(&self) -> bool {
         !self.near.is_empty()
     }
 
-    /// Whether so many are that what they have need not come from other halls.
+    /// Whether enough nodes of this one's hall are known to do without nodes of other halls as sources.
     pub fn knows_hall(&self) -> bool {
         self.near.len() >= LEAST_NEAR
     }
 
-    /// How many nodes are up.
+    /// The number of nodes that are up.
     pub fn len(&self) -> usize {
         self.up.len()
     }
 
-    /// Whether none is.
+    /// Whether no node is up.
     pub fn is_empty(&self) -> bool {
         self.up.is_empty()
     }
 
-    /// Some nodes of any hall, at random.
+    /// Picks up to `count` random nodes of any hall.
     pub fn some<R: Rng>(&self, count: usize, rng: &mut R) -> Vec<&VmId> {
         self.up.sample(count, rng)
     }
 
-    /// Some nodes to be told news, most of them near.
+    /// Picks up to `count` random nodes to send gossip to, most of them in this node's hall.
     pub fn to_tell<R: Rng>(&self, count: usize, rng: &mut R) -> Vec<&VmId> {
         if !self.knows_hall() {
             return self.some(count, rng);
@@ -116,7 +117,7 @@
         let anywhere = count.div_ceil(ONE_ANYWHERE_OF);
         let mut told = self.near.sample(count - anywhere, rng);
         let near = told.len();
-        // As many more as may be among those that are told already.
+        // Samples `count` nodes, as some of them may be among the near ones already picked.
         for node in self.up.sample(count, rng) {
             if told.len() < count && !told[..near].contains(&node) {
                 told.push(node);
--- a/lib/src/gateway/regions.rs
+++ b/lib/src/gateway/regions.rs
@@ -9,23 +9,23 @@
 
 use crate::ids::HallId;
 
-/// A region, as the settings and the configuration name it: some halls.
+/// The name of a region, which is a set of halls, in the settings and the configuration.
 pub type RegionId = Arc<str>;
 
-/// The regions in which something may be served.
+/// The regions to which a route or an organisation restricts its requests.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AllowedRegions(Option<BTreeSet<RegionId>>);
 
 impl AllowedRegions {
-    /// Any region.
+    /// No restriction.
     pub const ANY: AllowedRegions = AllowedRegions(None);
 
-    /// These alone.
+    /// Allows the given regions only.
     pub fn only(regions: impl IntoIterator<Item = RegionId>) -> Self {
         AllowedRegions(Some(regions.into_iter().collect()))
     }
 
-    /// Those that both allow.
+    /// The regions that `self` and `other` both allow.
     pub fn both(&self, other: &AllowedRegions) -> AllowedRegions {
         match (&self.0, &other.0) {
             (Some(own), Some(other)) => AllowedRegions(Some(own.intersection(other).cloned().collect())),
@@ -38,23 +38,23 @@
         self.0.is_none()
     }
 
-    /// Whether a region is allowed; one that is not known is allowed only where all are.
+    /// Whether a region is allowed. An unknown region (`None`) is allowed only if there is no restriction.
     pub fn allows(&self, region: Option<&RegionId>) -> bool {
         self.0.as_ref().is_none_or(|allowed| region.is_some_and(|region| allowed.contains(region)))
     }
 }
 
-/// Which region each hall is in.
+/// The region of each hall.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HallRegions(BTreeMap<HallId, RegionId>);
 
 impl HallRegions {
-    /// As the settings tell it.
+    /// Creates the map from the settings.
     pub fn new(regions: impl IntoIterator<Item = (HallId, RegionId)>) -> Self {
         HallRegions(regions.into_iter().collect())
     }
 
-    /// Whether a hall is in one of some regions.
+    /// Whether a hall is in an allowed region.
     pub fn allows(&self, allowed: &AllowedRegions, hall: &str) -> bool {
         allowed.is_any() || allowed.allows(self.0.get(hall))
     }
--- a/lib/src/gateway/retelling.rs
+++ b/lib/src/gateway/retelling.rs
@@ -1,4 +1,4 @@
-//! News that are told again a few times, as each message may be lost.
+//! Repeats the announcement of changes a few times, as each message may be lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 /// Time between two rounds.
 const INTERVAL: Duration = Duration::from_millis(400);
-/// Rounds in which news are told again, each to a few nodes. On a modelled network, where some nodes start 0.3 s
-/// after a request's third end, the last of 410 nodes knew of it after 3.3 s without them, and after 9.4 s where
-/// 3 of 10 messages are lost; after 0.8 and 1.2 s with them.
+/// Rounds in which a change is sent again, each time to a few nodes. In a simulated network, where some nodes
+/// start 0.3 s after the third end of a request, the last of 410 nodes learned of it after 3.3 s without
+/// these rounds, and after 9.4 s if 3 of 10 messages were lost; with them, after 0.8 s and 1.2 s.
 const ROUNDS: u32 = 4;
 
-/// What there was news of lately, by whatever names it.
+/// Keys of the recent changes that are still to be sent again.
 #[derive(Debug)]
 pub struct Retelling<K> {
     rounds_left: BTreeMap<K, u32>,
@@ -26,12 +26,12 @@
 }
 
 impl<K: Clone + Ord> Retelling<K> {
-    /// There is news of something.
+    /// The item `of` changed; it is sent again in the next rounds.
     pub fn on_news(&mut self, of: K) {
         self.rounds_left.insert(of, ROUNDS);
     }
 
-    /// What is to be told of now; it counts as told.
+    /// Returns the items to send now, if a round is due, and counts them as sent.
     pub fn round(&mut self, now: Timestamp) -> Vec<K> {
         if self.rounds_left.is_empty() || now < self.last + INTERVAL {
             return Vec::new();
--- a/lib/src/gateway/routing.rs
+++ b/lib/src/gateway/routing.rs
@@ -1,5 +1,5 @@
-//! The routing configuration of the gateway interface: which service takes a request,
-//! on whose behalf, and within which bounds.
+//! The routing configuration of the gateway interface: the service that handles a request, the organisation
+//! that it is accounted to, and its limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,70 +11,70 @@
 use crate::gateway::regions::AllowedRegions;
 use crate::ids::OrganisationId;
 
-/// A service of the configuration.
+/// The name of a service in the configuration.
 pub type ServiceId = Arc<str>;
-/// A route of the configuration.
+/// The name of a route in the configuration.
 pub type RouteId = Arc<str>;
-/// The number of a configuration; a higher one replaces a lower one.
+/// The version number of a configuration; a higher one replaces a lower one.
 pub type ConfigVersion = u64;
 
 /// How often a request of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// As often as needed.
+    /// Any number of times.
     Idempotent,
-    /// Once at most.
+    /// At most once.
     Once,
-    /// Once at most, and its answer is a series of events.
+    /// At most once; its answer is a stream of events.
     Stream,
 }
 
-/// A part of a route's requests goes to this service.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// The service.
     pub service: ServiceId,
-    /// Its share against the route's other targets.
+    /// Its weight relative to the route's other targets.
     pub weight: f64,
 }
 
-/// A route: the requests of one host below one path.
+/// A route: the requests for one host under one path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The route's name.
     pub name: RouteId,
-    /// The host that callers name, without a port, in lower case.
+    /// The host that callers request, without a port, in lower case.
     pub host: String,
-    /// The path's prefix; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
     /// How often its requests may run.
     pub repeat: Repeat,
-    /// The longest that a request is held.
+    /// The longest time that a request is held.
     pub timeout: Duration,
-    /// An answer within this earns its full worth; for streams, the first event.
+    /// Latency within which an answer has its full worth; for streams, that of the first event.
     pub objective: Duration,
-    /// The longest pause between events that still counts as in time.
+    /// The longest gap between two events that still counts as in time.
     pub gap_objective: Duration,
-    /// Rank among the routes; 0 is the most urgent.
+    /// Priority among the routes; 0 is the most urgent.
     pub priority: u8,
-    /// Replicas to which one request may be sent.
+    /// The largest number of replicas to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
-    /// Whether a stream that broke may go on at another replica after the last event that its
-    /// caller has, in a run of its own there.
+    /// Whether a broken stream may be resumed at another replica, in a new run, after the last event that its
+    /// caller received.
     pub resumable: bool,
-    /// The services that take its requests.
+    /// The services among which its requests are split.
     pub targets: Vec<Target>,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     pub regions: AllowedRegions,
 }
 
-/// Callers wait for the next event of a stream at least this long.
+/// Lower bound of a caller's timeout for the next event of a stream.
 const LEAST_PATIENCE: Duration = Duration::from_secs(2);
-/// They wait so many times the objective for the first event.
+/// A caller's event timeout as a multiple of the objective for the first event.
 const PATIENT_OBJECTIVES: u32 = 4;
-/// They wait so many times the longest pause that counts as in time.
+/// A caller's event timeout as a multiple of the objective for gaps between events.
 const PATIENT_GAPS: u32 = 8;
 
 impl Route {
@@ -83,15 +83,15 @@
         self.repeat == Repeat::Idempotent || self.resumable
     }
 
-    /// How long a caller waits for the next event of a stream before it leaves, by the platform's
-    /// protocol.
+    /// How long a caller waits for the next event of a stream before it disconnects, as defined by the
+    /// platform's protocol.
     pub fn callers_patience(&self) -> Duration {
         let by_objective = self.objective * PATIENT_OBJECTIVES;
         let by_gap = self.gap_objective * PATIENT_GAPS;
         LEAST_PATIENCE.max(by_objective).max(by_gap)
     }
 
-    /// Picks a target at random, by weight; `None` when there is none.
+    /// Picks a random target by weight; `None` if the route has no targets.
     pub fn pick_target<R: Rng>(&self, rng: &mut R) -> Option<&ServiceId> {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
         let mut left = rng.random::<f64>() * total;
@@ -105,97 +105,97 @@
     }
 }
 
-/// What the engines of a model service offer beyond plain calls.
+/// Properties of the engines of a model service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineTraits {
-    /// Requests in one batch.
+    /// The largest number of requests in one batch.
     pub batch: u32,
-    /// Tokens that fit into an engine's memory.
+    /// Capacity of an engine's memory in tokens.
     pub memory_tokens: u32,
-    /// Bytes of memory for one token.
+    /// Memory per token in bytes.
     pub bytes_per_token: u64,
-    /// Bandwidth of an engine's link, bits a second.
+    /// Bandwidth of an engine's link in bits per second.
     pub link_bits_per_second: f64,
-    /// Whether running generations can be moved.
+    /// Whether running generations can be moved to another engine.
     pub moves: bool,
-    /// Whether running generations can be backed up as they run.
+    /// Whether running generations can be backed up to another engine.
     pub backups: bool,
-    /// Tokens in one event of a stream.
+    /// Tokens per event of a stream.
     pub tokens_per_event: u32,
 }
 
 impl EngineTraits {
-    /// Time to copy so many tokens of memory within a hall, if the links do nothing else.
+    /// Time to copy the memory of `tokens` tokens within a hall over otherwise idle links.
     pub fn copy_time(&self, tokens: u32) -> Duration {
         let bits = f64::from(tokens) * self.bytes_per_token as f64 * 8.0;
         Duration::try_from_secs_f64(bits / self.link_bits_per_second).unwrap_or(Duration::MAX)
     }
 }
 
-/// A service.
+/// A service and its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: ServiceId,
-    /// Where its replicas tell whether they are well.
+    /// The path of its replicas' health checks.
     pub health_path: String,
-    /// Connections that each replica takes from all callers together.
+    /// The largest number of connections that each replica accepts from all callers together.
     pub max_connections: u32,
     /// How long a replica is cold after its start.
     pub cold_for: Duration,
-    /// Requests in a second that a cold replica bears; `None` where it bears all.
+    /// Requests per second that a cold replica can handle; `None` if there is no such limit.
     pub cold_rate: Option<f64>,
-    /// Set for model services.
+    /// Engine properties; set for model services only.
     pub engine: Option<EngineTraits>,
 }
 
-/// Bounds for callers.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// The largest size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// The largest size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head to arrive.
+    /// Time limit for a request's head to arrive.
     pub head_within: Duration,
-    /// An unused connection is closed after this.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
 }
 
-/// An organisation and its keys.
+/// An organisation and its API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name.
+    /// The organisation's name.
     pub name: OrganisationId,
-    /// Keys that its callers present.
+    /// The API keys that identify its callers.
     pub keys: Vec<String>,
-    /// Rank among the organisations; 0 is the most urgent.
+    /// Priority among the organisations; 0 is the most urgent.
     pub priority: u8,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     pub regions: AllowedRegions,
 }
 
-/// A whole configuration as the operator wrote it.
+/// A complete configuration as written by the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayConfig {
-    /// Its number.
+    /// The configuration's version.
     pub version: ConfigVersion,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Bounds for callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Organisations; `None` when requests need no key at all.
+    /// Organisations; `None` if requests need no API key at all.
     pub organisations: Option<Vec<Organisation>>,
 }
 
-/// Why a request is not routed.
+/// The reason why a request cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unrouted {
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     UnknownKey,
 }
 
@@ -207,14 +207,15 @@
 }
 
 impl HostRoutes {
-    /// Of two routes with one prefix the first counts.
+    /// Adds a route; of two routes with the same prefix, the first is kept.
     fn add(&mut self, route: Route) {
         self.longest_prefix = self.longest_prefix.max(route.prefix.len());
         self.by_prefix.entry(route.prefix.clone()).or_insert_with(|| Arc::new(route));
     }
 
-    /// The route with the longest prefix of `path`. Prefixes end with a slash, so only what ends
-    /// with one is looked up: once for each part of the path, however many routes the host has.
+    /// Finds the route with the longest prefix of `path`. Prefixes end with a slash, so only leading parts of
+    /// the path that end with one are looked up: the cost depends on the number of path segments, not of
+    /// routes.
     fn of(&self, path: &str) -> Option<&Arc<Route>> {
         let ends = path.bytes().take(self.longest_prefix).enumerate().filter(|(_, byte)| *byte == b'/');
         let ends: Vec<usize> = ends.map(|(at, _)| at).collect();
@@ -222,12 +223,12 @@
     }
 }
 
-/// A configuration indexed for look-ups.
+/// A configuration indexed for lookups.
 #[derive(Debug)]
 pub struct RoutingTable {
-    /// Its number.
+    /// The configuration's version.
     pub version: ConfigVersion,
-    /// Bounds for callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
     by_host: HashMap<String, HostRoutes>,
     services: HashMap<ServiceId, Arc<Service>>,
@@ -251,14 +252,15 @@
         }
     }
 
-    /// The route with the longest prefix of `path` at `host`.
+    /// Finds the route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Result<Arc<Route>, Unrouted> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.by_host.get(&name).ok_or(Unrouted::NoRoute)?;
         routes.of(path).cloned().ok_or(Unrouted::NoRoute)
     }
 
-    /// The organisation that a request of `route` is for; `None` when it needs none.
+    /// Authenticates a request of `route` by its API key and returns its organisation; `None` if the route or
+    /// configuration needs none.
     pub fn organisation(
         &self,
         route: &Route,
@@ -274,7 +276,7 @@
         Ok(found)
     }
 
-    /// A service.
+    /// Looks up a service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
--- a/lib/src/gateway/watchers.rs
+++ b/lib/src/gateway/watchers.rs
@@ -1,17 +1,17 @@
-//! Which nodes follow the platform's store for all.
+//! Selection of the nodes that watch the platform's store on behalf of the fleet.
 //!
-//! Calls to the store are priced, so a few nodes follow it and tell the others. Every node
-//! ranks the nodes that it takes to be alive by rendezvous hashing. The first few of those with large
-//! links follow the store and send a pulse that says whether it answers them. If it answers none of
-//! them, as when it turns some nodes away, a few others try as well, whatever their links, but no
-//! more: a store that is down must not be asked by the whole fleet.
+//! Calls to the store are billed, so a few nodes watch it and forward its changes to the others. Every node
+//! ranks the nodes that it considers alive by rendezvous hashing. The first few of those with wide links
+//! watch the store and send a pulse that reports whether it answers them. If it answers none of them, for
+//! example because it refuses some nodes, a few others try as well, whatever their links, but no more: a
+//! store that is down must not be polled by the whole fleet.
 //!
-//! Where no pulse is heard, as at a first start or behind a cut, nodes take turns: each waits by its
-//! place in the order of the hashes, as far as it knows how many nodes there are, and the pulses of
-//! the first few keep all others from following. So a node that knows only some of the others, as all
-//! do that have just started, does not take itself for one of the first: whoever is on its own knows
-//! of few others, and its turn comes soon. A node that follows the store goes on until enough better
-//! ranked ones do.
+//! If no pulses arrive, as at the first start or in a network partition, nodes take turns: each waits in
+//! proportion to its position in the hash order, scaled by the number of nodes that it knows to exist, and
+//! the pulses of the first few watchers keep all others from watching. A node that knows only some of the
+//! others, as all nodes do after a start, thus does not consider itself one of the first, whereas an isolated
+//! node knows few others and its turn comes soon. A watcher continues until enough higher-ranked nodes watch
+//! the store.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -24,70 +24,71 @@
 use crate::ids::VmId;
 use crate::rendezvous;
 
-/// Nodes that follow the store: two may go at once without a gap in the news.
+/// Number of watchers; two may fail at the same time without delaying changes.
 pub const WATCHERS: usize = 3;
 /// Time between two pulses of a watcher.
 pub const PULSE_INTERVAL: Duration = Duration::from_millis(800);
-/// A pulse this old no longer counts: two may be lost.
+/// Age at which a pulse expires; two consecutive pulses may be lost.
 const PULSE_LASTS: Duration = Duration::from_millis(2_000);
-/// A store that answered this long ago still counts as answering.
+/// How long after its last answer the store is considered answering.
 const ANSWER_LASTS: Duration = Duration::from_millis(1_300);
-/// A doubt this old no longer counts: by then the store has answered someone, or is away.
+/// How long a late answer makes the store doubtful: by then it has answered another node or is considered
+/// away.
 const DOUBT_LASTS: Duration = Duration::from_millis(1_300);
-/// A node that has just started listens this long before it decides: it has met a seed by then, and
-/// a watcher's pulse comes every [`PULSE_INTERVAL`].
+/// How long a node listens after its start before it decides: it has contacted a seed by then, and watchers
+/// send a pulse every [`PULSE_INTERVAL`].
 const LISTEN_FIRST: Duration = Duration::from_millis(600);
-/// A node that has started this long ago knows enough of the others to rank itself among them. A
-/// fleet of 295 that starts at once has met by then to such a part that its nodes rank alike.
+/// Time after its start when a node knows enough of the others to rank itself among them. In a fleet of 295
+/// nodes that start together, nodes know enough of each other by then to compute the same ranking.
 const SETTLES_AFTER: Duration = Duration::from_secs(4);
-/// Without any pulse for this long nodes take turns.
+/// Time without any pulse after which nodes take turns.
 const QUIET_AFTER: Duration = Duration::from_secs(3);
-/// Time from one turn to the next: a pulse reaches nearly all of 300 nodes within it.
+/// Time from one turn to the next; a pulse reaches nearly all of 300 nodes within it.
 const TURN: Duration = Duration::from_millis(250);
-/// The longest that a node waits for its turn after its start.
+/// The longest wait for a turn after a node's start.
 const LONGEST_FIRST_TURN: Duration = Duration::from_millis(3_600);
-/// The longest that one waits later, while it hears from others; among 295 nodes, 100 of which are
-/// cut off from the rest, four have had their turns by then.
+/// The longest wait for a later turn while other nodes are in contact. If 100 of 295 nodes are cut off from
+/// the rest, four of them have had their turns by then.
 const LONGEST_TURN: Duration = Duration::from_secs(3);
-/// The longest that one waits who hears from nobody.
+/// The longest wait for a later turn while no other node is in contact.
 const LONGEST_TURN_ALONE: Duration = Duration::from_secs(1);
-/// While the store answers none of the first, the next few try for this long, then those behind them.
-/// With a third of the nodes turned away, six nodes in a row are in one of 500 cases.
+/// While the store answers none of the first [`WATCHERS`] nodes, each next group of this many tries for this
+/// long. If the store refuses a third of the nodes, it refuses six consecutive ones in one of 500 cases.
 const TRY_FOR: Duration = Duration::from_secs(3);
-/// A node that hears of enough working watchers ranks itself anew only this often: a ranking hashes all
-/// nodes that it knows, which all nodes did ten times a second.
+/// Interval between rankings while enough watchers work. A ranking hashes all known nodes, and each node
+/// would otherwise compute it ten times a second.
 const RANK_EVERY: Duration = Duration::from_secs(1);
-/// A node that heard from no other one for this long is alone.
+/// Time without a message from any other node after which a node is considered isolated.
 const CONTACT_LASTS: Duration = Duration::from_secs(2);
 
 const RANKING: &str = "store watchers";
 
-/// The first watcher gathers for this long: replicas that leave together say so within some
-/// milliseconds, and each question is priced. The first of them is told at once.
+/// Delay of the first watcher before its next watch, to batch changes: replicas that leave together announce
+/// it within some milliseconds, and each call is billed. The first of these changes is forwarded at once.
 const FIRST_GATHERS: Duration = Duration::from_millis(10);
-/// A standby gathers the store's changes for this long before it asks for more: the first
-/// watcher has told them by then, and each question is priced. Two standbys that gathered for half as
-/// long made 138 of 530 watches on a calm day of 295 nodes.
+/// Delay of a standby before its next watch: the first watcher has forwarded the changes by then, and each
+/// call is billed. With half this delay, two standbys made 138 of 530 watches of a fleet of 295 nodes under
+/// steady load.
 const STANDBY_GATHERS: Duration = Duration::from_millis(1_000);
 
-/// One watch of the first watcher waits so long at the store. Its connection may fall silent for
-/// good while new ones work; that shows when the watch should have ended, and each watch is priced:
-/// of 44 s, some 15 calls in place of two.
+/// How long one watch of the first watcher waits at the store. Its connection may fall silent for good while
+/// new ones work, which is detected only when the watch is overdue; but each watch is billed: about 15 calls
+/// in 44 s instead of two.
 const FIRST_WAITS: Duration = Duration::from_secs(3);
-/// One watch of a standby waits so long: the longest that the store allows.
+/// How long one watch of a standby waits at the store: the longest time that the store allows.
 const STANDBY_WAITS: Duration = Duration::from_secs(30);
 
-/// How a node follows the store.
+/// The role in which a node watches the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRole {
-    /// It learns of each change at once.
+    /// Receives each change at once.
     First,
-    /// Watchers before it do; it is there for what they miss.
+    /// Backs up the higher-ranked watchers and receives what they miss.
     Standby,
 }
 
 impl WatchRole {
-    /// Pause between a change and the question for the next.
+    /// Pause between a change and the next watch.
     pub fn gathers_for(self) -> Duration {
         match self {
             WatchRole::First => FIRST_GATHERS,
@@ -104,17 +105,17 @@
     }
 }
 
-/// Numbers a watcher's pulses; they rise, also over its restarts.
+/// The number of a watcher's pulse; numbers increase, also across restarts.
 pub type PulseNumber = u64;
 
-/// What a pulse says of the store.
+/// The state of the store as reported by a pulse.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub enum StoreState {
-    /// It answers the watcher.
+    /// The store answers the watcher.
     Answers,
-    /// It takes longer than it usually does; it may be slow or away.
+    /// The answer takes longer than usual; the store may be slow or away.
     Late,
-    /// It does not answer the watcher.
+    /// The store does not answer the watcher.
     Away,
 }
 
@@ -125,7 +126,7 @@
     state: StoreState,
 }
 
-/// What a node knows of the watchers.
+/// A node's knowledge of the watchers.
 #[derive(Debug)]
 pub struct Watchers {
     own: VmId,
@@ -134,17 +135,17 @@
     last_contact: Option<Timestamp>,
     last_answer: Option<Timestamp>,
     last_doubt: Option<Timestamp>,
-    /// Nodes that there are, as far as others told; this one may know fewer.
+    /// The largest number of nodes that another node reported; this one may know fewer.
     told_nodes: usize,
-    /// Whether this node follows the store.
+    /// Whether this node watches the store.
     watches: bool,
-    /// When the store last answered this node's own question.
+    /// When the store last answered a call of this node.
     last_own_answer: Option<Timestamp>,
     last_ranked: Option<Timestamp>,
 }
 
 impl Watchers {
-    /// Knows of none yet.
+    /// Creates the state of a node that knows no watchers yet.
     pub fn new(own: VmId) -> Self {
         Watchers {
             own,
@@ -160,23 +161,23 @@
         }
     }
 
-    /// Another node sent something.
+    /// A message arrived from another node.
     pub fn on_contact(&mut self, now: Timestamp) {
         self.last_contact = Some(now);
     }
 
-    /// Another node knows of so many nodes.
+    /// Another node reported how many nodes it knows.
     pub fn on_nodes_told(&mut self, nodes: usize) {
         self.told_nodes = self.told_nodes.max(nodes);
     }
 
-    /// The watchers whose pulses are fresh, as they should be told to a node that has just started.
+    /// The latest pulses that have not expired, to be sent to a node that has just started.
     pub fn fresh_pulses(&self, now: Timestamp) -> impl Iterator<Item = (&VmId, PulseNumber, StoreState)> {
         let fresh = self.heard.iter().filter(move |(_, heard)| heard.at + PULSE_LASTS >= now);
         fresh.map(|(watcher, heard)| (watcher, heard.number, heard.state))
     }
 
-    /// A watcher's pulse came, from itself or through others. Returns whether it is news.
+    /// A watcher's pulse arrived, directly or forwarded. Returns whether it is new.
     pub fn on_pulse(
         &mut self,
         watcher: &VmId,
@@ -194,7 +195,7 @@
         true
     }
 
-    /// What this node's own question to the store showed.
+    /// Records the result of this node's own call to the store.
     pub fn on_own_pulse(&mut self, state: StoreState, now: Timestamp) {
         if state == StoreState::Answers {
             self.last_own_answer = Some(now);
@@ -209,21 +210,21 @@
         }
     }
 
-    /// Whether the store has lately answered any node that this one hears of.
+    /// Whether the store has recently answered this node or any watcher whose pulses arrive here.
     pub fn store_answers(&self, now: Timestamp) -> bool {
         self.last_answer.is_some_and(|at| at + ANSWER_LASTS > now)
     }
 
-    /// Whether the store may be away: some watcher missed an answer, and none has had one
-    /// since. The first doubt comes a second before [`Self::store_answers`] turns false.
+    /// Whether the store may be away: a watcher did not get an answer in time, and none has had one since.
+    /// This becomes true about a second before [`Self::store_answers`] becomes false.
     pub fn doubts_store(&self, now: Timestamp) -> bool {
         let doubt = self.last_doubt.filter(|at| *at + DOUBT_LASTS > now);
         doubt.is_some_and(|doubt| self.last_answer.is_none_or(|answer| answer < doubt))
     }
 
-    /// How this node should follow the store from now on, if it should. `has_wide_link` tells it of any
-    /// node: those come first, as what the store has changed goes from the watchers to all others, and
-    /// 1 MB takes 0.8 s on a link of 10 Mbit/s. Nodes may know of different ones for some seconds.
+    /// Decides whether this node should watch the store from now on, and in which role. Nodes with wide links
+    /// (`has_wide_link`) come first, as changes go from the watchers to all others and 1 MB takes 0.8 s on a
+    /// link of 10 Mbit/s. Nodes may disagree for some seconds on which nodes have one.
     pub fn role<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a VmId>,
@@ -248,40 +249,40 @@
         watches.then_some(if working == 0 { WatchRole::First } else { WatchRole::Standby })
     }
 
-    /// Whether enough others follow the store, and this node found itself not to be one of the first a
-    /// moment ago.
+    /// Whether enough other nodes watch the store, and a recent ranking did not select this node.
     fn is_served(&self, now: Timestamp) -> bool {
         let lately = self.last_ranked.is_some_and(|at| at + RANK_EVERY > now);
         let working = || self.fresh_pulses(now).filter(|(_, _, state)| *state != StoreState::Away).count();
         lately && !self.watches && working() >= WATCHERS
     }
 
-    /// Whether this node follows the store, which answers it.
+    /// Whether this node watches the store and gets answers.
     fn is_answered(&self, now: Timestamp) -> bool {
         self.watches && self.last_own_answer.is_some_and(|at| at + PULSE_LASTS > now)
     }
 
-    /// Whether this node is among the first that should follow the store, or, while it answers none of
-    /// those, among the few others whose time it is to try.
+    /// Whether this node is ranked among the first, or, while the store answers none of those, belongs to the
+    /// group whose turn it is to try.
     fn is_ranked_to_watch(&self, ranking: &[&VmId], rank: usize, now: Timestamp) -> bool {
         let first = &ranking[..WATCHERS.min(ranking.len())];
         let none_answered = || first.iter().all(|node| self.fails(node, now));
         let unanswered_for = now.saturating_sub(self.last_answer.unwrap_or_default());
         let tried = (unanswered_for.as_millis() / TRY_FOR.as_millis()) as usize;
-        // All others have their times again and again.
+        // The groups of other nodes try in rotation.
         let others = ranking.len().saturating_sub(WATCHERS).max(1);
         let tries =
             rank >= WATCHERS && (rank - WATCHERS + others - (tried * WATCHERS) % others) % others < WATCHERS;
         rank < WATCHERS || (tries && none_answered())
     }
 
-    /// Whether a watcher is silent, or says that the store does not answer it.
+    /// Whether a watcher is silent or reports that the store does not answer it.
     fn fails(&self, watcher: &VmId, now: Timestamp) -> bool {
         let heard = self.heard.get(watcher);
         heard.is_none_or(|heard| heard.state == StoreState::Away || heard.at + PULSE_LASTS < now)
     }
 
-    /// Whether no pulse came for so long that it is this node's turn; it knows of `known` nodes.
+    /// Whether no pulse has arrived for so long that it is this node's turn; `known` is the number of nodes
+    /// that it knows, itself included.
     fn has_turn(&self, known: usize, now: Timestamp) -> bool {
         let part = rendezvous::weight(RANKING, &self.own) as f64 / u64::MAX as f64;
         let others = known.max(self.told_nodes).saturating_sub(1);
@@ -296,9 +297,9 @@
     }
 }
 
-/// The nodes in the order in which they come to follow the store: first [`WATCHERS`] with wide links,
-/// then by hashing alone. Nodes with wide links may stand together behind one cut: were they the next
-/// as well, 8 of 62 would leave the store to nobody while 54 reach it.
+/// Ranks nodes for watching the store: first [`WATCHERS`] nodes with wide links, then all others by hash
+/// alone. Nodes with wide links may all be in the same network partition: if all of them came first, 8 of 62
+/// that are cut off would keep the other 54 from watching a store that they can reach.
 fn ranked(mut nodes: Vec<&VmId>, has_wide_link: impl Fn(&VmId) -> bool) -> Vec<&VmId> {
     let weight = |node: &VmId| rendezvous::weight(RANKING, node);
     nodes.sort_by_cached_key(|node| Reverse((has_wide_link(node), weight(node))));
