--- a/lib/src/gateway/config_text.rs
+++ b/lib/src/gateway/config_text.rs
@@ -21,7 +21,8 @@
 /// Compression level. At lower levels the delta of a small change to 5,000 routes is 29 to 53 kB instead of
 /// 113 bytes; level 5 takes twice the time and saves a few percent.
 const LEVEL: i32 = 3;
-/// Binary logarithm of the compression window in bytes; it spans the whole previous text and the new one.
+/// The compression window is 2 to the power of this many bytes: it spans the whole previous text and the new
+/// one.
 const WINDOW_LOG: u32 = 22;
 /// The largest accepted text; the platform's largest object is 1 MiB.
 const MOST_BYTES: u64 = 4 << 20;
--- a/lib/src/gateway/retelling.rs
+++ b/lib/src/gateway/retelling.rs
@@ -8,8 +8,8 @@
 /// Time between two rounds.
 const INTERVAL: Duration = Duration::from_millis(400);
 /// Rounds in which a change is sent again, each time to a few nodes. In a simulated network, where some nodes
-/// start 0.3 s after the third end of a request, the last of 410 nodes learned of it after 3.3 s without
-/// these rounds, and after 9.4 s if 3 of 10 messages were lost; with them, after 0.8 s and 1.2 s.
+/// start 0.3 s after the third run of a request ended, the last of 410 nodes learned of it after 3.3 s
+/// without these rounds, and after 9.4 s if 3 of 10 messages were lost; with them, after 0.8 s and 1.2 s.
 const ROUNDS: u32 = 4;
 
 /// Keys of the recent changes that are still to be sent again.
--- a/lib/src/gateway/watchers.rs
+++ b/lib/src/gateway/watchers.rs
@@ -67,8 +67,8 @@
 /// it within some milliseconds, and each call is billed. The first of these changes is forwarded at once.
 const FIRST_GATHERS: Duration = Duration::from_millis(10);
 /// Delay of a standby before its next watch: the first watcher has forwarded the changes by then, and each
-/// call is billed. With half this delay, two standbys made 138 of 530 watches of a fleet of 295 nodes under
-/// steady load.
+/// call is billed. With half this delay, two standbys made 138 of 530 watches of a fleet of 295 nodes without
+/// failures.
 const STANDBY_GATHERS: Duration = Duration::from_millis(1_000);
 
 /// How long one watch of the first watcher waits at the store. Its connection may fall silent for good while
