--- a/lib/src/gateway/config_sources.rs
+++ b/lib/src/gateway/config_sources.rs
@@ -20,9 +20,9 @@
 
 /// The longest random delay after a newer version was observed. Nodes that received an announcement have the
 /// configuration within this time: 1 MB of routes compresses to 64 kB, which takes 51 ms at 10 Mbit/s.
-const NOTICED_SPREAD: Duration = Duration::from_millis(100);
+const OBSERVED_MAX_DELAY: Duration = Duration::from_millis(100);
 /// How long a node is skipped after it failed to deliver its configuration.
-const FAILED_REST: Duration = Duration::from_secs(1);
+const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 /// Consecutive failures after which the store is read: the other nodes may be unreachable.
 const FAILURES_BEFORE_STORE: u32 = 3;
 
@@ -71,19 +71,19 @@
         from: SocketAddr,
         version: ConfigVersion,
         has_wide_link: bool,
-        how: HeardHow,
+        notice: VersionNotice,
         now: Timestamp,
         rng: &mut R,
     ) {
-        let not_before = match how {
-            HeardHow::Told => now,
-            HeardHow::Noticed => now + NOTICED_SPREAD.mul_f64(rng.random()),
+        let not_before = match notice {
+            VersionNotice::Announced => now,
+            VersionNotice::Observed => now + OBSERVED_MAX_DELAY.mul_f64(rng.random()),
         };
         let new = Source { version, has_wide_link, not_before, failures: 0 };
         let source = self.sources.entry(from).or_insert(new);
         if source.version < version {
             *source = new;
-        } else if how == HeardHow::Told && source.failures == 0 {
+        } else if notice == VersionNotice::Announced && source.failures == 0 {
             source.not_before = source.not_before.min(now);
         }
     }
@@ -97,7 +97,7 @@
     pub fn next<R: Rng>(
         &mut self,
         own: ConfigVersion,
-        is_asked: impl Fn(SocketAddr) -> bool,
+        is_queried: impl Fn(SocketAddr) -> bool,
         now: Timestamp,
         rng: &mut R,
     ) -> NextSource {
@@ -108,7 +108,7 @@
         if self.failures >= FAILURES_BEFORE_STORE {
             return NextSource::Store;
         }
-        let others = || self.sources.iter().filter(|(node, _)| !is_asked(**node));
+        let others = || self.sources.iter().filter(|(node, _)| !is_queried(**node));
         let ready = || others().filter(|(_, source)| source.not_before <= now);
         let best = ready().map(|(_, source)| source.rank()).max();
         let equal: Vec<SocketAddr> =
@@ -122,7 +122,7 @@
 
     /// The node is busy serving others and replied with a time to retry.
     pub fn on_busy(&mut self, from: SocketAddr, after: Duration, now: Timestamp) {
-        self.rest(from, now + after);
+        self.back_off(from, now + after);
     }
 
     /// The node failed to deliver its configuration.
@@ -131,11 +131,11 @@
         if let Some(source) = self.sources.get_mut(&from) {
             source.failures += 1;
         }
-        self.rest(from, now + FAILED_REST);
+        self.back_off(from, now + FAILURE_BACKOFF);
     }
 
     /// The node delivered its configuration.
-    pub fn on_handed(&mut self, from: SocketAddr) {
+    pub fn on_delivered(&mut self, from: SocketAddr) {
         self.failures = 0;
         self.sources.remove(&from);
     }
@@ -146,7 +146,7 @@
     }
 
     /// The store is being read.
-    pub fn on_store_asked(&mut self) {
+    pub fn on_store_queried(&mut self) {
         self.failures = 0;
     }
 
@@ -156,7 +156,7 @@
         self.sources.clear();
     }
 
-    fn rest(&mut self, from: SocketAddr, until: Timestamp) {
+    fn back_off(&mut self, from: SocketAddr, until: Timestamp) {
         if let Some(source) = self.sources.get_mut(&from) {
             source.not_before = until;
         }
@@ -165,9 +165,9 @@
 
 /// How a peer's version became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeardHow {
+pub enum VersionNotice {
     /// The peer announced that it has a newer configuration.
-    Told,
+    Announced,
     /// The version was carried in a message about something else.
-    Noticed,
+    Observed,
 }
--- a/lib/src/gateway/config_text.rs
+++ b/lib/src/gateway/config_text.rs
@@ -20,12 +20,12 @@
 
 /// Compression level. At lower levels the delta of a small change to 5,000 routes is 29 to 53 kB instead of
 /// 113 bytes; level 5 takes twice the time and saves a few percent.
-const LEVEL: i32 = 3;
+const COMPRESSION_LEVEL: i32 = 3;
 /// The compression window is 2 to the power of this many bytes: it spans the whole previous text and the new
 /// one.
 const WINDOW_LOG: u32 = 22;
 /// The largest accepted text; the platform's largest object is 1 MiB.
-const MOST_BYTES: u64 = 4 << 20;
+const MAX_TEXT_BYTES: u64 = 4 << 20;
 
 /// Identifies an encoding of a configuration: all nodes serve the same bytes for the same edition.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -42,31 +42,31 @@
 /// The text does not parse as an edition.
 #[derive(Clone, Copy, Debug, Display, derive_more::Error)]
 #[display("not an edition")]
-pub struct NoEdition;
+pub struct InvalidEdition;
 
 impl FromStr for Edition {
-    type Err = NoEdition;
+    type Err = InvalidEdition;
 
-    fn from_str(text: &str) -> Result<Self, NoEdition> {
+    fn from_str(text: &str) -> Result<Self, InvalidEdition> {
         let mut parts = text.trim_matches('"').split('-');
-        let mut next = || parts.next().and_then(|part| part.parse::<u64>().ok()).ok_or(NoEdition);
+        let mut next = || parts.next().and_then(|part| part.parse::<u64>().ok()).ok_or(InvalidEdition);
         Ok(Edition { version: next()?, base: next()?, bytes: next()? as usize })
     }
 }
 
 /// A partially received edition; the remaining bytes can be fetched from any node that serves it.
 #[derive(Debug)]
-pub struct PartOfConfig {
+pub struct PartialConfig {
     /// The edition that is being received.
     pub edition: Edition,
     /// The bytes received so far, from the start of the edition.
     pub buf: BytesMut,
 }
 
-impl PartOfConfig {
+impl PartialConfig {
     /// Creates an empty buffer for an edition.
     pub fn new(edition: Edition) -> Self {
-        PartOfConfig { edition, buf: BytesMut::new() }
+        PartialConfig { edition, buf: BytesMut::new() }
     }
 
     /// Whether all bytes have been received.
@@ -75,7 +75,7 @@
     }
 
     /// Whether a node with the configuration `own` can decode it to a newer configuration.
-    pub fn serves(&self, own: ConfigVersion) -> bool {
+    pub fn is_usable_with(&self, own: ConfigVersion) -> bool {
         self.edition.version > own && (self.edition.base == 0 || self.edition.base == own)
     }
 }
@@ -86,29 +86,29 @@
     /// The configuration's version.
     pub version: ConfigVersion,
     text: Bytes,
-    before: Option<(ConfigVersion, Bytes)>,
-    whole: OnceLock<Bytes>,
-    difference: OnceLock<Bytes>,
+    previous: Option<(ConfigVersion, Bytes)>,
+    full: OnceLock<Bytes>,
+    delta: OnceLock<Bytes>,
 }
 
 impl ConfigText {
     /// Creates the text that succeeds `previous`.
-    pub fn new(version: ConfigVersion, text: Bytes, before: Option<&ConfigText>) -> Arc<ConfigText> {
+    pub fn new(version: ConfigVersion, text: Bytes, previous: Option<&ConfigText>) -> Arc<ConfigText> {
         Arc::new(ConfigText {
             version,
             text,
-            before: before.map(|before| (before.version, before.text.clone())),
-            whole: OnceLock::new(),
-            difference: OnceLock::new(),
+            previous: previous.map(|previous| (previous.version, previous.text.clone())),
+            full: OnceLock::new(),
+            delta: OnceLock::new(),
         })
     }
 
     /// The encoding for a node that has the configuration `known`: a delta if possible, else the full text.
     pub fn encoded_for(&self, known: ConfigVersion) -> io::Result<(Edition, Bytes)> {
-        let before = self.before.as_ref().filter(|(version, _)| *version == known);
-        let (base, encoded, text) = match before {
-            Some((base, text)) => (*base, &self.difference, &text[..]),
-            None => (0, &self.whole, &[][..]),
+        let previous = self.previous.as_ref().filter(|(version, _)| *version == known);
+        let (base, encoded, text) = match previous {
+            Some((base, text)) => (*base, &self.delta, &text[..]),
+            None => (0, &self.full, &[][..]),
         };
         // Compressed lazily, on the first request.
         let bytes = match encoded.get() {
@@ -132,13 +132,13 @@
         let mut decoder = zstd::stream::read::Decoder::with_ref_prefix(encoded, base)?;
         decoder.window_log_max(WINDOW_LOG)?;
         let mut text = Vec::new();
-        decoder.take(MOST_BYTES).read_to_end(&mut text)?;
+        decoder.take(MAX_TEXT_BYTES).read_to_end(&mut text)?;
         Ok(Bytes::from(text))
     }
 }
 
-fn compress(text: &[u8], before: &[u8]) -> io::Result<Vec<u8>> {
-    let mut encoder = zstd::stream::write::Encoder::with_ref_prefix(Vec::new(), LEVEL, before)?;
+fn compress(text: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
+    let mut encoder = zstd::stream::write::Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
     encoder.set_parameter(CParameter::WindowLog(WINDOW_LOG))?;
     encoder.set_pledged_src_size(Some(text.len() as u64))?;
     // The checksum rejects a text that was decoded against a wrong base.
--- a/lib/src/gateway/fleet_size.rs
+++ b/lib/src/gateway/fleet_size.rs
@@ -8,30 +8,30 @@
 use crate::ids::Timestamp;
 
 /// Length of the window for the maximum; a size is kept for one to two windows.
-const KEPT_FOR: Duration = Duration::from_secs(15);
+const WINDOW: Duration = Duration::from_secs(15);
 
 /// The largest number of live nodes that any node has recently reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetSize {
-    since: Timestamp,
-    most: usize,
-    /// The maximum of the window before `since`.
-    before: usize,
+    window_start: Timestamp,
+    max: usize,
+    /// The maximum of the window before `window_start`.
+    previous_max: usize,
 }
 
 impl FleetSize {
     /// Records the number of nodes that some node, possibly this one, considers alive, itself included.
-    pub fn note(&mut self, nodes: usize, now: Timestamp) {
-        let age = now.saturating_sub(self.since);
-        if age >= KEPT_FOR {
-            let before = if age < 2 * KEPT_FOR { self.most } else { 0 };
-            *self = FleetSize { since: now, most: 0, before };
+    pub fn record(&mut self, nodes: usize, now: Timestamp) {
+        let age = now.saturating_sub(self.window_start);
+        if age >= WINDOW {
+            let previous_max = if age < 2 * WINDOW { self.max } else { 0 };
+            *self = FleetSize { window_start: now, max: 0, previous_max };
         }
-        self.most = self.most.max(nodes);
+        self.max = self.max.max(nodes);
     }
 
     /// The estimated number of nodes.
-    pub fn most(&self) -> usize {
-        self.most.max(self.before)
+    pub fn estimate(&self) -> usize {
+        self.max.max(self.previous_max)
     }
 }
--- a/lib/src/gateway/lookout.rs
+++ b/lib/src/gateway/health_polls.rs
@@ -12,50 +12,50 @@
 
 /// Time between an engine's answer and the next poll. Each poll is billed; polling less often detects an
 /// engine's notice later.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Time limit for an engine's answer.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(600);
+pub const HEALTH_TIMEOUT: Duration = Duration::from_millis(600);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum Poll {
     /// Sent at this time and not answered yet.
-    Open(Timestamp),
+    Pending(Timestamp),
     /// Answered or timed out at this time.
     Answered(Timestamp),
 }
 
-impl Asked {
-    fn allows_another(self, now: Timestamp) -> bool {
+impl Poll {
+    fn is_due_again(self, now: Timestamp) -> bool {
         match self {
-            Asked::Open(at) => at + ANSWER_LIMIT + ASK_INTERVAL <= now,
-            Asked::Answered(at) => at + ASK_INTERVAL <= now,
+            Poll::Pending(at) => at + HEALTH_TIMEOUT + POLL_INTERVAL <= now,
+            Poll::Answered(at) => at + POLL_INTERVAL <= now,
         }
     }
 }
 
 /// The engines that were polled recently.
 #[derive(Debug, Default)]
-pub struct Lookout {
-    asked: HashMap<UpstreamId, Asked>,
+pub struct HealthPolls {
+    polls: HashMap<UpstreamId, Poll>,
 }
 
-impl Lookout {
+impl HealthPolls {
     /// Returns whether an engine is due to be polled; if so, records a poll as sent.
-    pub fn ask(&mut self, engine: &UpstreamId, now: Timestamp) -> bool {
-        let is_due = self.asked.get(engine).is_none_or(|asked| asked.allows_another(now));
+    pub fn start_if_due(&mut self, engine: &UpstreamId, now: Timestamp) -> bool {
+        let is_due = self.polls.get(engine).is_none_or(|poll| poll.is_due_again(now));
         if is_due {
-            self.asked.insert(engine.clone(), Asked::Open(now));
+            self.polls.insert(engine.clone(), Poll::Pending(now));
         }
         is_due
     }
 
     /// An engine answered, or its poll timed out.
     pub fn on_answer(&mut self, engine: &UpstreamId, now: Timestamp) {
-        self.asked.insert(engine.clone(), Asked::Answered(now));
+        self.polls.insert(engine.clone(), Poll::Answered(now));
     }
 
     /// Drops engines that are due to be polled again.
     pub fn forget(&mut self, now: Timestamp) {
-        self.asked.retain(|_, asked| !asked.allows_another(now));
+        self.polls.retain(|_, poll| !poll.is_due_again(now));
     }
 }
--- a/lib/src/gateway/peers_by_hall.rs
+++ b/lib/src/gateway/peers_by_hall.rs
@@ -14,9 +14,9 @@
 use crate::sample_set::SampleSet;
 
 /// One gossip target in this many is picked from all halls.
-const ONE_ANYWHERE_OF: usize = 4;
+const ANY_HALL_RATIO: usize = 4;
 /// Known nodes of its own hall below which a node picks all gossip targets from all halls.
-const LEAST_NEAR: usize = 8;
+const MIN_NEAR: usize = 8;
 
 /// The other nodes that are considered up.
 #[derive(Debug)]
@@ -27,14 +27,14 @@
     /// Nodes that are known to be in this node's hall.
     near: SampleSet<VmId>,
     /// The halls' names, interned.
-    names: HashSet<HallId>,
+    hall_names: HashSet<HallId>,
 }
 
 impl PeersByHall {
     /// Creates an empty set for a node in the hall `own`.
     pub fn new(own: HallId) -> Self {
         PeersByHall {
-            names: HashSet::from([own.clone()]),
+            hall_names: HashSet::from([own.clone()]),
             own,
             halls: HashMap::new(),
             up: SampleSet::default(),
@@ -59,10 +59,10 @@
         if self.halls.get(node) == Some(&hall) || !self.up.contains(node) {
             return;
         }
-        let hall = match self.names.get(&hall) {
+        let hall = match self.hall_names.get(&hall) {
             Some(known) => known.clone(),
             None => {
-                self.names.insert(hall.clone());
+                self.hall_names.insert(hall.clone());
                 hall
             }
         };
@@ -90,8 +90,8 @@
     }
 
     /// Whether enough nodes of this one's hall are known to do without nodes of other halls as sources.
-    pub fn knows_hall(&self) -> bool {
-        self.near.len() >= LEAST_NEAR
+    pub fn has_enough_near(&self) -> bool {
+        self.near.len() >= MIN_NEAR
     }
 
     /// The number of nodes that are up.
@@ -105,24 +105,24 @@
     }
 
     /// Picks up to `count` random nodes of any hall.
-    pub fn some<R: Rng>(&self, count: usize, rng: &mut R) -> Vec<&VmId> {
+    pub fn sample<R: Rng>(&self, count: usize, rng: &mut R) -> Vec<&VmId> {
         self.up.sample(count, rng)
     }
 
     /// Picks up to `count` random nodes to send gossip to, most of them in this node's hall.
-    pub fn to_tell<R: Rng>(&self, count: usize, rng: &mut R) -> Vec<&VmId> {
-        if !self.knows_hall() {
-            return self.some(count, rng);
+    pub fn gossip_targets<R: Rng>(&self, count: usize, rng: &mut R) -> Vec<&VmId> {
+        if !self.has_enough_near() {
+            return self.sample(count, rng);
         }
-        let anywhere = count.div_ceil(ONE_ANYWHERE_OF);
-        let mut told = self.near.sample(count - anywhere, rng);
-        let near = told.len();
+        let anywhere = count.div_ceil(ANY_HALL_RATIO);
+        let mut targets = self.near.sample(count - anywhere, rng);
+        let near = targets.len();
         // Samples `count` nodes, as some of them may be among the near ones already picked.
         for node in self.up.sample(count, rng) {
-            if told.len() < count && !told[..near].contains(&node) {
-                told.push(node);
+            if targets.len() < count && !targets[..near].contains(&node) {
+                targets.push(node);
             }
         }
-        told
+        targets
     }
 }
--- a/lib/src/gateway/regions.rs
+++ b/lib/src/gateway/regions.rs
@@ -26,7 +26,7 @@
     }
 
     /// The regions that `self` and `other` both allow.
-    pub fn both(&self, other: &AllowedRegions) -> AllowedRegions {
+    pub fn intersection(&self, other: &AllowedRegions) -> AllowedRegions {
         match (&self.0, &other.0) {
             (Some(own), Some(other)) => AllowedRegions(Some(own.intersection(other).cloned().collect())),
             (own, other) => AllowedRegions(own.clone().or_else(|| other.clone())),
--- a/lib/src/gateway/routing.rs
+++ b/lib/src/gateway/routing.rs
@@ -71,11 +71,11 @@
 }
 
 /// Lower bound of a caller's timeout for the next event of a stream.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// A caller's event timeout as a multiple of the objective for the first event.
-const PATIENT_OBJECTIVES: u32 = 4;
+const EVENT_TIMEOUT_OBJECTIVES: u32 = 4;
 /// A caller's event timeout as a multiple of the objective for gaps between events.
-const PATIENT_GAPS: u32 = 8;
+const EVENT_TIMEOUT_GAPS: u32 = 8;
 
 impl Route {
     /// Whether a request may run more than once.
@@ -85,10 +85,10 @@
 
     /// How long a caller waits for the next event of a stream before it disconnects, as defined by the
     /// platform's protocol.
-    pub fn callers_patience(&self) -> Duration {
-        let by_objective = self.objective * PATIENT_OBJECTIVES;
-        let by_gap = self.gap_objective * PATIENT_GAPS;
-        LEAST_PATIENCE.max(by_objective).max(by_gap)
+    pub fn caller_event_timeout(&self) -> Duration {
+        let by_objective = self.objective * EVENT_TIMEOUT_OBJECTIVES;
+        let by_gap = self.gap_objective * EVENT_TIMEOUT_GAPS;
+        MIN_EVENT_TIMEOUT.max(by_objective).max(by_gap)
     }
 
     /// Picks a random target by weight; `None` if the route has no targets.
@@ -192,7 +192,7 @@
 
 /// The reason why a request cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unrouted {
+pub enum RouteError {
     /// No route matches the host and path.
     NoRoute,
     /// The API key is missing or unknown.
@@ -216,7 +216,7 @@
     /// Finds the route with the longest prefix of `path`. Prefixes end with a slash, so only leading parts of
     /// the path that end with one are looked up: the cost depends on the number of path segments, not of
     /// routes.
-    fn of(&self, path: &str) -> Option<&Arc<Route>> {
+    fn find(&self, path: &str) -> Option<&Arc<Route>> {
         let ends = path.bytes().take(self.longest_prefix).enumerate().filter(|(_, byte)| *byte == b'/');
         let ends: Vec<usize> = ends.map(|(at, _)| at).collect();
         ends.into_iter().rev().find_map(|end| self.by_prefix.get(&path[..=end]))
@@ -253,10 +253,10 @@
     }
 
     /// Finds the route of `host` with the longest prefix of `path`.
-    pub fn route(&self, host: &str, path: &str) -> Result<Arc<Route>, Unrouted> {
+    pub fn route(&self, host: &str, path: &str) -> Result<Arc<Route>, RouteError> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
-        let routes = self.by_host.get(&name).ok_or(Unrouted::NoRoute)?;
-        routes.of(path).cloned().ok_or(Unrouted::NoRoute)
+        let routes = self.by_host.get(&name).ok_or(RouteError::NoRoute)?;
+        routes.find(path).cloned().ok_or(RouteError::NoRoute)
     }
 
     /// Authenticates a request of `route` by its API key and returns its organisation; `None` if the route or
@@ -265,13 +265,13 @@
         &self,
         route: &Route,
         key: Option<&str>,
-    ) -> Result<Option<Arc<Organisation>>, Unrouted> {
+    ) -> Result<Option<Arc<Organisation>>, RouteError> {
         let Some(keys) = &self.keys else {
             return Ok(None);
         };
         let found = key.and_then(|key| keys.get(key)).cloned();
         if found.is_none() && !route.public {
-            return Err(Unrouted::UnknownKey);
+            return Err(RouteError::UnknownKey);
         }
         Ok(found)
     }
--- a/lib/src/gateway/watchers.rs
+++ b/lib/src/gateway/watchers.rs
@@ -29,54 +29,54 @@
 /// Time between two pulses of a watcher.
 pub const PULSE_INTERVAL: Duration = Duration::from_millis(800);
 /// Age at which a pulse expires; two consecutive pulses may be lost.
-const PULSE_LASTS: Duration = Duration::from_millis(2_000);
+const PULSE_TTL: Duration = Duration::from_millis(2_000);
 /// How long after its last answer the store is considered answering.
-const ANSWER_LASTS: Duration = Duration::from_millis(1_300);
-/// How long a late answer makes the store doubtful: by then it has answered another node or is considered
+const ANSWER_TTL: Duration = Duration::from_millis(1_300);
+/// How long a missed answer puts the store in doubt: by then it has answered another node or is considered
 /// away.
-const DOUBT_LASTS: Duration = Duration::from_millis(1_300);
+const MISS_TTL: Duration = Duration::from_millis(1_300);
 /// How long a node listens after its start before it decides: it has contacted a seed by then, and watchers
 /// send a pulse every [`PULSE_INTERVAL`].
-const LISTEN_FIRST: Duration = Duration::from_millis(600);
+const STARTUP_LISTEN_TIME: Duration = Duration::from_millis(600);
 /// Time after its start when a node knows enough of the others to rank itself among them. In a fleet of 295
 /// nodes that start together, nodes know enough of each other by then to compute the same ranking.
-const SETTLES_AFTER: Duration = Duration::from_secs(4);
+const RANKING_SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Time without any pulse after which nodes take turns.
-const QUIET_AFTER: Duration = Duration::from_secs(3);
+const PULSE_SILENCE: Duration = Duration::from_secs(3);
 /// Time from one turn to the next; a pulse reaches nearly all of 300 nodes within it.
-const TURN: Duration = Duration::from_millis(250);
+const TURN_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest wait for a turn after a node's start.
-const LONGEST_FIRST_TURN: Duration = Duration::from_millis(3_600);
+const MAX_STARTUP_TURN_DELAY: Duration = Duration::from_millis(3_600);
 /// The longest wait for a later turn while other nodes are in contact. If 100 of 295 nodes are cut off from
 /// the rest, four of them have had their turns by then.
-const LONGEST_TURN: Duration = Duration::from_secs(3);
+const MAX_TURN_DELAY: Duration = Duration::from_secs(3);
 /// The longest wait for a later turn while no other node is in contact.
-const LONGEST_TURN_ALONE: Duration = Duration::from_secs(1);
+const MAX_ISOLATED_TURN_DELAY: Duration = Duration::from_secs(1);
 /// While the store answers none of the first [`WATCHERS`] nodes, each next group of this many tries for this
 /// long. If the store refuses a third of the nodes, it refuses six consecutive ones in one of 500 cases.
-const TRY_FOR: Duration = Duration::from_secs(3);
+const GROUP_TRIAL_TIME: Duration = Duration::from_secs(3);
 /// Interval between rankings while enough watchers work. A ranking hashes all known nodes, and each node
 /// would otherwise compute it ten times a second.
-const RANK_EVERY: Duration = Duration::from_secs(1);
+const RANK_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a message from any other node after which a node is considered isolated.
-const CONTACT_LASTS: Duration = Duration::from_secs(2);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
 const RANKING: &str = "store watchers";
 
 /// Delay of the first watcher before its next watch, to batch changes: replicas that leave together announce
 /// it within some milliseconds, and each call is billed. The first of these changes is forwarded at once.
-const FIRST_GATHERS: Duration = Duration::from_millis(10);
+const FIRST_BATCH_DELAY: Duration = Duration::from_millis(10);
 /// Delay of a standby before its next watch: the first watcher has forwarded the changes by then, and each
 /// call is billed. With half this delay, two standbys made 138 of 530 watches of a fleet of 295 nodes without
 /// failures.
-const STANDBY_GATHERS: Duration = Duration::from_millis(1_000);
+const STANDBY_BATCH_DELAY: Duration = Duration::from_millis(1_000);
 
 /// How long one watch of the first watcher waits at the store. Its connection may fall silent for good while
 /// new ones work, which is detected only when the watch is overdue; but each watch is billed: about 15 calls
 /// in 44 s instead of two.
-const FIRST_WAITS: Duration = Duration::from_secs(3);
+const FIRST_WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long one watch of a standby waits at the store: the longest time that the store allows.
-const STANDBY_WAITS: Duration = Duration::from_secs(30);
+const STANDBY_WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The role in which a node watches the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,18 +89,18 @@
 
 impl WatchRole {
     /// Pause between a change and the next watch.
-    pub fn gathers_for(self) -> Duration {
+    pub fn batch_delay(self) -> Duration {
         match self {
-            WatchRole::First => FIRST_GATHERS,
-            WatchRole::Standby => STANDBY_GATHERS,
+            WatchRole::First => FIRST_BATCH_DELAY,
+            WatchRole::Standby => STANDBY_BATCH_DELAY,
         }
     }
 
     /// How long one watch waits at the store.
-    pub fn waits_for(self) -> Duration {
+    pub fn watch_timeout(self) -> Duration {
         match self {
-            WatchRole::First => FIRST_WAITS,
-            WatchRole::Standby => STANDBY_WAITS,
+            WatchRole::First => FIRST_WATCH_TIMEOUT,
+            WatchRole::Standby => STANDBY_WATCH_TIMEOUT,
         }
     }
 }
@@ -120,7 +120,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Pulse {
     number: PulseNumber,
     at: Timestamp,
     state: StoreState,
@@ -130,13 +130,13 @@
 #[derive(Debug)]
 pub struct Watchers {
     own: VmId,
-    heard: BTreeMap<VmId, Heard>,
-    last_heard: Option<Timestamp>,
+    pulses: BTreeMap<VmId, Pulse>,
+    last_pulse: Option<Timestamp>,
     last_contact: Option<Timestamp>,
     last_answer: Option<Timestamp>,
-    last_doubt: Option<Timestamp>,
+    last_miss: Option<Timestamp>,
     /// The largest number of nodes that another node reported; this one may know fewer.
-    told_nodes: usize,
+    reported_nodes: usize,
     /// Whether this node watches the store.
     watches: bool,
     /// When the store last answered a call of this node.
@@ -149,12 +149,12 @@
     pub fn new(own: VmId) -> Self {
         Watchers {
             own,
-            heard: BTreeMap::new(),
-            last_heard: None,
+            pulses: BTreeMap::new(),
+            last_pulse: None,
             last_contact: None,
             last_answer: None,
-            last_doubt: None,
-            told_nodes: 0,
+            last_miss: None,
+            reported_nodes: 0,
             watches: false,
             last_own_answer: None,
             last_ranked: None,
@@ -167,14 +167,14 @@
     }
 
     /// Another node reported how many nodes it knows.
-    pub fn on_nodes_told(&mut self, nodes: usize) {
-        self.told_nodes = self.told_nodes.max(nodes);
+    pub fn on_node_count(&mut self, nodes: usize) {
+        self.reported_nodes = self.reported_nodes.max(nodes);
     }
 
     /// The latest pulses that have not expired, to be sent to a node that has just started.
     pub fn fresh_pulses(&self, now: Timestamp) -> impl Iterator<Item = (&VmId, PulseNumber, StoreState)> {
-        let fresh = self.heard.iter().filter(move |(_, heard)| heard.at + PULSE_LASTS >= now);
-        fresh.map(|(watcher, heard)| (watcher, heard.number, heard.state))
+        let fresh = self.pulses.iter().filter(move |(_, pulse)| pulse.at + PULSE_TTL >= now);
+        fresh.map(|(watcher, pulse)| (watcher, pulse.number, pulse.state))
     }
 
     /// A watcher's pulse arrived, directly or forwarded. Returns whether it is new.
@@ -185,13 +185,13 @@
         state: StoreState,
         now: Timestamp,
     ) -> bool {
-        let known = self.heard.get(watcher);
-        if *watcher == self.own || known.is_some_and(|heard| heard.number >= number) {
+        let known = self.pulses.get(watcher);
+        if *watcher == self.own || known.is_some_and(|pulse| pulse.number >= number) {
             return false;
         }
-        self.heard.insert(watcher.clone(), Heard { number, at: now, state });
-        self.last_heard = Some(now);
-        self.note(state, now);
+        self.pulses.insert(watcher.clone(), Pulse { number, at: now, state });
+        self.last_pulse = Some(now);
+        self.record_state(state, now);
         true
     }
 
@@ -200,26 +200,26 @@
         if state == StoreState::Answers {
             self.last_own_answer = Some(now);
         }
-        self.note(state, now);
+        self.record_state(state, now);
     }
 
-    fn note(&mut self, state: StoreState, now: Timestamp) {
+    fn record_state(&mut self, state: StoreState, now: Timestamp) {
         match state {
             StoreState::Answers => self.last_answer = Some(now),
-            StoreState::Late | StoreState::Away => self.last_doubt = Some(now),
+            StoreState::Late | StoreState::Away => self.last_miss = Some(now),
         }
     }
 
     /// Whether the store has recently answered this node or any watcher whose pulses arrive here.
     pub fn store_answers(&self, now: Timestamp) -> bool {
-        self.last_answer.is_some_and(|at| at + ANSWER_LASTS > now)
+        self.last_answer.is_some_and(|at| at + ANSWER_TTL > now)
     }
 
     /// Whether the store may be away: a watcher did not get an answer in time, and none has had one since.
     /// This becomes true about a second before [`Self::store_answers`] becomes false.
-    pub fn doubts_store(&self, now: Timestamp) -> bool {
-        let doubt = self.last_doubt.filter(|at| *at + DOUBT_LASTS > now);
-        doubt.is_some_and(|doubt| self.last_answer.is_none_or(|answer| answer < doubt))
+    pub fn store_may_be_down(&self, now: Timestamp) -> bool {
+        let miss = self.last_miss.filter(|at| *at + MISS_TTL > now);
+        miss.is_some_and(|miss| self.last_answer.is_none_or(|answer| answer < miss))
     }
 
     /// Decides whether this node should watch the store from now on, and in which role. Nodes with wide links
@@ -231,7 +231,7 @@
         has_wide_link: impl Fn(&VmId) -> bool,
         now: Timestamp,
     ) -> Option<WatchRole> {
-        if now < LISTEN_FIRST || self.is_served(now) {
+        if now < STARTUP_LISTEN_TIME || self.has_enough_watchers(now) {
             return None;
         }
         self.last_ranked = Some(now);
@@ -241,59 +241,59 @@
         nodes.extend(self.fresh_pulses(now).map(|(watcher, _, _)| watcher));
         let ranking = ranked(nodes, has_wide_link);
         let rank = ranking.iter().position(|node| **node == self.own).unwrap_or(0);
-        let working = ranking[..rank].iter().filter(|node| !self.fails(node, now)).count();
+        let working = ranking[..rank].iter().filter(|node| !self.is_failing(node, now)).count();
         let watches = self.has_turn(known, now)
             || (self.is_answered(now) && working < WATCHERS)
-            || (now >= SETTLES_AFTER && self.is_ranked_to_watch(&ranking, rank, now));
+            || (now >= RANKING_SETTLE_TIME && self.is_ranked_to_watch(&ranking, rank, now));
         self.watches = watches;
         watches.then_some(if working == 0 { WatchRole::First } else { WatchRole::Standby })
     }
 
     /// Whether enough other nodes watch the store, and a recent ranking did not select this node.
-    fn is_served(&self, now: Timestamp) -> bool {
-        let lately = self.last_ranked.is_some_and(|at| at + RANK_EVERY > now);
+    fn has_enough_watchers(&self, now: Timestamp) -> bool {
+        let is_recent = self.last_ranked.is_some_and(|at| at + RANK_INTERVAL > now);
         let working = || self.fresh_pulses(now).filter(|(_, _, state)| *state != StoreState::Away).count();
-        lately && !self.watches && working() >= WATCHERS
+        is_recent && !self.watches && working() >= WATCHERS
     }
 
     /// Whether this node watches the store and gets answers.
     fn is_answered(&self, now: Timestamp) -> bool {
-        self.watches && self.last_own_answer.is_some_and(|at| at + PULSE_LASTS > now)
+        self.watches && self.last_own_answer.is_some_and(|at| at + PULSE_TTL > now)
     }
 
     /// Whether this node is ranked among the first, or, while the store answers none of those, belongs to the
     /// group whose turn it is to try.
     fn is_ranked_to_watch(&self, ranking: &[&VmId], rank: usize, now: Timestamp) -> bool {
         let first = &ranking[..WATCHERS.min(ranking.len())];
-        let none_answered = || first.iter().all(|node| self.fails(node, now));
+        let none_answered = || first.iter().all(|node| self.is_failing(node, now));
         let unanswered_for = now.saturating_sub(self.last_answer.unwrap_or_default());
-        let tried = (unanswered_for.as_millis() / TRY_FOR.as_millis()) as usize;
+        let turns_over = (unanswered_for.as_millis() / GROUP_TRIAL_TIME.as_millis()) as usize;
         // The groups of other nodes try in rotation.
         let others = ranking.len().saturating_sub(WATCHERS).max(1);
         let tries =
-            rank >= WATCHERS && (rank - WATCHERS + others - (tried * WATCHERS) % others) % others < WATCHERS;
+            rank >= WATCHERS && (rank - WATCHERS + others - (turns_over * WATCHERS) % others) % others < WATCHERS;
         rank < WATCHERS || (tries && none_answered())
     }
 
     /// Whether a watcher is silent or reports that the store does not answer it.
-    fn fails(&self, watcher: &VmId, now: Timestamp) -> bool {
-        let heard = self.heard.get(watcher);
-        heard.is_none_or(|heard| heard.state == StoreState::Away || heard.at + PULSE_LASTS < now)
+    fn is_failing(&self, watcher: &VmId, now: Timestamp) -> bool {
+        let pulse = self.pulses.get(watcher);
+        pulse.is_none_or(|pulse| pulse.state == StoreState::Away || pulse.at + PULSE_TTL < now)
     }
 
     /// Whether no pulse has arrived for so long that it is this node's turn; `known` is the number of nodes
     /// that it knows, itself included.
     fn has_turn(&self, known: usize, now: Timestamp) -> bool {
-        let part = rendezvous::weight(RANKING, &self.own) as f64 / u64::MAX as f64;
-        let others = known.max(self.told_nodes).saturating_sub(1);
-        let turns_before = (1.0 - part) * others as f64;
-        let is_in_touch = self.last_contact.is_some_and(|at| at + CONTACT_LASTS > now);
-        let (quiet_from, longest) = match self.last_heard {
-            None => (LISTEN_FIRST, LONGEST_FIRST_TURN),
-            Some(at) if is_in_touch => (at + QUIET_AFTER, LONGEST_TURN),
-            Some(at) => (at + QUIET_AFTER, LONGEST_TURN_ALONE),
+        let hash_fraction = rendezvous::weight(RANKING, &self.own) as f64 / u64::MAX as f64;
+        let others = known.max(self.reported_nodes).saturating_sub(1);
+        let turns_before = (1.0 - hash_fraction) * others as f64;
+        let is_in_contact = self.last_contact.is_some_and(|at| at + CONTACT_TIMEOUT > now);
+        let (wait_from, max_delay) = match self.last_pulse {
+            None => (STARTUP_LISTEN_TIME, MAX_STARTUP_TURN_DELAY),
+            Some(at) if is_in_contact => (at + PULSE_SILENCE, MAX_TURN_DELAY),
+            Some(at) => (at + PULSE_SILENCE, MAX_ISOLATED_TURN_DELAY),
         };
-        now >= quiet_from + TURN.mul_f64(turns_before).min(longest)
+        now >= wait_from + TURN_INTERVAL.mul_f64(turns_before).min(max_delay)
     }
 }
 
