--- a/lib/tests/test_gateway_config_spread.rs
+++ b/lib/tests/test_gateway_config_spread.rs
@@ -1,5 +1,5 @@
-//! How long a configuration takes to all nodes of a fleet: the choice of whom to ask and how many
-//! to hand it to, on modelled links.
+//! Time until a configuration has reached all nodes of a fleet: simulates the selection of sources
+//! and the limit of concurrent transfers over modelled links.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::config_sources::ConfigSources;
-use leadstage_lib::gateway::config_sources::HeardHow;
+use leadstage_lib::gateway::config_sources::VersionNotice;
 use leadstage_lib::gateway::config_sources::NextSource;
 use leadstage_lib::gateway::handouts;
 use leadstage_lib::gateway::handouts::Handouts;
@@ -19,27 +19,27 @@
 
 const OLD: u64 = 1;
 const NEW: u64 = 2;
-/// One way between two nodes.
-const WAY: Duration = Duration::from_millis(1);
-/// Until a node has decoded and indexed 5,000 routes with 0.12 of a core.
-const TAKES_IN: Duration = Duration::from_millis(80);
-/// Each node hears something from a random other one so often: pulses that are passed on.
-const HEARS_EVERY: Duration = Duration::from_millis(70);
+/// One-way latency between two nodes.
+const LATENCY: Duration = Duration::from_millis(1);
+/// Time to decode and index 5,000 routes on 0.12 of a core.
+const ACTIVATION_TIME: Duration = Duration::from_millis(80);
+/// Interval at which each node receives a message, such as a forwarded pulse, from a random other node.
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(70);
 const NARROW: f64 = 10e6;
 const WIDE: f64 = 200e6;
-/// All is over by then.
-const LONGEST: Duration = Duration::from_secs(30);
+/// Time limit of a simulation.
+const TIME_LIMIT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A node hears from another one, which perhaps told it of its configuration.
-    Hears { node: usize, from: usize, is_told: bool },
-    /// A node looks for whom to ask.
-    Looks { node: usize },
-    /// A node has it whole.
-    Has { node: usize, from: usize },
-    /// It is in force.
-    InForce { node: usize },
+    /// A node receives a message, which may be an announcement of a configuration.
+    Message { node: usize, from: usize, is_announcement: bool },
+    /// A node selects a source.
+    SelectSource { node: usize },
+    /// A node has received the whole configuration.
+    Received { node: usize, from: usize },
+    /// The configuration is active on a node.
+    Activated { node: usize },
 }
 
 struct Node {
@@ -48,7 +48,7 @@
     is_busy: bool,
     sources: ConfigSources,
     handouts: Handouts,
-    /// Transfers in and out at this time.
+    /// Current number of transfers in both directions.
     transfers: u32,
 }
 
@@ -57,7 +57,7 @@
     bytes: usize,
     now: Duration,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    count: u64,
+    event_count: u64,
     rng: SmallRng,
 }
 
@@ -87,40 +87,41 @@
             bytes,
             now: Duration::ZERO,
             events: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    fn after(&mut self, pause: Duration, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((self.now + pause, self.count, event)));
+    fn schedule(&mut self, pause: Duration, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((self.now + pause, self.event_count, event)));
     }
 
-    /// The watchers have it at once; returns when the last node has it in force.
+    /// Runs the simulation: the watchers have the configuration at the start; returns when it is active on
+    /// the last node.
     fn spread(mut self, watchers: usize) -> Duration {
         for node in 0..self.nodes.len() {
-            let first = HEARS_EVERY.mul_f64(self.rng.random());
+            let first = MESSAGE_INTERVAL.mul_f64(self.rng.random());
             let from = self.other(node);
-            self.after(first, Event::Hears { node, from, is_told: false });
+            self.schedule(first, Event::Message { node, from, is_announcement: false });
         }
         for node in 0..watchers {
-            self.after(Duration::ZERO, Event::InForce { node });
+            self.schedule(Duration::ZERO, Event::Activated { node });
         }
         let mut last = Duration::ZERO;
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.now = now;
-            assert!(now < LONGEST, "it does not end");
+            assert!(now < TIME_LIMIT, "simulation does not end");
             if self.nodes.iter().all(|node| node.version == NEW) {
                 return last;
             }
             match event {
-                Event::Hears { node, from, is_told } => self.hears(node, from, is_told),
-                Event::Looks { node } => self.looks(node),
-                Event::Has { node, from } => self.has(node, from),
-                Event::InForce { node } => {
+                Event::Message { node, from, is_announcement } => self.on_message(node, from, is_announcement),
+                Event::SelectSource { node } => self.select_source(node),
+                Event::Received { node, from } => self.on_received(node, from),
+                Event::Activated { node } => {
                     last = now;
-                    self.in_force(node);
+                    self.activate(node);
                 }
             }
         }
@@ -128,84 +129,84 @@
     }
 
     fn other(&mut self, node: usize) -> usize {
-        (0..self.nodes.len()).filter(|other| *other != node).choose(&mut self.rng).expect("there are others")
+        (0..self.nodes.len()).filter(|other| *other != node).choose(&mut self.rng).expect("fleet has another node")
     }
 
-    fn hears(&mut self, node: usize, from: usize, is_told: bool) {
-        if !is_told {
+    fn on_message(&mut self, node: usize, from: usize, is_announcement: bool) {
+        if !is_announcement {
             let next = self.other(node);
-            self.after(HEARS_EVERY, Event::Hears { node, from: next, is_told: false });
+            self.schedule(MESSAGE_INTERVAL, Event::Message { node, from: next, is_announcement: false });
         }
         let (version, wide) = (self.nodes[from].version, self.nodes[from].link > NARROW);
         if version > self.nodes[node].version {
-            let how = if is_told { HeardHow::Told } else { HeardHow::Noticed };
-            self.nodes[node].sources.on_version(address(from), version, wide, how, self.now, &mut self.rng);
-            self.looks(node);
+            let notice = if is_announcement { VersionNotice::Announced } else { VersionNotice::Observed };
+            self.nodes[node].sources.on_version(address(from), version, wide, notice, self.now, &mut self.rng);
+            self.select_source(node);
         }
     }
 
-    fn looks(&mut self, node: usize) {
+    fn select_source(&mut self, node: usize) {
         if self.nodes[node].is_busy {
             return;
         }
         let own = self.nodes[node].version;
         match self.nodes[node].sources.next(own, |_| false, self.now, &mut self.rng) {
-            NextSource::Node(from) => self.ask(node, node_at(from)),
-            NextSource::Later(pause) => self.after(pause, Event::Looks { node }),
+            NextSource::Node(from) => self.query(node, node_at(from)),
+            NextSource::Later(pause) => self.schedule(pause, Event::SelectSource { node }),
             NextSource::Nothing | NextSource::Store => {}
         }
     }
 
-    fn ask(&mut self, node: usize, from: usize) {
-        if let Err(after) = self.nodes[from].handouts.ask() {
-            let now = self.now + 2 * WAY;
-            self.nodes[node].sources.on_busy(address(from), after, now);
-            return self.after(2 * WAY, Event::Looks { node });
+    fn query(&mut self, node: usize, from: usize) {
+        if let Err(pause) = self.nodes[from].handouts.ask() {
+            let now = self.now + 2 * LATENCY;
+            self.nodes[node].sources.on_busy(address(from), pause, now);
+            return self.schedule(2 * LATENCY, Event::SelectSource { node });
         }
         self.nodes[node].is_busy = true;
         self.nodes[node].transfers += 1;
         self.nodes[from].transfers += 1;
         let share = |at: &Node| at.link / f64::from(at.transfers);
         let rate = share(&self.nodes[node]).min(share(&self.nodes[from]));
-        let takes = Duration::from_secs_f64(self.bytes as f64 * 8.0 / rate);
-        self.after(2 * WAY + takes, Event::Has { node, from });
+        let transfer_time = Duration::from_secs_f64(self.bytes as f64 * 8.0 / rate);
+        self.schedule(2 * LATENCY + transfer_time, Event::Received { node, from });
     }
 
-    fn has(&mut self, node: usize, from: usize) {
+    fn on_received(&mut self, node: usize, from: usize) {
         self.nodes[node].transfers -= 1;
         self.nodes[from].transfers -= 1;
         self.nodes[from].handouts.end(Duration::from_secs_f64(self.bytes as f64 * 8.0 / NARROW));
-        self.nodes[node].sources.on_handed(address(from));
-        self.after(TAKES_IN, Event::InForce { node });
+        self.nodes[node].sources.on_delivered(address(from));
+        self.schedule(ACTIVATION_TIME, Event::Activated { node });
     }
 
-    /// As a node announces it.
-    fn in_force(&mut self, node: usize) {
+    /// Activates the configuration on a node and announces it as a node does.
+    fn activate(&mut self, node: usize) {
         self.nodes[node].version = NEW;
         self.nodes[node].is_busy = false;
-        let tells = handouts::at_once(self.nodes[node].link).max(4);
+        let target_count = handouts::at_once(self.nodes[node].link).max(4);
         let wide: Vec<usize> =
             self.nodes.iter().enumerate().filter(|(_, n)| n.link > NARROW).map(|(n, _)| n).collect();
-        let mut told: Vec<usize> = wide.into_iter().sample(&mut self.rng, tells / 2);
-        for _ in told.len()..tells {
+        let mut targets: Vec<usize> = wide.into_iter().sample(&mut self.rng, target_count / 2);
+        for _ in targets.len()..target_count {
             let other = self.other(node);
-            told.push(other);
+            targets.push(other);
         }
-        for other in told.into_iter().filter(|other| *other != node) {
-            self.after(WAY, Event::Hears { node: other, from: node, is_told: true });
+        for other in targets.into_iter().filter(|other| *other != node) {
+            self.schedule(LATENCY, Event::Message { node: other, from: node, is_announcement: true });
         }
     }
 }
 
-/// 5,000 routes, 64 kB on the way, are in force at all nodes within a second, and little more where
-/// no link is wide. As text of 1 MB one transfer alone takes 0.8 s.
+/// Compressed to 64 kB, 5,000 routes are active on all nodes within a second, or little more if no link is
+/// wide. Uncompressed, a single transfer of the 1 MB text takes 0.8 s.
 #[test]
 fn test_5000_routes_spread_within_a_second() {
     let mut rows = String::new();
     for (narrow, wide) in [(54, 8), (76, 9), (270, 30), (357, 53), (300, 0)] {
         let longest = |bytes| {
             let times = (0..3).map(|seed| Fleet::new(narrow, wide, bytes, seed).spread(3));
-            times.max().expect("some seeds").as_secs_f64()
+            times.max().expect("at least one seed").as_secs_f64()
         };
         let (compressed, text) = (longest(64_000), longest(1_000_000));
         writeln!(rows, "{narrow} narrow, {wide} wide: {compressed:.1} s, as text {text:.1} s")
--- a/lib/tests/test_gateway_config_text.rs
+++ b/lib/tests/test_gateway_config_text.rs
@@ -1,4 +1,4 @@
-//! What a configuration's text becomes on its way to another node.
+//! Encoding of a configuration's text for the transfer to another node.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -8,8 +8,7 @@
 use leadstage_lib::gateway::config_text::Edition;
 use proptest::prelude::*;
 
-/// A text with so many routes as operators write them: some 200 bytes each, of which a tenth is like
-/// nothing else.
+/// Generates a text of realistic routes: about 200 bytes each, of which a tenth does not compress.
 fn text(version: u64, routes: u64) -> Bytes {
     let mut text = format!("{{\"version\":{version},\"routes\":[");
     for n in 0..routes {
@@ -30,8 +29,8 @@
     ConfigText::new(version, text(version, routes), before)
 }
 
-/// Hands `from` to a node that has `known`, and returns what is read there and how large it was.
-fn hand_over(from: &ConfigText, known: Option<&ConfigText>) -> (Edition, std::io::Result<Bytes>) {
+/// Encodes `from` for a node that has `known`; returns the edition and the text that the node decodes.
+fn transfer(from: &ConfigText, known: Option<&ConfigText>) -> (Edition, std::io::Result<Bytes>) {
     let (edition, bytes) =
         from.encoded_for(known.map_or(0, |known| known.version)).expect("it can be compressed");
     assert_eq!(edition.bytes, bytes.len());
@@ -39,13 +38,13 @@
 }
 
 #[test]
-fn test_sizes_on_the_way() {
+fn test_encoded_sizes() {
     let mut before = configuration(1, 40, None);
     let mut sizes = String::new();
     for (version, routes) in [(2, 1_440), (3, 2_840), (4, 5_000), (5, 5_000)] {
         let next = configuration(version, routes, Some(&before));
-        let whole = hand_over(&next, None);
-        let difference = hand_over(&next, Some(&before));
+        let whole = transfer(&next, None);
+        let difference = transfer(&next, Some(&before));
         assert_eq!(whole.1.expect("it can be read"), text(version, routes));
         assert_eq!(difference.1.expect("it can be read"), text(version, routes));
         let bytes = text(version, routes).len();
@@ -61,10 +60,10 @@
     ");
 }
 
-/// Nodes that took the same configurations hand out the same bytes, so the rest of what one began
-/// can come from another.
+/// Nodes with the same configurations serve identical bytes, so that a transfer can continue from another
+/// node.
 #[test]
-fn test_an_edition_is_the_same_everywhere() {
+fn test_editions_are_identical_on_all_nodes() {
     let bytes = || {
         let before = configuration(1, 100, None);
         let next = configuration(2, 300, Some(&before));
@@ -73,13 +72,14 @@
     assert_eq!(bytes(), bytes());
     let [(whole, _), (difference, _)] = bytes();
     assert_eq!((whole.base, difference.base), (0, 1));
-    assert_eq!(whole.to_string().parse::<Edition>().expect("an edition"), whole);
+    assert_eq!(whole.to_string().parse::<Edition>().expect("edition can be parsed"), whole);
     assert!("2-1".parse::<Edition>().is_err());
 }
 
-/// A text of the same number that differs after all is noticed, and nothing wrong is taken.
+/// A delta is rejected if the receiver's base text has the right version but other content, if the base is
+/// missing, or if the delta is truncated.
 #[test]
-fn test_what_does_not_fit_is_not_taken() {
+fn test_wrong_base_or_truncated_delta_is_rejected() {
     let before = configuration(1, 100, None);
     let next = configuration(2, 300, Some(&before));
     let (edition, bytes) = next.encoded_for(1).expect("it can be compressed");
@@ -91,7 +91,7 @@
 
 proptest! {
     #[test]
-    fn test_any_bytes_are_an_error_or_a_text(bytes in proptest::collection::vec(any::<u8>(), 0..400), base in 0_u64..2) {
+    fn test_decode_of_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400), base in 0_u64..2) {
         let known = configuration(1, 3, None);
         let edition = Edition { version: 2, base, bytes: bytes.len() };
         let _ = ConfigText::decode(edition, &bytes, Some(&known));
--- a/lib/tests/test_gateway_routing.rs
+++ b/lib/tests/test_gateway_routing.rs
@@ -10,7 +10,7 @@
 use leadstage_lib::gateway::routing::Route;
 use leadstage_lib::gateway::routing::RoutingTable;
 use leadstage_lib::gateway::routing::Target;
-use leadstage_lib::gateway::routing::Unrouted;
+use leadstage_lib::gateway::routing::RouteError;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn test_longest_prefix_of_the_host_wins() {
+fn test_longest_prefix_of_the_host_is_matched() {
     let table = table(None);
     let rows: Vec<String> =
         [("h", "/a/x"), ("H:8080", "/a/b/x"), ("h", "/a/bx"), ("h", "/a"), ("other", "/a/x")]
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn test_keys_name_organisations() {
+fn test_keys_identify_organisations() {
     let organisation = Organisation {
         name: "o".into(),
         keys: vec!["k".to_owned()],
@@ -83,15 +83,15 @@
     let table = table(Some(vec![organisation]));
     let closed = table.route("h", "/a/x").expect("a route");
     let open = table.route("h", "/open/x").expect("a route");
-    let who = |route: &Route, key| table.organisation(route, key).map(|o| o.map(|o| o.name.to_string()));
-    assert_eq!(who(&closed, Some("k")), Ok(Some("o".to_owned())));
-    assert_eq!(who(&closed, Some("x")), Err(Unrouted::UnknownKey));
-    assert_eq!(who(&closed, None), Err(Unrouted::UnknownKey));
-    assert_eq!(who(&open, None), Ok(None));
+    let organisation_of = |route: &Route, key| table.organisation(route, key).map(|o| o.map(|o| o.name.to_string()));
+    assert_eq!(organisation_of(&closed, Some("k")), Ok(Some("o".to_owned())));
+    assert_eq!(organisation_of(&closed, Some("x")), Err(RouteError::UnknownKey));
+    assert_eq!(organisation_of(&closed, None), Err(RouteError::UnknownKey));
+    assert_eq!(organisation_of(&open, None), Ok(None));
 }
 
 #[test]
-fn test_split_follows_the_weights() {
+fn test_targets_are_picked_by_weight() {
     let mut split = route("split", "h", "/", false);
     split.targets =
         vec![Target { service: "x".into(), weight: 90.0 }, Target { service: "y".into(), weight: 10.0 }];
--- a/lib/tests/test_gateway_watchers.rs
+++ b/lib/tests/test_gateway_watchers.rs
@@ -1,4 +1,4 @@
-//! Which nodes follow the store.
+//! Selection of the nodes that watch the store.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 use leadstage_lib::gateway::watchers::Watchers;
 use leadstage_lib::ids::VmId;
 
-const LATER: Duration = Duration::from_secs(20);
+const NOW: Duration = Duration::from_secs(20);
 
 fn nodes(count: usize) -> Vec<VmId> {
     (0..count).map(|n| VmId::from(format!("10.0.0.{n}:7200"))).collect()
 }
 
-/// Who watches among `nodes` if each has heard these pulses (watcher, whether the store
-/// answers it) just before `LATER`.
+/// The indices of the nodes that watch the store if each node received these pulses (watcher, whether the
+/// store answers it) at `NOW`.
 fn watching(nodes: &[VmId], pulses: &[(usize, bool)]) -> Vec<usize> {
     let mut watching = Vec::new();
     for (at, own) in nodes.iter().enumerate() {
         let mut view = Watchers::new(own.clone());
         for (watcher, answers) in pulses {
             let state = if *answers { StoreState::Answers } else { StoreState::Away };
-            view.on_pulse(&nodes[*watcher], 1, state, LATER);
+            view.on_pulse(&nodes[*watcher], 1, state, NOW);
         }
-        if view.role(nodes.iter().filter(|node| *node != own), |_| true, LATER).is_some() {
+        if view.role(nodes.iter().filter(|node| *node != own), |_| true, NOW).is_some() {
             watching.push(at);
         }
     }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn test_a_few_watch_whatever_the_size() {
+fn test_number_of_watchers_is_independent_of_fleet_size() {
     for count in [9, 85, 410] {
         let nodes = nodes(count);
         let first = watching(&nodes, &[(0, true), (1, true), (2, true)]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn test_when_the_store_answers_no_watcher_only_the_next_few_try() {
+fn test_only_the_next_group_tries_if_the_store_answers_no_watcher() {
     let nodes = nodes(85);
     let others = [(0, true), (1, true), (2, true)];
     let first: Vec<usize> = {
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn test_a_node_that_hears_nothing_is_on_its_own() {
+fn test_all_nodes_watch_in_turn_without_pulses() {
     let nodes = nodes(40);
-    let alone = |now| {
+    let watching_at = |now| {
         let views = nodes.iter().map(|own| Watchers::new(own.clone()));
         let mut views: Vec<Watchers> = views.collect();
         views
@@ -71,16 +71,17 @@
             .filter_map(|(view, own)| view.role(nodes.iter().filter(|node| *node != own), |_| true, now))
             .count()
     };
-    assert_eq!(alone(Duration::from_millis(100)), 0, "it listens first");
-    assert!(alone(Duration::from_secs(2)) <= 2 * WATCHERS);
-    let (some, all) = (alone(Duration::from_millis(3_500)), alone(Duration::from_secs(5)));
+    assert_eq!(watching_at(Duration::from_millis(100)), 0, "nodes listen first");
+    assert!(watching_at(Duration::from_secs(2)) <= 2 * WATCHERS);
+    let (some, all) = (watching_at(Duration::from_millis(3_500)), watching_at(Duration::from_secs(5)));
     assert!(some > 2 * WATCHERS && some < 40, "spread over a second: {some}");
     assert_eq!(all, 40);
 }
 
-/// Whoever knows of nobody else has no turn to wait for: it follows the store as soon as it has listened.
+/// A node that knows no other node does not wait for a turn: it watches the store once its listening time is
+/// over.
 #[test]
-fn test_a_node_that_knows_of_nobody_does_not_wait() {
+fn test_isolated_node_does_not_wait_for_a_turn() {
     for own in nodes(40) {
         let mut view = Watchers::new(own);
         assert_eq!(view.role(std::iter::empty(), |_| true, Duration::from_millis(500)), None);
@@ -90,53 +91,53 @@
 }
 
 #[test]
-fn test_pulses_are_news_once_and_age() {
+fn test_pulses_are_new_once_and_expire() {
     let nodes = nodes(2);
     let mut view = Watchers::new(nodes[0].clone());
-    assert!(view.on_pulse(&nodes[1], 5, StoreState::Answers, LATER));
-    assert!(!view.on_pulse(&nodes[1], 5, StoreState::Answers, LATER));
-    assert!(!view.on_pulse(&nodes[1], 4, StoreState::Away, LATER));
-    assert!(!view.on_pulse(&nodes[0], 9, StoreState::Answers, LATER), "its own, come back");
-    assert!(view.store_answers(LATER + Duration::from_secs(1)));
-    assert!(!view.store_answers(LATER + Duration::from_secs(2)));
+    assert!(view.on_pulse(&nodes[1], 5, StoreState::Answers, NOW));
+    assert!(!view.on_pulse(&nodes[1], 5, StoreState::Answers, NOW));
+    assert!(!view.on_pulse(&nodes[1], 4, StoreState::Away, NOW));
+    assert!(!view.on_pulse(&nodes[0], 9, StoreState::Answers, NOW), "its own pulse, forwarded back");
+    assert!(view.store_answers(NOW + Duration::from_secs(1)));
+    assert!(!view.store_answers(NOW + Duration::from_secs(2)));
 }
 
-/// One missed answer is enough to look out for leaving engines, long before the store is
-/// taken to be away; the next answer to anyone ends it.
+/// A single missed answer puts the store in doubt, so that engines are polled for their health long before
+/// the store is considered away; the next answer to any node ends the doubt.
 #[test]
-fn test_a_late_answer_is_doubted_at_once_and_until_the_next_one() {
+fn test_late_answer_puts_the_store_in_doubt_until_the_next_one() {
     let nodes = nodes(3);
-    let ms = |ms| LATER + Duration::from_millis(ms);
+    let ms = |ms| NOW + Duration::from_millis(ms);
     let mut view = Watchers::new(nodes[0].clone());
     view.on_pulse(&nodes[1], 1, StoreState::Answers, ms(0));
-    assert!(!view.doubts_store(ms(50)));
+    assert!(!view.store_may_be_down(ms(50)));
     view.on_pulse(&nodes[2], 1, StoreState::Late, ms(100));
-    assert!(view.doubts_store(ms(100)) && view.store_answers(ms(100)));
+    assert!(view.store_may_be_down(ms(100)) && view.store_answers(ms(100)));
     view.on_own_pulse(StoreState::Answers, ms(200));
-    assert!(!view.doubts_store(ms(200)));
+    assert!(!view.store_may_be_down(ms(200)));
     view.on_pulse(&nodes[1], 2, StoreState::Away, ms(300));
-    assert!(view.doubts_store(ms(1_500)), "nobody had an answer since");
-    assert!(!view.doubts_store(ms(1_700)), "a doubt that nobody renews ends");
+    assert!(view.store_may_be_down(ms(1_500)), "no node had an answer since");
+    assert!(!view.store_may_be_down(ms(1_700)), "doubt expires");
 }
 
-/// A watcher that finds the store late still follows it: nobody takes over.
+/// A watcher that reports the store late continues to watch it, and no other node takes over.
 #[test]
-fn test_a_late_store_is_followed_by_the_same_nodes() {
+fn test_late_store_keeps_its_watchers() {
     let nodes = nodes(9);
     let first = watching(&nodes, &[(0, true), (1, true), (2, true)]);
     for own in nodes.iter().enumerate().filter(|(at, _)| !first.contains(at)).map(|(_, own)| own) {
         let mut view = Watchers::new(own.clone());
         for watcher in &first {
-            view.on_pulse(&nodes[*watcher], 1, StoreState::Late, LATER);
+            view.on_pulse(&nodes[*watcher], 1, StoreState::Late, NOW);
         }
-        assert_eq!(view.role(nodes.iter().filter(|node| *node != own), |_| true, LATER), None);
+        assert_eq!(view.role(nodes.iter().filter(|node| *node != own), |_| true, NOW), None);
     }
 }
 
-/// One watcher learns of each change at once, the others gather; if the store fails it or it
-/// falls silent, the next one takes its place.
+/// One watcher receives each change at once, the others are standbys. If the store does not answer it or it
+/// falls silent, the next watcher takes its place.
 #[test]
-fn test_the_first_watcher_that_works_is_first() {
+fn test_first_working_watcher_is_first() {
     let nodes = nodes(9);
     let firsts = |pulses: &[(usize, bool)]| {
         let mut firsts = Vec::new();
@@ -144,9 +145,9 @@
             let mut view = Watchers::new(own.clone());
             for (watcher, answers) in pulses {
                 let state = if *answers { StoreState::Answers } else { StoreState::Away };
-                view.on_pulse(&nodes[*watcher], 1, state, LATER);
+                view.on_pulse(&nodes[*watcher], 1, state, NOW);
             }
-            if view.role(nodes.iter().filter(|node| *node != own), |_| true, LATER) == Some(WatchRole::First)
+            if view.role(nodes.iter().filter(|node| *node != own), |_| true, NOW) == Some(WatchRole::First)
             {
                 firsts.push(at);
             }
@@ -154,14 +155,14 @@
         firsts
     };
     let all: Vec<(usize, bool)> = (0..nodes.len()).map(|at| (at, true)).collect();
-    let [first] = firsts(&all)[..] else { panic!("one first") };
-    let turned_away: Vec<(usize, bool)> = all.iter().map(|(at, _)| (*at, *at != first)).collect();
-    let [_, second] = firsts(&turned_away)[..] else { panic!("it tries on, and the next is first") };
+    let [first] = firsts(&all)[..] else { panic!("expected one first watcher") };
+    let refused: Vec<(usize, bool)> = all.iter().map(|(at, _)| (*at, *at != first)).collect();
+    let [_, second] = firsts(&refused)[..] else { panic!("expected the failing first watcher and its successor") };
     let silent: Vec<(usize, bool)> = all.iter().copied().filter(|(at, _)| *at != first).collect();
     assert!(firsts(&silent).contains(&second));
 }
 
-/// What the store has changed goes from the watchers to all others: their links should be large.
+/// Changes go from the watchers to all other nodes, so watchers should have wide links.
 #[test]
 fn test_nodes_with_wide_links_watch_first() {
     for (count, wide) in [(85, 8), (410, 2)] {
@@ -171,9 +172,9 @@
             let views = nodes.iter().enumerate().filter(|(_, own)| {
                 let mut view = Watchers::new((*own).clone());
                 for (watcher, _) in pulses {
-                    view.on_pulse(&nodes[*watcher], 1, StoreState::Answers, LATER);
+                    view.on_pulse(&nodes[*watcher], 1, StoreState::Answers, NOW);
                 }
-                view.role(nodes.iter().filter(|node| node != own), has_wide_link, LATER).is_some()
+                view.role(nodes.iter().filter(|node| node != own), has_wide_link, NOW).is_some()
             });
             views.map(|(at, _)| at).collect()
         };
@@ -187,18 +188,18 @@
     }
 }
 
-/// The nodes with wide links may stand together behind one cut: whoever still reaches the store must
-/// come to follow it.
+/// Guards against an unwatched store when all nodes with wide links are cut off from it together: other nodes
+/// that can still reach it must start to watch it.
 #[test]
-fn test_others_follow_when_the_store_answers_no_node_with_a_wide_link() {
+fn test_others_watch_if_the_store_answers_no_node_with_a_wide_link() {
     let (nodes, wide) = (nodes(62), 8);
     let has_wide_link = |node: &VmId| nodes[..wide].contains(node);
     let others = nodes[wide..].iter().filter(|own| {
         let mut view = Watchers::new((*own).clone());
         for node in &nodes[..wide] {
-            view.on_pulse(node, 1, StoreState::Away, LATER);
+            view.on_pulse(node, 1, StoreState::Away, NOW);
         }
-        view.role(nodes.iter().filter(|node| node != own), has_wide_link, LATER).is_some()
+        view.role(nodes.iter().filter(|node| node != own), has_wide_link, NOW).is_some()
     });
-    assert!(others.count() > 0, "nobody who may reach the store follows it");
+    assert!(others.count() > 0, "no node that may reach the store watches it");
 }
