--- a/lib/src/gateway/fleet_size.rs
+++ b/lib/src/gateway/fleet_size.rs
@@ -21,7 +21,7 @@
 
 impl FleetSize {
     /// Records the number of nodes that some node, possibly this one, considers alive, itself included.
-    pub fn record(&mut self, nodes: usize, now: Timestamp) {
+    pub fn observe(&mut self, nodes: usize, now: Timestamp) {
         let age = now.saturating_sub(self.window_start);
         if age >= WINDOW {
             let previous_max = if age < 2 * WINDOW { self.max } else { 0 };
@@ -30,8 +30,8 @@
         self.max = self.max.max(nodes);
     }
 
-    /// The estimated number of nodes.
-    pub fn estimate(&self) -> usize {
+    /// The largest number of nodes recorded in this window and the previous one.
+    pub fn recent_max(&self) -> usize {
         self.max.max(self.previous_max)
     }
 }
--- a/lib/src/gateway/peers_by_hall.rs
+++ b/lib/src/gateway/peers_by_hall.rs
@@ -24,7 +24,7 @@
     own: HallId,
     halls: HashMap<VmId, HallId>,
     up: SampleSet<VmId>,
-    /// Nodes that are known to be in this node's hall.
+    /// Nodes that are known to be in this node's hall; all others are in other or unknown halls.
     near: SampleSet<VmId>,
     /// The halls' names, interned.
     hall_names: HashSet<HallId>,
@@ -90,7 +90,7 @@
     }
 
     /// Whether enough nodes of this one's hall are known to do without nodes of other halls as sources.
-    pub fn has_enough_near(&self) -> bool {
+    pub fn has_enough_in_hall(&self) -> bool {
         self.near.len() >= MIN_NEAR
     }
 
@@ -111,7 +111,7 @@
 
     /// Picks up to `count` random nodes to send gossip to, most of them in this node's hall.
     pub fn gossip_targets<R: Rng>(&self, count: usize, rng: &mut R) -> Vec<&VmId> {
-        if !self.has_enough_near() {
+        if !self.has_enough_in_hall() {
             return self.sample(count, rng);
         }
         let anywhere = count.div_ceil(ANY_HALL_RATIO);
--- a/lib/src/gateway/routing.rs
+++ b/lib/src/gateway/routing.rs
@@ -70,12 +70,12 @@
     pub regions: AllowedRegions,
 }
 
-/// Lower bound of a caller's timeout for the next event of a stream.
-const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A caller's event timeout as a multiple of the objective for the first event.
-const EVENT_TIMEOUT_OBJECTIVES: u32 = 4;
-/// A caller's event timeout as a multiple of the objective for gaps between events.
-const EVENT_TIMEOUT_GAPS: u32 = 8;
+/// Lower bound of a caller's patience, its timeout for the next event of a stream.
+const MIN_PATIENCE: Duration = Duration::from_secs(2);
+/// A caller's patience as a multiple of the objective for the first event.
+const PATIENCE_OBJECTIVES: u32 = 4;
+/// A caller's patience as a multiple of the objective for gaps between events.
+const PATIENCE_GAPS: u32 = 8;
 
 impl Route {
     /// Whether a request may run more than once.
@@ -85,10 +85,10 @@
 
     /// How long a caller waits for the next event of a stream before it disconnects, as defined by the
     /// platform's protocol.
-    pub fn caller_event_timeout(&self) -> Duration {
-        let by_objective = self.objective * EVENT_TIMEOUT_OBJECTIVES;
-        let by_gap = self.gap_objective * EVENT_TIMEOUT_GAPS;
-        MIN_EVENT_TIMEOUT.max(by_objective).max(by_gap)
+    pub fn caller_patience(&self) -> Duration {
+        let by_objective = self.objective * PATIENCE_OBJECTIVES;
+        let by_gap = self.gap_objective * PATIENCE_GAPS;
+        MIN_PATIENCE.max(by_objective).max(by_gap)
     }
 
     /// Picks a random target by weight; `None` if the route has no targets.
