--- a/lib/tests/test_gateway_fleet_spread.rs
+++ b/lib/tests/test_gateway_fleet_spread.rs
@@ -1,5 +1,6 @@
-//! News of the replicas in whole fleets: a model of nodes in five halls, their links and shares of a core, lost messages, and
-//! nodes that fetch what they miss. Driven by the code that decides whom to tell, what to pass on and when to fetch.
+//! Spread of replica updates through whole fleets: simulates nodes in five halls, their links and shares of a
+//! core, lost messages, and nodes that fetch updates they missed. The code under test selects the gossip
+//! targets, the updates to forward and the time to fetch.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,21 +24,24 @@
 use rand::rngs::SmallRng;
 
 const HALLS: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Links in 10^6 bits a second and shares of a core, as on the sheet of the largest deployment.
+/// Link rates in Mbit/s and shares of a core, as in the specification of the largest deployment.
 const KINDS: [(f64, f64); 4] = [(20.0, 0.12), (20.0, 0.25), (200.0, 0.5), (1_000.0, 1.0)];
-/// One way between halls, and time on a whole core for one message.
-const WAY: Duration = Duration::from_micros(500);
-const HANDLING: Duration = Duration::from_micros(60);
-/// Bytes around a message: its headers and what each message of a node says.
-const AROUND: usize = 90;
-/// Whom the first one tells, and each that passes news on.
+/// One-way latency between halls.
+const LATENCY: Duration = Duration::from_micros(500);
+/// Time to handle one message on a whole core.
+const HANDLING_TIME: Duration = Duration::from_micros(60);
+/// Overhead of a message: its headers and the fields that each message of a node carries.
+const MESSAGE_OVERHEAD: usize = 90;
+/// Gossip targets of the first node.
 const FIRST_FAN_OUT: usize = 8;
+/// Gossip targets of each node that forwards an update.
 const FAN_OUT: usize = 4;
-/// Other messages that a node gets in a second, most of them from its hall: each says up to where its sender knows.
-const OTHERS_PER_SECOND: f64 = 15.0;
-const KNOWN: u64 = 100;
-const NEWS_AT: u64 = 101;
-const LASTS: Duration = Duration::from_secs(4);
+/// Other messages that a node receives per second, most of them from its own hall; each carries the revision
+/// that its sender knows.
+const OTHER_MESSAGES_PER_SECOND: f64 = 15.0;
+const KNOWN_REVISION: u64 = 100;
+const UPDATE_REVISION: u64 = 101;
+const TIME_LIMIT: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
@@ -49,7 +53,7 @@
 
 enum Event {
     Message(usize, PackedNews),
-    /// Some other message comes to a node.
+    /// Another message arrives at a node.
     Other(usize),
     Ask {
         node: usize,
@@ -71,15 +75,15 @@
     link_free: Duration,
     core_free: Duration,
     received: usize,
-    from_far: usize,
-    knows_at: Option<Duration>,
+    from_other_halls: usize,
+    updated_at: Option<Duration>,
 }
 
-struct Play {
+struct Simulation {
     case: Case,
     rng: SmallRng,
     nodes: Vec<Node>,
-    /// What each node of a hall knows of the others: the same, with itself among them.
+    /// The peers known to the nodes of each hall; nodes of a hall share one set, which includes themselves.
     peers: Vec<PeersByHall>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: std::collections::HashMap<u64, Event>,
@@ -91,14 +95,14 @@
     HALLS[node % HALLS.len()]
 }
 
-impl Play {
-    fn new(case: Case, seed: u64) -> Play {
+impl Simulation {
+    fn new(case: Case, seed: u64) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
         let ids: Vec<VmId> = (0..case.nodes).map(|n| format!("{n}").into()).collect();
         let nodes = (0..case.nodes).map(|n| {
             let (link, share) = KINDS[(n / HALLS.len()) % KINDS.len()];
             let mut progress = NewsProgress::default();
-            progress.on_known(KNOWN);
+            progress.on_known(KNOWN_REVISION);
             Node {
                 link: link * 1e6,
                 share,
@@ -109,8 +113,8 @@
                 link_free: Duration::ZERO,
                 core_free: Duration::ZERO,
                 received: 0,
-                from_far: 0,
-                knows_at: None,
+                from_other_halls: 0,
+                updated_at: None,
             }
         });
         let nodes = nodes.collect();
@@ -122,7 +126,7 @@
             }
             peers
         });
-        Play {
+        Simulation {
             case,
             rng,
             nodes,
@@ -134,90 +138,90 @@
         }
     }
 
-    fn put(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.next += 1;
         self.queue.push(Reverse((at, self.next)));
         self.events.insert(self.next, event);
     }
 
-    /// Bytes leave over a node's link one after the other; returns when they are there.
+    /// Sends bytes over a node's link in sequence; returns when they arrive.
     fn send(&mut self, from: usize, bytes: usize, now: Duration) -> Duration {
         let node = &mut self.nodes[from];
-        let takes = Duration::from_secs_f64(bytes as f64 * 8.0 / node.link);
-        node.link_free = node.link_free.max(now) + takes;
-        node.link_free + WAY
+        let transfer_time = Duration::from_secs_f64(bytes as f64 * 8.0 / node.link);
+        node.link_free = node.link_free.max(now) + transfer_time;
+        node.link_free + LATENCY
     }
 
-    /// A node handles something on its share of a core; returns when that is done.
+    /// Handles one message on a node's share of a core; returns when that is done.
     fn handle(&mut self, node: usize, now: Duration) -> Duration {
         let node = &mut self.nodes[node];
-        node.core_free = node.core_free.max(now) + HANDLING.div_f64(node.share);
+        node.core_free = node.core_free.max(now) + HANDLING_TIME.div_f64(node.share);
         node.core_free
     }
 
-    fn tell(&mut self, from: usize, count: usize, packed: &PackedNews, now: Duration) {
-        let bytes = postcard::to_stdvec(packed).expect("it is encoded").len() + AROUND;
-        let told = self.peers[from % HALLS.len()].to_tell(count, &mut self.rng);
-        let told: Vec<usize> = told.into_iter().map(|id| id.parse().expect("a number")).collect();
-        for to in told {
+    fn send_update(&mut self, from: usize, count: usize, packed: &PackedNews, now: Duration) {
+        let bytes = postcard::to_stdvec(packed).expect("update can be encoded").len() + MESSAGE_OVERHEAD;
+        let targets = self.peers[from % HALLS.len()].gossip_targets(count, &mut self.rng);
+        let targets: Vec<usize> = targets.into_iter().map(|id| id.parse().expect("a number")).collect();
+        for to in targets {
             let at = self.send(from, bytes, now);
             if self.rng.random_bool(self.case.lost) {
                 continue;
             }
-            self.note_received(to, from, bytes);
-            self.put(at, Event::Message(to, packed.clone()));
+            self.count_received(to, from, bytes);
+            self.schedule(at, Event::Message(to, packed.clone()));
         }
     }
 
-    fn note_received(&mut self, to: usize, from: usize, bytes: usize) {
+    fn count_received(&mut self, to: usize, from: usize, bytes: usize) {
         self.nodes[to].received += bytes;
         if hall(to) != hall(from) {
-            self.nodes[to].from_far += bytes;
+            self.nodes[to].from_other_halls += bytes;
         }
     }
 
     fn run(&mut self) {
         let of = |n: usize| Incarnation { id: format!("i-{:010x}", n as u64 * 0x9e37_79b9).into(), born: 0 };
-        let news = ReplicaNews {
-            before: KNOWN,
-            at: NEWS_AT,
+        let update = ReplicaNews {
+            before: KNOWN_REVISION,
+            at: UPDATE_REVISION,
             added: Vec::new(),
             leaving: (0..self.case.leaving).map(of).collect(),
             part: Part::default(),
         };
         let first = self.case.nodes / 2;
-        self.nodes[first].progress.on_known(NEWS_AT);
-        self.nodes[first].knows_at = Some(Duration::ZERO);
-        for part in news.into_parts(self.case.replicas).expect("it is told") {
-            let packed = part.pack().expect("it is packed");
-            self.tell(first, FIRST_FAN_OUT, &packed, Duration::ZERO);
+        self.nodes[first].progress.on_known(UPDATE_REVISION);
+        self.nodes[first].updated_at = Some(Duration::ZERO);
+        for part in update.into_parts(self.case.replicas).expect("update can be split") {
+            let packed = part.pack().expect("update can be packed");
+            self.send_update(first, FIRST_FAN_OUT, &packed, Duration::ZERO);
         }
         for node in 0..self.case.nodes {
-            let at = self.rng.random_range(0.0..1.0 / OTHERS_PER_SECOND);
-            self.put(Duration::from_secs_f64(at), Event::Other(node));
+            let at = self.rng.random_range(0.0..1.0 / OTHER_MESSAGES_PER_SECOND);
+            self.schedule(Duration::from_secs_f64(at), Event::Other(node));
         }
         while let Some(Reverse((now, event))) = self.queue.pop()
-            && now < LASTS
+            && now < TIME_LIMIT
         {
-            match self.events.remove(&event).expect("it is there") {
+            match self.events.remove(&event).expect("event is queued") {
                 Event::Message(node, packed) => self.on_message(node, &packed, now),
                 Event::Other(node) => self.on_other(node, now),
                 Event::Ask { node, from } => self.on_ask(node, from, now),
                 Event::Answer { node, from } => {
-                    let took = WAY;
-                    self.nodes[from].handouts.end(took);
+                    let slot_time = LATENCY;
+                    self.nodes[from].handouts.end(slot_time);
                     self.nodes[node].lack.on_answer();
-                    self.nodes[node].progress.on_known(NEWS_AT);
-                    self.note_known(node, now);
+                    self.nodes[node].progress.on_known(UPDATE_REVISION);
+                    self.check_updated(node, now);
                 }
             }
         }
     }
 
-    fn note_known(&mut self, node: usize, now: Duration) {
+    fn check_updated(&mut self, node: usize, now: Duration) {
         let node = &mut self.nodes[node];
-        if node.progress.at() >= NEWS_AT {
-            node.knows_at.get_or_insert(now);
+        if node.progress.at() >= UPDATE_REVISION {
+            node.updated_at.get_or_insert(now);
             node.lack.on_news();
         }
     }
@@ -228,27 +232,27 @@
         if node.progress.has(packed) {
             return;
         }
-        let news = packed.unpack().expect("it is unpacked");
-        node.progress.on_part(&news);
-        let passes_on = node.relay.passes_on(&news, true);
-        self.note_known(to, now);
-        if passes_on {
-            self.tell(to, FAN_OUT, packed, now);
+        let update = packed.unpack().expect("update can be unpacked");
+        node.progress.on_part(&update);
+        let is_forwarded = node.relay.passes_on(&update, true);
+        self.check_updated(to, now);
+        if is_forwarded {
+            self.send_update(to, FAN_OUT, packed, now);
         }
     }
 
     fn on_other(&mut self, to: usize, now: Duration) {
-        let pause = self.rng.random_range(0.5..1.5) / OTHERS_PER_SECOND;
-        self.put(now + Duration::from_secs_f64(pause), Event::Other(to));
-        // Whoever told this one picked it as it picks others to tell.
-        let told = self.peers[to % HALLS.len()].to_tell(FAN_OUT, &mut self.rng);
-        let told: Vec<usize> = told.into_iter().map(|id| id.parse().expect("a number")).collect();
-        let from = told[self.rng.random_range(0..told.len())];
+        let pause = self.rng.random_range(0.5..1.5) / OTHER_MESSAGES_PER_SECOND;
+        self.schedule(now + Duration::from_secs_f64(pause), Event::Other(to));
+        // The sender is picked by the same selection as gossip targets.
+        let targets = self.peers[to % HALLS.len()].gossip_targets(FAN_OUT, &mut self.rng);
+        let targets: Vec<usize> = targets.into_iter().map(|id| id.parse().expect("a number")).collect();
+        let from = targets[self.rng.random_range(0..targets.len())];
         if self.rng.random_bool(self.case.lost) {
             return;
         }
         let theirs = self.nodes[from].progress.at();
-        let source = match (self.peers[to % HALLS.len()].knows_hall(), hall(from) == hall(to)) {
+        let source = match (self.peers[to % HALLS.len()].has_enough_in_hall(), hall(from) == hall(to)) {
             (true, true) => Source::Near,
             (true, false) => Source::Far,
             (false, _) => Source::Any,
@@ -256,22 +260,22 @@
         let node = &mut self.nodes[to];
         let own = node.progress.at();
         if let Some(pause) = node.lack.on_theirs(theirs, own, source, self.case.replicas, now) {
-            self.put(now + pause, Event::Ask { node: to, from });
+            self.schedule(now + pause, Event::Ask { node: to, from });
         }
     }
 
     fn on_ask(&mut self, node: usize, from: usize, now: Duration) {
-        if self.nodes[node].progress.at() >= NEWS_AT {
+        if self.nodes[node].progress.at() >= UPDATE_REVISION {
             return self.nodes[node].lack.on_answer();
         }
-        let now = self.handle(from, now + 2 * WAY);
+        let now = self.handle(from, now + 2 * LATENCY);
         match self.nodes[from].handouts.ask() {
             Ok(()) => {
                 self.fetched += 1;
                 let bytes = self.case.leaving * 14 + 600;
                 let at = self.send(from, bytes, now);
-                self.note_received(node, from, bytes);
-                self.put(at, Event::Answer { node, from });
+                self.count_received(node, from, bytes);
+                self.schedule(at, Event::Answer { node, from });
             }
             Err(after) => {
                 let own = self.nodes[node].progress.at();
@@ -290,23 +294,23 @@
     fetched: usize,
 }
 
-fn play(case: Case, seed: u64) -> Summary {
-    let mut play = Play::new(case, seed);
-    play.run();
+fn simulate(case: Case, seed: u64) -> Summary {
+    let mut simulation = Simulation::new(case, seed);
+    simulation.run();
     let mut times: Vec<f64> =
-        play.nodes.iter().map(|node| node.knows_at.map_or(f64::INFINITY, |at| at.as_secs_f64())).collect();
+        simulation.nodes.iter().map(|node| node.updated_at.map_or(f64::INFINITY, |at| at.as_secs_f64())).collect();
     times.sort_by(f64::total_cmp);
     let part = |hundredths: usize| times[(times.len() * hundredths).div_ceil(100) - 1];
     let nodes = case.nodes as f64;
-    let received: usize = play.nodes.iter().map(|node| node.received).sum();
-    let far: usize = play.nodes.iter().map(|node| node.from_far).sum();
+    let received: usize = simulation.nodes.iter().map(|node| node.received).sum();
+    let far: usize = simulation.nodes.iter().map(|node| node.from_other_halls).sum();
     Summary {
         half: part(50),
         nearly_all: part(99),
         all: part(100),
         bytes: received as f64 / nodes,
         far: far as f64 / received as f64,
-        fetched: play.fetched,
+        fetched: simulation.fetched,
     }
 }
 
@@ -315,12 +319,13 @@
     values[values.len() / 2]
 }
 
-/// Bytes that the news take in one piece, as the first one tells it.
-fn news_bytes(case: Case) -> f64 {
-    case.leaving as f64 * 7.0 + AROUND as f64
+/// Size of the update in one piece, as sent by the first node.
+fn update_bytes(case: Case) -> f64 {
+    case.leaving as f64 * 7.0 + MESSAGE_OVERHEAD as f64
 }
 
-/// Plays of each row, and the rows: few in CI; by hand `LEADSTAGE_SPREAD_SEEDS=200` plays all.
+/// Simulations per row, and the rows: few in CI; `LEADSTAGE_SPREAD_SEEDS=200` runs all rows with 200 seeds
+/// each.
 fn rows() -> (u64, Vec<Case>) {
     let seeds = std::env::var("LEADSTAGE_SPREAD_SEEDS").ok();
     let seeds: Option<u64> = seeds.map(|text| text.parse().expect("LEADSTAGE_SPREAD_SEEDS is a number"));
@@ -340,29 +345,29 @@
 }
 
 #[test]
-fn test_news_of_hundreds_of_changes_reach_all_nodes_at_each_size() {
+fn test_replica_updates_reach_all_nodes_at_each_size() {
     let mut table = String::from(
         "nodes replicas changes lost: half, 99 in 100, all (middle; most) s; bytes a node, of the news, from other halls; fetches\n",
     );
     let (seeds, cases) = rows();
     for case in cases {
         let Case { nodes, replicas, leaving, lost } = case;
-        let plays: Vec<Summary> = (0..seeds).map(|seed| play(case, seed)).collect();
-        let middle = |of: fn(&Summary) -> f64| median(plays.iter().map(of).collect());
-        let most = plays.iter().map(|play| play.all).fold(0.0, f64::max);
-        let fetched = median(plays.iter().map(|play| play.fetched as f64).collect());
+        let runs: Vec<Summary> = (0..seeds).map(|seed| simulate(case, seed)).collect();
+        let middle = |of: fn(&Summary) -> f64| median(runs.iter().map(of).collect());
+        let most = runs.iter().map(|run| run.all).fold(0.0, f64::max);
+        let fetched = median(runs.iter().map(|run| run.fetched as f64).collect());
         writeln!(
             table,
             "{nodes:5} {replicas:8} {leaving:7} {lost:4}: {:.2} {:.2} {:.2}; {most:.2}; {:6.0} {:5.1} {:.2}; {fetched}",
-            middle(|play| play.half),
-            middle(|play| play.nearly_all),
-            middle(|play| play.all),
-            middle(|play| play.bytes),
-            middle(|play| play.bytes) / news_bytes(case),
-            middle(|play| play.far),
+            middle(|run| run.half),
+            middle(|run| run.nearly_all),
+            middle(|run| run.all),
+            middle(|run| run.bytes),
+            middle(|run| run.bytes) / update_bytes(case),
+            middle(|run| run.far),
         )
-        .expect("it is text");
-        let (all, far) = (middle(|play| play.all), middle(|play| play.far));
+        .expect("String accepts all writes");
+        let (all, far) = (middle(|run| run.all), middle(|run| run.far));
         assert!(all <= 1.0 && most <= 2.0, "{case:?}: {all:.2} s, {most:.2} s at the most\n{table}");
         assert!(nodes < 100 || far < 0.5, "{case:?}: {far:.2} of the bytes come from other halls");
     }
