--- a/lib/tests/test_gateway_start.rs
+++ b/lib/tests/test_gateway_watchers_model.rs
@@ -1,5 +1,5 @@
-//! Who follows the store while hundreds of nodes start at once, are cut off or turned away, on a
-//! modelled network; and how many calls to the store that takes.
+//! Selection of watchers while hundreds of nodes start together, are cut off or are refused by the store:
+//! simulates the network and counts the calls to the store.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -23,41 +23,41 @@
 type Node = usize;
 type Time = Duration;
 
-/// Nodes start within this.
-const STARTS_WITHIN: Duration = Duration::from_millis(300);
+/// Time within which all nodes start.
+const START_SPREAD: Duration = Duration::from_millis(300);
 const TICK: Duration = Duration::from_millis(100);
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// A node takes this long to answer or to pass something on, and the way takes some.
-const WAYS: std::ops::Range<u64> = 2..30;
-/// Part of the datagrams that are lost.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Range of delays in ms from one node to the next: handling time and network latency.
+const DELAYS_MS: std::ops::Range<u64> = 2..30;
+/// Fraction of datagrams that are lost.
 const LOSS: f64 = 0.01;
-/// What others have comes this long after a node heard of it.
-const FETCH: Duration = Duration::from_millis(150);
+/// Time to fetch the store's contents from another node.
+const FETCH_TIME: Duration = Duration::from_millis(150);
 const SEEDS: usize = 3;
 const KNOWN_PER_MESSAGE: usize = 8;
 const FIRST_FAN_OUT: usize = 8;
 const FAN_OUT: usize = 4;
-/// A node that was not heard from for this long, though it was probed, is taken to be dead.
-const DEAD_AFTER: Duration = Duration::from_secs(4);
-/// One node in so many has a wide link.
-const WIDE_EVERY: usize = 20;
+/// Time without a message from a probed node after which it is considered dead.
+const DEAD_TIMEOUT: Duration = Duration::from_secs(4);
+/// One node in this many has a wide link.
+const NODES_PER_WIDE_LINK: usize = 20;
 
-/// What is wrong, and when.
+/// The faults of a scenario and their times.
 #[derive(Clone, Debug, Default)]
-struct Trouble {
-    /// So many nodes are cut off from the others and from the store between these times.
+struct Scenario {
+    /// This many nodes are cut off from the others and from the store between these times.
     cut: Option<(usize, Time, Time)>,
-    /// So many, from the other end, are turned away by the store.
-    turned_away: Option<(usize, Time, Time)>,
-    /// The store answers nobody.
+    /// This many nodes, counted from the last one, are refused by the store between these times.
+    refused: Option<(usize, Time, Time)>,
+    /// The store answers no node between these times.
     away: Option<(Time, Time)>,
-    /// All lose their power, and start again a second later.
+    /// All nodes lose power at this time and start again a second later.
     power: Option<Time>,
     /// The seeds never start.
     no_seeds: bool,
 }
 
-impl Trouble {
+impl Scenario {
     fn cuts(&self, node: Node, now: Time) -> bool {
         self.cut.is_some_and(|(count, from, to)| node < count && (from..to).contains(&now))
     }
@@ -68,10 +68,10 @@
 
     /// Whether the store answers a node.
     fn answers(&self, nodes: usize, node: Node, now: Time) -> bool {
-        let turned =
+        let refuses =
             |(count, from, to): (usize, Time, Time)| node + count >= nodes && (from..to).contains(&now);
         let is_away = self.away.is_some_and(|(from, to)| (from..to).contains(&now));
-        !is_away && !self.cuts(node, now) && !self.turned_away.is_some_and(turned)
+        !is_away && !self.cuts(node, now) && !self.refused.is_some_and(refuses)
     }
 }
 
@@ -100,27 +100,27 @@
     known: BTreeMap<Node, Time>,
     met: bool,
     asked_again: bool,
-    greeted: usize,
+    seed_contacts: usize,
     last_probe: Time,
-    /// Whether it has what the store holds, and since when.
+    /// When the node received the store's contents, measured from its start.
     has: Option<Time>,
     role: Option<WatchRole>,
-    /// Raised whenever it begins to follow anew.
+    /// Incremented whenever the node becomes a watcher.
     term: u32,
 }
 
-/// What is counted.
+/// Statistics of a simulation.
 #[derive(Debug, Default)]
 struct Counts {
     calls: BTreeMap<&'static str, usize>,
-    begun: usize,
-    most_watching: usize,
-    longest_unfollowed: Duration,
-    unfollowed_since: Option<Time>,
+    became_watcher: usize,
+    max_watching: usize,
+    longest_unwatched: Duration,
+    unwatched_since: Option<Time>,
 }
 
 struct Model {
-    trouble: Trouble,
+    scenario: Scenario,
     ids: Vec<VmId>,
     wide: BTreeSet<VmId>,
     states: Vec<State>,
@@ -135,7 +135,7 @@
 }
 
 impl Model {
-    fn new(nodes: usize, trouble: Trouble, seed: u64) -> Self {
+    fn new(nodes: usize, scenario: Scenario, seed: u64) -> Self {
         let ids: Vec<VmId> =
             (0..nodes).map(|n| VmId::from(format!("10.{}.0.{}:7200", n % 5 + 1, n + 9))).collect();
         let state = |id: &VmId| State {
@@ -145,16 +145,16 @@
             known: BTreeMap::new(),
             met: false,
             asked_again: false,
-            greeted: 0,
+            seed_contacts: 0,
             last_probe: Time::ZERO,
             has: None,
             role: None,
             term: 0,
         };
         let mut model = Model {
-            trouble,
+            scenario,
             states: ids.iter().map(state).collect(),
-            wide: ids.iter().skip(4).step_by(WIDE_EVERY).cloned().collect(),
+            wide: ids.iter().skip(4).step_by(NODES_PER_WIDE_LINK).cloned().collect(),
             ids,
             reads: false,
             number: 0,
@@ -170,9 +170,9 @@
     }
 
     fn start_all(&mut self, at: Time) {
-        let first = if self.trouble.no_seeds { SEEDS } else { 0 };
+        let first = if self.scenario.no_seeds { SEEDS } else { 0 };
         for node in first..self.ids.len() {
-            let pause = STARTS_WITHIN.mul_f64(self.rng.random());
+            let pause = START_SPREAD.mul_f64(self.rng.random());
             self.push(at + pause, Event::Start { node });
         }
     }
@@ -193,29 +193,29 @@
         self.now = until;
     }
 
-    /// Notes for how long nobody followed a store that answers somebody.
+    /// Records how long no node that the store answers has watched it.
     fn sample(&mut self) {
         let now = self.now;
         self.push(now + TICK, Event::Sample);
         let nodes = self.ids.len();
         let answered =
-            |node: &Node| self.states[*node].started.is_some() && self.trouble.answers(nodes, *node, now);
+            |node: &Node| self.states[*node].started.is_some() && self.scenario.answers(nodes, *node, now);
         let watching = (0..nodes).filter(|node| self.states[*node].role.is_some());
-        self.counts.most_watching = self.counts.most_watching.max(watching.count());
-        let is_followed = (0..nodes).any(|node| self.states[node].role.is_some() && answered(&node));
-        if is_followed || !(0..nodes).any(|node| answered(&node)) {
-            self.counts.unfollowed_since = None;
+        self.counts.max_watching = self.counts.max_watching.max(watching.count());
+        let is_watched = (0..nodes).any(|node| self.states[node].role.is_some() && answered(&node));
+        if is_watched || !(0..nodes).any(|node| answered(&node)) {
+            self.counts.unwatched_since = None;
             return;
         }
-        let since = *self.counts.unfollowed_since.get_or_insert(now);
-        self.counts.longest_unfollowed = self.counts.longest_unfollowed.max(now - since);
+        let since = *self.counts.unwatched_since.get_or_insert(now);
+        self.counts.longest_unwatched = self.counts.longest_unwatched.max(now - since);
     }
 
-    fn own_time(&self, node: Node) -> Time {
+    fn uptime(&self, node: Node) -> Time {
         self.now - self.states[node].started.unwrap_or(self.now)
     }
 
-    fn lives(&self, node: Node, life: u32) -> bool {
+    fn is_current_life(&self, node: Node, life: u32) -> bool {
         self.states[node].started.is_some() && self.states[node].life == life
     }
 
@@ -223,11 +223,11 @@
         match event {
             Event::Start { node } => self.start(node),
             Event::Sample => self.sample(),
-            Event::Tick { node, life } if self.lives(node, life) => self.tick(node),
+            Event::Tick { node, life } if self.is_current_life(node, life) => self.tick(node),
             Event::Arrives { from, to, has, message } if self.states[to].started.is_some() => {
                 self.on_message(from, to, has, message)
             }
-            Event::Fetched { node, life } if self.lives(node, life) => self.gets(node),
+            Event::Fetched { node, life } if self.is_current_life(node, life) => self.on_store_contents(node),
             Event::Pulse { node, life, term } if self.is_term(node, life, term) => self.pulse(node),
             Event::Watch { node, life, term } if self.is_term(node, life, term) => self.watch(node),
             _ => {}
@@ -235,7 +235,7 @@
     }
 
     fn is_term(&self, node: Node, life: u32, term: u32) -> bool {
-        self.lives(node, life) && self.states[node].role.is_some() && self.states[node].term == term
+        self.is_current_life(node, life) && self.states[node].role.is_some() && self.states[node].term == term
     }
 
     fn start(&mut self, node: Node) {
@@ -250,8 +250,8 @@
         if self.reads {
             self.call(node, "start");
             self.call(node, "start");
-            if self.trouble.answers(self.ids.len(), node, self.now) {
-                self.gets(node);
+            if self.scenario.answers(self.ids.len(), node, self.now) {
+                self.on_store_contents(node);
             }
         }
         self.tick(node);
@@ -261,38 +261,38 @@
         *self.counts.calls.entry(purpose).or_default() += 1;
     }
 
-    fn gets(&mut self, node: Node) {
-        let now = self.own_time(node);
+    fn on_store_contents(&mut self, node: Node) {
+        let now = self.uptime(node);
         self.states[node].has.get_or_insert(now);
     }
 
     fn alive(&self, node: Node) -> Vec<Node> {
         let known = self.states[node].known.iter();
-        known.filter(|(_, heard)| **heard + DEAD_AFTER > self.now).map(|(node, _)| *node).collect()
+        known.filter(|(_, heard)| **heard + DEAD_TIMEOUT > self.now).map(|(node, _)| *node).collect()
     }
 
     fn tick(&mut self, node: Node) {
         let life = self.states[node].life;
         self.push(self.now + TICK, Event::Tick { node, life });
         let alive = self.alive(node);
-        self.greet(node);
-        let due = self.now.saturating_sub(self.states[node].last_probe) >= PROBE_EVERY;
-        // Seeds are tried again for ever.
+        self.contact_seed(node);
+        let due = self.now.saturating_sub(self.states[node].last_probe) >= PROBE_INTERVAL;
+        // Seeds are retried indefinitely.
         let seeds = (0..SEEDS.min(self.ids.len())).filter(|seed| *seed != node && !alive.contains(seed));
         let targets = alive.iter().copied().chain(seeds);
         if let Some(target) = targets.choose(&mut self.rng).filter(|_| due) {
             self.states[node].last_probe = self.now;
             self.probe(node, target);
         }
-        let (own_time, ids, wide) = (self.own_time(node), &self.ids, &self.wide);
+        let (uptime, ids, wide) = (self.uptime(node), &self.ids, &self.wide);
         let is_wide = |id: &VmId| wide.contains(id);
         let state = &mut self.states[node];
-        let role = state.watchers.role(alive.iter().map(|other| &ids[*other]), is_wide, own_time);
-        let begins = role.is_some() && state.role.is_none();
+        let role = state.watchers.role(alive.iter().map(|other| &ids[*other]), is_wide, uptime);
+        let becomes_watcher = role.is_some() && state.role.is_none();
         state.role = role;
-        if begins {
+        if becomes_watcher {
             state.term += 1;
-            self.counts.begun += 1;
+            self.counts.became_watcher += 1;
             let term = self.states[node].term;
             self.push(self.now, Event::Pulse { node, life, term });
             for purpose in ["list", "list"] {
@@ -302,17 +302,17 @@
         }
     }
 
-    fn greet(&mut self, node: Node) {
+    fn contact_seed(&mut self, node: Node) {
         let again_at = Duration::from_millis(400);
-        let own_time = self.own_time(node);
+        let uptime = self.uptime(node);
         let state = &mut self.states[node];
-        let asks_again = state.met && !state.asked_again && own_time >= again_at;
+        let asks_again = state.met && !state.asked_again && uptime >= again_at;
         if state.met && !asks_again {
             return;
         }
         state.asked_again = asks_again;
-        state.greeted += 1;
-        let seed = state.greeted % SEEDS.min(self.ids.len());
+        state.seed_contacts += 1;
+        let seed = state.seed_contacts % SEEDS.min(self.ids.len());
         if seed != node {
             self.probe(node, seed);
         }
@@ -325,18 +325,18 @@
 
     fn probe(&mut self, node: Node, target: Node) {
         let (nodes, known) = self.gossip(node);
-        let own_time = self.own_time(node);
-        let hears_watchers = self.states[node].watchers.fresh_pulses(own_time).next().is_some();
+        let uptime = self.uptime(node);
+        let hears_watchers = self.states[node].watchers.fresh_pulses(uptime).next().is_some();
         self.send(node, target, Message::Probe { nodes, hears_watchers, known });
     }
 
     fn send(&mut self, from: Node, to: Node, message: Message) {
-        if !self.trouble.reaches(from, to, self.now) || self.rng.random_bool(LOSS) {
+        if !self.scenario.reaches(from, to, self.now) || self.rng.random_bool(LOSS) {
             return;
         }
         let has = self.states[from].has.is_some();
-        let way = Duration::from_millis(self.rng.random_range(WAYS));
-        self.push(self.now + way, Event::Arrives { from, to, has, message });
+        let delay = Duration::from_millis(self.rng.random_range(DELAYS_MS));
+        self.push(self.now + delay, Event::Arrives { from, to, has, message });
     }
 
     fn spread(&mut self, node: Node, fan_out: usize, message: &Message) {
@@ -346,14 +346,14 @@
     }
 
     fn on_message(&mut self, from: Node, to: Node, has: bool, message: Message) {
-        let own_time = self.own_time(to);
+        let uptime = self.uptime(to);
         let life = self.states[to].life;
         let state = &mut self.states[to];
         state.met = true;
         state.known.insert(from, self.now);
-        state.watchers.on_contact(own_time);
+        state.watchers.on_contact(uptime);
         if has && state.has.is_none() {
-            self.push(self.now + FETCH, Event::Fetched { node: to, life });
+            self.push(self.now + FETCH_TIME, Event::Fetched { node: to, life });
         }
         match message {
             Message::Probe { nodes, hears_watchers, known } => {
@@ -361,14 +361,14 @@
                 let (nodes, known) = self.gossip(to);
                 self.send(to, from, Message::Answer { nodes, known });
                 if !hears_watchers {
-                    self.tell_pulses(to, from);
+                    self.send_fresh_pulses(to, from);
                 }
             }
             Message::Answer { nodes, known } => self.on_gossip(to, nodes, known),
             Message::Pulse { watcher, number, answers } => {
                 let state_of_store = if answers { StoreState::Answers } else { StoreState::Away };
                 let id = self.ids[watcher].clone();
-                if self.states[to].watchers.on_pulse(&id, number, state_of_store, own_time) {
+                if self.states[to].watchers.on_pulse(&id, number, state_of_store, uptime) {
                     self.spread(to, FAN_OUT, &Message::Pulse { watcher, number, answers });
                 }
             }
@@ -378,18 +378,18 @@
     fn on_gossip(&mut self, node: Node, nodes: usize, known: Vec<Node>) {
         let now = self.now;
         let state = &mut self.states[node];
-        state.watchers.on_nodes_told(nodes);
+        state.watchers.on_node_count(nodes);
         for other in known.into_iter().filter(|other| *other != node) {
             state.known.entry(other).or_insert(now);
         }
     }
 
-    fn tell_pulses(&mut self, node: Node, to: Node) {
-        let own_time = self.own_time(node);
-        let fresh = self.states[node].watchers.fresh_pulses(own_time);
+    fn send_fresh_pulses(&mut self, node: Node, to: Node) {
+        let uptime = self.uptime(node);
+        let fresh = self.states[node].watchers.fresh_pulses(uptime);
         let fresh: Vec<_> = fresh.map(|(id, number, state)| (id.clone(), number, state)).collect();
         for (id, number, state) in fresh {
-            let watcher = self.ids.iter().position(|other| *other == id).expect("a node");
+            let watcher = self.ids.iter().position(|other| *other == id).expect("pulse is from a known node");
             let answers = state == StoreState::Answers;
             self.send(node, to, Message::Pulse { watcher, number, answers });
         }
@@ -397,29 +397,29 @@
 
     fn pulse(&mut self, node: Node) {
         let (life, term) = (self.states[node].life, self.states[node].term);
-        let answers = self.trouble.answers(self.ids.len(), node, self.now);
+        let answers = self.scenario.answers(self.ids.len(), node, self.now);
         self.call(node, "pulse");
         self.number += 1;
         let number = self.number;
         let state = if answers { StoreState::Answers } else { StoreState::Away };
-        let own_time = self.own_time(node);
-        self.states[node].watchers.on_own_pulse(state, own_time);
+        let uptime = self.uptime(node);
+        self.states[node].watchers.on_own_pulse(state, uptime);
         self.spread(node, FIRST_FAN_OUT, &Message::Pulse { watcher: node, number, answers });
         self.push(self.now + PULSE_INTERVAL, Event::Pulse { node, life, term });
     }
 
-    /// Both kinds of objects: a watch that nothing ends, or a call that fails and is made again.
+    /// Watches both kinds of objects: each watch runs into its timeout, or fails and is retried.
     fn watch(&mut self, node: Node) {
         let (life, term) = (self.states[node].life, self.states[node].term);
         let Some(role) = self.states[node].role else { return };
         for purpose in ["watch", "watch"] {
             self.call(node, purpose);
         }
-        let answers = self.trouble.answers(self.ids.len(), node, self.now);
+        let answers = self.scenario.answers(self.ids.len(), node, self.now);
         if answers {
-            self.gets(node);
+            self.on_store_contents(node);
         }
-        let pause = if answers { role.waits_for() } else { Duration::from_secs(1) };
+        let pause = if answers { role.watch_timeout() } else { Duration::from_secs(1) };
         self.push(self.now + pause, Event::Watch { node, life, term });
     }
 
@@ -428,7 +428,7 @@
             state.started = None;
             state.role = None;
         }
-        self.counts.unfollowed_since = None;
+        self.counts.unwatched_since = None;
         self.reads = true;
         self.start_all(self.now + Duration::from_secs(1));
     }
@@ -437,12 +437,12 @@
         self.counts.calls.values().sum()
     }
 
-    /// When so many hundredths of the nodes had what the store holds, after their start.
-    fn had_by(&self, hundredths: usize) -> Option<Duration> {
+    /// Time after its start within which this percentage of the nodes had the store's contents.
+    fn time_to_contents(&self, percent: usize) -> Option<Duration> {
         let started = self.states.iter().filter(|state| state.started.is_some());
         let mut had: Vec<Option<Duration>> = started.map(|state| state.has).collect();
         had.sort_by_key(|at| at.unwrap_or(Duration::MAX));
-        had[(had.len() - 1) * hundredths / 100]
+        had[(had.len() - 1) * percent / 100]
     }
 
     fn watching(&self) -> BTreeSet<Node> {
@@ -454,29 +454,29 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn troubles() -> Vec<(&'static str, Trouble)> {
+fn scenarios() -> Vec<(&'static str, Scenario)> {
     vec![
-        ("all start", Trouble::default()),
-        ("all start, no seed does", Trouble { no_seeds: true, ..Trouble::default() }),
-        ("a third is cut off for 12 s", Trouble { cut: Some((105, s(10.0), s(22.0))), ..Trouble::default() }),
-        ("a third starts cut off", Trouble { cut: Some((105, s(0.0), s(9.0))), ..Trouble::default() }),
+        ("all start", Scenario::default()),
+        ("all start, no seed does", Scenario { no_seeds: true, ..Scenario::default() }),
+        ("a third is cut off for 12 s", Scenario { cut: Some((105, s(10.0), s(22.0))), ..Scenario::default() }),
+        ("a third starts cut off", Scenario { cut: Some((105, s(0.0), s(9.0))), ..Scenario::default() }),
         (
             "a third is turned away for 8 s",
-            Trouble { turned_away: Some((105, s(10.0), s(18.0))), ..Trouble::default() },
+            Scenario { refused: Some((105, s(10.0), s(18.0))), ..Scenario::default() },
         ),
         (
             "a third starts turned away",
-            Trouble { turned_away: Some((105, s(0.0), s(9.0))), ..Trouble::default() },
+            Scenario { refused: Some((105, s(0.0), s(9.0))), ..Scenario::default() },
         ),
-        ("the store is away for 4.5 s", Trouble { away: Some((s(10.0), s(14.5))), ..Trouble::default() }),
-        ("the store is away at the start", Trouble { away: Some((s(0.0), s(5.0))), ..Trouble::default() }),
-        ("all lose power", Trouble { power: Some(s(10.0)), ..Trouble::default() }),
+        ("the store is away for 4.5 s", Scenario { away: Some((s(10.0), s(14.5))), ..Scenario::default() }),
+        ("the store is away at the start", Scenario { away: Some((s(0.0), s(5.0))), ..Scenario::default() }),
+        ("all lose power", Scenario { power: Some(s(10.0)), ..Scenario::default() }),
     ]
 }
 
-fn play(nodes: usize, trouble: Trouble, seed: u64) -> Model {
-    let mut model = Model::new(nodes, trouble, seed);
-    if let Some(at) = model.trouble.power {
+fn simulate(nodes: usize, scenario: Scenario, seed: u64) -> Model {
+    let mut model = Model::new(nodes, scenario, seed);
+    if let Some(at) = model.scenario.power {
         model.run(at);
         model.lose_power();
     }
@@ -485,50 +485,50 @@
 }
 
 #[test]
-fn test_a_start_of_hundreds_is_no_storm() {
+fn test_store_calls_of_300_nodes() {
     let mut text = String::new();
-    for (name, trouble) in troubles() {
-        let model = play(300, trouble, 1);
+    for (name, scenario) in scenarios() {
+        let model = simulate(300, scenario, 1);
         let counts = &model.counts;
-        let had = |hundredths| {
-            model.had_by(hundredths).map_or("never".to_owned(), |at| format!("{:.1} s", at.as_secs_f64()))
+        let had = |percent| {
+            model.time_to_contents(percent).map_or("never".to_owned(), |at| format!("{:.1} s", at.as_secs_f64()))
         };
         writeln!(text, "{name}: {} calls {:?}", model.calls(), counts.calls).unwrap();
         writeln!(
             text,
             "    {} began to follow, {} at once at most, {} at the end; half knew enough after {}, 99 in 100 after {}, all after {}; not followed for {:.1} s at most",
-            counts.begun,
-            counts.most_watching,
+            counts.became_watcher,
+            counts.max_watching,
             model.watching().len(),
             had(50),
             had(99),
             had(100),
-            counts.longest_unfollowed.as_secs_f64(),
+            counts.longest_unwatched.as_secs_f64(),
         )
         .unwrap();
     }
     insta::assert_snapshot!(text);
 }
 
-/// Over many seeds, sizes and troubles: a store that answers somebody is followed again within a bound,
-/// and in the end by a few.
+/// Over many seeds, fleet sizes and scenarios: a store that answers any node is watched again within a time
+/// limit, and finally by a few nodes only.
 #[test]
-fn test_a_store_that_answers_somebody_is_followed() {
+fn test_store_that_answers_any_node_is_watched() {
     for seed in 0..6 {
         for nodes in [1, 2, 6, 40] {
-            for (name, mut trouble) in troubles() {
+            for (name, mut scenario) in scenarios() {
                 let scale = |count: usize| (count * nodes).div_ceil(300);
-                trouble.cut = trouble.cut.map(|(count, from, to)| (scale(count), from, to));
-                trouble.turned_away = trouble.turned_away.map(|(count, from, to)| (scale(count), from, to));
-                if trouble.no_seeds && nodes <= SEEDS {
+                scenario.cut = scenario.cut.map(|(count, from, to)| (scale(count), from, to));
+                scenario.refused = scenario.refused.map(|(count, from, to)| (scale(count), from, to));
+                if scenario.no_seeds && nodes <= SEEDS {
                     continue;
                 }
-                // Without any seed nodes never meet: each follows the store itself.
-                let most = if trouble.no_seeds { nodes } else { nodes.min(MOST_AT_REST) };
-                let model = play(nodes, trouble, seed);
+                // Without any seed, nodes never discover each other and each watches the store itself.
+                let most = if scenario.no_seeds { nodes } else { nodes.min(MAX_WATCHERS_AT_END) };
+                let model = simulate(nodes, scenario, seed);
                 let counts = &model.counts;
                 let what = format!("{name}, {nodes} nodes, seed {seed}: {counts:?}");
-                assert!(counts.longest_unfollowed <= LONGEST_UNFOLLOWED, "{what}");
+                assert!(counts.longest_unwatched <= MAX_UNWATCHED, "{what}");
                 assert!(model.watching().len() <= most, "{what}");
                 assert!(
                     model.states.iter().all(|state| state.started.is_none() || state.has.is_some()),
@@ -539,8 +539,8 @@
     }
 }
 
-/// After a start: the time to listen and a few turns. Later, three watchers that go silent at once are
-/// noticed after 2 s, and turns follow 3 s after the last pulse.
-const LONGEST_UNFOLLOWED: Duration = Duration::from_secs(6);
-/// At rest the first few follow, and one that was cut off may be about to stop.
-const MOST_AT_REST: usize = WATCHERS + 1;
+/// After a start, nodes listen and wait for a few turns. Later, three watchers that fall silent together are
+/// detected after 2 s, and turns begin 3 s after the last pulse.
+const MAX_UNWATCHED: Duration = Duration::from_secs(6);
+/// In steady state the first few nodes watch, and one that was cut off may not have stopped yet.
+const MAX_WATCHERS_AT_END: usize = WATCHERS + 1;
