--- a/lib/src/gateway/pending_queries.rs
+++ b/lib/src/gateway/pending_queries.rs
@@ -57,7 +57,10 @@
 
     /// Removes and returns all queries that match a predicate.
     pub fn take_matching(&mut self, matches: impl Fn(&Q) -> bool) -> Vec<Q> {
-        self.pending.extract_if(|_, pending| matches(&pending.query)).map(|(_, pending)| pending.query).collect()
+        self.pending
+            .extract_if(|_, pending| matches(&pending.query))
+            .map(|(_, pending)| pending.query)
+            .collect()
     }
 
     /// The ID of the oldest query; IDs are assigned in ascending order.
--- a/lib/src/gateway/watchers.rs
+++ b/lib/src/gateway/watchers.rs
@@ -270,8 +270,8 @@
         let turns_over = (unanswered_for.as_millis() / GROUP_TRIAL_TIME.as_millis()) as usize;
         // The groups of other nodes try in rotation.
         let others = ranking.len().saturating_sub(WATCHERS).max(1);
-        let tries =
-            rank >= WATCHERS && (rank - WATCHERS + others - (turns_over * WATCHERS) % others) % others < WATCHERS;
+        let tries = rank >= WATCHERS
+            && (rank - WATCHERS + others - (turns_over * WATCHERS) % others) % others < WATCHERS;
         rank < WATCHERS || (tries && none_answered())
     }
 
--- a/lib/tests/test_gateway_closed_halls.rs
+++ b/lib/tests/test_gateway_closed_halls.rs
@@ -12,7 +12,7 @@
 use leadstage_lib::gateway::closed_halls::ClosedHallsBook;
 use leadstage_lib::gateway::closed_halls::HallChange;
 use leadstage_lib::gateway::closed_halls::MOST_CLOSED;
-use leadstage_lib::gateway::retelling::Retelling;
+use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::gateway::revision;
 use leadstage_lib::ids::HallId;
 use proptest::prelude::*;
@@ -68,7 +68,7 @@
 struct Node {
     started: Duration,
     knows: ClosedHalls,
-    retelling: Retelling<HallId>,
+    rebroadcast: Rebroadcast<HallId>,
     next_glance: Duration,
 }
 
@@ -88,7 +88,7 @@
         let node = |_| Node {
             started: Duration::ZERO,
             knows: ClosedHalls::default(),
-            retelling: Retelling::default(),
+            rebroadcast: Rebroadcast::default(),
             next_glance: Duration::ZERO,
         };
         Play {
@@ -123,7 +123,7 @@
         assert!(after.at >= before.at, "it went back");
         for change in &changes {
             let (HallChange::Closed(name) | HallChange::Opened(name)) = change;
-            self.nodes[node].retelling.on_news(name.clone());
+            self.nodes[node].rebroadcast.on_update(name.clone());
         }
         if !changes.is_empty() {
             self.send_to_some(node);
@@ -167,7 +167,7 @@
         }
         for node in 0..self.nodes.len() {
             let now = self.now;
-            if !self.nodes[node].retelling.round(now).is_empty() {
+            if !self.nodes[node].rebroadcast.take_due(now).is_empty() {
                 self.send_to_some(node);
             }
         }
@@ -183,7 +183,7 @@
         let node = self.rng.random_range(WATCHERS..self.nodes.len());
         self.nodes[node].started = self.now;
         self.nodes[node].knows = ClosedHalls::default();
-        self.nodes[node].retelling = Retelling::default();
+        self.nodes[node].rebroadcast = Rebroadcast::default();
     }
 
     /// A change of the halls before each pause of so many steps, and a node that starts anew after it: nobody in
--- a/lib/tests/test_gateway_config_sources.rs
+++ b/lib/tests/test_gateway_config_sources.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::config_sources::ConfigSources;
-use leadstage_lib::gateway::config_sources::VersionNotice;
 use leadstage_lib::gateway::config_sources::NextSource;
+use leadstage_lib::gateway::config_sources::VersionNotice;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -52,6 +52,9 @@
 fn test_unreachable_sources_do_not_starve_a_reachable_one() {
     for unreachable in 1..=8 {
         let queried_after = time_to_query_reachable(unreachable);
-        assert!(queried_after.is_some_and(|at| at < Duration::from_secs(4)), "{unreachable} unreachable: {queried_after:?}");
+        assert!(
+            queried_after.is_some_and(|at| at < Duration::from_secs(4)),
+            "{unreachable} unreachable: {queried_after:?}"
+        );
     }
 }
--- a/lib/tests/test_gateway_config_spread.rs
+++ b/lib/tests/test_gateway_config_spread.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::config_sources::ConfigSources;
-use leadstage_lib::gateway::config_sources::VersionNotice;
 use leadstage_lib::gateway::config_sources::NextSource;
+use leadstage_lib::gateway::config_sources::VersionNotice;
 use leadstage_lib::gateway::handouts;
 use leadstage_lib::gateway::handouts::Handouts;
 use rand::RngExt;
@@ -116,7 +116,9 @@
                 return last;
             }
             match event {
-                Event::Message { node, from, is_announcement } => self.on_message(node, from, is_announcement),
+                Event::Message { node, from, is_announcement } => {
+                    self.on_message(node, from, is_announcement)
+                }
                 Event::SelectSource { node } => self.select_source(node),
                 Event::Received { node, from } => self.on_received(node, from),
                 Event::Activated { node } => {
@@ -129,7 +131,10 @@
     }
 
     fn other(&mut self, node: usize) -> usize {
-        (0..self.nodes.len()).filter(|other| *other != node).choose(&mut self.rng).expect("fleet has another node")
+        (0..self.nodes.len())
+            .filter(|other| *other != node)
+            .choose(&mut self.rng)
+            .expect("fleet has another node")
     }
 
     fn on_message(&mut self, node: usize, from: usize, is_announcement: bool) {
@@ -140,7 +145,14 @@
         let (version, wide) = (self.nodes[from].version, self.nodes[from].link > NARROW);
         if version > self.nodes[node].version {
             let notice = if is_announcement { VersionNotice::Announced } else { VersionNotice::Observed };
-            self.nodes[node].sources.on_version(address(from), version, wide, notice, self.now, &mut self.rng);
+            self.nodes[node].sources.on_version(
+                address(from),
+                version,
+                wide,
+                notice,
+                self.now,
+                &mut self.rng,
+            );
             self.select_source(node);
         }
     }
--- a/lib/tests/test_gateway_crash_spread.rs
+++ b/lib/tests/test_gateway_crash_spread.rs
@@ -14,7 +14,7 @@
 use leadstage_lib::gateway::crash_ledger::ENDS_TO_QUARANTINE;
 use leadstage_lib::gateway::crash_ledger::Suspect;
 use leadstage_lib::gateway::fingerprint::Fingerprint;
-use leadstage_lib::gateway::retelling::Retelling;
+use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::ids::Timestamp;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -52,7 +52,7 @@
 struct Node {
     ledger: CrashLedger,
     told_all: Option<Timestamp>,
-    retelling: Retelling<Fingerprint>,
+    rebroadcast: Rebroadcast<Fingerprint>,
     is_up: bool,
 }
 
@@ -85,7 +85,7 @@
             model.nodes.push(Node {
                 ledger: CrashLedger::default(),
                 told_all: None,
-                retelling: Retelling::default(),
+                rebroadcast: Rebroadcast::default(),
                 is_up: !is_late,
             });
             if is_late {
@@ -152,7 +152,7 @@
         match message {
             Message::Suspects(told) => {
                 let news = self.nodes[to].ledger.take(told, UNIX);
-                self.on_news(to, &news);
+                self.on_update(to, &news);
                 self.tell(to, FAN_OUT, &news);
             }
             Message::Probe => self.send(to, from, Message::Answer),
@@ -161,16 +161,16 @@
     }
 
     fn ticks(&mut self, node: usize) {
-        let Node { ledger, retelling, .. } = &mut self.nodes[node];
+        let Node { ledger, rebroadcast, .. } = &mut self.nodes[node];
         let told: Vec<Suspect> =
-            retelling.round(self.now).iter().filter_map(|fingerprint| ledger.get(fingerprint)).collect();
+            rebroadcast.take_due(self.now).iter().filter_map(|fingerprint| ledger.get(fingerprint)).collect();
         self.tell(node, FAN_OUT, &told);
     }
 
-    fn on_news(&mut self, node: usize, news: &[Suspect]) {
-        let Node { ledger, retelling, .. } = &mut self.nodes[node];
+    fn on_update(&mut self, node: usize, news: &[Suspect]) {
+        let Node { ledger, rebroadcast, .. } = &mut self.nodes[node];
         let agreed = news.iter().filter(|suspect| ledger.is_agreed_on(&suspect.fingerprint));
-        agreed.for_each(|suspect| retelling.on_news(suspect.fingerprint));
+        agreed.for_each(|suspect| rebroadcast.on_update(suspect.fingerprint));
         let known = self.nodes[node].ledger.get(&fingerprint(1));
         if known.is_some_and(|known| known.standing() >= ENDS_TO_QUARANTINE) {
             self.know.insert(node);
@@ -186,7 +186,7 @@
                 Event::Start(node) => self.nodes[node].is_up = true,
                 Event::End(node, end) => {
                     let news = self.nodes[node].ledger.on_end(fingerprint(1), replica(end), UNIX);
-                    self.on_news(node, &news);
+                    self.on_update(node, &news);
                     self.tell(node, FIRST_FAN_OUT, &news);
                 }
                 Event::Probes(node) => {
--- a/lib/tests/test_gateway_fleet_spread.rs
+++ b/lib/tests/test_gateway_fleet_spread.rs
@@ -297,8 +297,11 @@
 fn simulate(case: Case, seed: u64) -> Summary {
     let mut simulation = Simulation::new(case, seed);
     simulation.run();
-    let mut times: Vec<f64> =
-        simulation.nodes.iter().map(|node| node.updated_at.map_or(f64::INFINITY, |at| at.as_secs_f64())).collect();
+    let mut times: Vec<f64> = simulation
+        .nodes
+        .iter()
+        .map(|node| node.updated_at.map_or(f64::INFINITY, |at| at.as_secs_f64()))
+        .collect();
     times.sort_by(f64::total_cmp);
     let part = |hundredths: usize| times[(times.len() * hundredths).div_ceil(100) - 1];
     let nodes = case.nodes as f64;
--- a/lib/tests/test_gateway_routing.rs
+++ b/lib/tests/test_gateway_routing.rs
@@ -8,9 +8,9 @@
 use leadstage_lib::gateway::routing::Organisation;
 use leadstage_lib::gateway::routing::Repeat;
 use leadstage_lib::gateway::routing::Route;
+use leadstage_lib::gateway::routing::RouteError;
 use leadstage_lib::gateway::routing::RoutingTable;
 use leadstage_lib::gateway::routing::Target;
-use leadstage_lib::gateway::routing::RouteError;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -83,7 +83,8 @@
     let table = table(Some(vec![organisation]));
     let closed = table.route("h", "/a/x").expect("a route");
     let open = table.route("h", "/open/x").expect("a route");
-    let organisation_of = |route: &Route, key| table.organisation(route, key).map(|o| o.map(|o| o.name.to_string()));
+    let organisation_of =
+        |route: &Route, key| table.organisation(route, key).map(|o| o.map(|o| o.name.to_string()));
     assert_eq!(organisation_of(&closed, Some("k")), Ok(Some("o".to_owned())));
     assert_eq!(organisation_of(&closed, Some("x")), Err(RouteError::UnknownKey));
     assert_eq!(organisation_of(&closed, None), Err(RouteError::UnknownKey));
--- a/lib/tests/test_gateway_trial_evidence.rs
+++ b/lib/tests/test_gateway_trial_evidence.rs
@@ -127,12 +127,12 @@
 #[test]
 fn test_a_size_is_kept_for_a_while() {
     let mut size = FleetSize::default();
-    size.note(410, secs(20.0));
+    size.observe(410, secs(20.0));
     // From here on it is cut off with two others.
     let kept: Vec<usize> = (21..60)
         .map(|s| {
-            size.note(3, secs(f64::from(s)));
-            size.most()
+            size.observe(3, secs(f64::from(s)));
+            size.recent_max()
         })
         .collect();
     let lasts = kept.iter().take_while(|most| **most == 410).count();
--- a/lib/tests/test_gateway_watchers.rs
+++ b/lib/tests/test_gateway_watchers.rs
@@ -147,8 +147,7 @@
                 let state = if *answers { StoreState::Answers } else { StoreState::Away };
                 view.on_pulse(&nodes[*watcher], 1, state, NOW);
             }
-            if view.role(nodes.iter().filter(|node| *node != own), |_| true, NOW) == Some(WatchRole::First)
-            {
+            if view.role(nodes.iter().filter(|node| *node != own), |_| true, NOW) == Some(WatchRole::First) {
                 firsts.push(at);
             }
         }
@@ -157,7 +156,9 @@
     let all: Vec<(usize, bool)> = (0..nodes.len()).map(|at| (at, true)).collect();
     let [first] = firsts(&all)[..] else { panic!("expected one first watcher") };
     let refused: Vec<(usize, bool)> = all.iter().map(|(at, _)| (*at, *at != first)).collect();
-    let [_, second] = firsts(&refused)[..] else { panic!("expected the failing first watcher and its successor") };
+    let [_, second] = firsts(&refused)[..] else {
+        panic!("expected the failing first watcher and its successor")
+    };
     let silent: Vec<(usize, bool)> = all.iter().copied().filter(|(at, _)| *at != first).collect();
     assert!(firsts(&silent).contains(&second));
 }
--- a/lib/tests/test_gateway_watchers_model.rs
+++ b/lib/tests/test_gateway_watchers_model.rs
@@ -458,7 +458,10 @@
     vec![
         ("all start", Scenario::default()),
         ("all start, no seed does", Scenario { no_seeds: true, ..Scenario::default() }),
-        ("a third is cut off for 12 s", Scenario { cut: Some((105, s(10.0), s(22.0))), ..Scenario::default() }),
+        (
+            "a third is cut off for 12 s",
+            Scenario { cut: Some((105, s(10.0), s(22.0))), ..Scenario::default() },
+        ),
         ("a third starts cut off", Scenario { cut: Some((105, s(0.0), s(9.0))), ..Scenario::default() }),
         (
             "a third is turned away for 8 s",
@@ -491,7 +494,9 @@
         let model = simulate(300, scenario, 1);
         let counts = &model.counts;
         let had = |percent| {
-            model.time_to_contents(percent).map_or("never".to_owned(), |at| format!("{:.1} s", at.as_secs_f64()))
+            model
+                .time_to_contents(percent)
+                .map_or("never".to_owned(), |at| format!("{:.1} s", at.as_secs_f64()))
         };
         writeln!(text, "{name}: {} calls {:?}", model.calls(), counts.calls).unwrap();
         writeln!(
--- a/node/src/gateway/control/config_intake.rs
+++ b/node/src/gateway/control/config_intake.rs
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use leadstage_lib::gateway::config_sources::ConfigSources;
-use leadstage_lib::gateway::config_sources::HeardHow;
 use leadstage_lib::gateway::config_sources::NextSource;
-use leadstage_lib::gateway::config_text::PartOfConfig;
+use leadstage_lib::gateway::config_sources::VersionNotice;
+use leadstage_lib::gateway::config_text::PartialConfig;
 use leadstage_lib::gateway::routing::ConfigVersion;
 use leadstage_lib::gateway::routing::RoutingTable;
 use leadstage_lib::ids::Timestamp;
@@ -43,7 +43,7 @@
     heard: Timestamp,
     sources: ConfigSources,
     /// What is here of an edition that broke off.
-    part: Option<PartOfConfig>,
+    part: Option<PartialConfig>,
     /// What differs from the configuration that is here did not fit.
     wants_whole: bool,
     /// A version that can't be read; it is not fetched again.
@@ -97,7 +97,7 @@
     }
 
     /// Another node has this version.
-    pub fn compare(&mut self, fleet: &Fleet, from: SocketAddr, theirs: ConfigVersion, how: HeardHow) {
+    pub fn compare(&mut self, fleet: &Fleet, from: SocketAddr, theirs: ConfigVersion, how: VersionNotice) {
         if theirs <= self.shared.config_version() || theirs == self.unreadable {
             return;
         }
@@ -138,7 +138,7 @@
     fn on_text(&mut self, fleet: &Fleet, from: SocketAddr, version: ConfigVersion, text: &Bytes) {
         self.wants_whole = false;
         if self.take(fleet, text) {
-            self.sources.on_handed(from);
+            self.sources.on_delivered(from);
             // The same comes no second time; what is newer still is asked for anew.
             self.transfers.clear();
         } else {
@@ -148,8 +148,8 @@
     }
 
     /// Keeps what came of an edition, if it is more than what is here.
-    fn keep(&mut self, part: Option<PartOfConfig>) {
-        let bytes = |part: &Option<PartOfConfig>| part.as_ref().map_or(0, |part| part.buf.len());
+    fn keep(&mut self, part: Option<PartialConfig>) {
+        let bytes = |part: &Option<PartialConfig>| part.as_ref().map_or(0, |part| part.buf.len());
         if bytes(&part) > bytes(&self.part) {
             self.part = part;
         }
@@ -189,7 +189,7 @@
 
     fn fetch(&mut self, from: SocketAddr, own: ConfigVersion, now: Timestamp) {
         let text = if self.wants_whole { None } else { self.shared.config_text() };
-        let part = self.part.take().filter(|part| part.serves(own));
+        let part = self.part.take().filter(|part| part.is_usable_with(own));
         let fetching = fetching::fetch_configuration(self.shared.clone(), from, text, part);
         let task = AbortOnDropHandle::new(tokio::task::spawn_local(fetching));
         self.transfers.begin(from, task, now);
@@ -198,7 +198,7 @@
 
     /// Has the store read beside all else, as on a small link that may take long.
     fn read_store(&mut self) {
-        self.sources.on_store_asked();
+        self.sources.on_store_queried();
         if !self.reads_store {
             self.reads_store = true;
             let shared = self.shared.clone();
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadstage_lib::gateway::config_sources::HeardHow;
+use leadstage_lib::gateway::config_sources::VersionNotice;
 use leadstage_lib::gateway::revision;
 use leadstage_lib::gateway::watchers::PulseNumber;
 use leadstage_lib::gateway::watchers::StoreState;
@@ -179,7 +179,7 @@
         if is_away {
             self.replicas.on_store_away();
         }
-        if is_away || self.watchers.doubts_store(now) {
+        if is_away || self.watchers.store_may_be_down(now) {
             self.replicas.look_out(&self.placing, &self.fleet);
         }
     }
@@ -240,8 +240,8 @@
         let mut gone = self.fleet.heard_from(from, now);
         self.watchers.on_contact(now);
         let how = match datagram.message {
-            PeerMessage::NewConfig => HeardHow::Told,
-            _ => HeardHow::Noticed,
+            PeerMessage::NewConfig => VersionNotice::Announced,
+            _ => VersionNotice::Observed,
         };
         self.configs.compare(&self.fleet, from, datagram.config, how);
         self.replicas.compare(&self.placing, &self.fleet, from, datagram.replicas_at);
@@ -255,7 +255,7 @@
                 gone.extend(self.fleet.on_probe(from, id, gossip, now));
             }
             PeerMessage::ProbeAnswer(id, gossip) => {
-                self.watchers.on_nodes_told(gossip.nodes as usize);
+                self.watchers.on_node_count(gossip.nodes as usize);
                 self.shared.note_fleet_size(gossip.nodes as usize);
                 gone.extend(self.fleet.on_answer(from, id, gossip, now));
             }
@@ -311,7 +311,7 @@
     /// A node probes this one. One that hears of no watcher, as it has just started or was cut off, is
     /// told who follows the store, which it would else hear some tenths of a second later.
     fn on_gossip(&mut self, from: SocketAddr, gossip: &Gossip, now: Timestamp) {
-        self.watchers.on_nodes_told(gossip.nodes as usize);
+        self.watchers.on_node_count(gossip.nodes as usize);
         if gossip.hears_watchers {
             return;
         }
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -14,10 +14,10 @@
 use leadstage_lib::gateway::fingerprint::Fingerprint;
 use leadstage_lib::gateway::pending_ends::PendingEnds;
 use leadstage_lib::gateway::pending_ends::Shown;
+use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::gateway::replica::LeavingSign;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
-use leadstage_lib::gateway::retelling::Retelling;
 use leadstage_lib::gateway::stored_suspects::StoreRole;
 use leadstage_lib::gateway::stored_suspects::StoredSuspects;
 use leadstage_lib::ids::Timestamp;
@@ -53,7 +53,7 @@
     ledger: CrashLedger,
     pending: PendingEnds,
     stored: StoredSuspects,
-    retelling: Retelling<Fingerprint>,
+    rebroadcast: Rebroadcast<Fingerprint>,
     telling_all: TellingAll,
     forgot: Timestamp,
 }
@@ -66,7 +66,7 @@
             ledger: CrashLedger::default(),
             pending: PendingEnds::default(),
             stored: StoredSuspects::default(),
-            retelling: Retelling::default(),
+            rebroadcast: Rebroadcast::default(),
             telling_all: TellingAll::default(),
             forgot: Timestamp::ZERO,
         }
@@ -102,8 +102,12 @@
     }
 
     fn tell_again(&mut self, fleet: &Fleet) {
-        let told: Vec<Suspect> =
-            self.retelling.round(self.shared.now()).iter().filter_map(|of| self.ledger.get(of)).collect();
+        let told: Vec<Suspect> = self
+            .rebroadcast
+            .take_due(self.shared.now())
+            .iter()
+            .filter_map(|of| self.ledger.get(of))
+            .collect();
         if !told.is_empty() {
             fleet.pass_on(&PeerMessage::Suspects(told));
         }
@@ -254,7 +258,7 @@
         let after = self.shared.crashes();
         for suspect in news {
             if self.ledger.is_agreed_on(&suspect.fingerprint) {
-                self.retelling.on_news(suspect.fingerprint);
+                self.rebroadcast.on_update(suspect.fingerprint);
             }
             log_change(suspect.fingerprint, &before, &after);
         }
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -48,14 +48,14 @@
 
 impl Pace {
     /// How long one watch waits at the store.
-    fn waits_for(&self) -> Duration {
+    fn watch_timeout(&self) -> Duration {
         let role = if self.is_backed { WatchRole::Standby } else { self.role.get() };
-        role.waits_for()
+        role.watch_timeout()
     }
 
     /// Pause between a change and the next watch.
-    fn gathers_for(&self) -> Duration {
-        if self.gathers { self.role.get().gathers_for() } else { Duration::ZERO }
+    fn batch_delay(&self) -> Duration {
+        if self.gathers { self.role.get().batch_delay() } else { Duration::ZERO }
     }
 }
 
@@ -147,7 +147,7 @@
     }
 
     async fn watch(&mut self, at: Revision) -> Result<(), StoreError> {
-        let wait = if self.lost { FIRST_AFTER_FAILURE } else { self.pace.waits_for() };
+        let wait = if self.lost { FIRST_AFTER_FAILURE } else { self.pace.watch_timeout() };
         let changes = self.store.watch::<K>(at, wait, note_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::Watch, changes.is_ok());
         let changes = changes?;
@@ -155,7 +155,7 @@
         self.is_new = false;
         self.on_answer(changes.at);
         self.shared.tell((self.wrap)(News::Changed(changes)));
-        let pause = self.pace.gathers_for();
+        let pause = self.pace.batch_delay();
         if !pause.is_zero() {
             tokio::time::sleep(pause).await;
         }
--- a/node/src/gateway/control/grant_questions.rs
+++ b/node/src/gateway/control/grant_questions.rs
@@ -7,7 +7,7 @@
 
 use leadstage_lib::gateway::limit_grants::GrantQuestionId;
 use leadstage_lib::gateway::limit_grants::LEAST_URGENT;
-use leadstage_lib::gateway::questions::Questions;
+use leadstage_lib::gateway::pending_queries::PendingQueries;
 use leadstage_lib::gateway::replica_limits::ToldLimit;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::ids::VmId;
@@ -45,13 +45,13 @@
 pub struct GrantQuestions {
     shared: Arc<Shared>,
     outbox: Outbox,
-    open: Questions<GrantQuestionId, GrantQuestion>,
+    open: PendingQueries<GrantQuestionId, GrantQuestion>,
 }
 
 impl GrantQuestions {
     /// None yet.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
-        GrantQuestions { shared, outbox, open: Questions::default() }
+        GrantQuestions { shared, outbox, open: PendingQueries::default() }
     }
 
     /// Asks another node, at `address`.
@@ -59,18 +59,18 @@
         let id = question.id();
         let ask = AskGrant { question: id, limit, urgency: urgency(&question.ask) };
         self.outbox.send(address, &PeerMessage::AskGrant(ask));
-        self.open.on_asked(id, question, self.shared.now() + GRANT_LIMIT);
+        self.open.insert(id, question, self.shared.now() + GRANT_LIMIT);
         self.shared.tell_after(GRANT_LIMIT, ToControl::GrantSilent(id));
     }
 
     /// Takes a question out, as its answer came.
     pub fn answered(&mut self, id: GrantQuestionId) -> Option<GrantQuestion> {
-        self.open.answered(id)
+        self.open.take_answered(id)
     }
 
     /// Takes a question out if who was asked is to be passed over.
     pub fn overdue(&mut self, id: GrantQuestionId) -> Option<GrantQuestion> {
-        self.open.overdue(id, self.shared.now())
+        self.open.take_overdue(id, self.shared.now())
     }
 }
 
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -9,7 +9,7 @@
 use leadstage_lib::gateway::closed_halls::ClosedHalls;
 use leadstage_lib::gateway::closed_halls::ClosedHallsBook;
 use leadstage_lib::gateway::closed_halls::HallChange;
-use leadstage_lib::gateway::retelling::Retelling;
+use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::ids::HallId;
 use leadstage_platform::store::Change;
 use leadstage_platform::store::Listed;
@@ -35,13 +35,13 @@
 pub struct HallIntake {
     shared: Arc<Shared>,
     book: ClosedHallsBook,
-    retelling: Retelling<HallId>,
+    rebroadcast: Rebroadcast<HallId>,
 }
 
 impl HallIntake {
     /// Nothing has come yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        HallIntake { shared, book: ClosedHallsBook::default(), retelling: Retelling::default() }
+        HallIntake { shared, book: ClosedHallsBook::default(), rebroadcast: Rebroadcast::default() }
     }
 
     /// The store told of the closed halls.
@@ -79,7 +79,7 @@
     /// series of changes, with a third of the messages lost, 13 left a node without them for 5 s, none since.
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet) {
         self.publish(placing, Source::Store);
-        if !self.retelling.round(self.shared.now()).is_empty() {
+        if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
             fleet.pass_on(&PeerMessage::HallsChanged);
         }
     }
@@ -109,7 +109,7 @@
         self.shared.set_closed_halls(halls);
         for change in &changes {
             let (HallChange::Closed(hall) | HallChange::Opened(hall)) = change;
-            self.retelling.on_news(hall.clone());
+            self.rebroadcast.on_update(hall.clone());
             match change {
                 HallChange::Closed(hall) => {
                     info!(event = "hall_closed", hall = &**hall, at, by:% = source; "a hall's replicas get nothing new")
--- a/node/src/gateway/control/lead_questions.rs
+++ b/node/src/gateway/control/lead_questions.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadstage_lib::gateway::questions::Questions;
+use leadstage_lib::gateway::pending_queries::PendingQueries;
 use leadstage_lib::gateway::run_key::RunId;
 use leadstage_lib::ids::VmId;
 
@@ -37,13 +37,13 @@
 pub struct LeadQuestions {
     shared: Arc<Shared>,
     outbox: Outbox,
-    open: Questions<RunId, Question>,
+    open: PendingQueries<RunId, Question>,
 }
 
 impl LeadQuestions {
     /// None yet.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
-        LeadQuestions { shared, outbox, open: Questions::default() }
+        LeadQuestions { shared, outbox, open: PendingQueries::default() }
     }
 
     /// Asks a lead to place a generation.
@@ -57,7 +57,7 @@
             leaves_after: ask.leaves_after,
         };
         self.outbox.send(address, &PeerMessage::Place(remote));
-        self.open.on_asked(run, Question { ask, lead }, self.shared.now() + LEAD_LIMIT);
+        self.open.insert(run, Question { ask, lead }, self.shared.now() + LEAD_LIMIT);
         self.shared.tell_after(LEAD_LIMIT, ToControl::LeadSilent(run));
     }
 
@@ -71,18 +71,18 @@
 
     /// Takes a question out, as its answer came.
     pub fn answered(&mut self, run: RunId) -> Option<Question> {
-        self.open.answered(run)
+        self.open.take_answered(run)
     }
 
     /// Takes a question out if its lead is to be passed over.
     pub fn overdue(&mut self, run: RunId) -> Option<Question> {
-        self.open.overdue(run, self.shared.now())
+        self.open.take_overdue(run, self.shared.now())
     }
 
     /// Takes the questions out whose lead is gone: a generation may wait there for the whole time
     /// until its first event is due.
     pub fn of_lost_lead(&mut self, lead: &VmId) -> Vec<Question> {
-        self.open.take_all(|question| question.lead == *lead)
+        self.open.take_matching(|question| question.lead == *lead)
     }
 
     /// The oldest generation without an answer.
--- a/node/src/gateway/control/lookout.rs
+++ b/node/src/gateway/control/lookout.rs
@@ -5,8 +5,8 @@
 
 use std::sync::Arc;
 
-use leadstage_lib::gateway::lookout;
-use leadstage_lib::gateway::lookout::ANSWER_LIMIT;
+use leadstage_lib::gateway::health_polls;
+use leadstage_lib::gateway::health_polls::HEALTH_TIMEOUT;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::ids::Timestamp;
 use leadstage_lib::ids::UpstreamId;
@@ -18,13 +18,13 @@
 /// Looks out for engines that leave.
 pub struct Lookout {
     shared: Arc<Shared>,
-    asked: lookout::Lookout,
+    asked: health_polls::HealthPolls,
 }
 
 impl Lookout {
     /// Looks out for nothing yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        Lookout { shared, asked: lookout::Lookout::default() }
+        Lookout { shared, asked: health_polls::HealthPolls::default() }
     }
 
     /// An engine answered.
@@ -43,7 +43,7 @@
     /// Asks a replica for its health, unless it was asked just now.
     pub fn ask_about(&mut self, replica: Option<(Arc<ReplicaRecord>, String)>, now: Timestamp) {
         if let Some((replica, path)) = replica
-            && self.asked.ask(&replica.id, now)
+            && self.asked.start_if_due(&replica.id, now)
         {
             tokio::task::spawn_local(ask(self.shared.clone(), replica, path));
         }
@@ -51,6 +51,6 @@
 }
 
 async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
-    let health = health::ask(&replica, &path, ANSWER_LIMIT).await;
+    let health = health::ask(&replica, &path, HEALTH_TIMEOUT).await;
     shared.tell(ToControl::Health(replica.incarnation(), health));
 }
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -359,7 +359,7 @@
         if theirs <= own {
             return;
         }
-        let source = match (fleet.knows_hall(), fleet.is_near(from)) {
+        let source = match (fleet.has_enough_in_hall(), fleet.is_near(from)) {
             (true, true) => Source::Near,
             (true, false) => Source::Far,
             (false, _) => Source::Any,
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -10,7 +10,7 @@
 
 use leadstage_lib::gateway::answer_counts::Sample;
 use leadstage_lib::gateway::pauses::Pauses;
-use leadstage_lib::gateway::retelling::Retelling;
+use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::gateway::routing::ServiceId;
 use leadstage_lib::gateway::upgrade::Stage;
 use leadstage_lib::gateway::upgrade::ToldUpgrade;
@@ -76,7 +76,7 @@
     shared: Arc<Shared>,
     /// When the process began.
     started: UnixMillis,
-    retelling: Retelling<ServiceId>,
+    rebroadcast: Rebroadcast<ServiceId>,
     pauses: Pauses,
     trials: BTreeMap<ServiceId, Trial>,
     stored: BTreeMap<ServiceId, Stored>,
@@ -88,7 +88,7 @@
         UpgradeIntake {
             shared,
             started: unix_millis(),
-            retelling: Retelling::default(),
+            rebroadcast: Rebroadcast::default(),
             pauses: Pauses::default(),
             trials: BTreeMap::new(),
             stored: BTreeMap::new(),
@@ -176,7 +176,7 @@
         }
         self.shared.set_upgrades(upgrades.clone());
         for service in changed {
-            self.retelling.on_news(service.clone());
+            self.rebroadcast.on_update(service.clone());
             match upgrades.of(service) {
                 Some(upgrade) => self.on_stage(placing, service, upgrade, source),
                 None => {
@@ -258,7 +258,7 @@
         store_answers: bool,
     ) {
         self.pauses.tick(self.shared.now());
-        if !self.retelling.round(self.shared.now()).is_empty() {
+        if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
             fleet.pass_on(&PeerMessage::UpgradesChanged);
         }
         for service in self.trials.keys().cloned().collect::<Vec<_>>() {
--- a/node/src/gateway/messages.rs
+++ b/node/src/gateway/messages.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use leadstage_lib::gateway::answer_counts::Sample;
 use leadstage_lib::gateway::answer_counts::Side;
-use leadstage_lib::gateway::config_text::PartOfConfig;
+use leadstage_lib::gateway::config_text::PartialConfig;
 use leadstage_lib::gateway::crash_ledger::Suspect;
 use leadstage_lib::gateway::fingerprint::Fingerprint;
 use leadstage_lib::gateway::limit_grants::GrantQuestionId;
@@ -149,9 +149,9 @@
     /// Its version and text.
     Text(ConfigVersion, Bytes),
     /// It hands out to others; it may be asked again after this.
-    Busy(Duration, Option<PartOfConfig>),
+    Busy(Duration, Option<PartialConfig>),
     /// It handed nothing over, or not all.
-    Failed(Option<PartOfConfig>),
+    Failed(Option<PartialConfig>),
     /// It does not fit to what is here, though it should.
     Unreadable,
 }
--- a/node/src/gateway/peers/fetching.rs
+++ b/node/src/gateway/peers/fetching.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use leadstage_lib::gateway::config_text::ConfigText;
 use leadstage_lib::gateway::config_text::Edition;
-use leadstage_lib::gateway::config_text::PartOfConfig;
+use leadstage_lib::gateway::config_text::PartialConfig;
 use leadstage_lib::gateway::replica_list::ReplicaList;
 use leadstage_lib::gateway::routing::ConfigVersion;
 use leadstage_platform::connect::Link;
@@ -45,7 +45,7 @@
     shared: Arc<Shared>,
     from: SocketAddr,
     own: Option<Arc<ConfigText>>,
-    part: Option<PartOfConfig>,
+    part: Option<PartialConfig>,
 ) {
     let known = own.as_ref().map_or(0, |own| own.version);
     let handed = match ask_for_configuration(&shared, from, known, part).await {
@@ -55,7 +55,7 @@
     shared.tell(ToControl::Fetched(from, Fetched::Configuration(handed)));
 }
 
-fn read_edition(part: &PartOfConfig, own: Option<&ConfigText>, from: SocketAddr) -> HandedConfig {
+fn read_edition(part: &PartialConfig, own: Option<&ConfigText>, from: SocketAddr) -> HandedConfig {
     let edition = part.edition;
     match ConfigText::decode(edition, &part.buf, own) {
         Ok(text) => {
@@ -74,8 +74,8 @@
     shared: &Shared,
     from: SocketAddr,
     known: ConfigVersion,
-    part: Option<PartOfConfig>,
-) -> Result<PartOfConfig, HandedConfig> {
+    part: Option<PartialConfig>,
+) -> Result<PartialConfig, HandedConfig> {
     let mut req = get(from, &format!("{CONFIG_PATH}?{known}"));
     if let Some(part) = &part {
         let headers = req.headers_mut();
@@ -109,14 +109,14 @@
 /// Where an answer's body goes: on to the part that is here, which `had` so many bytes, or to a new one.
 fn buf_for<'p>(
     res: &Response<Incoming>,
-    part: &'p mut Option<PartOfConfig>,
+    part: &'p mut Option<PartialConfig>,
     had: &mut usize,
 ) -> Option<&'p mut BytesMut> {
     let tag = res.headers().get(header::ETAG).and_then(|tag| tag.to_str().ok());
     let edition: Edition = tag?.parse().ok()?;
     match res.status() {
         StatusCode::PARTIAL_CONTENT => {}
-        StatusCode::OK => (*part, *had) = (Some(PartOfConfig::new(edition)), 0),
+        StatusCode::OK => (*part, *had) = (Some(PartialConfig::new(edition)), 0),
         _ => return None,
     }
     part.as_mut().filter(|part| part.edition == edition).map(|part| &mut part.buf)
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -147,7 +147,7 @@
 
     fn size(&self) -> Option<usize> {
         let is_known = self.greeting.met || self.seeds.is_empty();
-        is_known.then(|| self.size.most())
+        is_known.then(|| self.size.recent_max())
     }
 
     /// Whether there was no other node of late.
@@ -171,8 +171,8 @@
     }
 
     /// Whether this node knows enough others of its hall to fetch from them what it lacks.
-    pub fn knows_hall(&self) -> bool {
-        self.peers.knows_hall()
+    pub fn has_enough_in_hall(&self) -> bool {
+        self.peers.has_enough_in_hall()
     }
 
     /// A node says that it has a wide link.
@@ -205,7 +205,7 @@
         let count = handouts::at_once(self.own_link_bits_per_second).max(FAN_OUT);
         let wide = self.wide.sample(count / 2, &mut rand::rng()).into_iter().filter_map(address_of);
         let wide: Vec<SocketAddr> = wide.collect();
-        let others = self.some(count).into_iter().filter(|node| !wide.contains(node));
+        let others = self.sample(count).into_iter().filter(|node| !wide.contains(node));
         let told: Vec<SocketAddr> = wide.iter().copied().chain(others).take(count).collect();
         for node in told {
             self.outbox.send(node, message);
@@ -213,13 +213,13 @@
     }
 
     /// Some other nodes, at random.
-    fn some(&self, count: usize) -> Vec<SocketAddr> {
-        self.peers.some(count, &mut rand::rng()).into_iter().filter_map(address_of).collect()
+    fn sample(&self, count: usize) -> Vec<SocketAddr> {
+        self.peers.sample(count, &mut rand::rng()).into_iter().filter_map(address_of).collect()
     }
 
     /// Some other nodes to be told news, most of them of this one's hall.
-    fn to_tell(&self, count: usize) -> Vec<SocketAddr> {
-        self.peers.to_tell(count, &mut rand::rng()).into_iter().filter_map(address_of).collect()
+    fn gossip_targets(&self, count: usize) -> Vec<SocketAddr> {
+        self.peers.gossip_targets(count, &mut rand::rng()).into_iter().filter_map(address_of).collect()
     }
 
     /// Tells one node.
@@ -228,13 +228,13 @@
     }
 
     pub fn tell(&self, message: &PeerMessage) {
-        for node in self.to_tell(FIRST_FAN_OUT) {
+        for node in self.gossip_targets(FIRST_FAN_OUT) {
             self.outbox.send(node, message);
         }
     }
 
     pub fn pass_on(&self, message: &PeerMessage) {
-        for node in self.to_tell(FAN_OUT) {
+        for node in self.gossip_targets(FAN_OUT) {
             self.outbox.send(node, message);
         }
     }
@@ -243,7 +243,7 @@
     pub fn tick(&mut self, now: Timestamp) -> Vec<VmId> {
         self.log_met();
         self.greet(now);
-        self.size.note(self.nodes(), now);
+        self.size.observe(self.nodes(), now);
         let mut actions = self.membership.tick(now);
         let late: Vec<ProbeId> =
             self.probes.iter().filter(|(_, (_, until))| *until <= now).map(|(id, _)| *id).collect();
@@ -331,7 +331,7 @@
     /// Tells some nodes that this one stops.
     pub fn leave(&mut self) {
         self.membership.leave();
-        for node in self.some(FAN_OUT) {
+        for node in self.sample(FAN_OUT) {
             let gossip = self.gossip();
             self.outbox.send(node, &PeerMessage::Probe(0, gossip));
         }
@@ -355,7 +355,7 @@
     }
 
     fn on_gossip(&mut self, from: &VmId, gossip: Gossip, now: Timestamp) -> Vec<VmId> {
-        self.size.note(gossip.nodes as usize, now);
+        self.size.observe(gossip.nodes as usize, now);
         if let Some(hall) = gossip.hall {
             self.peers.on_hall(from, hall);
             if gossip.has_wide_link {
@@ -385,7 +385,7 @@
     }
 
     fn gossip(&mut self) -> Gossip {
-        let known = self.some(KNOWN_PER_MESSAGE).into_iter();
+        let known = self.sample(KNOWN_PER_MESSAGE).into_iter();
         let known = known.map(|address| {
             let hall = self.peers.hall(&node_id(address)).cloned();
             KnownNode { address, hall, has_wide_link: self.has_wide_link(address) }
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -23,9 +23,9 @@
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::routing::Organisation;
 use leadstage_lib::gateway::routing::Route;
+use leadstage_lib::gateway::routing::RouteError;
 use leadstage_lib::gateway::routing::RoutingTable;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::gateway::routing::Unrouted;
 use leadstage_lib::ids::Timestamp;
 use leadstage_platform::engine::Resume;
 use leadstage_platform::headers;
@@ -141,7 +141,7 @@
 
     /// Time until its caller leaves or its deadline passes, if no event comes; no less than until the first is due.
     pub fn caller_leaves(&self) -> Duration {
-        let silent = self.route.callers_patience().saturating_sub(self.age());
+        let silent = self.route.caller_patience().saturating_sub(self.age());
         silent.min(self.left()).max(self.first_event_due())
     }
 
@@ -163,7 +163,7 @@
     /// Where it may be served: both its route and its organisation bind.
     pub fn regions(&self) -> AllowedRegions {
         let of_organisation = self.organisation.as_ref().map(|organisation| &organisation.regions);
-        self.route.regions.both(of_organisation.unwrap_or(&AllowedRegions::ANY))
+        self.route.regions.intersection(of_organisation.unwrap_or(&AllowedRegions::ANY))
     }
 
     /// The last event that its caller has from an earlier attempt, where that counts.
@@ -252,13 +252,13 @@
 }
 
 /// What a newer configuration may allow is not denied while that is on its way.
-fn refuse(unrouted: Unrouted, lacks_newer_config: bool) -> Refusal {
+fn refuse(unrouted: RouteError, lacks_newer_config: bool) -> Refusal {
     if lacks_newer_config {
         return Refusal { code: Code::NotReady, retry_after: Some(CONFIG_COMES_WITHIN) };
     }
     Refusal::new(match unrouted {
-        Unrouted::NoRoute => Code::NoRoute,
-        Unrouted::UnknownKey => Code::Unauthorised,
+        RouteError::NoRoute => Code::NoRoute,
+        RouteError::UnknownKey => Code::Unauthorised,
     })
 }
 
--- a/node/src/gateway/upstream/relay/after_stop.rs
+++ b/node/src/gateway/upstream/relay/after_stop.rs
@@ -104,7 +104,7 @@
         if self.req.route.resumable {
             Duration::ZERO
         } else if why.any(|why| why == NotResumed::Unreached) {
-            self.req.route.callers_patience().mul_f64(REACH_WITHIN)
+            self.req.route.caller_patience().mul_f64(REACH_WITHIN)
         } else {
             ASK_WITHIN
         }
