--- a/lib/src/gateway/watchers.rs
+++ b/lib/src/gateway/watchers.rs
@@ -54,7 +54,7 @@
 const MAX_ISOLATED_TURN_DELAY: Duration = Duration::from_secs(1);
 /// While the store answers none of the first [`WATCHERS`] nodes, each next group of this many tries for this
 /// long. If the store refuses a third of the nodes, it refuses six consecutive ones in one of 500 cases.
-const GROUP_TRIAL_TIME: Duration = Duration::from_secs(3);
+const GROUP_WATCH_TIME: Duration = Duration::from_secs(3);
 /// Interval between rankings while enough watchers work. A ranking hashes all known nodes, and each node
 /// would otherwise compute it ten times a second.
 const RANK_INTERVAL: Duration = Duration::from_secs(1);
@@ -267,11 +267,11 @@
         let first = &ranking[..WATCHERS.min(ranking.len())];
         let none_answered = || first.iter().all(|node| self.is_failing(node, now));
         let unanswered_for = now.saturating_sub(self.last_answer.unwrap_or_default());
-        let turns_over = (unanswered_for.as_millis() / GROUP_TRIAL_TIME.as_millis()) as usize;
+        let groups_tried = (unanswered_for.as_millis() / GROUP_WATCH_TIME.as_millis()) as usize;
         // The groups of other nodes try in rotation.
         let others = ranking.len().saturating_sub(WATCHERS).max(1);
         let tries = rank >= WATCHERS
-            && (rank - WATCHERS + others - (turns_over * WATCHERS) % others) % others < WATCHERS;
+            && (rank - WATCHERS + others - (groups_tried * WATCHERS) % others) % others < WATCHERS;
         rank < WATCHERS || (tries && none_answered())
     }
 
--- a/lib/tests/test_gateway_config_spread.rs
+++ b/lib/tests/test_gateway_config_spread.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A node receives a message, which may be an announcement of a configuration.
-    Message { node: usize, from: usize, is_announcement: bool },
+    Message { node: usize, from: usize, is_announced: bool },
     /// A node selects a source.
     SelectSource { node: usize },
     /// A node has received the whole configuration.
@@ -103,7 +103,7 @@
         for node in 0..self.nodes.len() {
             let first = MESSAGE_INTERVAL.mul_f64(self.rng.random());
             let from = self.other(node);
-            self.schedule(first, Event::Message { node, from, is_announcement: false });
+            self.schedule(first, Event::Message { node, from, is_announced: false });
         }
         for node in 0..watchers {
             self.schedule(Duration::ZERO, Event::Activated { node });
@@ -116,9 +116,7 @@
                 return last;
             }
             match event {
-                Event::Message { node, from, is_announcement } => {
-                    self.on_message(node, from, is_announcement)
-                }
+                Event::Message { node, from, is_announced } => self.on_message(node, from, is_announced),
                 Event::SelectSource { node } => self.select_source(node),
                 Event::Received { node, from } => self.on_received(node, from),
                 Event::Activated { node } => {
@@ -137,14 +135,14 @@
             .expect("fleet has another node")
     }
 
-    fn on_message(&mut self, node: usize, from: usize, is_announcement: bool) {
-        if !is_announcement {
+    fn on_message(&mut self, node: usize, from: usize, is_announced: bool) {
+        if !is_announced {
             let next = self.other(node);
-            self.schedule(MESSAGE_INTERVAL, Event::Message { node, from: next, is_announcement: false });
+            self.schedule(MESSAGE_INTERVAL, Event::Message { node, from: next, is_announced: false });
         }
         let (version, wide) = (self.nodes[from].version, self.nodes[from].link > NARROW);
         if version > self.nodes[node].version {
-            let notice = if is_announcement { VersionNotice::Announced } else { VersionNotice::Observed };
+            let notice = if is_announced { VersionNotice::Announced } else { VersionNotice::Observed };
             self.nodes[node].sources.on_version(
                 address(from),
                 version,
@@ -205,7 +203,7 @@
             targets.push(other);
         }
         for other in targets.into_iter().filter(|other| *other != node) {
-            self.schedule(LATENCY, Event::Message { node: other, from: node, is_announcement: true });
+            self.schedule(LATENCY, Event::Message { node: other, from: node, is_announced: true });
         }
     }
 }
@@ -222,7 +220,7 @@
         };
         let (compressed, text) = (longest(64_000), longest(1_000_000));
         writeln!(rows, "{narrow} narrow, {wide} wide: {compressed:.1} s, as text {text:.1} s")
-            .expect("it is written");
+            .expect("String accepts all writes");
     }
     insta::assert_snapshot!(rows, @r"
     54 narrow, 8 wide: 0.5 s, as text 2.0 s
--- a/lib/tests/test_gateway_config_text.rs
+++ b/lib/tests/test_gateway_config_text.rs
@@ -20,7 +20,7 @@
             n % 7,
             word >> 24,
         )
-        .expect("it is written");
+        .expect("String accepts all writes");
     }
     Bytes::from(text + "{}]}")
 }
@@ -32,7 +32,7 @@
 /// Encodes `from` for a node that has `known`; returns the edition and the text that the node decodes.
 fn transfer(from: &ConfigText, known: Option<&ConfigText>) -> (Edition, std::io::Result<Bytes>) {
     let (edition, bytes) =
-        from.encoded_for(known.map_or(0, |known| known.version)).expect("it can be compressed");
+        from.encoded_for(known.map_or(0, |known| known.version)).expect("text can be compressed");
     assert_eq!(edition.bytes, bytes.len());
     (edition, ConfigText::decode(edition, &bytes, known))
 }
@@ -45,11 +45,11 @@
         let next = configuration(version, routes, Some(&before));
         let whole = transfer(&next, None);
         let difference = transfer(&next, Some(&before));
-        assert_eq!(whole.1.expect("it can be read"), text(version, routes));
-        assert_eq!(difference.1.expect("it can be read"), text(version, routes));
+        assert_eq!(whole.1.expect("edition can be decoded"), text(version, routes));
+        assert_eq!(difference.1.expect("edition can be decoded"), text(version, routes));
         let bytes = text(version, routes).len();
         writeln!(sizes, "{routes} routes: {bytes} whole {} difference {}", whole.0.bytes, difference.0.bytes)
-            .expect("it is written");
+            .expect("String accepts all writes");
         before = next;
     }
     insta::assert_snapshot!(sizes, @r"
@@ -67,7 +67,7 @@
     let bytes = || {
         let before = configuration(1, 100, None);
         let next = configuration(2, 300, Some(&before));
-        [next.encoded_for(0), next.encoded_for(1)].map(|encoded| encoded.expect("it can be compressed"))
+        [next.encoded_for(0), next.encoded_for(1)].map(|encoded| encoded.expect("text can be compressed"))
     };
     assert_eq!(bytes(), bytes());
     let [(whole, _), (difference, _)] = bytes();
@@ -82,7 +82,7 @@
 fn test_wrong_base_or_truncated_delta_is_rejected() {
     let before = configuration(1, 100, None);
     let next = configuration(2, 300, Some(&before));
-    let (edition, bytes) = next.encoded_for(1).expect("it can be compressed");
+    let (edition, bytes) = next.encoded_for(1).expect("text can be compressed");
     let other = ConfigText::new(1, Bytes::from(vec![b'x'; text(1, 100).len()]), None);
     assert!(ConfigText::decode(edition, &bytes, Some(&other)).is_err());
     assert!(ConfigText::decode(edition, &bytes, None).is_err());
--- a/lib/tests/test_gateway_watchers_model.rs
+++ b/lib/tests/test_gateway_watchers_model.rs
@@ -87,7 +87,7 @@
     Start { node: Node },
     Sample,
     Tick { node: Node, life: u32 },
-    Arrives { from: Node, to: Node, has: bool, message: Message },
+    Arrives { from: Node, to: Node, has_contents: bool, message: Message },
     Fetched { node: Node, life: u32 },
     Pulse { node: Node, life: u32, term: u32 },
     Watch { node: Node, life: u32, term: u32 },
@@ -98,12 +98,12 @@
     started: Option<Time>,
     watchers: Watchers,
     known: BTreeMap<Node, Time>,
-    met: bool,
-    asked_again: bool,
+    has_contact: bool,
+    contacted_again: bool,
     seed_contacts: usize,
     last_probe: Time,
     /// When the node received the store's contents, measured from its start.
-    has: Option<Time>,
+    contents_at: Option<Time>,
     role: Option<WatchRole>,
     /// Incremented whenever the node becomes a watcher.
     term: u32,
@@ -125,7 +125,7 @@
     wide: BTreeSet<VmId>,
     states: Vec<State>,
     /// Whether nodes read the store when they start.
-    reads: bool,
+    reads_at_start: bool,
     number: PulseNumber,
     now: Time,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
@@ -143,11 +143,11 @@
             started: None,
             watchers: Watchers::new(id.clone()),
             known: BTreeMap::new(),
-            met: false,
-            asked_again: false,
+            has_contact: false,
+            contacted_again: false,
             seed_contacts: 0,
             last_probe: Time::ZERO,
-            has: None,
+            contents_at: None,
             role: None,
             term: 0,
         };
@@ -156,7 +156,7 @@
             states: ids.iter().map(state).collect(),
             wide: ids.iter().skip(4).step_by(NODES_PER_WIDE_LINK).cloned().collect(),
             ids,
-            reads: false,
+            reads_at_start: false,
             number: 0,
             now: Time::ZERO,
             events: BinaryHeap::new(),
@@ -224,8 +224,8 @@
             Event::Start { node } => self.start(node),
             Event::Sample => self.sample(),
             Event::Tick { node, life } if self.is_current_life(node, life) => self.tick(node),
-            Event::Arrives { from, to, has, message } if self.states[to].started.is_some() => {
-                self.on_message(from, to, has, message)
+            Event::Arrives { from, to, has_contents, message } if self.states[to].started.is_some() => {
+                self.on_message(from, to, has_contents, message)
             }
             Event::Fetched { node, life } if self.is_current_life(node, life) => self.on_store_contents(node),
             Event::Pulse { node, life, term } if self.is_term(node, life, term) => self.pulse(node),
@@ -246,8 +246,9 @@
         state.watchers = Watchers::new(self.ids[node].clone());
         state.known =
             (0..SEEDS.min(nodes)).filter(|seed| *seed != node).map(|seed| (seed, self.now)).collect();
-        (state.met, state.asked_again, state.has, state.role) = (false, false, None, None);
-        if self.reads {
+        (state.has_contact, state.contacted_again, state.contents_at, state.role) =
+            (false, false, None, None);
+        if self.reads_at_start {
             self.call(node, "start");
             self.call(node, "start");
             if self.scenario.answers(self.ids.len(), node, self.now) {
@@ -263,12 +264,12 @@
 
     fn on_store_contents(&mut self, node: Node) {
         let now = self.uptime(node);
-        self.states[node].has.get_or_insert(now);
+        self.states[node].contents_at.get_or_insert(now);
     }
 
     fn alive(&self, node: Node) -> Vec<Node> {
         let known = self.states[node].known.iter();
-        known.filter(|(_, heard)| **heard + DEAD_TIMEOUT > self.now).map(|(node, _)| *node).collect()
+        known.filter(|(_, seen)| **seen + DEAD_TIMEOUT > self.now).map(|(node, _)| *node).collect()
     }
 
     fn tick(&mut self, node: Node) {
@@ -306,11 +307,11 @@
         let again_at = Duration::from_millis(400);
         let uptime = self.uptime(node);
         let state = &mut self.states[node];
-        let asks_again = state.met && !state.asked_again && uptime >= again_at;
-        if state.met && !asks_again {
+        let contacts_again = state.has_contact && !state.contacted_again && uptime >= again_at;
+        if state.has_contact && !contacts_again {
             return;
         }
-        state.asked_again = asks_again;
+        state.contacted_again = contacts_again;
         state.seed_contacts += 1;
         let seed = state.seed_contacts % SEEDS.min(self.ids.len());
         if seed != node {
@@ -334,9 +335,9 @@
         if !self.scenario.reaches(from, to, self.now) || self.rng.random_bool(LOSS) {
             return;
         }
-        let has = self.states[from].has.is_some();
+        let has_contents = self.states[from].contents_at.is_some();
         let delay = Duration::from_millis(self.rng.random_range(DELAYS_MS));
-        self.push(self.now + delay, Event::Arrives { from, to, has, message });
+        self.push(self.now + delay, Event::Arrives { from, to, has_contents, message });
     }
 
     fn spread(&mut self, node: Node, fan_out: usize, message: &Message) {
@@ -345,14 +346,14 @@
         }
     }
 
-    fn on_message(&mut self, from: Node, to: Node, has: bool, message: Message) {
+    fn on_message(&mut self, from: Node, to: Node, has_contents: bool, message: Message) {
         let uptime = self.uptime(to);
         let life = self.states[to].life;
         let state = &mut self.states[to];
-        state.met = true;
+        state.has_contact = true;
         state.known.insert(from, self.now);
         state.watchers.on_contact(uptime);
-        if has && state.has.is_none() {
+        if has_contents && state.contents_at.is_none() {
             self.push(self.now + FETCH_TIME, Event::Fetched { node: to, life });
         }
         match message {
@@ -429,7 +430,7 @@
             state.role = None;
         }
         self.counts.unwatched_since = None;
-        self.reads = true;
+        self.reads_at_start = true;
         self.start_all(self.now + Duration::from_secs(1));
     }
 
@@ -440,7 +441,7 @@
     /// Time after its start within which this percentage of the nodes had the store's contents.
     fn time_to_contents(&self, percent: usize) -> Option<Duration> {
         let started = self.states.iter().filter(|state| state.started.is_some());
-        let mut had: Vec<Option<Duration>> = started.map(|state| state.has).collect();
+        let mut had: Vec<Option<Duration>> = started.map(|state| state.contents_at).collect();
         had.sort_by_key(|at| at.unwrap_or(Duration::MAX));
         had[(had.len() - 1) * percent / 100]
     }
@@ -536,7 +537,7 @@
                 assert!(counts.longest_unwatched <= MAX_UNWATCHED, "{what}");
                 assert!(model.watching().len() <= most, "{what}");
                 assert!(
-                    model.states.iter().all(|state| state.started.is_none() || state.has.is_some()),
+                    model.states.iter().all(|state| state.started.is_none() || state.contents_at.is_some()),
                     "{what}"
                 );
             }
