--- a/lib/src/gateway/answer_counts.rs
+++ b/lib/src/gateway/answer_counts.rs
@@ -9,11 +9,11 @@
 use crate::gateway::routing::RouteId;
 
 /// Times are counted in steps of this factor: half an octave.
-const STEPS_PER_OCTAVE: f64 = 2.0;
+const BUCKETS_PER_OCTAVE: f64 = 2.0;
 /// The last step takes whatever is longer: some 46 s.
-const LAST_STEP: u8 = 31;
+const LAST_BUCKET: u8 = 31;
 /// Routes that are counted apart; those beyond share one name.
-const MOST_ROUTES: usize = 48;
+const MAX_ROUTES: usize = 48;
 /// The name that they share.
 const OTHER_ROUTES: &str = "";
 
@@ -60,43 +60,43 @@
     }
 
     /// The step that half of the good answers don't exceed.
-    pub fn middle(&self) -> Option<u8> {
-        let good: u32 = self.took.values().sum();
-        let mut so_far = 0;
-        self.took.iter().find_map(|(step, count)| {
-            so_far += count;
-            (2 * so_far >= good).then_some(*step)
+    pub fn median_bucket(&self) -> Option<u8> {
+        let succeeded: u32 = self.took.values().sum();
+        let mut cumulated = 0;
+        self.took.iter().find_map(|(bucket, count)| {
+            cumulated += count;
+            (2 * cumulated >= succeeded).then_some(*bucket)
         })
     }
 
     /// Good answers whose step is this or a later one.
-    pub fn from_step(&self, step: u8) -> u32 {
-        self.took.range(step..).map(|(_, count)| count).sum()
+    pub fn count_from(&self, bucket: u8) -> u32 {
+        self.took.range(bucket..).map(|(_, count)| count).sum()
     }
 
     fn add(&mut self, other: &Answers) {
-        self.add_growth(&Answers::default(), other);
+        self.add_delta(&Answers::default(), other);
     }
 
-    fn add_growth(&mut self, from: &Answers, to: &Answers) {
+    fn add_delta(&mut self, from: &Answers, to: &Answers) {
         self.failed += to.failed.saturating_sub(from.failed);
-        for (step, count) in &to.took {
-            let before = from.took.get(step).copied().unwrap_or_default();
-            *self.took.entry(*step).or_default() += count.saturating_sub(before);
+        for (bucket, count) in &to.took {
+            let before = from.took.get(bucket).copied().unwrap_or_default();
+            *self.took.entry(*bucket).or_default() += count.saturating_sub(before);
         }
     }
 }
 
 /// The answers of both versions.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
-pub struct Compared {
+pub struct AnswersByVersion {
     /// Of the version that is to be replaced.
     pub present: Answers,
     /// Of the one on trial.
     pub target: Answers,
 }
 
-impl Compared {
+impl AnswersByVersion {
     fn side(&mut self, side: Side) -> &mut Answers {
         match side {
             Side::Present => &mut self.present,
@@ -108,15 +108,15 @@
 /// Answers by route and measure.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct AnswerCounts {
-    cells: BTreeMap<(RouteId, Measure), Compared>,
+    cells: BTreeMap<(RouteId, Measure), AnswersByVersion>,
 }
 
 impl AnswerCounts {
     /// Counts an answer.
     pub fn on_sample(&mut self, route: &RouteId, side: Side, sample: Sample) {
         let is_known = self.cells.keys().any(|(known, _)| known == route);
-        let is_counted_apart = is_known || self.cells.len() < MOST_ROUTES;
-        let route = if is_counted_apart { route.clone() } else { OTHER_ROUTES.into() };
+        let has_own_cell = is_known || self.cells.len() < MAX_ROUTES;
+        let route = if has_own_cell { route.clone() } else { OTHER_ROUTES.into() };
         let measure = match sample {
             Sample::Failed => Measure::Answer,
             Sample::Took(measure, _) => measure,
@@ -124,7 +124,7 @@
         let answers = self.cells.entry((route, measure)).or_default().side(side);
         match sample {
             Sample::Failed => answers.failed += 1,
-            Sample::Took(_, took) => *answers.took.entry(step_of(took)).or_default() += 1,
+            Sample::Took(_, took) => *answers.took.entry(bucket_of(took)).or_default() += 1,
         }
     }
 
@@ -138,18 +138,18 @@
     }
 
     /// Adds what another node has counted between two of its reports.
-    pub fn add_growth(&mut self, from: &AnswerCounts, to: &AnswerCounts) {
-        let nothing = Compared::default();
+    pub fn add_delta(&mut self, from: &AnswerCounts, to: &AnswerCounts) {
+        let nothing = AnswersByVersion::default();
         for (cell, counts) in &to.cells {
             let before = from.cells.get(cell).unwrap_or(&nothing);
             let own = self.cells.entry(cell.clone()).or_default();
-            own.present.add_growth(&before.present, &counts.present);
-            own.target.add_growth(&before.target, &counts.target);
+            own.present.add_delta(&before.present, &counts.present);
+            own.target.add_delta(&before.target, &counts.target);
         }
     }
 
     /// All counts.
-    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, Measure, &Compared)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, Measure, &AnswersByVersion)> {
         self.cells.iter().map(|((route, measure), counts)| (route, *measure, counts))
     }
 
@@ -157,14 +157,14 @@
     pub fn answered(&self) -> (u32, u32) {
         let answers = self.cells.iter().filter(|((_, measure), _)| *measure == Measure::Answer);
         answers.fold((0, 0), |(all, target), (_, counts)| {
-            let of_target = counts.target.count();
-            (all + counts.present.count() + of_target, target + of_target)
+            let by_target = counts.target.count();
+            (all + counts.present.count() + by_target, target + by_target)
         })
     }
 }
 
 /// The step of a time: two steps are an octave, from 1 ms on.
-pub fn step_of(took: Duration) -> u8 {
+pub fn bucket_of(took: Duration) -> u8 {
     let ms = took.as_secs_f64() * 1_000.0;
-    (ms.max(1.0).log2() * STEPS_PER_OCTAVE).min(f64::from(LAST_STEP)) as u8
+    (ms.max(1.0).log2() * BUCKETS_PER_OCTAVE).min(f64::from(LAST_BUCKET)) as u8
 }
--- a/lib/src/gateway/canary.rs
+++ b/lib/src/gateway/canary.rs
@@ -21,29 +21,29 @@
 
 /// The part of the share that the fleet may give which is given on trial. The rest is for the time in which
 /// the new version gets everything and may still turn out to be bad.
-const PART_ON_TRIAL: f64 = 0.5;
+const TRIAL_PART: f64 = 0.5;
 /// New replicas that are tried at least: one alone may be bad by itself.
-const LEAST_TRIED: usize = 2;
+const MIN_CANARIES: usize = 2;
 
 /// The share of the requests that a new version gets on trial, of the share that it may get.
-pub fn share_on_trial(exposure_share: f64) -> f64 {
-    exposure_share * PART_ON_TRIAL
+pub fn trial_share(exposure_share: f64) -> f64 {
+    exposure_share * TRIAL_PART
 }
 
 /// Whether a request is one of the share.
-pub fn is_drawn(key: &RunKey, order: &UpgradeOrder, share: f64) -> bool {
+pub fn is_sampled(key: &RunKey, order: &UpgradeOrder, share: f64) -> bool {
     let hash = rendezvous::weight(&key.entry, &order.target);
     let hash = rendezvous::mix(hash ^ rendezvous::mix(key.run) ^ order.made);
     (hash as f64) < share * u64::MAX as f64
 }
 
 /// How many of the new replicas are tried, for a share of what so many present ones bear.
-pub fn tried(share: f64, present: usize) -> usize {
-    ((share * present as f64).ceil() as usize).max(LEAST_TRIED)
+pub fn canary_count(share: f64, present: usize) -> usize {
+    ((share * present as f64).ceil() as usize).max(MIN_CANARIES)
 }
 
 /// The replicas of `ids` that are tried, the same at all nodes that know the same ones.
-pub fn pick_tried<'a>(
+pub fn pick_canaries<'a>(
     order: &UpgradeOrder,
     ids: impl Iterator<Item = &'a UpstreamId>,
     count: usize,
@@ -64,7 +64,7 @@
     /// Those of all others.
     Except(SoftwareVersion),
     /// These.
-    Tried(Arc<[UpstreamId]>),
+    Canaries(Arc<[UpstreamId]>),
 }
 
 impl VersionPool {
@@ -74,7 +74,7 @@
             VersionPool::All => true,
             VersionPool::Of(version) => replica.record.version == *version,
             VersionPool::Except(version) => replica.record.version != *version,
-            VersionPool::Tried(ids) => ids.contains(&replica.record.id),
+            VersionPool::Canaries(ids) => ids.contains(&replica.record.id),
         }
     }
 }
@@ -85,27 +85,32 @@
     upgrade: &Upgrade,
     key: &RunKey,
     share: f64,
-    tried: impl FnOnce() -> Arc<[UpstreamId]>,
+    canaries: impl FnOnce() -> Arc<[UpstreamId]>,
 ) -> Vec<VersionPool> {
     let order = &upgrade.order;
     let present = VersionPool::Except(order.target.clone());
     match upgrade.admission(&order.target) {
-        Admission::Share if is_drawn(key, order, share) => vec![VersionPool::Tried(tried()), present],
+        Admission::Share if is_sampled(key, order, share) => vec![VersionPool::Canaries(canaries()), present],
         Admission::All => vec![VersionPool::Of(order.target.clone()), present],
-        Admission::Share | Admission::Rest | Admission::Last | Admission::None => vec![present],
+        Admission::Share | Admission::Remainder | Admission::Fallback | Admission::None => vec![present],
     }
 }
 
 /// The replicas of a service that are tried, of all that stay.
-pub fn tried_of(table: &ReplicaTable, service: &str, order: &UpgradeOrder, share: f64) -> Arc<[UpstreamId]> {
+pub fn canary_replicas(
+    table: &ReplicaTable,
+    service: &str,
+    order: &UpgradeOrder,
+    share: f64,
+) -> Arc<[UpstreamId]> {
     let is_new = |replica: &&Replica| replica.record.version == order.target;
     let present = table.staying(service).filter(|replica| !is_new(replica)).count();
     let new = table.staying(service).filter(is_new).map(|replica| &replica.record.id);
-    pick_tried(order, new, tried(share, present)).into_iter().cloned().collect()
+    pick_canaries(order, new, canary_count(share, present)).into_iter().cloned().collect()
 }
 
 /// Whether generations may be moved to a replica for balance: not to one that is on trial, is given up or is to
 /// become empty.
-pub fn is_balanced(replica: &Replica, upgrade: &Upgrade) -> bool {
-    matches!(upgrade.admission(&replica.record.version), Admission::All | Admission::Rest)
+pub fn is_rebalance_target(replica: &Replica, upgrade: &Upgrade) -> bool {
+    matches!(upgrade.admission(&replica.record.version), Admission::All | Admission::Remainder)
 }
--- a/lib/src/gateway/trial_evidence.rs
+++ b/lib/src/gateway/trial_evidence.rs
@@ -16,10 +16,10 @@
 use crate::ids::VmId;
 
 /// The part of the nodes that seem to be well which most of them are.
-const MOST: f64 = 0.9;
+const MOST_OF_HEALTHY: f64 = 0.9;
 /// The part of the nodes that there were lately which half of them is: where just half of them has ended, a few of the
 /// others are not heard, either.
-const HALF: f64 = 0.45;
+const HALF_OF_FLEET: f64 = 0.45;
 
 /// What a node has counted since its process began.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
@@ -34,16 +34,16 @@
 
 /// The other nodes, as one of them knows.
 #[derive(Clone, Debug, Default)]
-pub struct Census {
+pub struct FleetView {
     /// Those that are taken to be alive and are not suspected.
-    pub well: Vec<VmId>,
+    pub healthy: Vec<VmId>,
     /// How many nodes there were lately, this one included; `None` where it was told of others and has met none.
     pub size: Option<usize>,
 }
 
 /// How much of the fleet a judge has heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hearing {
+pub enum Coverage {
     /// Less than half of the nodes that there were lately.
     Few,
     /// Half of them, nearly.
@@ -61,10 +61,10 @@
 
 impl TrialEvidence {
     /// A node reports.
-    pub fn take(&mut self, node: VmId, report: TrialReport) {
+    pub fn add_report(&mut self, node: VmId, report: TrialReport) {
         let known = self.by_node.entry(node).or_default().entry(report.started).or_default();
         if report.as_of >= known.as_of {
-            self.sum.add_growth(&known.counts, &report.counts);
+            self.sum.add_delta(&known.counts, &report.counts);
             *known = report;
         }
     }
@@ -82,18 +82,22 @@
     }
 
     /// How much of the fleet was heard whose reports are of `since` or later, as time from the order.
-    pub fn hearing(&self, census: &Census, since: Duration) -> Hearing {
-        let heard = 1 + census.well.iter().filter(|node| self.has_since(node, since)).count();
-        match census.size {
-            Some(size) if heard as f64 >= HALF * size as f64 => {
-                let well = census.well.len() + 1;
-                if heard as f64 >= MOST * well as f64 { Hearing::Most } else { Hearing::Half }
+    pub fn coverage(&self, fleet: &FleetView, since: Duration) -> Coverage {
+        let reporting = 1 + fleet.healthy.iter().filter(|node| self.has_report_since(node, since)).count();
+        match fleet.size {
+            Some(size) if reporting as f64 >= HALF_OF_FLEET * size as f64 => {
+                let healthy = fleet.healthy.len() + 1;
+                if reporting as f64 >= MOST_OF_HEALTHY * healthy as f64 {
+                    Coverage::Most
+                } else {
+                    Coverage::Half
+                }
             }
-            _ => Hearing::Few,
+            _ => Coverage::Few,
         }
     }
 
-    fn has_since(&self, node: &VmId, since: Duration) -> bool {
+    fn has_report_since(&self, node: &VmId, since: Duration) -> bool {
         let reports = self.by_node.get(node).into_iter().flat_map(BTreeMap::values);
         reports.map(|report| report.as_of).max().is_some_and(|as_of| as_of >= since)
     }
--- a/lib/src/gateway/upgrade.rs
+++ b/lib/src/gateway/upgrade.rs
@@ -20,7 +20,7 @@
 use crate::ids::Timestamp;
 
 /// Upgrades that are told at most; each message between nodes tells them, in some thirty bytes each.
-pub const MOST_UPGRADES: usize = 16;
+pub const MAX_ANNOUNCED_UPGRADES: usize = 16;
 
 /// How far an upgrade is. Of two words on the same order the later stage holds.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Serialize, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,9 +53,9 @@
     /// A share of the requests.
     Share,
     /// What the share leaves.
-    Rest,
+    Remainder,
     /// Nothing as long as there is another version.
-    Last,
+    Fallback,
     /// Nothing.
     None,
 }
@@ -69,9 +69,9 @@
     fn admission(self, is_target: bool) -> Admission {
         match (self, is_target) {
             (Stage::Trial, true) => Admission::Share,
-            (Stage::Trial, false) => Admission::Rest,
+            (Stage::Trial, false) => Admission::Remainder,
             (Stage::Switch | Stage::Proven | Stage::Succeeded, true) => Admission::All,
-            (Stage::Switch | Stage::Proven | Stage::Succeeded, false) => Admission::Last,
+            (Stage::Switch | Stage::Proven | Stage::Succeeded, false) => Admission::Fallback,
             (Stage::Reverted | Stage::Failed, true) => Admission::None,
             (Stage::Reverted | Stage::Failed, false) => Admission::All,
         }
@@ -108,7 +108,7 @@
         self.stage.admission(*self.order.target == *version)
     }
 
-    fn raise(&mut self, stage: Stage, now: Timestamp) -> bool {
+    fn advance(&mut self, stage: Stage, now: Timestamp) -> bool {
         let is_later = stage > self.stage;
         if is_later {
             (self.stage, self.stage_since) = (stage, now);
@@ -119,7 +119,7 @@
 
 /// An upgrade as a node tells it to another one.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
-pub struct ToldUpgrade {
+pub struct AnnouncedUpgrade {
     /// The service.
     pub service: ServiceId,
     /// The order.
@@ -132,11 +132,11 @@
 
 /// All upgrades as a node tells them to another one.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
-pub struct ToldUpgrades {
+pub struct AnnouncedUpgrades {
     /// The store's revision up to which the sender knows which orders there are.
     pub at: Revision,
     /// The upgrades.
-    pub upgrades: Vec<ToldUpgrade>,
+    pub upgrades: Vec<AnnouncedUpgrade>,
 }
 
 /// All upgrades that a node knows, by service.
@@ -168,30 +168,31 @@
     }
 
     /// What other nodes are told.
-    pub fn told(&self, now: Timestamp) -> ToldUpgrades {
-        let upgrades = self.by_service.iter().take(MOST_UPGRADES).map(|(service, upgrade)| ToldUpgrade {
-            service: service.clone(),
-            order: upgrade.order.clone(),
-            age: now.saturating_sub(upgrade.began),
-            stage: upgrade.stage,
-        });
-        ToldUpgrades { at: self.at, upgrades: upgrades.collect() }
+    pub fn announced(&self, now: Timestamp) -> AnnouncedUpgrades {
+        let upgrades =
+            self.by_service.iter().take(MAX_ANNOUNCED_UPGRADES).map(|(service, upgrade)| AnnouncedUpgrade {
+                service: service.clone(),
+                order: upgrade.order.clone(),
+                age: now.saturating_sub(upgrade.began),
+                stage: upgrade.stage,
+            });
+        AnnouncedUpgrades { at: self.at, upgrades: upgrades.collect() }
     }
 
     /// Takes a word in; returns the services whose upgrades it changed.
-    pub fn take(&mut self, told: ToldUpgrades, now: Timestamp) -> Vec<ServiceId> {
-        let is_newer = told.at > self.at;
+    pub fn merge(&mut self, announced: AnnouncedUpgrades, now: Timestamp) -> Vec<ServiceId> {
+        let is_newer = announced.at > self.at;
         let mut changed = BTreeSet::new();
-        if is_newer && revision::era(told.at) == revision::era(self.at) {
-            let is_told = |service: &ServiceId| told.upgrades.iter().any(|told| told.service == *service);
-            let withdrawn = self.by_service.extract_if(.., |service, _| !is_told(service));
+        if is_newer && revision::era(announced.at) == revision::era(self.at) {
+            let is_kept = |service: &ServiceId| announced.upgrades.iter().any(|one| one.service == *service);
+            let withdrawn = self.by_service.extract_if(.., |service, _| !is_kept(service));
             changed.extend(withdrawn.map(|(service, _)| service));
         }
         // What a copy lacks was not withdrawn: the operator writes it again.
-        self.at = told.at.max(self.at);
-        for told in told.upgrades {
-            let service = told.service.clone();
-            if self.take_one(told, is_newer, now) {
+        self.at = announced.at.max(self.at);
+        for announced in announced.upgrades {
+            let service = announced.service.clone();
+            if self.merge_one(announced, is_newer, now) {
                 changed.insert(service);
             }
         }
@@ -199,26 +200,27 @@
     }
 
     /// Returns whether the order or its stage is another one than before.
-    fn take_one(&mut self, told: ToldUpgrade, is_newer: bool, now: Timestamp) -> bool {
-        let began = now.saturating_sub(told.age);
-        match self.by_service.get_mut(&told.service) {
-            Some(known) if known.order == told.order => {
+    fn merge_one(&mut self, announced: AnnouncedUpgrade, is_newer: bool, now: Timestamp) -> bool {
+        let began = now.saturating_sub(announced.age);
+        match self.by_service.get_mut(&announced.service) {
+            Some(known) if known.order == announced.order => {
                 known.began = known.began.min(began);
-                known.raise(told.stage, now)
+                known.advance(announced.stage, now)
             }
             // An older word knows nothing of which orders there are now.
             _ if !is_newer => false,
             _ => {
-                let upgrade = Upgrade { order: told.order, began, stage: told.stage, stage_since: now };
-                self.by_service.insert(told.service, upgrade);
+                let upgrade =
+                    Upgrade { order: announced.order, began, stage: announced.stage, stage_since: now };
+                self.by_service.insert(announced.service, upgrade);
                 true
             }
         }
     }
 
     /// An upgrade has come to a later stage; returns whether that is news.
-    pub fn raise(&mut self, service: &str, order: &UpgradeOrder, stage: Stage, now: Timestamp) -> bool {
+    pub fn advance(&mut self, service: &str, order: &UpgradeOrder, stage: Stage, now: Timestamp) -> bool {
         let known = self.by_service.get_mut(service).filter(|upgrade| upgrade.order == *order);
-        known.is_some_and(|upgrade| upgrade.raise(stage, now))
+        known.is_some_and(|upgrade| upgrade.advance(stage, now))
     }
 }
--- a/lib/src/gateway/upgrade_judge.rs
+++ b/lib/src/gateway/upgrade_judge.rs
@@ -9,39 +9,39 @@
 
 use crate::gateway::answer_counts::AnswerCounts;
 use crate::gateway::canary;
-use crate::gateway::trial_evidence::Hearing;
+use crate::gateway::trial_evidence::Coverage;
 use crate::gateway::trial_reports;
 use crate::gateway::upgrade::Stage;
 use crate::gateway::upgrade::Upgrade;
 use crate::gateway::upgrade_verdict;
-use crate::gateway::upgrade_verdict::Difference;
+use crate::gateway::upgrade_verdict::Regression;
 use crate::gateway::upgrade_verdict::Verdict;
 use crate::ids::Timestamp;
 
 /// The operator is told of a success this long before the time is over, so that the store has it in time.
-const TOLD_BEFORE: Duration = Duration::from_millis(700);
+const SUCCESS_REPORT_MARGIN: Duration = Duration::from_millis(700);
 /// Of a short order, no more than this part.
-const TOLD_BEFORE_PART: f64 = 0.15;
+const SUCCESS_REPORT_MARGIN_SHARE: f64 = 0.15;
 /// Streams that run on present replicas need so long to move to new ones.
-const STREAMS_MOVE_FOR: Duration = Duration::from_millis(2_500);
+const STREAM_MOVE_TIME: Duration = Duration::from_millis(2_500);
 /// Plain calls end by themselves within this, nearly all.
-const CALLS_END_WITHIN: Duration = Duration::from_millis(800);
+const CALL_DRAIN_TIME: Duration = Duration::from_millis(800);
 /// The switch takes no less than this: all nodes hear of it, and what was placed before is sent.
-const LEAST_SWITCH: Duration = Duration::from_millis(400);
+const MIN_SWITCH_TIME: Duration = Duration::from_millis(400);
 /// Reports from so long after its begin on tell how the new version bears all requests.
-const SWITCH_SETTLES_WITHIN: Duration = Duration::from_millis(200);
+const SWITCH_SETTLE_TIME: Duration = Duration::from_millis(200);
 /// So long a success that half of the nodes' counts speak for waits for the others.
-const WAITS_FOR_MOST: Duration = Duration::from_millis(200);
+const MAX_WAIT_FOR_MOST_NODES: Duration = Duration::from_millis(200);
 /// A service with few callers is told as upgraded this long after the time is over,
-const WAITS_FOR_ANSWERS: Duration = Duration::from_secs(30);
+const MAX_WAIT_FOR_ANSWERS: Duration = Duration::from_secs(30);
 /// if the new version has answered no more requests than this.
 const FEW_ANSWERS: u32 = 20;
 /// Part of what a bad version may get that the switch uses.
-const PART_FOR_SWITCH: f64 = 0.7;
+const SWITCH_BUDGET_SHARE: f64 = 0.7;
 /// The new replicas that bear requests must have this part of the present ones' slots at least.
-const LEAST_CAPACITY: f64 = 0.5;
+const MIN_CAPACITY_RATIO: f64 = 0.5;
 /// Without any replica of the new version for so long after the time is over, the order is given up.
-const GIVES_UP_AFTER: Duration = Duration::from_secs(10);
+const ABANDON_AFTER: Duration = Duration::from_secs(10);
 
 /// What a new version may get until the end of an order if it turns out to be bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -74,8 +74,8 @@
     pub has_streams: bool,
     /// Whether the store answers somebody: without it no success can be told.
     pub store_answers: bool,
-    /// How much of the fleet was heard, by reports from [`heard_since`] on.
-    pub hearing: Hearing,
+    /// How much of the fleet was heard, by reports from [`report_cutoff`] on.
+    pub hearing: Coverage,
     /// What the new version may get.
     pub bounds: ExposureBounds,
 }
@@ -94,26 +94,26 @@
 pub enum Reason {
     /// The new version is worse.
     #[display("worse: {_0}")]
-    Worse(Difference),
+    Worse(Regression),
     /// It has no replicas.
     #[display("no replica has the new version")]
     NoReplicas,
     /// Its trial is over, and nothing speaks against it.
     #[display("nothing speaks against it")]
-    Sound,
+    NotWorse,
 }
 
 /// A node is heard if its report is not from before this, as time from the order: in a switch, one from within it.
-pub fn heard_since(upgrade: &Upgrade, nodes: usize, now: Timestamp) -> Duration {
-    match roll_call(upgrade) {
+pub fn report_cutoff(upgrade: &Upgrade, nodes: usize, now: Timestamp) -> Duration {
+    match switch_report_at(upgrade) {
         Some(at) => at.saturating_sub(upgrade.began),
-        None => now.saturating_sub(upgrade.began + trial_reports::fresh_for(nodes)),
+        None => now.saturating_sub(upgrade.began + trial_reports::max_report_age(nodes)),
     }
 }
 
 /// When all nodes report once more, as the new version has got all requests for a moment.
-pub fn roll_call(upgrade: &Upgrade) -> Option<Timestamp> {
-    (upgrade.stage == Stage::Switch).then(|| upgrade.stage_since + SWITCH_SETTLES_WITHIN)
+pub fn switch_report_at(upgrade: &Upgrade) -> Option<Timestamp> {
+    (upgrade.stage == Stage::Switch).then(|| upgrade.stage_since + SWITCH_SETTLE_TIME)
 }
 
 impl Situation<'_> {
@@ -125,67 +125,74 @@
         }
         let elapsed = now.saturating_sub(*began);
         let verdict = upgrade_verdict::verdict(self.counts);
-        if let Verdict::Worse(difference) = verdict {
-            return Some(NextStage { stage: Stage::Reverted, reason: Reason::Worse(difference) });
+        if let Verdict::Worse(regression) = verdict {
+            return Some(NextStage { stage: Stage::Reverted, reason: Reason::Worse(regression) });
         }
-        if self.capacity.target == 0 && elapsed > order.within + GIVES_UP_AFTER {
+        if self.capacity.target == 0 && elapsed > order.within + ABANDON_AFTER {
             return Some(NextStage { stage: Stage::Reverted, reason: Reason::NoReplicas });
         }
         if verdict == Verdict::Unknown || !self.store_answers {
             return None;
         }
-        let told_at = order.within.saturating_sub(told_before(order.within));
+        let report_success_at = order.within.saturating_sub(success_report_margin(order.within));
         let since_switch = now.saturating_sub(*stage_since);
         let next = match stage {
-            Stage::Trial if self.bears_all() && elapsed + self.switch_lasts(elapsed) >= told_at => {
-                self.hears_enough(elapsed + LEAST_SWITCH >= told_at).then_some(Stage::Switch)
+            Stage::Trial
+                if self.has_capacity() && elapsed + self.switch_time(elapsed) >= report_success_at =>
+            {
+                self.has_enough_coverage(elapsed + MIN_SWITCH_TIME >= report_success_at)
+                    .then_some(Stage::Switch)
             }
             Stage::Switch
-                if elapsed >= told_at && since_switch >= LEAST_SWITCH && self.has_answers(elapsed) =>
+                if elapsed >= report_success_at
+                    && since_switch >= MIN_SWITCH_TIME
+                    && self.has_enough_answers(elapsed) =>
             {
-                self.hears_enough(elapsed >= told_at + WAITS_FOR_MOST).then_some(Stage::Proven)
+                self.has_enough_coverage(elapsed >= report_success_at + MAX_WAIT_FOR_MOST_NODES)
+                    .then_some(Stage::Proven)
             }
             _ => None,
         };
-        next.map(|stage| NextStage { stage, reason: Reason::Sound })
+        next.map(|stage| NextStage { stage, reason: Reason::NotWorse })
     }
 
     /// A success is told by nearly all nodes' counts, and by those of half of them where time is short: others may have
     /// ended a moment ago.
-    fn hears_enough(&self, is_short_of_time: bool) -> bool {
-        self.hearing >= if is_short_of_time { Hearing::Half } else { Hearing::Most }
+    fn has_enough_coverage(&self, is_time_short: bool) -> bool {
+        self.hearing >= if is_time_short { Coverage::Half } else { Coverage::Most }
     }
 
     /// Whether there are answers enough to tell a success by, or none are waited for any more.
-    fn has_answers(&self, elapsed: Duration) -> bool {
-        let is_overdue = elapsed >= self.upgrade.order.within + WAITS_FOR_ANSWERS;
+    fn has_enough_answers(&self, elapsed: Duration) -> bool {
+        let is_overdue = elapsed >= self.upgrade.order.within + MAX_WAIT_FOR_ANSWERS;
         let are_few = self.counts.answered().1 <= FEW_ANSWERS;
-        (is_overdue && are_few) || upgrade_verdict::speaks_for_target(self.counts)
+        (is_overdue && are_few) || upgrade_verdict::supports_target(self.counts)
     }
 
     /// How long all requests go to the new version before the operator is told: as long as the present replicas need
     /// to become empty, or as what a bad version may get allows.
-    fn switch_lasts(&self, elapsed: Duration) -> Duration {
-        let wanted = if self.has_streams { STREAMS_MOVE_FOR } else { CALLS_END_WITHIN };
+    fn switch_time(&self, elapsed: Duration) -> Duration {
+        let wanted = if self.has_streams { STREAM_MOVE_TIME } else { CALL_DRAIN_TIME };
         let (answered, exposed) = self.counts.answered();
         let rate = f64::from(answered) / elapsed.as_secs_f64().max(1.0);
         if rate <= 0.0 {
             return wanted;
         }
-        let until_the_end = rate * self.upgrade.order.within.as_secs_f64();
-        let still =
-            canary::share_on_trial(self.bounds.share) * (until_the_end - f64::from(answered)).max(0.0);
-        let allowed = self.bounds.share * until_the_end + self.bounds.slack - f64::from(exposed) - still;
-        let affordable = (allowed * PART_FOR_SWITCH / rate).max(0.0);
+        let expected_total = rate * self.upgrade.order.within.as_secs_f64();
+        let trial_remainder =
+            canary::trial_share(self.bounds.share) * (expected_total - f64::from(answered)).max(0.0);
+        let allowed =
+            self.bounds.share * expected_total + self.bounds.slack - f64::from(exposed) - trial_remainder;
+        let affordable = (allowed * SWITCH_BUDGET_SHARE / rate).max(0.0);
         let affordable = Duration::try_from_secs_f64(affordable).unwrap_or(wanted);
-        affordable.clamp(LEAST_SWITCH, wanted)
+        affordable.clamp(MIN_SWITCH_TIME, wanted)
     }
 
-    fn bears_all(&self) -> bool {
-        f64::from(self.capacity.target) >= LEAST_CAPACITY * f64::from(self.capacity.present).max(1.0)
+    fn has_capacity(&self) -> bool {
+        f64::from(self.capacity.target) >= MIN_CAPACITY_RATIO * f64::from(self.capacity.present).max(1.0)
     }
 }
 
-fn told_before(within: Duration) -> Duration {
-    TOLD_BEFORE.min(within.mul_f64(TOLD_BEFORE_PART))
+fn success_report_margin(within: Duration) -> Duration {
+    SUCCESS_REPORT_MARGIN.min(within.mul_f64(SUCCESS_REPORT_MARGIN_SHARE))
 }
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -411,7 +411,7 @@
     }
 
     /// Those of them that are not suspected.
-    pub fn well(&self) -> impl Iterator<Item = &VmId> {
+    pub fn healthy(&self) -> impl Iterator<Item = &VmId> {
         self.up.iter().filter(|vm| !self.suspects.contains(*vm))
     }
 
--- a/lib/tests/test_gateway_judges_model.rs
+++ b/lib/tests/test_gateway_judges_model.rs
@@ -13,8 +13,8 @@
 use leadstage_lib::gateway::answer_counts::Side;
 use leadstage_lib::gateway::canary;
 use leadstage_lib::gateway::run_key::RunKey;
-use leadstage_lib::gateway::trial_evidence::Census;
-use leadstage_lib::gateway::trial_evidence::Hearing;
+use leadstage_lib::gateway::trial_evidence::Coverage;
+use leadstage_lib::gateway::trial_evidence::FleetView;
 use leadstage_lib::gateway::trial_evidence::TrialEvidence;
 use leadstage_lib::gateway::trial_evidence::TrialReport;
 use leadstage_lib::gateway::trial_reports;
@@ -39,7 +39,7 @@
 const STEP_S: f64 = 0.1;
 const WITHIN_S: f64 = 14.0;
 /// The plays go on beyond the order's time.
-const PLAYED_S: f64 = 22.0;
+const SIMULATED_S: f64 = 22.0;
 /// Requests a second of the whole fleet.
 const RATE: f64 = 500.0;
 /// Part of the messages that is lost.
@@ -50,18 +50,18 @@
 /// Part of all answers that fails in any case.
 const USUALLY_BAD: f64 = 0.005;
 /// When something happens to judges of a good version.
-const STRIKES_GOOD_AT_S: f64 = 10.0;
+const DISTURBS_GOOD_AT_S: f64 = 10.0;
 const SUSPENDED_FOR_S: f64 = 4.5;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum JudgeScheme {
     One,
     Three,
     ThreeAndEach,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Disturbance {
     None,
     JudgeEnds,
     TwoJudgesEnd,
@@ -71,7 +71,7 @@
 
 enum Message {
     Report { from: usize, counted: u64, report: TrialReport },
-    Taken { from: usize, counted: u64 },
+    Ack { from: usize, counted: u64 },
     Stage(Stage),
 }
 
@@ -82,13 +82,13 @@
     requests: u64,
     reports: TrialReports,
     evidence: TrialEvidence,
-    asked_at: Option<f64>,
+    last_report_at: Option<f64>,
     upgrade: Upgrade,
     inbox: Vec<(f64, Message)>,
     ended_at: Option<f64>,
     suspended_until: f64,
     suspected_at: f64,
-    believed_at: f64,
+    declared_dead_at: f64,
 }
 
 impl Node {
@@ -104,18 +104,18 @@
         for (_, message) in now {
             match message {
                 Message::Report { from, counted, report } => {
-                    self.asked_at = Some(at);
-                    self.evidence.take(name(from), report);
-                    sent.push((from, Message::Taken { from: own, counted }));
+                    self.last_report_at = Some(at);
+                    self.evidence.add_report(node_id(from), report);
+                    sent.push((from, Message::Ack { from: own, counted }));
                 }
-                Message::Taken { from, counted } => self.reports.on_acknowledged(&name(from), counted),
-                Message::Stage(stage) => self.raise(stage, at),
+                Message::Ack { from, counted } => self.reports.on_acknowledged(&node_id(from), counted),
+                Message::Stage(stage) => self.advance(stage, at),
             }
         }
         sent
     }
 
-    fn raise(&mut self, stage: Stage, at: f64) {
+    fn advance(&mut self, stage: Stage, at: f64) {
         if stage > self.upgrade.stage {
             (self.upgrade.stage, self.upgrade.stage_since) = (stage, secs(at));
         }
@@ -126,11 +126,11 @@
     Duration::from_secs_f64(s)
 }
 
-fn name(n: usize) -> VmId {
+fn node_id(n: usize) -> VmId {
     format!("10.0.{}.{}:7003", n / 250, n % 250).into()
 }
 
-fn number(node: &VmId) -> usize {
+fn node_index(node: &VmId) -> usize {
     let mut parts = node.split([':', '.']).map(|part| part.parse::<usize>().expect("a number"));
     parts.nth(2).expect("an address") * 250 + parts.next().expect("an address")
 }
@@ -143,60 +143,60 @@
     exposed: u32,
     last_exposed: f64,
     sent: u64,
-    most_at_a_judge: u64,
+    longest_inbox: u64,
     judging: Duration,
 }
 
-struct Play {
-    way: Way,
+struct Simulation {
+    scheme: JudgeScheme,
     is_bad: bool,
     nodes: Vec<Node>,
     rng: SmallRng,
     outcome: Outcome,
 }
 
-impl Play {
-    fn new(count: usize, way: Way, is_bad: bool, seed: u64) -> Play {
+impl Simulation {
+    fn new(count: usize, scheme: JudgeScheme, is_bad: bool, seed: u64) -> Simulation {
         let order = UpgradeOrder { target: "v2".into(), within: secs(WITHIN_S), made: seed };
         let upgrade =
             Upgrade { order, began: Duration::ZERO, stage: Stage::Trial, stage_since: Duration::ZERO };
         let node = |n| Node {
-            id: name(n),
+            id: node_id(n),
             own: AnswerCounts::default(),
             counted: 0,
             requests: 0,
             reports: TrialReports::default(),
             evidence: TrialEvidence::default(),
-            asked_at: None,
+            last_report_at: None,
             upgrade: upgrade.clone(),
             inbox: Vec::new(),
             ended_at: None,
             suspended_until: 0.0,
             suspected_at: f64::MAX,
-            believed_at: f64::MAX,
+            declared_dead_at: f64::MAX,
         };
         let rng = SmallRng::seed_from_u64(seed);
-        Play { way, is_bad, nodes: (0..count).map(node).collect(), rng, outcome: Outcome::default() }
+        Simulation { scheme, is_bad, nodes: (0..count).map(node).collect(), rng, outcome: Outcome::default() }
     }
 
     fn ranked(&self, at: f64, count: usize) -> Vec<VmId> {
-        let alive = self.nodes.iter().filter(|node| node.believed_at > at).map(|node| &node.id);
+        let alive = self.nodes.iter().filter(|node| node.declared_dead_at > at).map(|node| &node.id);
         rendezvous::ranked("judge of s", alive, count).into_iter().cloned().collect()
     }
 
-    fn strike(&mut self, trouble: Trouble, at: f64) {
-        let judges: Vec<usize> = self.ranked(at, 2).iter().map(number).collect();
-        let (struck, ends) = match trouble {
-            Trouble::None => (Vec::new(), true),
-            Trouble::JudgeEnds => (judges[..1].to_vec(), true),
-            Trouble::TwoJudgesEnd => (judges, true),
-            Trouble::JudgeSuspended => (judges[..1].to_vec(), false),
-            Trouble::HalfEnd => (self.half(), true),
+    fn apply(&mut self, disturbance: Disturbance, at: f64) {
+        let judges: Vec<usize> = self.ranked(at, 2).iter().map(node_index).collect();
+        let (affected, ends) = match disturbance {
+            Disturbance::None => (Vec::new(), true),
+            Disturbance::JudgeEnds => (judges[..1].to_vec(), true),
+            Disturbance::TwoJudgesEnd => (judges, true),
+            Disturbance::JudgeSuspended => (judges[..1].to_vec(), false),
+            Disturbance::HalfEnd => (self.half(), true),
         };
-        for n in struck {
+        for n in affected {
             let node = &mut self.nodes[n];
             node.suspected_at = at + self.rng.random_range(1.5..2.5);
-            node.believed_at = at + self.rng.random_range(3.0..5.0);
+            node.declared_dead_at = at + self.rng.random_range(3.0..5.0);
             if ends {
                 node.ended_at = Some(at);
             } else {
@@ -224,9 +224,9 @@
         };
         node.requests += 1;
         let key = RunKey { entry: node.id.clone(), run: node.requests };
-        let share = canary::share_on_trial(BOUNDS.share);
+        let share = canary::trial_share(BOUNDS.share);
         let to_target = match node.upgrade.stage {
-            Stage::Trial => canary::is_drawn(&key, &node.upgrade.order, share),
+            Stage::Trial => canary::is_sampled(&key, &node.upgrade.order, share),
             stage => matches!(stage, Stage::Switch | Stage::Proven),
         };
         let is_bad = to_target && self.is_bad && at >= TURNS_BAD_AT_S;
@@ -249,44 +249,45 @@
         }
     }
 
-    fn tell_stage(&mut self, stage: Stage, at: f64) {
+    fn announce_stage(&mut self, stage: Stage, at: f64) {
         for n in 0..self.nodes.len() {
-            let late = if self.rng.random_bool(LOST) { 0.8 } else { self.rng.random_range(0.0..0.3) };
-            self.nodes[n].inbox.push((at + late, Message::Stage(stage)));
+            let delay = if self.rng.random_bool(LOST) { 0.8 } else { self.rng.random_range(0.0..0.3) };
+            self.nodes[n].inbox.push((at + delay, Message::Stage(stage)));
         }
     }
 
     fn report(&mut self, n: usize, ranked: &[&VmId], at: f64) -> bool {
         let nodes = self.nodes.len();
         let node = &mut self.nodes[n];
-        let roll_call = upgrade_judge::roll_call(&node.upgrade);
-        let pending = Pending { counted: node.counted, nodes, since: Duration::ZERO, roll_call };
+        let switch_report_at = upgrade_judge::switch_report_at(&node.upgrade);
+        let pending = Pending { counted: node.counted, nodes, since: Duration::ZERO, switch_report_at };
         let due = node.reports.due(ranked, &node.id.clone(), &pending, secs(at));
         let report = TrialReport { started: 1, as_of: secs(at), counts: node.own.clone() };
-        let (counted, is_asked) = (node.counted, node.asked_at.is_some_and(|asked| asked + 2.0 > at));
+        let (counted, has_recent_report) =
+            (node.counted, node.last_report_at.is_some_and(|received| received + 2.0 > at));
         for to in &due.to {
             let message = Message::Report { from: n, counted, report: report.clone() };
-            self.send(number(to), message, STEP_S / 2.0, at);
+            self.send(node_index(to), message, STEP_S / 2.0, at);
         }
-        due.judges || (is_asked && self.way != Way::One)
+        due.judges || (has_recent_report && self.scheme != JudgeScheme::One)
     }
 
-    fn hearing(&self, n: usize, at: f64) -> Hearing {
-        let alive = self.nodes.iter().filter(|node| node.believed_at > at).count();
+    fn coverage(&self, n: usize, at: f64) -> Coverage {
+        let alive = self.nodes.iter().filter(|node| node.declared_dead_at > at).count();
         let node = &self.nodes[n];
-        if self.way == Way::One {
+        if self.scheme == JudgeScheme::One {
             let is_most = (node.evidence.nodes() + 1) as f64 >= 0.75 * alive as f64;
-            return if is_most { Hearing::Most } else { Hearing::Few };
+            return if is_most { Coverage::Most } else { Coverage::Few };
         }
         let others = self.nodes.iter().filter(|other| other.id != node.id && other.suspected_at > at);
-        let well = others.map(|other| other.id.clone()).collect();
-        let census = Census { well, size: Some(self.nodes.len()) };
-        let since = upgrade_judge::heard_since(&node.upgrade, self.nodes.len(), secs(at));
-        node.evidence.hearing(&census, since)
+        let healthy = others.map(|other| other.id.clone()).collect();
+        let fleet = FleetView { healthy, size: Some(self.nodes.len()) };
+        let since = upgrade_judge::report_cutoff(&node.upgrade, self.nodes.len(), secs(at));
+        node.evidence.coverage(&fleet, since)
     }
 
     fn judge(&mut self, n: usize, at: f64) {
-        let hearing = self.hearing(n, at);
+        let hearing = self.coverage(n, at);
         let began = Instant::now();
         let node = &self.nodes[n];
         let counts = node.evidence.all(&node.own);
@@ -307,22 +308,23 @@
     }
 
     fn decide(&mut self, n: usize, stage: Stage, at: f64) {
-        self.nodes[n].raise(stage, at);
+        self.nodes[n].advance(stage, at);
         match stage {
             Stage::Proven => drop(self.outcome.succeeded_at.get_or_insert(at)),
             Stage::Reverted => drop(self.outcome.reverted_at.get_or_insert(at)),
             _ => {}
         }
-        self.tell_stage(stage, at);
+        self.announce_stage(stage, at);
     }
 
     fn step(&mut self, at: f64) {
-        let ranked = self.ranked(at, if self.way == Way::One { 1 } else { trial_reports::CANDIDATES });
+        let ranked =
+            self.ranked(at, if self.scheme == JudgeScheme::One { 1 } else { trial_reports::CANDIDATES });
         let ranked: Vec<&VmId> = ranked.iter().collect();
         let running: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].runs(at)).collect();
         for n in &running {
             let inbox = self.nodes[*n].inbox.len() as u64;
-            self.outcome.most_at_a_judge = self.outcome.most_at_a_judge.max(inbox);
+            self.outcome.longest_inbox = self.outcome.longest_inbox.max(inbox);
             for (to, message) in self.nodes[*n].receive(*n, at) {
                 self.send(to, message, STEP_S / 2.0, at);
             }
@@ -335,33 +337,33 @@
                 self.judge(n, at);
             }
             let is_worse = || matches!(upgrade_verdict::verdict(&self.nodes[n].own), Verdict::Worse(_));
-            if self.way == Way::ThreeAndEach && is_worse() {
+            if self.scheme == JudgeScheme::ThreeAndEach && is_worse() {
                 self.decide(n, Stage::Reverted, at);
             }
         }
     }
 }
 
-fn play(count: usize, way: Way, is_bad: bool, trouble: Trouble, seed: u64) -> Outcome {
-    let mut play = Play::new(count, way, is_bad, seed);
-    let strikes_at = if is_bad { TURNS_BAD_AT_S } else { STRIKES_GOOD_AT_S };
-    let mut is_struck = false;
-    for step in 0..(PLAYED_S / STEP_S) as usize {
+fn simulate(count: usize, scheme: JudgeScheme, is_bad: bool, disturbance: Disturbance, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(count, scheme, is_bad, seed);
+    let disturbed_at = if is_bad { TURNS_BAD_AT_S } else { DISTURBS_GOOD_AT_S };
+    let mut is_disturbed = false;
+    for step in 0..(SIMULATED_S / STEP_S) as usize {
         let at = step as f64 * STEP_S;
-        if at >= strikes_at && !is_struck {
-            is_struck = true;
-            play.strike(trouble, at);
+        if at >= disturbed_at && !is_disturbed {
+            is_disturbed = true;
+            simulation.apply(disturbance, at);
         }
         for _ in 0..(RATE * STEP_S) as usize {
-            play.call(at);
+            simulation.call(at);
         }
-        play.step(at);
+        simulation.step(at);
     }
-    play.outcome
+    simulation.outcome
 }
 
 /// The seeds that are played by hand.
-fn asked_seeds() -> Option<u64> {
+fn requested_seeds() -> Option<u64> {
     let seeds = std::env::var("LEADSTAGE_MODEL_SEEDS").ok()?;
     Some(seeds.parse().expect("LEADSTAGE_MODEL_SEEDS is a number"))
 }
@@ -372,64 +374,70 @@
     outcomes: Vec<Outcome>,
 }
 
-fn row(count: usize, way: Way, is_bad: bool, trouble: Trouble) -> Row {
-    let outcomes: Vec<Outcome> =
-        (0..asked_seeds().unwrap_or(1)).map(|seed| play(count, way, is_bad, trouble, seed)).collect();
+fn row(count: usize, scheme: JudgeScheme, is_bad: bool, disturbance: Disturbance) -> Row {
+    let outcomes: Vec<Outcome> = (0..requested_seeds().unwrap_or(1))
+        .map(|seed| simulate(count, scheme, is_bad, disturbance, seed))
+        .collect();
     let most = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).fold(0.0, f64::max);
     let succeeded = outcomes.iter().filter(|outcome| outcome.succeeded_at.is_some()).count();
     let reverted = outcomes.iter().filter(|outcome| outcome.reverted_at.is_some()).count();
-    let told = most(|outcome| outcome.succeeded_at.unwrap_or(0.0));
-    let sent = most(|outcome| outcome.sent as f64) / count as f64 / PLAYED_S;
+    let succeeded_by = most(|outcome| outcome.succeeded_at.unwrap_or(0.0));
+    let sent = most(|outcome| outcome.sent as f64) / count as f64 / SIMULATED_S;
     let version = if is_bad { "bad" } else { "good" };
     let judging = outcomes.iter().map(|outcome| outcome.judging).max().unwrap_or_default();
     let text = format!(
-        "{count:4} {:<12} {version:<4} {:<14} succeeded {succeeded}, told by {told:4.1} s; reverted {reverted}; {:3.0} exposed, the last {:3.1} s after; {sent:.2} messages a second and node, {:.0} at one in a step at most; judging {judging:?}",
-        format!("{way:?}"),
-        format!("{trouble:?}"),
+        "{count:4} {:<12} {version:<4} {:<14} succeeded {succeeded}, told by {succeeded_by:4.1} s; reverted {reverted}; {:3.0} exposed, the last {:3.1} s after; {sent:.2} messages a second and node, {:.0} at one in a step at most; judging {judging:?}",
+        format!("{scheme:?}"),
+        format!("{disturbance:?}"),
         most(|outcome| f64::from(outcome.exposed)),
         most(|outcome| outcome.last_exposed),
-        most(|outcome| outcome.most_at_a_judge as f64),
+        most(|outcome| outcome.longest_inbox as f64),
     );
     Row { text, outcomes }
 }
 
-const BAD_TROUBLES: [Trouble; 5] =
-    [Trouble::None, Trouble::JudgeEnds, Trouble::TwoJudgesEnd, Trouble::JudgeSuspended, Trouble::HalfEnd];
-const GOOD_TROUBLES: [Trouble; 4] =
-    [Trouble::None, Trouble::JudgeEnds, Trouble::JudgeSuspended, Trouble::HalfEnd];
+const BAD_DISTURBANCES: [Disturbance; 5] = [
+    Disturbance::None,
+    Disturbance::JudgeEnds,
+    Disturbance::TwoJudgesEnd,
+    Disturbance::JudgeSuspended,
+    Disturbance::HalfEnd,
+];
+const GOOD_DISTURBANCES: [Disturbance; 4] =
+    [Disturbance::None, Disturbance::JudgeEnds, Disturbance::JudgeSuspended, Disturbance::HalfEnd];
 
 /// Asserts that with three judges no bad version succeeds and no good one is reverted, and that a good one is told in time whatever
 /// happens to one judge. By hand it compares the ways.
 #[test]
-fn test_three_judges_see_on_while_one_is_away() {
-    let (sizes, ways): (&[usize], &[Way]) = match asked_seeds() {
-        Some(_) => (&[6, 66, 410, 985], &[Way::One, Way::Three, Way::ThreeAndEach]),
-        None => (&[6, 66, 410], &[Way::Three]),
+fn test_three_judges_decide_while_one_is_unavailable() {
+    let (sizes, schemes): (&[usize], &[JudgeScheme]) = match requested_seeds() {
+        Some(_) => (&[6, 66, 410, 985], &[JudgeScheme::One, JudgeScheme::Three, JudgeScheme::ThreeAndEach]),
+        None => (&[6, 66, 410], &[JudgeScheme::Three]),
     };
     for count in sizes {
-        for way in ways {
-            let bad = BAD_TROUBLES.map(|trouble| (true, trouble));
-            let good = GOOD_TROUBLES.map(|trouble| (false, trouble));
-            for (is_bad, trouble) in bad.into_iter().chain(good) {
-                let row = row(*count, *way, is_bad, trouble);
+        for scheme in schemes {
+            let bad = BAD_DISTURBANCES.map(|disturbance| (true, disturbance));
+            let good = GOOD_DISTURBANCES.map(|disturbance| (false, disturbance));
+            for (is_bad, disturbance) in bad.into_iter().chain(good) {
+                let row = row(*count, *scheme, is_bad, disturbance);
                 println!("{}", row.text);
-                if *way == Way::Three {
-                    check(&row, is_bad, trouble);
+                if *scheme == JudgeScheme::Three {
+                    check(&row, is_bad, disturbance);
                 }
             }
         }
     }
 }
 
-fn check(row: &Row, is_bad: bool, trouble: Trouble) {
+fn check(row: &Row, is_bad: bool, disturbance: Disturbance) {
     for outcome in &row.outcomes {
         if is_bad {
             assert_eq!(outcome.succeeded_at, None, "{}", row.text);
             assert!(outcome.reverted_at.is_some(), "{}", row.text);
         } else {
             assert_eq!(outcome.reverted_at, None, "{}", row.text);
-            let told = outcome.succeeded_at.expect("it is told");
-            assert!(trouble == Trouble::HalfEnd || told <= WITHIN_S, "{}", row.text);
+            let succeeded_by = outcome.succeeded_at.expect("it succeeds");
+            assert!(disturbance == Disturbance::HalfEnd || succeeded_by <= WITHIN_S, "{}", row.text);
         }
     }
 }
--- a/lib/tests/test_gateway_trial_evidence.rs
+++ b/lib/tests/test_gateway_trial_evidence.rs
@@ -7,8 +7,8 @@
 use leadstage_lib::gateway::answer_counts::Side;
 use leadstage_lib::gateway::fleet_size::FleetSize;
 use leadstage_lib::gateway::pauses::Pauses;
-use leadstage_lib::gateway::trial_evidence::Census;
-use leadstage_lib::gateway::trial_evidence::Hearing;
+use leadstage_lib::gateway::trial_evidence::Coverage;
+use leadstage_lib::gateway::trial_evidence::FleetView;
 use leadstage_lib::gateway::trial_evidence::TrialEvidence;
 use leadstage_lib::gateway::trial_evidence::TrialReport;
 use leadstage_lib::ids::VmId;
@@ -32,34 +32,34 @@
     TrialReport { started, as_of: secs(as_of), counts: failed(count) }
 }
 
-fn exposed(evidence: &TrialEvidence) -> u32 {
+fn target_answers(evidence: &TrialEvidence) -> u32 {
     evidence.all(&AnswerCounts::default()).answered().1
 }
 
-fn census(well: std::ops::Range<usize>, size: usize) -> Census {
-    Census { well: well.map(node).collect(), size: Some(size) }
+fn fleet(healthy: std::ops::Range<usize>, size: usize) -> FleetView {
+    FleetView { healthy: healthy.map(node).collect(), size: Some(size) }
 }
 
 #[test]
-fn test_what_a_node_has_counted_outlasts_its_process() {
+fn test_counts_of_a_node_outlast_its_process() {
     let mut evidence = TrialEvidence::default();
-    evidence.take(node(1), report(100, 1.0, 5));
-    evidence.take(node(2), report(100, 1.0, 2));
+    evidence.add_report(node(1), report(100, 1.0, 5));
+    evidence.add_report(node(2), report(100, 1.0, 2));
     // It has begun anew.
-    evidence.take(node(1), report(200, 3.0, 1));
-    assert_eq!(exposed(&evidence), 8);
+    evidence.add_report(node(1), report(200, 3.0, 1));
+    assert_eq!(target_answers(&evidence), 8);
     // A report that was overtaken, one that came twice, and a late one of the process before.
-    evidence.take(node(1), report(200, 4.0, 4));
-    evidence.take(node(1), report(200, 3.5, 2));
-    evidence.take(node(1), report(200, 4.0, 4));
-    evidence.take(node(1), report(100, 2.0, 6));
-    assert_eq!(exposed(&evidence), 12);
+    evidence.add_report(node(1), report(200, 4.0, 4));
+    evidence.add_report(node(1), report(200, 3.5, 2));
+    evidence.add_report(node(1), report(200, 4.0, 4));
+    evidence.add_report(node(1), report(100, 2.0, 6));
+    assert_eq!(target_answers(&evidence), 12);
 }
 
 proptest! {
     /// Judges that get the same reports, in any order and some of them twice, come to the same counts.
     #[test]
-    fn test_judges_come_to_the_same_counts(
+    fn test_judges_reach_the_same_counts(
         reports in prop::collection::vec((0_usize..4, 1_u64..3, 1_u32..20), 1..20),
         order in prop::collection::vec(any::<prop::sample::Index>(), 40),
     ) {
@@ -67,51 +67,51 @@
         let report = |(n, started, count): (usize, u64, u32)| (node(n), report(started, f64::from(count), count));
         let mut one = TrialEvidence::default();
         let mut other = TrialEvidence::default();
-        for told in &reports {
-            let (from, report) = report(*told);
-            one.take(from, report);
+        for sample in &reports {
+            let (from, report) = report(*sample);
+            one.add_report(from, report);
         }
-        for told in order.iter().map(|index| reports[index.index(reports.len())]).chain(reports.clone()) {
-            let (from, report) = report(told);
-            other.take(from, report);
+        for sample in order.iter().map(|index| reports[index.index(reports.len())]).chain(reports.clone()) {
+            let (from, report) = report(sample);
+            other.add_report(from, report);
         }
-        prop_assert_eq!(exposed(&one), exposed(&other));
+        prop_assert_eq!(target_answers(&one), target_answers(&other));
         let mut most = std::collections::BTreeMap::new();
         for (n, started, count) in reports {
             let known = most.entry((n, started)).or_insert(0);
             *known = count.max(*known);
         }
-        prop_assert_eq!(exposed(&one), most.values().sum::<u32>());
+        prop_assert_eq!(target_answers(&one), most.values().sum::<u32>());
     }
 }
 
 #[test]
-fn test_only_reports_that_are_not_old_are_heard() {
+fn test_old_reports_do_not_count_as_coverage() {
     let mut evidence = TrialEvidence::default();
-    (1..10).for_each(|n| evidence.take(node(n), report(1, 1.0, 1)));
-    assert_eq!(evidence.hearing(&census(1..10, 10), secs(0.5)), Hearing::Most);
-    assert_eq!(evidence.hearing(&census(1..10, 10), secs(1.5)), Hearing::Few);
-    (1..5).for_each(|n| evidence.take(node(n), report(1, 2.0, 1)));
-    assert_eq!(evidence.hearing(&census(1..10, 10), secs(1.5)), Hearing::Half);
+    (1..10).for_each(|n| evidence.add_report(node(n), report(1, 1.0, 1)));
+    assert_eq!(evidence.coverage(&fleet(1..10, 10), secs(0.5)), Coverage::Most);
+    assert_eq!(evidence.coverage(&fleet(1..10, 10), secs(1.5)), Coverage::Few);
+    (1..5).for_each(|n| evidence.add_report(node(n), report(1, 2.0, 1)));
+    assert_eq!(evidence.coverage(&fleet(1..10, 10), secs(1.5)), Coverage::Half);
     // Those that are not heard are suspected by now.
-    assert_eq!(evidence.hearing(&census(1..5, 10), secs(1.5)), Hearing::Most);
+    assert_eq!(evidence.coverage(&fleet(1..5, 10), secs(1.5)), Coverage::Most);
 }
 
 /// Guards against a side of a cut, or a node that has just started, that takes itself for the fleet.
 #[test]
 fn test_a_small_side_of_a_cut_is_not_the_fleet() {
     let mut evidence = TrialEvidence::default();
-    evidence.take(node(1), report(1, 1.0, 1));
-    assert_eq!(evidence.hearing(&census(1..2, 2), secs(0.5)), Hearing::Most);
-    assert_eq!(evidence.hearing(&census(1..2, 5), secs(0.5)), Hearing::Few);
-    let met_nobody = Census { well: Vec::new(), size: None };
-    assert_eq!(evidence.hearing(&met_nobody, secs(0.5)), Hearing::Few);
-    let alone = census(1..1, 1);
-    assert_eq!(TrialEvidence::default().hearing(&alone, secs(0.5)), Hearing::Most);
+    evidence.add_report(node(1), report(1, 1.0, 1));
+    assert_eq!(evidence.coverage(&fleet(1..2, 2), secs(0.5)), Coverage::Most);
+    assert_eq!(evidence.coverage(&fleet(1..2, 5), secs(0.5)), Coverage::Few);
+    let no_node_met = FleetView { healthy: Vec::new(), size: None };
+    assert_eq!(evidence.coverage(&no_node_met, secs(0.5)), Coverage::Few);
+    let alone = fleet(1..1, 1);
+    assert_eq!(TrialEvidence::default().coverage(&alone, secs(0.5)), Coverage::Most);
 }
 
 #[test]
-fn test_times_of_a_pause_and_of_what_queued_up_in_it_are_disturbed() {
+fn test_times_that_overlap_a_pause_or_its_backlog_are_disturbed() {
     let mut pauses = Pauses::default();
     (0..=100).for_each(|tenth| pauses.tick(secs(f64::from(tenth) / 10.0)));
     assert!(!pauses.disturb(secs(9.0), secs(10.3)));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn test_a_size_is_kept_for_a_while() {
+fn test_fleet_size_is_kept_for_a_while() {
     let mut size = FleetSize::default();
     size.note(410, secs(20.0));
     // From here on it is cut off with two others.
--- a/lib/tests/test_gateway_trial_reports.rs
+++ b/lib/tests/test_gateway_trial_reports.rs
@@ -37,16 +37,17 @@
         }
     }
 
-    fn due(&mut self, own: usize, at: f64, roll_call: Option<f64>) -> Due {
-        let roll_call = roll_call.map(|at| KNOWN_FOR + secs(at));
-        let pending = Pending { counted: self.counted, nodes: self.nodes, since: Duration::ZERO, roll_call };
+    fn due(&mut self, own: usize, at: f64, switch_report_at: Option<f64>) -> Due {
+        let switch_report_at = switch_report_at.map(|at| KNOWN_FOR + secs(at));
+        let pending =
+            Pending { counted: self.counted, nodes: self.nodes, since: Duration::ZERO, switch_report_at };
         let ranked: Vec<&VmId> = self.candidates.iter().collect();
         self.reports.due(&ranked, &node(own), &pending, KNOWN_FOR + secs(at))
     }
 
     /// The nodes that are reported to at these times by a node that is none of them, where `answers` acknowledge.
-    fn told(&mut self, at: impl Iterator<Item = u32>, answers: &[usize]) -> Vec<(u32, Vec<usize>)> {
-        let mut told = Vec::new();
+    fn reported_to(&mut self, at: impl Iterator<Item = u32>, answers: &[usize]) -> Vec<(u32, Vec<usize>)> {
+        let mut reported = Vec::new();
         for tenth in at {
             let due = self.due(9, f64::from(tenth) / 10.0, None).to;
             let due: Vec<usize> = (1..6).filter(|n| due.contains(&node(*n))).collect();
@@ -54,35 +55,35 @@
                 self.reports.on_acknowledged(&node(*n), self.counted);
             }
             if !due.is_empty() {
-                told.push((tenth, due));
+                reported.push((tenth, due));
             }
         }
-        told
+        reported
     }
 }
 
 #[test]
-fn test_a_report_that_was_lost_is_sent_again_soon() {
+fn test_a_lost_report_is_resent_soon() {
     let mut reporter = Reporter::new();
-    assert_eq!(reporter.told(0..1, &[2, 3]), [(0, vec![1, 2, 3])]);
+    assert_eq!(reporter.reported_to(0..1, &[2, 3]), [(0, vec![1, 2, 3])]);
     // The two that have it hear of the node a little later, though it has no news.
-    assert_eq!(reporter.told(1..6, &[1, 2, 3]), [(4, vec![1]), (5, vec![2, 3])]);
+    assert_eq!(reporter.reported_to(1..6, &[1, 2, 3]), [(4, vec![1]), (5, vec![2, 3])]);
     reporter.counted += 1;
-    assert_eq!(reporter.told(6..10, &[1, 2, 3]), [(8, vec![1]), (9, vec![2, 3])]);
+    assert_eq!(reporter.reported_to(6..10, &[1, 2, 3]), [(8, vec![1]), (9, vec![2, 3])]);
 }
 
 #[test]
 fn test_a_silent_judge_is_replaced_before_its_death_is_known() {
     let mut reporter = Reporter::new();
-    reporter.told(0..10, &[1, 2, 3]);
-    let told = reporter.told(10..24, &[2, 3, 4]);
-    let first = told.iter().find(|(_, due)| due.contains(&4)).expect("the next one is told");
-    assert!(first.0 <= 21, "{told:?}");
+    reporter.reported_to(0..10, &[1, 2, 3]);
+    let reported = reporter.reported_to(10..24, &[2, 3, 4]);
+    let first = reported.iter().find(|(_, due)| due.contains(&4)).expect("the next candidate gets a report");
+    assert!(first.0 <= 21, "{reported:?}");
     // The silent one is still tried, and is a judge again once it answers.
-    reporter.told(24..40, &[1, 2, 3, 4]);
-    let told = reporter.told(40..60, &[1, 2, 3]);
-    assert!(told.iter().any(|(_, due)| due.contains(&1)), "{told:?}");
-    assert!(!told.iter().any(|(_, due)| due.contains(&4)), "{told:?}");
+    reporter.reported_to(24..40, &[1, 2, 3, 4]);
+    let reported = reporter.reported_to(40..60, &[1, 2, 3]);
+    assert!(reported.iter().any(|(_, due)| due.contains(&1)), "{reported:?}");
+    assert!(!reported.iter().any(|(_, due)| due.contains(&4)), "{reported:?}");
 }
 
 #[test]
@@ -95,16 +96,16 @@
 }
 
 #[test]
-fn test_all_report_once_in_the_switch() {
+fn test_all_nodes_report_once_in_the_switch() {
     let mut reporter = Reporter::new();
     // So many that those without news report each 5 s.
     reporter.nodes = 1_000;
-    reporter.told(0..1, &[1, 2, 3]);
+    reporter.reported_to(0..1, &[1, 2, 3]);
     assert_eq!(reporter.due(9, 1.1, Some(1.2)).to, []);
     let at = (12..20).map(|tenth| f64::from(tenth) / 10.0);
-    let mut called: Vec<VmId> = at.flat_map(|at| reporter.due(9, at, Some(1.2)).to).collect();
-    called.sort();
-    assert_eq!(called, (1..4).map(node).collect::<Vec<_>>());
+    let mut recipients: Vec<VmId> = at.flat_map(|at| reporter.due(9, at, Some(1.2)).to).collect();
+    recipients.sort();
+    assert_eq!(recipients, (1..4).map(node).collect::<Vec<_>>());
 }
 
 /// Of a thousand nodes that learn of a trial at once, no judge gets many more reports in a tenth of a second than the
@@ -116,7 +117,7 @@
     let mut fleet: Vec<(VmId, TrialReports)> = (0..1_000)
         .map(|n| (format!("10.1.{}.{}:7003", n / 250, n % 250).into(), TrialReports::default()))
         .collect();
-    let pending = Pending { counted: 1, nodes: 1_000, since: Duration::ZERO, roll_call: None };
+    let pending = Pending { counted: 1, nodes: 1_000, since: Duration::ZERO, switch_report_at: None };
     let sent: Vec<usize> = (0..7)
         .map(|tenth| {
             let now = secs(f64::from(tenth) / 10.0);
--- a/lib/tests/test_gateway_upgrade.rs
+++ b/lib/tests/test_gateway_upgrade.rs
@@ -13,10 +13,10 @@
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::revision;
 use leadstage_lib::gateway::run_key::RunKey;
-use leadstage_lib::gateway::trial_evidence::Hearing;
+use leadstage_lib::gateway::trial_evidence::Coverage;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrade;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrades;
 use leadstage_lib::gateway::upgrade::Stage;
-use leadstage_lib::gateway::upgrade::ToldUpgrade;
-use leadstage_lib::gateway::upgrade::ToldUpgrades;
 use leadstage_lib::gateway::upgrade::Upgrade;
 use leadstage_lib::gateway::upgrade::UpgradeOrder;
 use leadstage_lib::gateway::upgrade::Upgrades;
@@ -39,14 +39,14 @@
     UpgradeOrder { target: target.into(), within: secs(12.0), made }
 }
 
-fn told(at: u64, orders: &[(&str, u64, Stage)]) -> ToldUpgrades {
-    let upgrades = orders.iter().map(|(service, made, stage)| ToldUpgrade {
+fn announced(at: u64, orders: &[(&str, u64, Stage)]) -> AnnouncedUpgrades {
+    let upgrades = orders.iter().map(|(service, made, stage)| AnnouncedUpgrade {
         service: (*service).into(),
         order: order("v2", *made),
         age: secs(1.0),
         stage: *stage,
     });
-    ToldUpgrades { at, upgrades: upgrades.collect() }
+    AnnouncedUpgrades { at, upgrades: upgrades.collect() }
 }
 
 fn upgrade(stage: Stage) -> Upgrade {
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn test_a_later_stage_holds_whoever_tells_it_first() {
+fn test_a_later_stage_wins_in_any_order_of_announcements() {
     let mut upgrades = Upgrades::default();
-    assert_eq!(upgrades.take(told(5, &[("s", 4, Stage::Reverted)]), secs(2.0)), ["s".into()]);
+    assert_eq!(upgrades.merge(announced(5, &[("s", 4, Stage::Reverted)]), secs(2.0)), ["s".into()]);
     // A node that missed it tells the trial, with a newer view of the store.
-    assert!(upgrades.take(told(9, &[("s", 4, Stage::Trial)]), secs(3.0)).is_empty());
+    assert!(upgrades.merge(announced(9, &[("s", 4, Stage::Trial)]), secs(3.0)).is_empty());
     assert_eq!(upgrades.of("s").expect("there").stage, Stage::Reverted);
     // Another order of the same service begins anew.
-    assert_eq!(upgrades.take(told(10, &[("s", 10, Stage::Trial)]), secs(4.0)), ["s".into()]);
+    assert_eq!(upgrades.merge(announced(10, &[("s", 10, Stage::Trial)]), secs(4.0)), ["s".into()]);
     assert_eq!(upgrades.of("s").expect("there").stage, Stage::Trial);
     // An older word knows nothing of it.
-    assert!(upgrades.take(told(9, &[("s", 4, Stage::Succeeded)]), secs(5.0)).is_empty());
-    assert_eq!(upgrades.take(told(11, &[]), secs(6.0)), ["s".into()]);
+    assert!(upgrades.merge(announced(9, &[("s", 4, Stage::Succeeded)]), secs(5.0)).is_empty());
+    assert_eq!(upgrades.merge(announced(11, &[]), secs(6.0)), ["s".into()]);
     assert!(upgrades.is_empty());
 }
 
@@ -73,40 +73,40 @@
 #[test]
 fn test_an_order_that_a_copy_of_the_store_lacks_stays() {
     let mut upgrades = Upgrades::default();
-    upgrades.take(told(revision::in_era(0, 90), &[("s", 4, Stage::Reverted)]), secs(2.0));
-    assert!(upgrades.take(told(revision::in_era(1, 5), &[]), secs(3.0)).is_empty());
+    upgrades.merge(announced(revision::in_era(0, 90), &[("s", 4, Stage::Reverted)]), secs(2.0));
+    assert!(upgrades.merge(announced(revision::in_era(1, 5), &[]), secs(3.0)).is_empty());
     assert_eq!(upgrades.of("s").expect("there").stage, Stage::Reverted);
-    assert_eq!(upgrades.take(told(revision::in_era(1, 6), &[]), secs(4.0)), ["s".into()]);
+    assert_eq!(upgrades.merge(announced(revision::in_era(1, 6), &[]), secs(4.0)), ["s".into()]);
 }
 
 proptest! {
     /// All words of one history of the store, in any order, several times: all nodes come to the same.
     #[test]
-    fn test_nodes_come_to_the_same_in_whatever_order_they_hear(
-        words in prop::collection::vec((0_u64..4, 0_usize..6, 0_usize..6), 1..12),
+    fn test_nodes_converge_in_any_order_of_announcements(
+        announcements in prop::collection::vec((0_u64..4, 0_usize..6, 0_usize..6), 1..12),
         shuffle in prop::collection::vec(any::<prop::sample::Index>(), 24),
     ) {
         // At revision 0 nothing is ordered, at 1 one service's order is made, at 2 a second one's, at 3 the
         // first one is replaced.
-        let word = |(at, a, b): (u64, usize, usize)| {
+        let announcement = |(at, a, b): (u64, usize, usize)| {
             let (a, b) = (STAGES[a], STAGES[b]);
             match at {
-                0 => told(0, &[]),
-                1 => told(1, &[("s", 1, a)]),
-                2 => told(2, &[("s", 1, a), ("t", 2, b)]),
-                _ => told(3, &[("s", 3, a), ("t", 2, b)]),
+                0 => announced(0, &[]),
+                1 => announced(1, &[("s", 1, a)]),
+                2 => announced(2, &[("s", 1, a), ("t", 2, b)]),
+                _ => announced(3, &[("s", 3, a), ("t", 2, b)]),
             }
         };
         let mut in_order = Upgrades::default();
-        let mut sorted = words.clone();
+        let mut sorted = announcements.clone();
         sorted.sort();
-        sorted.iter().for_each(|w| drop(in_order.take(word(*w), secs(10.0))));
+        sorted.iter().for_each(|w| drop(in_order.merge(announcement(*w), secs(10.0))));
         let mut shuffled = Upgrades::default();
         for index in shuffle {
-            shuffled.take(word(words[index.index(words.len())]), secs(10.0));
+            shuffled.merge(announcement(announcements[index.index(announcements.len())]), secs(10.0));
         }
         // Each word is heard once at least.
-        words.iter().rev().for_each(|w| drop(shuffled.take(word(*w), secs(10.0))));
+        announcements.iter().rev().for_each(|w| drop(shuffled.merge(announcement(*w), secs(10.0))));
         let view = |upgrades: &Upgrades| {
             upgrades.iter().map(|(s, u)| (s.clone(), u.order.clone(), u.stage)).collect::<Vec<_>>()
         };
@@ -143,15 +143,15 @@
 }
 
 /// The ids of the replicas that a request may go to, by pool.
-fn groups_of(table: &ReplicaTable, stage: Stage, run: u64) -> Vec<Vec<String>> {
+fn candidates_of(table: &ReplicaTable, stage: Stage, run: u64) -> Vec<Vec<String>> {
     let key = RunKey { entry: "10.0.0.9:7080".into(), run };
     let upgrade = upgrade(stage);
-    let tried = || canary::tried_of(table, "s", &upgrade.order, 0.1);
-    let pools = canary::pools(&upgrade, &key, 0.1, tried);
+    let canaries = || canary::canary_replicas(table, "s", &upgrade.order, 0.1);
+    let pools = canary::pools(&upgrade, &key, 0.1, canaries);
     let replicas = table.of_service("s");
     let ids = |pool: &VersionPool| -> Vec<String> {
-        let its = replicas.iter().filter(|replica| pool.has(replica));
-        its.map(|replica| replica.record.id.to_string()).collect()
+        let members = replicas.iter().filter(|replica| pool.has(replica));
+        members.map(|replica| replica.record.id.to_string()).collect()
     };
     pools.iter().map(ids).collect()
 }
@@ -159,65 +159,72 @@
 #[test]
 fn test_a_share_of_the_requests_goes_to_few_new_replicas() {
     let table = table();
-    let drawn = (0..20_000).filter(|run| groups_of(&table, Stage::Trial, *run).len() == 2).count();
-    assert!((1_800..2_200).contains(&drawn), "{drawn} of 20,000 for a share of a tenth");
+    let selected = (0..20_000).filter(|run| candidates_of(&table, Stage::Trial, *run).len() == 2).count();
+    assert!((1_800..2_200).contains(&selected), "{selected} of 20,000 for a share of a tenth");
     for run in 0..200 {
-        let groups = groups_of(&table, Stage::Trial, run);
-        assert_eq!(groups, groups_of(&table, Stage::Trial, run), "a request is drawn once");
-        let present = groups.last().expect("a group");
-        assert!(present.len() == 20 && present.iter().all(|id| id.starts_with("old")), "{groups:?}");
-        if groups.len() == 2 {
-            assert_eq!(groups[0].len(), 2, "a tenth of 20 present ones: {groups:?}");
-            assert!(groups[0].iter().all(|id| id.starts_with("new")), "{groups:?}");
+        let candidates = candidates_of(&table, Stage::Trial, run);
+        assert_eq!(candidates, candidates_of(&table, Stage::Trial, run), "a request is selected once");
+        let present = candidates.last().expect("a group");
+        assert!(present.len() == 20 && present.iter().all(|id| id.starts_with("old")), "{candidates:?}");
+        if candidates.len() == 2 {
+            assert_eq!(candidates[0].len(), 2, "a tenth of 20 present ones: {candidates:?}");
+            assert!(candidates[0].iter().all(|id| id.starts_with("new")), "{candidates:?}");
         }
     }
 }
 
 #[test]
-fn test_a_version_that_was_given_up_gets_nothing() {
+fn test_a_reverted_version_gets_no_requests() {
     let table = table();
     for stage in [Stage::Reverted, Stage::Failed] {
         for run in 0..200 {
-            let groups = groups_of(&table, stage, run);
-            assert!(groups.iter().flatten().all(|id| id.starts_with("old")), "{stage}: {groups:?}");
+            let candidates = candidates_of(&table, stage, run);
+            assert!(candidates.iter().flatten().all(|id| id.starts_with("old")), "{stage}: {candidates:?}");
         }
     }
     for stage in [Stage::Switch, Stage::Proven, Stage::Succeeded] {
-        let groups = groups_of(&table, stage, 1);
-        assert!(groups[0].len() == 20 && groups[0].iter().all(|id| id.starts_with("new")), "{groups:?}");
+        let candidates = candidates_of(&table, stage, 1);
+        assert!(
+            candidates[0].len() == 20 && candidates[0].iter().all(|id| id.starts_with("new")),
+            "{candidates:?}"
+        );
     }
 }
 
 /// Answers of both versions on a route: so many good ones in 60 ms, and bad ones.
 fn counts(present: (u32, u32), target: (u32, u32), bad: Sample) -> AnswerCounts {
     let mut counts = AnswerCounts::default();
-    for (side, (good, bad_ones)) in [(Side::Present, present), (Side::Target, target)] {
-        let good_one = Sample::Took(Measure::Answer, secs(0.06));
-        (0..good).for_each(|_| counts.on_sample(&"r".into(), side, good_one));
-        (0..bad_ones).for_each(|_| counts.on_sample(&"r".into(), side, bad));
+    for (side, (good_count, bad_count)) in [(Side::Present, present), (Side::Target, target)] {
+        let good_answer = Sample::Took(Measure::Answer, secs(0.06));
+        (0..good_count).for_each(|_| counts.on_sample(&"r".into(), side, good_answer));
+        (0..bad_count).for_each(|_| counts.on_sample(&"r".into(), side, bad));
     }
     counts
 }
 
 #[test]
-fn test_errors_and_slow_answers_tell_a_worse_version() {
+fn test_errors_and_slow_answers_show_a_worse_version() {
     let slow = Sample::Took(Measure::Answer, secs(0.3));
     for bad in [Sample::Failed, slow] {
         let verdict = |present, target| upgrade_verdict::verdict(&counts(present, target, bad));
         assert!(matches!(verdict((200, 1), (12, 5)), Verdict::Worse(_)), "a third is bad");
-        assert_eq!(verdict((200, 1), (20, 1)), Verdict::Sound, "one may be the request's fault");
-        assert_eq!(verdict((150, 50), (20, 7)), Verdict::Sound, "as many are bad of the present version's");
+        assert_eq!(verdict((200, 1), (20, 1)), Verdict::NotWorse, "one may be the request's fault");
+        assert_eq!(
+            verdict((150, 50), (20, 7)),
+            Verdict::NotWorse,
+            "as many are bad of the present version's"
+        );
         assert!(matches!(verdict((150, 50), (10, 30)), Verdict::Worse(_)), "many more are bad than usual");
     }
     assert_eq!(upgrade_verdict::verdict(&AnswerCounts::default()), Verdict::Unknown);
     // Nothing tells what is usual: only errors count.
-    assert!(matches!(upgrade_verdict::verdict(&counts((0, 0), (2, 6), Sample::Failed)), Verdict::Sound));
-    assert!(matches!(upgrade_verdict::verdict(&counts((6, 0), (2, 6), slow)), Verdict::Sound));
+    assert!(matches!(upgrade_verdict::verdict(&counts((0, 0), (2, 6), Sample::Failed)), Verdict::NotWorse));
+    assert!(matches!(upgrade_verdict::verdict(&counts((6, 0), (2, 6), slow)), Verdict::NotWorse));
 }
 
 /// A fifth of the present version's answers take several times as long as the others, and none fails.
 #[test]
-fn test_errors_tell_a_worse_version_of_a_service_with_uneven_times() {
+fn test_errors_show_a_worse_version_of_a_service_with_uneven_times() {
     let mut counts = counts((272, 0), (27, 11), Sample::Failed);
     let slow = Sample::Took(Measure::Answer, secs(0.3));
     (0..68).for_each(|_| counts.on_sample(&"r".into(), Side::Present, slow));
@@ -229,21 +236,21 @@
 #[test]
 fn test_chances_are_those_of_the_binomial_distribution() {
     let close = |a: f64, b: f64| (a - b).abs() < 1e-9;
-    assert!(close(upgrade_verdict::chance_of(1, 2, 0.5), 0.75));
-    assert!(close(upgrade_verdict::chance_of(2, 2, 0.5), 0.25));
-    assert!(close(upgrade_verdict::chance_of(3, 10, 0.1), 0.070_190_826_4));
-    assert!(close(upgrade_verdict::chance_of(0, 10, 0.1), 1.0));
+    assert!(close(upgrade_verdict::binomial_tail(1, 2, 0.5), 0.75));
+    assert!(close(upgrade_verdict::binomial_tail(2, 2, 0.5), 0.25));
+    assert!(close(upgrade_verdict::binomial_tail(3, 10, 0.1), 0.070_190_826_4));
+    assert!(close(upgrade_verdict::binomial_tail(0, 10, 0.1), 1.0));
 }
 
 /// The stages that an upgrade comes to, with when, where the counts stay as they are by the second.
-fn course(
+fn stage_course(
     counts: impl Fn(f64) -> AnswerCounts,
     capacity: Capacity,
     store_answers: bool,
-    hearing: Hearing,
+    hearing: Coverage,
 ) -> Vec<(Stage, f64)> {
     let mut upgrade = upgrade(Stage::Trial);
-    let mut course = Vec::new();
+    let mut stages = Vec::new();
     for tenth in 0..300 {
         let elapsed = f64::from(tenth) / 10.0;
         let now = secs(100.0 + elapsed);
@@ -258,66 +265,69 @@
             bounds: BOUNDS,
         };
         if let Some(next) = situation.next(now) {
-            course.push((next.stage, elapsed));
+            stages.push((next.stage, elapsed));
             (upgrade.stage, upgrade.stage_since) = (next.stage, now);
         }
     }
-    course
+    stages
 }
 
 /// A hundred requests a second, a twentieth of them to the new version.
-fn sound(elapsed: f64) -> AnswerCounts {
+fn good(elapsed: f64) -> AnswerCounts {
     counts(((95.0 * elapsed) as u32, 0), ((5.0 * elapsed) as u32, 0), Sample::Failed)
 }
 
 #[test]
-fn test_a_sound_version_is_told_before_the_time_is_over() {
+fn test_a_good_version_is_reported_before_the_time_is_over() {
     let capacity = Capacity { present: 40, target: 40 };
-    insta::assert_debug_snapshot!(course(sound, capacity, true, Hearing::Most));
+    insta::assert_debug_snapshot!(stage_course(good, capacity, true, Coverage::Most));
 }
 
 #[test]
-fn test_nothing_goes_on_without_the_store_or_room() {
+fn test_no_stage_follows_without_the_store_or_capacity() {
     let capacity = Capacity { present: 40, target: 40 };
-    assert_eq!(course(sound, capacity, false, Hearing::Most), []);
-    assert_eq!(course(sound, Capacity { present: 40, target: 8 }, true, Hearing::Most), []);
+    assert_eq!(stage_course(good, capacity, false, Coverage::Most), []);
+    assert_eq!(stage_course(good, Capacity { present: 40, target: 8 }, true, Coverage::Most), []);
     let none = |_| counts((500, 0), (0, 0), Sample::Failed);
-    assert_eq!(course(none, capacity, true, Hearing::Most), [], "nothing is known of the new version");
-    let course = course(none, Capacity { present: 40, target: 0 }, true, Hearing::Most);
-    assert_eq!(course.iter().map(|(stage, _)| *stage).collect::<Vec<_>>(), [Stage::Reverted]);
+    assert_eq!(stage_course(none, capacity, true, Coverage::Most), [], "nothing is known of the new version");
+    let stages = stage_course(none, Capacity { present: 40, target: 0 }, true, Coverage::Most);
+    assert_eq!(stages.iter().map(|(stage, _)| *stage).collect::<Vec<_>>(), [Stage::Reverted]);
 }
 
 /// Whoever judges after another one has ended knows little at first, which speaks against a version only.
 #[test]
-fn test_a_judge_that_hears_few_nodes_only_reverts() {
+fn test_a_judge_with_reports_of_few_nodes_only_reverts() {
     let capacity = Capacity { present: 40, target: 40 };
-    assert_eq!(course(sound, capacity, true, Hearing::Few), []);
+    assert_eq!(stage_course(good, capacity, true, Coverage::Few), []);
     let bad = |_| counts((500, 0), (10, 12), Sample::Failed);
-    assert_eq!(course(bad, capacity, true, Hearing::Few), [(Stage::Reverted, 0.0)]);
+    assert_eq!(stage_course(bad, capacity, true, Coverage::Few), [(Stage::Reverted, 0.0)]);
 }
 
 /// Guards against a success by a handful of answers, of which a clearly bad version may have few bad ones by chance.
 #[test]
-fn test_few_answers_speak_for_no_version() {
-    let speaks =
-        |good, bad| upgrade_verdict::speaks_for_target(&counts((200, 0), (good, bad), Sample::Failed));
-    assert_eq!([speaks(2, 0), speaks(12, 2), speaks(30, 0), speaks(60, 2)], [false, false, true, true]);
-    let of_nine = upgrade_verdict::speaks_for_target(&counts((9, 0), (78, 25), Sample::Failed));
-    assert!(!of_nine, "the present version has hardly answered");
+fn test_few_answers_support_no_version() {
+    let supports =
+        |good, bad| upgrade_verdict::supports_target(&counts((200, 0), (good, bad), Sample::Failed));
+    assert_eq!(
+        [supports(2, 0), supports(12, 2), supports(30, 0), supports(60, 2)],
+        [false, false, true, true]
+    );
+    let with_few_present = upgrade_verdict::supports_target(&counts((9, 0), (78, 25), Sample::Failed));
+    assert!(!with_few_present, "the present version has hardly answered");
     let capacity = Capacity { present: 40, target: 40 };
     let few = |_| counts((200, 0), (12, 2), Sample::Failed);
-    let late = course(few, capacity, true, Hearing::Most);
+    let late = stage_course(few, capacity, true, Coverage::Most);
     assert_eq!(late.iter().map(|(stage, _)| *stage).collect::<Vec<_>>(), [Stage::Switch], "{late:?}");
     let enough = |_| counts((200, 0), (60, 2), Sample::Failed);
-    assert_eq!(course(enough, capacity, true, Hearing::Most).len(), 2);
+    assert_eq!(stage_course(enough, capacity, true, Coverage::Most).len(), 2);
 }
 
 /// Where half of the nodes are heard, others may have ended a moment ago: that is waited for as long as there is time.
 #[test]
-fn test_a_success_by_half_of_the_nodes_comes_as_late_as_it_may() {
+fn test_a_success_by_half_of_the_nodes_is_decided_as_late_as_possible() {
     let capacity = Capacity { present: 40, target: 40 };
-    let course = course(sound, capacity, true, Hearing::Half);
-    assert_eq!(course, [(Stage::Switch, 10.9), (Stage::Proven, 11.5)]);
+    let stages = stage_course(good, capacity, true, Coverage::Half);
+    assert_eq!(stages, [(Stage::Switch, 10.9), (Stage::Proven, 11.5)]);
 }
 
 #[test]
@@ -326,9 +336,9 @@
     for from in [0.5, 6.0, 10.9] {
         let turns_bad = |elapsed: f64| match elapsed > from {
             true => counts(((95.0 * elapsed) as u32, 0), ((5.0 * from) as u32, 12), Sample::Failed),
-            false => sound(elapsed),
+            false => good(elapsed),
         };
-        let last = course(turns_bad, capacity, true, Hearing::Most).pop().expect("it goes on");
+        let last = stage_course(turns_bad, capacity, true, Coverage::Most).pop().expect("it goes on");
         assert_eq!(last, (Stage::Reverted, from + 0.1), "{from}");
     }
 }
--- a/lib/tests/test_gateway_upgrade_model.rs
+++ b/lib/tests/test_gateway_upgrade_model.rs
@@ -11,7 +11,7 @@
 use leadstage_lib::gateway::answer_counts::Side;
 use leadstage_lib::gateway::canary;
 use leadstage_lib::gateway::run_key::RunKey;
-use leadstage_lib::gateway::trial_evidence::Hearing;
+use leadstage_lib::gateway::trial_evidence::Coverage;
 use leadstage_lib::gateway::upgrade::Stage;
 use leadstage_lib::gateway::upgrade::Upgrade;
 use leadstage_lib::gateway::upgrade::UpgradeOrder;
@@ -49,7 +49,7 @@
 
 /// How the share is kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum ShareMethod {
     /// Each node draws from its own requests.
     Drawn,
     /// The judge hands the share out, with each report that reaches it, by what that report counts.
@@ -61,20 +61,20 @@
     bound: f64,
     stage: Stage,
     /// When the last node knew the last stage, in seconds from the order.
-    at_s: f64,
+    known_to_all_s: f64,
     /// Requests that the new version had answered when the judge decided.
-    seen: u32,
+    answers_seen: u32,
 }
 
 struct Node {
     id: VmId,
     /// What it has counted and the judge has not: a report tells all since the order, so the next one makes up for
     /// a lost one.
-    untold: Vec<(usize, Side, Sample)>,
+    unreported: Vec<(usize, Side, Sample)>,
     requests: u64,
     /// Requests that it may still send to the new version where shares are handed out.
     allowance: f64,
-    handed_for: u64,
+    allowance_up_to: u64,
     /// The stages it knows, with when.
     stages: Vec<(f64, Stage)>,
 }
@@ -98,21 +98,21 @@
 }
 
 /// Times vary by a factor of two either way.
-fn usual_time(rng: &mut SmallRng) -> f64 {
+fn typical_time_s(rng: &mut SmallRng) -> f64 {
     0.06 * 2.0_f64.powf(rng.random_range(-1.0..1.0) * rng.random_range(0.0..1.0))
 }
 
-fn play(nodes: usize, way: Way, fault: Fault, seed: u64) -> Outcome {
+fn simulate(nodes: usize, method: ShareMethod, fault: Fault, seed: u64) -> Outcome {
     let rng = &mut SmallRng::seed_from_u64(seed);
     let order = UpgradeOrder { target: "v2".into(), within: Duration::from_secs_f64(WITHIN_S), made: seed };
-    let share = canary::share_on_trial(BOUNDS.share);
+    let share = canary::trial_share(BOUNDS.share);
     let mut fleet: Vec<Node> = (0..nodes)
         .map(|n| Node {
             id: format!("10.0.{}.{}:7080", n / 250, n % 250).into(),
-            untold: Vec::new(),
+            unreported: Vec::new(),
             requests: 0,
             allowance: 0.0,
-            handed_for: 0,
+            allowance_up_to: 0,
             stages: vec![(rng.random_range(0.0..0.3), Stage::Trial)],
         })
         .collect();
@@ -123,7 +123,7 @@
         stage: Stage::Trial,
         stage_since: Duration::ZERO,
     };
-    let (mut exposed, mut seen, mut decided) = (0, 0, 0.0);
+    let (mut exposed, mut answers_seen, mut decided) = (0, 0, 0.0);
     let steps = (WITHIN_S / STEP_S) as usize;
     for step in 0..steps {
         let at = step as f64 * STEP_S;
@@ -134,12 +134,12 @@
             let node = &mut fleet[rng.random_range(0..nodes)];
             node.requests += 1;
             let key = RunKey { entry: node.id.clone(), run: node.requests };
-            let to_target = match (node.stage(at), way) {
-                (Some(Stage::Trial), Way::Drawn) => canary::is_drawn(&key, &order, share),
-                (Some(Stage::Trial), Way::HandedOut) => node.allowance >= 1.0,
+            let to_target = match (node.stage(at), method) {
+                (Some(Stage::Trial), ShareMethod::Drawn) => canary::is_sampled(&key, &order, share),
+                (Some(Stage::Trial), ShareMethod::HandedOut) => node.allowance >= 1.0,
                 (stage, _) => matches!(stage, Some(Stage::Switch | Stage::Proven)),
             };
-            if to_target && way == Way::HandedOut {
+            if to_target && method == ShareMethod::HandedOut {
                 node.allowance = (node.allowance - 1.0).max(0.0);
             }
             exposed += u32::from(to_target);
@@ -148,20 +148,20 @@
             let bad = to_target && is_bad(fault, route, at, load, rng);
             let sample = match (bad, fault) {
                 (true, Fault::Slow) => {
-                    Sample::Took(Measure::Answer, Duration::from_secs_f64(usual_time(rng) * 5.0))
+                    Sample::Took(Measure::Answer, Duration::from_secs_f64(typical_time_s(rng) * 5.0))
                 }
                 (true, _) => Sample::Failed,
-                (false, _) => Sample::Took(Measure::Answer, Duration::from_secs_f64(usual_time(rng))),
+                (false, _) => Sample::Took(Measure::Answer, Duration::from_secs_f64(typical_time_s(rng))),
             };
-            node.untold.push((route, side, sample));
+            node.unreported.push((route, side, sample));
         }
         for (n, node) in fleet.iter_mut().enumerate() {
             if (step + n) % REPORT_STEPS == 0 && !rng.random_bool(LOST) {
-                for (route, side, sample) in node.untold.drain(..) {
+                for (route, side, sample) in node.unreported.drain(..) {
                     counts.on_sample(&["a", "b"][route].into(), side, sample);
                 }
-                node.allowance += share * (node.requests - node.handed_for) as f64;
-                node.handed_for = node.requests;
+                node.allowance += share * (node.requests - node.allowance_up_to) as f64;
+                node.allowance_up_to = node.requests;
             }
         }
         let now = Duration::from_secs_f64(at);
@@ -171,34 +171,35 @@
             capacity: Capacity { present: 42, target: 42 },
             has_streams: false,
             store_answers: true,
-            hearing: Hearing::Most,
+            hearing: Coverage::Most,
             bounds: BOUNDS,
         };
         if let Some(next) = situation.next(now) {
             (upgrade.stage, upgrade.stage_since, decided) = (next.stage, now, at);
-            seen = counts.answered().1;
+            answers_seen = counts.answered().1;
             for node in &mut fleet {
-                let late = if rng.random_bool(LOST) { 0.8 } else { rng.random_range(0.0..0.3) };
-                node.stages.push((at + late, next.stage));
+                let delay = if rng.random_bool(LOST) { 0.8 } else { rng.random_range(0.0..0.3) };
+                node.stages.push((at + delay, next.stage));
             }
         }
     }
     let bound = BOUNDS.share * RATE * WITHIN_S + BOUNDS.slack;
     let knows = |node: &Node| node.stages.last().map_or(0.0, |(at, _)| *at);
-    let at_s = fleet.iter().map(knows).fold(decided, f64::max);
-    Outcome { exposed, bound, stage: upgrade.stage, at_s, seen }
+    let known_to_all_s = fleet.iter().map(knows).fold(decided, f64::max);
+    Outcome { exposed, bound, stage: upgrade.stage, known_to_all_s, answers_seen }
 }
 
-fn row(nodes: usize, way: Way, fault: Fault) -> (String, Vec<Outcome>) {
-    let outcomes: Vec<Outcome> = (0..SEEDS).map(|seed| play(nodes, way, fault, seed)).collect();
+fn row(nodes: usize, method: ShareMethod, fault: Fault) -> (String, Vec<Outcome>) {
+    let outcomes: Vec<Outcome> = (0..SEEDS).map(|seed| simulate(nodes, method, fault, seed)).collect();
     let most = outcomes.iter().map(|o| f64::from(o.exposed) / o.bound).fold(0.0, f64::max);
     let stage = |stage: Stage| outcomes.iter().filter(|o| o.stage == stage).count();
-    let mut times: Vec<f64> = outcomes.iter().map(|o| o.at_s).collect();
+    let mut times: Vec<f64> = outcomes.iter().map(|o| o.known_to_all_s).collect();
     times.sort_by(f64::total_cmp);
-    let seen = outcomes.iter().map(|o| f64::from(o.seen)).sum::<f64>() / outcomes.len() as f64;
+    let answers_seen =
+        outcomes.iter().map(|o| f64::from(o.answers_seen)).sum::<f64>() / outcomes.len() as f64;
     let text = format!(
-        "{nodes:4}  {:<10} {:<17} exposed {most:.2} of the bound at most; proven {:2}, reverted {:2}, on trial {:2}; known to all after {:.1} s, {:.1} at most; {seen:.0} answers seen",
-        format!("{way:?}"),
+        "{nodes:4}  {:<10} {:<17} exposed {most:.2} of the bound at most; proven {:2}, reverted {:2}, on trial {:2}; known to all after {:.1} s, {:.1} at most; {answers_seen:.0} answers seen",
+        format!("{method:?}"),
         format!("{fault:?}"),
         stage(Stage::Proven),
         stage(Stage::Reverted),
@@ -222,21 +223,21 @@
     let mut table = String::new();
     for nodes in [6, 66, 410, 985] {
         for fault in faults {
-            let (text, outcomes) = row(nodes, Way::Drawn, fault);
+            let (text, outcomes) = row(nodes, ShareMethod::Drawn, fault);
             writeln!(table, "{text}").expect("it is text");
             for (seed, outcome) in outcomes.iter().enumerate() {
-                let what = format!("{nodes} nodes, {fault:?}, seed {seed}");
+                let case = format!("{nodes} nodes, {fault:?}, seed {seed}");
                 let expected = if fault == Fault::None { Stage::Proven } else { Stage::Reverted };
-                assert_eq!(outcome.stage, expected, "{what}");
-                let is_kept = fault == Fault::None || f64::from(outcome.exposed) <= outcome.bound;
-                assert!(is_kept, "{what}: {} of {}", outcome.exposed, outcome.bound);
+                assert_eq!(outcome.stage, expected, "{case}");
+                let is_within_bound = fault == Fault::None || f64::from(outcome.exposed) <= outcome.bound;
+                assert!(is_within_bound, "{case}: {} of {}", outcome.exposed, outcome.bound);
             }
         }
     }
     // The other way, for comparison: with few requests at each node hardly any is handed out.
     for nodes in [6, 66, 410, 985] {
         for fault in [Fault::None, Fault::ErrorsLater] {
-            writeln!(table, "{}", row(nodes, Way::HandedOut, fault).0).expect("it is text");
+            writeln!(table, "{}", row(nodes, ShareMethod::HandedOut, fault).0).expect("it is text");
         }
     }
     insta::assert_snapshot!(table);
--- a/node/src/gateway/control/knowledge/eligible.rs
+++ b/node/src/gateway/control/knowledge/eligible.rs
@@ -72,7 +72,7 @@
     pub fn balanced<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         let upgrade = self.shared.upgrades().of(service).cloned();
         self.open(service).filter(move |replica| {
-            upgrade.as_ref().is_none_or(|upgrade| canary::is_balanced(replica, upgrade))
+            upgrade.as_ref().is_none_or(|upgrade| canary::is_rebalance_target(replica, upgrade))
         })
     }
 
@@ -125,7 +125,7 @@
         mut accepts: impl FnMut(&'a Replica) -> bool,
     ) -> Vec<&'a Replica> {
         match pool {
-            VersionPool::Tried(ids) => {
+            VersionPool::Canaries(ids) => {
                 let tried = ids.iter().filter_map(|id| self.replicas.get(id));
                 tried.filter(|replica| replica.leaving.is_none() && accepts(replica)).collect()
             }
@@ -143,7 +143,7 @@
         match upgrades.of(&wanted.service) {
             Some(upgrade) => {
                 let is_judged = self.judged.may_try(&wanted.service, self.shared.now());
-                let share = if is_judged { self.share_on_trial() } else { 0.0 };
+                let share = if is_judged { self.trial_share() } else { 0.0 };
                 canary::pools(upgrade, key, share, || {
                     self.tried.of(&self.replicas, &wanted.service, &upgrade.order, share)
                 })
@@ -152,8 +152,8 @@
         }
     }
 
-    fn share_on_trial(&self) -> f64 {
-        self.shared.bounds().exposure.map_or(0.0, |exposure| canary::share_on_trial(exposure.share))
+    fn trial_share(&self) -> f64 {
+        self.shared.bounds().exposure.map_or(0.0, |exposure| canary::trial_share(exposure.share))
     }
 
     fn screen<'a>(&self, wanted: &'a Wanted) -> Screen<'a> {
--- a/node/src/gateway/control/trial.rs
+++ b/node/src/gateway/control/trial.rs
@@ -4,7 +4,7 @@
 
 use leadstage_lib::gateway::answer_counts::AnswerCounts;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::gateway::trial_evidence::Hearing;
+use leadstage_lib::gateway::trial_evidence::Coverage;
 use leadstage_lib::gateway::trial_evidence::TrialEvidence;
 use leadstage_lib::gateway::trial_evidence::TrialReport;
 use leadstage_lib::gateway::trial_reports;
@@ -87,7 +87,7 @@
         if let Some(address) = address_of(&from) {
             fleet.send(address, &PeerMessage::CountsTaken(report.id));
         }
-        self.evidence.take(from, report.report);
+        self.evidence.add_report(from, report.report);
     }
 
     /// A judge has a report of this node.
@@ -99,8 +99,12 @@
     /// Whether what this node sees is known to a judge, and what judges find to this node: until when it may be
     /// taken to be so.
     pub fn is_judged_until(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Timestamp {
-        let fresh_for = trial_reports::fresh_for(fleet.nodes());
-        if fleet.is_alone() { now + fresh_for } else { upgrade.began + self.judged_as_of + fresh_for }
+        let max_report_age = trial_reports::max_report_age(fleet.nodes());
+        if fleet.is_alone() {
+            now + max_report_age
+        } else {
+            upgrade.began + self.judged_as_of + max_report_age
+        }
     }
 
     /// Reports to the judges what is due; returns whether this node is one of them.
@@ -109,7 +113,7 @@
             counted: self.counted,
             nodes: fleet.nodes(),
             since: self.since,
-            roll_call: upgrade_judge::roll_call(upgrade),
+            switch_report_at: upgrade_judge::switch_report_at(upgrade),
         };
         let key = format!("{JUDGE}{}", self.service);
         let nodes = fleet.alive().chain(std::iter::once(fleet.own()));
@@ -131,9 +135,9 @@
     }
 
     /// How much of the fleet it has heard of late.
-    pub fn hearing(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Hearing {
-        let since = upgrade_judge::heard_since(upgrade, fleet.nodes(), now);
-        self.evidence.hearing(&fleet.census(), since)
+    pub fn coverage(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Coverage {
+        let since = upgrade_judge::report_cutoff(upgrade, fleet.nodes(), now);
+        self.evidence.coverage(&fleet.census(), since)
     }
 
     /// Nodes that it has heard, itself included.
--- a/node/src/gateway/control/tried_replicas.rs
+++ b/node/src/gateway/control/tried_replicas.rs
@@ -38,7 +38,7 @@
         if let Some(tried) = known.as_ref().filter(is_fresh) {
             return tried.ids.clone();
         }
-        let ids = canary::tried_of(table, service, order, share);
+        let ids = canary::canary_replicas(table, service, order, share);
         let (service, order) = (service.clone(), order.clone());
         *known = Some(Tried { service, order, table_version, ids: ids.clone() });
         ids
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -12,9 +12,9 @@
 use leadstage_lib::gateway::pauses::Pauses;
 use leadstage_lib::gateway::retelling::Retelling;
 use leadstage_lib::gateway::routing::ServiceId;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrade;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrades;
 use leadstage_lib::gateway::upgrade::Stage;
-use leadstage_lib::gateway::upgrade::ToldUpgrade;
-use leadstage_lib::gateway::upgrade::ToldUpgrades;
 use leadstage_lib::gateway::upgrade::Upgrade;
 use leadstage_lib::gateway::upgrade::UpgradeOrder;
 use leadstage_lib::gateway::upgrade::Upgrades;
@@ -98,10 +98,10 @@
     /// The store told of the orders.
     pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<StoredUpgrade>) {
         let now = self.shared.now();
-        let mut told = self.shared.upgrades().told(now);
+        let mut told = self.shared.upgrades().announced(now);
         match news {
             News::Listed { list: Listed { items, at, .. }, .. } => {
-                told = ToldUpgrades { at, upgrades: Vec::new() };
+                told = AnnouncedUpgrades { at, upgrades: Vec::new() };
                 self.stored.clear();
                 items.into_iter().for_each(|item| self.on_stored(item, &mut told, now));
             }
@@ -118,20 +118,20 @@
                 }
             }
         }
-        if self.take(placing, told, Source::Store) {
+        if self.merge(placing, told, Source::Store) {
             fleet.tell(&PeerMessage::UpgradesChanged);
         }
     }
 
     /// Takes an object in, and puts what it orders into `told`.
-    fn on_stored(&mut self, held: StoredUpgrade, told: &mut ToldUpgrades, now: Timestamp) {
+    fn on_stored(&mut self, held: StoredUpgrade, told: &mut AnnouncedUpgrades, now: Timestamp) {
         let known = told.upgrades.iter().position(|upgrade| upgrade.service == held.service);
         let known = known.map(|at| told.upgrades.swap_remove(at));
         match &held.order {
             Ok(order) => {
                 let known = known.filter(|known| known.order == *order);
                 let stage = held.state.and_then(upgrade_store::stage_of).unwrap_or(Stage::Trial);
-                told.upgrades.push(ToldUpgrade {
+                told.upgrades.push(AnnouncedUpgrade {
                     service: held.service.clone(),
                     order: order.clone(),
                     age: known.as_ref().map_or(Duration::ZERO, |known| known.age),
@@ -148,20 +148,20 @@
     }
 
     /// Another node told of them.
-    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: ToldUpgrades) {
+    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: AnnouncedUpgrades) {
         // Nearly always there is none.
         if told.upgrades.is_empty() && told.at <= self.shared.upgrades().at() {
             return;
         }
-        if self.take(placing, told, Source::Node) {
+        if self.merge(placing, told, Source::Node) {
             fleet.pass_on(&PeerMessage::UpgradesChanged);
         }
     }
 
     /// Returns whether it changed anything.
-    fn take(&mut self, placing: &mut Placing, told: ToldUpgrades, source: Source) -> bool {
+    fn merge(&mut self, placing: &mut Placing, told: AnnouncedUpgrades, source: Source) -> bool {
         let mut upgrades = (*self.shared.upgrades()).clone();
-        let changed = upgrades.take(told, self.shared.now());
+        let changed = upgrades.merge(told, self.shared.now());
         self.publish(placing, upgrades, &changed, source);
         !changed.is_empty()
     }
@@ -305,7 +305,7 @@
             capacity: capacity(placing, service, &upgrade.order),
             has_streams: placing.knowledge.engine_traits(service).is_some(),
             store_answers,
-            hearing: trial.hearing(fleet, upgrade, now),
+            hearing: trial.coverage(fleet, upgrade, now),
             bounds,
         };
         let Some(NextStage { stage, reason }) = situation.next(now) else {
@@ -314,7 +314,7 @@
         let (answered, exposed) = counts.answered();
         info!(event = "upgrade_judged", service = &**service, stage:% = stage, reason:% = reason, answered, exposed, nodes = trial.nodes(), hearing:? = situation.hearing; "an upgrade goes on");
         let order = upgrade.order.clone();
-        upgrades.raise(service, &order, stage, now);
+        upgrades.advance(service, &order, stage, now);
         self.publish(placing, upgrades, std::slice::from_ref(service), Source::Judge);
         fleet.tell(&PeerMessage::UpgradesChanged);
     }
@@ -357,7 +357,7 @@
             return;
         };
         let mut upgrades = (*self.shared.upgrades()).clone();
-        if upgrades.raise(&written.service, &order, stage, now) {
+        if upgrades.advance(&written.service, &order, stage, now) {
             self.publish(placing, upgrades, &[written.service], Source::Store);
             fleet.tell(&PeerMessage::UpgradesChanged);
         }
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -8,7 +8,7 @@
 use leadstage_lib::gateway::fleet_size::FleetSize;
 use leadstage_lib::gateway::handouts;
 use leadstage_lib::gateway::peers_by_hall::PeersByHall;
-use leadstage_lib::gateway::trial_evidence::Census;
+use leadstage_lib::gateway::trial_evidence::FleetView;
 use leadstage_lib::ids::HallId;
 use leadstage_lib::ids::Timestamp;
 use leadstage_lib::ids::VmId;
@@ -141,8 +141,8 @@
     }
 
     /// Those of them that seem to be well, and how many nodes there were lately.
-    pub fn census(&self) -> Census {
-        Census { well: self.membership.well().cloned().collect(), size: self.size() }
+    pub fn census(&self) -> FleetView {
+        FleetView { healthy: self.membership.healthy().cloned().collect(), size: self.size() }
     }
 
     fn size(&self) -> Option<usize> {
--- a/node/src/gateway/peers/outbox.rs
+++ b/node/src/gateway/peers/outbox.rs
@@ -47,7 +47,7 @@
         let closed_halls = (*self.shared.closed_halls()).clone();
         let crash_digest = self.shared.crash_digest();
         let limits_digest = self.shared.limits_digest();
-        let upgrades = self.shared.upgrades().told(self.shared.now());
+        let upgrades = self.shared.upgrades().announced(self.shared.now());
         let datagram = Datagram {
             from,
             config,
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -23,7 +23,7 @@
 use leadstage_lib::gateway::run_key::RunId;
 use leadstage_lib::gateway::trial_evidence::TrialReport;
 use leadstage_lib::gateway::trial_reports::SampleCount;
-use leadstage_lib::gateway::upgrade::ToldUpgrades;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrades;
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::gateway::watchers::PulseNumber;
 use leadstage_lib::gateway::watchers::StoreState;
@@ -59,7 +59,7 @@
     /// Stands for the limits of replicas that the sender knows.
     pub limits_digest: u64,
     /// The upgrades, as far as the sender knows.
-    pub upgrades: ToldUpgrades,
+    pub upgrades: AnnouncedUpgrades,
     /// The message.
     pub message: M,
 }
--- a/node/tests/gateway_environment.rs
+++ b/node/tests/gateway_environment.rs
@@ -21,7 +21,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use leadstage_lib::gateway::closed_halls::ClosedHalls;
-use leadstage_lib::gateway::upgrade::ToldUpgrades;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrades;
 use leadstage_lib::status::NodeStatus;
 use leadstage_testutils::faulty_proxy::FaultyProxy;
 use leadstage_testutils::gateway_replica::Engines;
@@ -565,7 +565,7 @@
     const NEW_CONFIG: u32 = 14;
     let closed_halls = ClosedHalls::default();
     let (crash_digest, limits_digest) = (0_u64, 0_u64);
-    let upgrades = ToldUpgrades::default();
+    let upgrades = AnnouncedUpgrades::default();
     let head = (from, version, replicas_at, closed_halls, crash_digest, limits_digest, upgrades);
     let datagram = postcard::to_stdvec(&(head, NEW_CONFIG));
     let datagram = datagram.expect("it can be encoded");
