--- a/lib/src/gateway/answer_counts.rs
+++ b/lib/src/gateway/answer_counts.rs
@@ -1,4 +1,4 @@
-//! How the replicas of two versions answer, counted so that all nodes' counts can be added up.
+//! Counts of the answers of two versions' replicas, mergeable across nodes: errors, and times in a histogram.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,58 +8,58 @@
 
 use crate::gateway::routing::RouteId;
 
-/// Times are counted in steps of this factor: half an octave.
+/// Resolution of the logarithmic histogram of times: each bucket spans half an octave.
 const BUCKETS_PER_OCTAVE: f64 = 2.0;
-/// The last step takes whatever is longer: some 46 s.
+/// The last bucket holds all times of about 46 s and more.
 const LAST_BUCKET: u8 = 31;
-/// Routes that are counted apart; those beyond share one name.
+/// Limit on routes that are counted separately; further routes share [`OTHER_ROUTES`].
 const MAX_ROUTES: usize = 48;
-/// The name that they share.
+/// Route name that further routes are counted under.
 const OTHER_ROUTES: &str = "";
 
 /// Which of the two versions answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The one that is to be replaced.
+    /// The version that is to be replaced.
     Present,
-    /// The one on trial.
+    /// The version on trial.
     Target,
 }
 
-/// What of an answer is measured.
+/// The quantity that is measured of an answer.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Measure {
-    /// Time from the request to its answer; of a stream, to its first event.
+    /// Time from the request to its answer; for a stream, to its first event.
     Answer,
-    /// Time from one event of a stream to the next, on average.
+    /// Average time between two events of a stream.
     Pace,
 }
 
-/// What came of a request at a replica.
+/// Outcome of a request at a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sample {
     /// The replica answered with an error of its own.
     Failed,
-    /// It answered well, in this time.
+    /// The replica answered successfully, with this time.
     Took(Measure, Duration),
 }
 
 /// The answers of one version on one route.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Answers {
-    /// Errors of the replicas' own.
+    /// Errors of the replicas themselves.
     pub failed: u32,
-    /// Good answers by the step of their time.
+    /// Number of successful answers per time bucket.
     pub took: BTreeMap<u8, u32>,
 }
 
 impl Answers {
-    /// All of them.
+    /// Number of answers in all.
     pub fn count(&self) -> u32 {
         self.failed + self.took.values().sum::<u32>()
     }
 
-    /// The step that half of the good answers don't exceed.
+    /// Bucket of the median time of the successful answers; `None` if there are none.
     pub fn median_bucket(&self) -> Option<u8> {
         let succeeded: u32 = self.took.values().sum();
         let mut cumulated = 0;
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Good answers whose step is this or a later one.
+    /// Number of successful answers in this bucket or a later one.
     pub fn count_from(&self, bucket: u8) -> u32 {
         self.took.range(bucket..).map(|(_, count)| count).sum()
     }
@@ -87,12 +87,12 @@
     }
 }
 
-/// The answers of both versions.
+/// The answers of both versions for one route and measure.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct AnswersByVersion {
-    /// Of the version that is to be replaced.
+    /// Answers of the version that is to be replaced.
     pub present: Answers,
-    /// Of the one on trial.
+    /// Answers of the version on trial.
     pub target: Answers,
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Answers by route and measure.
+/// Answers per route and measure.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct AnswerCounts {
     cells: BTreeMap<(RouteId, Measure), AnswersByVersion>,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Adds what another node has counted between two of its reports.
+    /// Adds what another node counted between two of its reports, `from` and `to`.
     pub fn add_delta(&mut self, from: &AnswerCounts, to: &AnswerCounts) {
         let nothing = AnswersByVersion::default();
         for (cell, counts) in &to.cells {
@@ -148,12 +148,12 @@
         }
     }
 
-    /// All counts.
+    /// Iterates over all counts.
     pub fn iter(&self) -> impl Iterator<Item = (&RouteId, Measure, &AnswersByVersion)> {
         self.cells.iter().map(|((route, measure), counts)| (route, *measure, counts))
     }
 
-    /// Requests that were answered, those of both versions, and those of the one on trial.
+    /// Number of requests answered by both versions together, and by the version on trial alone.
     pub fn answered(&self) -> (u32, u32) {
         let answers = self.cells.iter().filter(|((_, measure), _)| *measure == Measure::Answer);
         answers.fold((0, 0), |(all, target), (_, counts)| {
@@ -163,7 +163,7 @@
     }
 }
 
-/// The step of a time: two steps are an octave, from 1 ms on.
+/// Bucket of a time: two buckets per octave, starting at 1 ms.
 pub fn bucket_of(took: Duration) -> u8 {
     let ms = took.as_secs_f64() * 1_000.0;
     (ms.max(1.0).log2() * BUCKETS_PER_OCTAVE).min(f64::from(LAST_BUCKET)) as u8
--- a/lib/src/gateway/canary.rs
+++ b/lib/src/gateway/canary.rs
@@ -1,11 +1,11 @@
-//! Which requests a new version gets on trial, and at which of its replicas.
+//! Selects the requests that a new version gets during its trial, and the replicas that serve them.
 //!
-//! Each node gives the new version a share of its own requests, so the share holds for all of them together,
-//! whoever knows of whom: nobody has to hand shares out, and a side that is cut off keeps to it as well. Which
-//! requests these are is a hash of the request's name, so that one which is placed again does not draw again.
+//! Each node sends the new version a share of its own requests, so the share holds for the fleet as a whole
+//! without coordination, and also on both sides of a network partition. Requests are selected by a hash of
+//! their run key, so that a request that is placed again gets the same result.
 //!
-//! The share goes to few of the new replicas, so that each of these bears about what a present replica bears:
-//! a version may be bad under load only.
+//! The share goes to a few of the new replicas, so that each of them has about the load of a present
+//! replica: a version may fail under load only.
 
 use std::sync::Arc;
 
@@ -19,30 +19,30 @@
 use crate::ids::UpstreamId;
 use crate::rendezvous;
 
-/// The part of the share that the fleet may give which is given on trial. The rest is for the time in which
-/// the new version gets everything and may still turn out to be bad.
+/// Fraction of the allowed share of requests that is used during the trial. The remainder is left for the
+/// switch, when the new version gets all requests and may still turn out to be bad.
 const TRIAL_PART: f64 = 0.5;
-/// New replicas that are tried at least: one alone may be bad by itself.
+/// Minimum number of canary replicas: a single one may be faulty by itself.
 const MIN_CANARIES: usize = 2;
 
-/// The share of the requests that a new version gets on trial, of the share that it may get.
+/// Share of the requests that a new version gets during its trial, given the share that it is allowed.
 pub fn trial_share(exposure_share: f64) -> f64 {
     exposure_share * TRIAL_PART
 }
 
-/// Whether a request is one of the share.
+/// Whether a request belongs to the share that goes to the new version.
 pub fn is_sampled(key: &RunKey, order: &UpgradeOrder, share: f64) -> bool {
     let hash = rendezvous::weight(&key.entry, &order.target);
     let hash = rendezvous::mix(hash ^ rendezvous::mix(key.run) ^ order.made);
     (hash as f64) < share * u64::MAX as f64
 }
 
-/// How many of the new replicas are tried, for a share of what so many present ones bear.
+/// Number of canary replicas that carry this share of the load of `present` replicas.
 pub fn canary_count(share: f64, present: usize) -> usize {
     ((share * present as f64).ceil() as usize).max(MIN_CANARIES)
 }
 
-/// The replicas of `ids` that are tried, the same at all nodes that know the same ones.
+/// Picks the canary replicas from `ids`. All nodes that know the same replicas pick the same ones.
 pub fn pick_canaries<'a>(
     order: &UpgradeOrder,
     ids: impl Iterator<Item = &'a UpstreamId>,
@@ -54,21 +54,21 @@
     ids
 }
 
-/// Replicas of a service, by their versions.
+/// A set of a service's replicas, selected by version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VersionPool {
-    /// All of them.
+    /// All replicas.
     All,
-    /// Those of a version.
+    /// Replicas of this version.
     Of(SoftwareVersion),
-    /// Those of all others.
+    /// Replicas of all versions but this one.
     Except(SoftwareVersion),
-    /// These.
+    /// The canary replicas, by id.
     Canaries(Arc<[UpstreamId]>),
 }
 
 impl VersionPool {
-    /// Whether a replica is one of them.
+    /// Whether a replica belongs to the pool.
     pub fn has(&self, replica: &Replica) -> bool {
         match self {
             VersionPool::All => true,
@@ -79,8 +79,9 @@
     }
 }
 
-/// Where a request may go while a service is being upgraded: to a later pool only where an earlier one has no replica
-/// that takes it. `share` is what the new version gets on trial, `tried` tells the replicas that are tried.
+/// Pools that a request may go to while a service is being upgraded, in order of preference: a later pool is
+/// used only if no replica of the earlier ones accepts the request. `share` is the new version's share of
+/// the requests during the trial, `canaries` returns the canary replicas.
 pub fn pools(
     upgrade: &Upgrade,
     key: &RunKey,
@@ -96,7 +97,7 @@
     }
 }
 
-/// The replicas of a service that are tried, of all that stay.
+/// The canary replicas of a service, out of all replicas that are not leaving.
 pub fn canary_replicas(
     table: &ReplicaTable,
     service: &str,
@@ -109,8 +110,8 @@
     pick_canaries(order, new, canary_count(share, present)).into_iter().cloned().collect()
 }
 
-/// Whether generations may be moved to a replica for balance: not to one that is on trial, is given up or is to
-/// become empty.
+/// Whether generations may be moved to a replica to balance load: not if its version is on trial, was
+/// reverted or is being drained.
 pub fn is_rebalance_target(replica: &Replica, upgrade: &Upgrade) -> bool {
     matches!(upgrade.admission(&replica.record.version), Admission::All | Admission::Remainder)
 }
--- a/lib/src/gateway/trial_evidence.rs
+++ b/lib/src/gateway/trial_evidence.rs
@@ -1,8 +1,9 @@
-//! What the nodes of a fleet have counted in the trial of a new version, as one that judges it has heard.
+//! Evidence of a judge: the counts that the nodes of the fleet have reported in the trial of a new version.
 //!
-//! A node reports all that it has counted since it began, so a report may be lost, come twice or be overtaken. Counts are
-//! kept by the run of the process that made them: what callers were given stays true after its node has ended or
-//! started again. Each report is dated by its sender, as it may have waited in a queue of a judge that was suspended.
+//! Reports are cumulative since the start of the sender's process, so a report may be lost, duplicated or
+//! reordered. Counts are kept per process start: the answers that callers got still count after the node has
+//! ended or restarted. Each report has its sender's timestamp, since it may have waited in the queue of a
+//! suspended judge.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,16 +16,16 @@
 use crate::ids::UnixMillis;
 use crate::ids::VmId;
 
-/// The part of the nodes that seem to be well which most of them are.
+/// Fraction of the healthy nodes that counts as most of them.
 const MOST_OF_HEALTHY: f64 = 0.9;
-/// The part of the nodes that there were lately which half of them is: where just half of them has ended, a few of the
-/// others are not heard, either.
+/// Fraction of the recent fleet size that counts as half of it. Less than 0.5, since after the loss of
+/// exactly half of the nodes the reports of a few others are missing as well.
 const HALF_OF_FLEET: f64 = 0.45;
 
-/// What a node has counted since its process began.
+/// What a node has counted since its process started.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct TrialReport {
-    /// When its process began.
+    /// When its process started.
     pub started: UnixMillis,
     /// Time from the order to the report.
     pub as_of: Duration,
@@ -32,27 +33,28 @@
     pub counts: AnswerCounts,
 }
 
-/// The other nodes, as one of them knows.
+/// A node's view of the other nodes.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Those that are taken to be alive and are not suspected.
+    /// Nodes that are considered alive and are not suspected.
     pub healthy: Vec<VmId>,
-    /// How many nodes there were lately, this one included; `None` where it was told of others and has met none.
+    /// Recent number of nodes, including this one; `None` if this node has seeds but has reached no other
+    /// node yet.
     pub size: Option<usize>,
 }
 
-/// How much of the fleet a judge has heard.
+/// How much of the fleet a judge has recent reports of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Coverage {
-    /// Less than half of the nodes that there were lately.
+    /// Less than half of the recent fleet size.
     Few,
-    /// Half of them, nearly.
+    /// About half of the recent fleet size or more, but not nearly all healthy nodes.
     Half,
-    /// And nearly all that seem to be well.
+    /// About half of the recent fleet size or more, and nearly all healthy nodes.
     Most,
 }
 
-/// What a judge has heard of other nodes.
+/// The reports that a judge has received from other nodes.
 #[derive(Clone, Debug, Default)]
 pub struct TrialEvidence {
     by_node: HashMap<VmId, BTreeMap<UnixMillis, TrialReport>>,
@@ -60,7 +62,7 @@
 }
 
 impl TrialEvidence {
-    /// A node reports.
+    /// Adds a report of a node. A report that is older than the last one of the same process is ignored.
     pub fn add_report(&mut self, node: VmId, report: TrialReport) {
         let known = self.by_node.entry(node).or_default().entry(report.started).or_default();
         if report.as_of >= known.as_of {
@@ -69,19 +71,19 @@
         }
     }
 
-    /// All counts, with those of the judge itself.
+    /// All counts, including those of the judge itself.
     pub fn all(&self, own: &AnswerCounts) -> AnswerCounts {
         let mut all = self.sum.clone();
         all.add(own);
         all
     }
 
-    /// How many nodes have reported.
+    /// Number of nodes that have reported.
     pub fn nodes(&self) -> usize {
         self.by_node.len()
     }
 
-    /// How much of the fleet was heard whose reports are of `since` or later, as time from the order.
+    /// How much of the fleet has sent a report dated `since` or later, as time since the order.
     pub fn coverage(&self, fleet: &FleetView, since: Duration) -> Coverage {
         let reporting = 1 + fleet.healthy.iter().filter(|node| self.has_report_since(node, since)).count();
         match fleet.size {
--- a/lib/src/gateway/trial_reports.rs
+++ b/lib/src/gateway/trial_reports.rs
@@ -1,8 +1,8 @@
-//! To whom, and when, a node reports what it has counted in the trial of a new version.
+//! Schedules a node's reports of its counts in the trial of a new version: which judges get one, and when.
 //!
-//! Several nodes judge at once, so that the others see on while the death of one is not believed yet. Judges
-//! acknowledge reports: what was lost is sent again soon, and a judge that is silent is replaced by the next one without a
-//! wait for the fleet's word on it.
+//! Several nodes judge at the same time, so that judging continues while the failure of one is not yet
+//! detected. Judges acknowledge reports: a lost report is resent soon, and a silent judge is replaced by the
+//! next candidate without waiting for the membership to declare it dead.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,30 +11,32 @@
 use crate::ids::VmId;
 use crate::rendezvous;
 
-/// Nodes that judge at once.
+/// Number of nodes that judge at the same time.
 pub const JUDGE_COUNT: usize = 3;
-/// Nodes that may be asked to judge: where all of them are silent it is this node that is cut off.
+/// Number of nodes that may be used as judges: if all of them are silent, this node itself is cut off.
 pub const CANDIDATES: usize = 8;
-/// Time between two reports of a node that has counted more.
+/// Time between two reports of a node that has new samples.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two reports of a node that has not, in a small fleet.
+/// Time between two reports of a node without new samples, in a small fleet.
 const MIN_IDLE_INTERVAL: Duration = Duration::from_millis(500);
-/// In a large one, for each node, so that a judge gets no more than some 200 of these a second.
+/// Time between two reports of a node without new samples in a large fleet, per node of the fleet, so that a
+/// judge gets no more than about 200 of these reports a second.
 const IDLE_INTERVAL_PER_NODE: Duration = Duration::from_millis(5);
-/// Where all nodes have something to report at once, a judge gets the reports spread over this, for each node.
+/// If all nodes have something to report at the same time, their reports to a judge are spread over this
+/// time per node of the fleet.
 const SPREAD_PER_NODE: Duration = Duration::from_micros(500);
-/// A judge that acknowledges nothing for so long is silent.
+/// A judge that has acknowledged nothing for this long is considered silent.
 const SILENT_AFTER: Duration = Duration::from_secs(1);
 
-/// How many samples a node has counted.
+/// Number of samples that a node has counted.
 pub type SampleCount = u64;
 
-/// What a node has told a judge.
+/// State of a node's reports to one judge.
 #[derive(Clone, Debug)]
 struct SentReport {
     sent_at: Timestamp,
     acknowledged: SampleCount,
-    /// When the first report was sent that nothing was heard to.
+    /// When the first of the reports that have got no acknowledgement was sent.
     unanswered_since: Option<Timestamp>,
 }
 
@@ -44,35 +46,35 @@
     }
 }
 
-/// What there is to report.
+/// Inputs of the decision whether reports are due.
 #[derive(Clone, Copy, Debug)]
 pub struct Pending {
-    /// What the node has counted.
+    /// Number of samples that the node has counted.
     pub counted: SampleCount,
-    /// Nodes of the fleet.
+    /// Number of nodes of the fleet.
     pub nodes: usize,
-    /// When this node learnt of the trial.
+    /// When this node learned of the trial.
     pub since: Timestamp,
-    /// All nodes report once more from this moment on.
+    /// Time from which on each node sends one more report, whether it has new samples or not.
     pub switch_report_at: Option<Timestamp>,
 }
 
-/// What a node is to do.
+/// What a node has to do now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
-    /// Report to these.
+    /// Judges to send a report to.
     pub to: Vec<VmId>,
-    /// It is one of the judges itself.
+    /// Whether the node is a judge itself.
     pub judges: bool,
 }
 
-/// What a node has told the judges of one trial.
+/// State of a node's reports to the judges of one trial.
 #[derive(Clone, Debug, Default)]
 pub struct TrialReports {
     sent: BTreeMap<VmId, SentReport>,
 }
 
-/// A report is no older than this where none is lost, or only one.
+/// Maximum age of a judge's last report of a node if at most one report is lost.
 pub fn max_report_age(nodes: usize) -> Duration {
     2 * idle_interval(nodes) + REPORT_INTERVAL
 }
@@ -82,8 +84,8 @@
 }
 
 impl TrialReports {
-    /// To whom a report is due, which counts as sent. `ranked` are the [`CANDIDATES`], perhaps this node among
-    /// them, the first one first.
+    /// Returns the judges that a report is due to, and counts these reports as sent. `ranked` holds the
+    /// [`CANDIDATES`] in the order of their rank and may include this node.
     pub fn due(&mut self, ranked: &[&VmId], own: &VmId, pending: &Pending, now: Timestamp) -> Due {
         let mut due = Due::default();
         let mut recipients = Vec::new();
@@ -124,7 +126,7 @@
         sent.unanswered_since.get_or_insert(now);
     }
 
-    /// A judge has a report of so many samples.
+    /// A judge acknowledged a report of `counted` samples.
     pub fn on_acknowledged(&mut self, judge: &VmId, counted: SampleCount) {
         if let Some(sent) = self.sent.get_mut(judge) {
             sent.acknowledged = sent.acknowledged.max(counted);
@@ -133,7 +135,7 @@
     }
 }
 
-/// How much later than others a node reports to a judge.
+/// Delay of a node's reports to a judge, which differs between nodes.
 fn spread(own: &VmId, judge: &VmId, nodes: usize) -> Duration {
     let part = rendezvous::weight(own, judge) as f64 / u64::MAX as f64;
     (SPREAD_PER_NODE * nodes as u32).mul_f64(part)
--- a/lib/src/gateway/upgrade.rs
+++ b/lib/src/gateway/upgrade.rs
@@ -1,9 +1,9 @@
-//! Upgrades: the operator orders that the replicas of a service be replaced by some of another software
-//! version, which run beside the present ones until one of the two is given up.
+//! Upgrades: the operator orders that the replicas of a service be replaced by replicas of another software
+//! version. Both versions run side by side until one of them is abandoned.
 //!
-//! All nodes must come to the same stage of an upgrade. What they tell each other is merged so that the order
-//! of messages does not matter: of one order the later stage holds, and of two words on which orders there
-//! are the one with the higher revision of the store.
+//! All nodes must converge to the same stage of an upgrade. Announcements are merged independently of the
+//! order in which they arrive: for one order the later stage wins, and the set of orders is the one that was
+//! announced with the higher revision of the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,49 +19,49 @@
 use crate::gateway::routing::ServiceId;
 use crate::ids::Timestamp;
 
-/// Upgrades that are told at most; each message between nodes tells them, in some thirty bytes each.
+/// Limit on announced upgrades. Each message between nodes carries them, at about 30 bytes each.
 pub const MAX_ANNOUNCED_UPGRADES: usize = 16;
 
-/// How far an upgrade is. Of two words on the same order the later stage holds.
+/// Progress of an upgrade. Of two stages announced for the same order, the later one wins.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// The new version gets a small share of the requests and is compared with the present one.
     #[display("trial")]
     Trial,
-    /// No sign speaks against it: all new requests go there, and streams move there.
+    /// The trial found no regression: all new requests go to the new version, and streams are moved to it.
     #[display("switch")]
     Switch,
-    /// Nor does the whole load: the operator is to be told that it succeeded.
+    /// The full load showed no regression either; the success has to be reported to the operator.
     #[display("proven")]
     Proven,
-    /// It is worse than the present version and gets nothing; the operator is to be told.
+    /// The new version is worse and gets no requests; the failure has to be reported to the operator.
     #[display("reverted")]
     Reverted,
-    /// The operator knows that it failed.
+    /// The failure is reported to the operator.
     #[display("failed")]
     Failed,
-    /// The operator knows that it succeeded: the replicas of other versions end.
+    /// The success is reported to the operator: the replicas of other versions end.
     #[display("succeeded")]
     Succeeded,
 }
 
-/// What a version may get in a stage.
+/// Which requests a version gets in a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Whatever comes.
+    /// All requests.
     All,
     /// A share of the requests.
     Share,
-    /// What the share leaves.
+    /// The requests that are not part of the share.
     Remainder,
-    /// Nothing as long as there is another version.
+    /// Requests that no replica of the other version accepts.
     Fallback,
-    /// Nothing.
+    /// No requests.
     None,
 }
 
 impl Stage {
-    /// Whether nothing changes any more.
+    /// Whether the upgrade has ended, so that its stage no longer changes.
     pub fn is_final(self) -> bool {
         matches!(self, Stage::Failed | Stage::Succeeded)
     }
@@ -78,14 +78,14 @@
     }
 }
 
-/// What the operator ordered.
+/// The operator's order of an upgrade.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct UpgradeOrder {
-    /// The version that the service's replicas should have.
+    /// Version that the service's replicas should have.
     pub target: SoftwareVersion,
-    /// The time that it may take.
+    /// Time that the upgrade may take.
     pub within: Duration,
-    /// The store's revision when the order was first made: another one is another order.
+    /// Revision of the store at which the order was created. It identifies the order.
     pub made: Revision,
 }
 
@@ -94,16 +94,16 @@
 pub struct Upgrade {
     /// The order.
     pub order: UpgradeOrder,
-    /// When it was made, as far as this node knows.
+    /// When the order was created, as far as this node knows.
     pub began: Timestamp,
     /// How far it is.
     pub stage: Stage,
-    /// Since when.
+    /// When this node learned of the stage.
     pub stage_since: Timestamp,
 }
 
 impl Upgrade {
-    /// What replicas of a version may get.
+    /// Which requests the replicas of a version get.
     pub fn admission(&self, version: &str) -> Admission {
         self.stage.admission(*self.order.target == *version)
     }
@@ -117,29 +117,29 @@
     }
 }
 
-/// An upgrade as a node tells it to another one.
+/// An upgrade as a node announces it to other nodes.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct AnnouncedUpgrade {
     /// The service.
     pub service: ServiceId,
     /// The order.
     pub order: UpgradeOrder,
-    /// Time since the order, as far as the sender knows.
+    /// Time since the order was created, as far as the sender knows.
     pub age: Duration,
     /// How far it is.
     pub stage: Stage,
 }
 
-/// All upgrades as a node tells them to another one.
+/// All upgrades as a node announces them to other nodes.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct AnnouncedUpgrades {
-    /// The store's revision up to which the sender knows which orders there are.
+    /// Revision of the store up to which the sender knows the set of orders.
     pub at: Revision,
     /// The upgrades.
     pub upgrades: Vec<AnnouncedUpgrade>,
 }
 
-/// All upgrades that a node knows, by service.
+/// The upgrades that a node knows, by service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Upgrades {
     at: Revision,
@@ -152,22 +152,22 @@
         self.by_service.get(service)
     }
 
-    /// All of them.
+    /// Iterates over all upgrades.
     pub fn iter(&self) -> impl Iterator<Item = (&ServiceId, &Upgrade)> {
         self.by_service.iter()
     }
 
-    /// Whether there is none.
+    /// Whether no upgrade is known.
     pub fn is_empty(&self) -> bool {
         self.by_service.is_empty()
     }
 
-    /// The store's revision up to which it is known which orders there are; 0 where nothing is known.
+    /// Revision of the store up to which the set of orders is known; 0 if nothing is known.
     pub fn at(&self) -> Revision {
         self.at
     }
 
-    /// What other nodes are told.
+    /// The announcement to other nodes.
     pub fn announced(&self, now: Timestamp) -> AnnouncedUpgrades {
         let upgrades =
             self.by_service.iter().take(MAX_ANNOUNCED_UPGRADES).map(|(service, upgrade)| AnnouncedUpgrade {
@@ -179,7 +179,7 @@
         AnnouncedUpgrades { at: self.at, upgrades: upgrades.collect() }
     }
 
-    /// Takes a word in; returns the services whose upgrades it changed.
+    /// Merges an announcement; returns the services whose upgrades it changed.
     pub fn merge(&mut self, announced: AnnouncedUpgrades, now: Timestamp) -> Vec<ServiceId> {
         let is_newer = announced.at > self.at;
         let mut changed = BTreeSet::new();
@@ -188,7 +188,8 @@
             let withdrawn = self.by_service.extract_if(.., |service, _| !is_kept(service));
             changed.extend(withdrawn.map(|(service, _)| service));
         }
-        // What a copy lacks was not withdrawn: the operator writes it again.
+        // An order that is missing in a restored copy of the store was not withdrawn: the operator writes it
+        // again.
         self.at = announced.at.max(self.at);
         for announced in announced.upgrades {
             let service = announced.service.clone();
@@ -199,7 +200,7 @@
         changed.into_iter().collect()
     }
 
-    /// Returns whether the order or its stage is another one than before.
+    /// Returns whether the order or its stage changed.
     fn merge_one(&mut self, announced: AnnouncedUpgrade, is_newer: bool, now: Timestamp) -> bool {
         let began = now.saturating_sub(announced.age);
         match self.by_service.get_mut(&announced.service) {
@@ -207,7 +208,7 @@
                 known.began = known.began.min(began);
                 known.advance(announced.stage, now)
             }
-            // An older word knows nothing of which orders there are now.
+            // An older announcement does not know the current set of orders.
             _ if !is_newer => false,
             _ => {
                 let upgrade =
@@ -218,7 +219,7 @@
         }
     }
 
-    /// An upgrade has come to a later stage; returns whether that is news.
+    /// Sets a later stage of an upgrade; returns whether that changed it.
     pub fn advance(&mut self, service: &str, order: &UpgradeOrder, stage: Stage, now: Timestamp) -> bool {
         let known = self.by_service.get_mut(service).filter(|upgrade| upgrade.order == *order);
         known.is_some_and(|upgrade| upgrade.advance(stage, now))
--- a/lib/src/gateway/upgrade_judge.rs
+++ b/lib/src/gateway/upgrade_judge.rs
@@ -1,9 +1,10 @@
-//! When an upgrade goes on to its next stage.
+//! Decides when an upgrade advances to its next stage.
 //!
-//! The trial lasts nearly as long as the operator allows, as a version may turn bad late. Then all requests go to
-//! the new version for a short time, which shows whether it bears the whole load and empties the present replicas:
-//! these end without a notice as soon as the operator is told of the success. How short is bound by what a
-//! version may get that turns out to be bad only now.
+//! The trial lasts nearly as long as the operator allows, since a version may turn bad late. Then, in the
+//! switch, all requests go to the new version for a short time. This shows whether it can carry the full
+//! load, and drains the present replicas, which end without notice as soon as the success is reported to the
+//! operator. The length of the switch is limited by the number of requests that a version may get that turns
+//! out to be bad only then.
 
 use std::time::Duration;
 
@@ -18,92 +19,95 @@
 use crate::gateway::upgrade_verdict::Verdict;
 use crate::ids::Timestamp;
 
-/// The operator is told of a success this long before the time is over, so that the store has it in time.
+/// A success is reported to the operator this long before the deadline, so that it is stored in time.
 const SUCCESS_REPORT_MARGIN: Duration = Duration::from_millis(700);
-/// Of a short order, no more than this part.
+/// Upper limit of [`SUCCESS_REPORT_MARGIN`] as a fraction of the order's time, for short orders.
 const SUCCESS_REPORT_MARGIN_SHARE: f64 = 0.15;
-/// Streams that run on present replicas need so long to move to new ones.
+/// Time that it takes to move the running streams from present replicas to new ones.
 const STREAM_MOVE_TIME: Duration = Duration::from_millis(2_500);
-/// Plain calls end by themselves within this, nearly all.
+/// Time within which nearly all plain calls end by themselves.
 const CALL_DRAIN_TIME: Duration = Duration::from_millis(800);
-/// The switch takes no less than this: all nodes hear of it, and what was placed before is sent.
+/// Minimum length of the switch: all nodes are notified of it, and the requests placed before it are sent.
 const MIN_SWITCH_TIME: Duration = Duration::from_millis(400);
-/// Reports from so long after its begin on tell how the new version bears all requests.
+/// Reports made this long after the start of the switch or later show how the new version carries all
+/// requests.
 const SWITCH_SETTLE_TIME: Duration = Duration::from_millis(200);
-/// So long a success that half of the nodes' counts speak for waits for the others.
+/// How long a success that is supported by the counts of half of the nodes waits for the other nodes.
 const MAX_WAIT_FOR_MOST_NODES: Duration = Duration::from_millis(200);
-/// A service with few callers is told as upgraded this long after the time is over,
+/// The upgrade of a service with few callers is reported as a success this long after the deadline if the
+/// new version has answered at most [`FEW_ANSWERS`] requests.
 const MAX_WAIT_FOR_ANSWERS: Duration = Duration::from_secs(30);
-/// if the new version has answered no more requests than this.
+/// Number of answers up to which [`MAX_WAIT_FOR_ANSWERS`] applies.
 const FEW_ANSWERS: u32 = 20;
-/// Part of what a bad version may get that the switch uses.
+/// Fraction of the requests that a bad version may still get which the switch uses.
 const SWITCH_BUDGET_SHARE: f64 = 0.7;
-/// The new replicas that bear requests must have this part of the present ones' slots at least.
+/// Minimum ratio of the slots of the new replicas that accept requests to those of the present replicas.
 const MIN_CAPACITY_RATIO: f64 = 0.5;
-/// Without any replica of the new version for so long after the time is over, the order is given up.
+/// An order without any replica of the new version is abandoned this long after the deadline.
 const ABANDON_AFTER: Duration = Duration::from_secs(10);
 
-/// What a new version may get until the end of an order if it turns out to be bad.
+/// Limit on the requests that a new version may get until the end of an order if it turns out to be bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureBounds {
-    /// This share of the service's requests,
+    /// Share of the service's requests.
     pub share: f64,
-    /// and so many beyond.
+    /// Number of requests allowed in addition to the share.
     pub slack: f64,
 }
 
-/// Requests that the replicas of a version take at once, of those that may get some.
+/// Number of concurrent requests that the replicas which may get requests accept, by version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// Of all other versions.
+    /// Replicas of all other versions.
     pub present: u32,
-    /// Of the new version.
+    /// Replicas of the new version.
     pub target: u32,
 }
 
-/// What a decision is made on.
+/// Inputs of a decision.
 #[derive(Clone, Debug)]
 pub struct Situation<'a> {
     /// The upgrade.
     pub upgrade: &'a Upgrade,
-    /// The answers, as counted by all nodes.
+    /// The answers that all nodes have counted.
     pub counts: &'a AnswerCounts,
-    /// What the replicas bear.
+    /// Capacity of the replicas.
     pub capacity: Capacity,
     /// Whether the service's requests are streams.
     pub has_streams: bool,
-    /// Whether the store answers somebody: without it no success can be told.
+    /// Whether the store answers any node: without it no success can be reported.
     pub store_answers: bool,
-    /// How much of the fleet was heard, by reports from [`report_cutoff`] on.
+    /// How much of the fleet has sent a report dated [`report_cutoff`] or later.
     pub hearing: Coverage,
-    /// What the new version may get.
+    /// Limit on the requests that a bad version may get.
     pub bounds: ExposureBounds,
 }
 
-/// An upgrade goes on to another stage.
+/// A decision to advance an upgrade to another stage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NextStage {
     /// The stage.
     pub stage: Stage,
-    /// Why.
+    /// Reason for the decision.
     pub reason: Reason,
 }
 
-/// Why an upgrade goes on.
+/// Why an upgrade advances to another stage.
 #[derive(Clone, Debug, PartialEq, derive_more::Display)]
 pub enum Reason {
     /// The new version is worse.
     #[display("worse: {_0}")]
     Worse(Regression),
-    /// It has no replicas.
+    /// The new version has no replicas.
     #[display("no replica has the new version")]
     NoReplicas,
-    /// Its trial is over, and nothing speaks against it.
+    /// The trial is over, and no regression was found.
     #[display("nothing speaks against it")]
     NotWorse,
 }
 
-/// A node is heard if its report is not from before this, as time from the order: in a switch, one from within it.
+/// Earliest date, as time since the order, of reports that count for the coverage. In the switch, only
+/// reports made during it count.
 pub fn report_cutoff(upgrade: &Upgrade, nodes: usize, now: Timestamp) -> Duration {
     match switch_report_at(upgrade) {
         Some(at) => at.saturating_sub(upgrade.began),
@@ -111,13 +115,14 @@
     }
 }
 
-/// When all nodes report once more, as the new version has got all requests for a moment.
+/// Time from which on all nodes send one more report, when the new version has had all requests for a
+/// moment; `None` outside the switch.
 pub fn switch_report_at(upgrade: &Upgrade) -> Option<Timestamp> {
     (upgrade.stage == Stage::Switch).then(|| upgrade.stage_since + SWITCH_SETTLE_TIME)
 }
 
 impl Situation<'_> {
-    /// The stage that the upgrade goes on to now, if it does.
+    /// The stage that the upgrade advances to now, if any.
     pub fn next(&self, now: Timestamp) -> Option<NextStage> {
         let Upgrade { order, began, stage, stage_since } = self.upgrade;
         if *stage > Stage::Switch {
@@ -156,21 +161,21 @@
         next.map(|stage| NextStage { stage, reason: Reason::NotWorse })
     }
 
-    /// A success is told by nearly all nodes' counts, and by those of half of them where time is short: others may have
-    /// ended a moment ago.
+    /// Whether enough nodes have reported to decide on a success: nearly all of them, or half of them if
+    /// time is short, since the other nodes may have ended a moment ago.
     fn has_enough_coverage(&self, is_time_short: bool) -> bool {
         self.hearing >= if is_time_short { Coverage::Half } else { Coverage::Most }
     }
 
-    /// Whether there are answers enough to tell a success by, or none are waited for any more.
+    /// Whether there are enough answers to decide on a success, or the wait for more is over.
     fn has_enough_answers(&self, elapsed: Duration) -> bool {
         let is_overdue = elapsed >= self.upgrade.order.within + MAX_WAIT_FOR_ANSWERS;
         let are_few = self.counts.answered().1 <= FEW_ANSWERS;
         (is_overdue && are_few) || upgrade_verdict::supports_target(self.counts)
     }
 
-    /// How long all requests go to the new version before the operator is told: as long as the present replicas need
-    /// to become empty, or as what a bad version may get allows.
+    /// How long all requests go to the new version before a success is reported: as long as it takes to
+    /// drain the present replicas, or less if the limit on requests to a bad version requires it.
     fn switch_time(&self, elapsed: Duration) -> Duration {
         let wanted = if self.has_streams { STREAM_MOVE_TIME } else { CALL_DRAIN_TIME };
         let (answered, exposed) = self.counts.answered();
--- a/lib/src/gateway/upgrade_verdict.rs
+++ b/lib/src/gateway/upgrade_verdict.rs
@@ -1,8 +1,8 @@
-//! Whether a new version answers worse than the present one: more of its answers are errors or slow, over all
-//! nodes together.
+//! Decides whether a new version answers worse than the present one, that is, whether more of its answers
+//! are errors or slow, by the counts of all nodes together.
 //!
-//! What counts as slow is taken from the present version on the same route, and so is how often that is usual. The
-//! new version is worse if so many bad answers would hardly come about by chance.
+//! The present version's answers on the same route define which answers are slow, and the baseline rate of
+//! bad answers. The new version is worse if its number of bad answers is significantly above that rate.
 
 use derive_more::Display;
 
@@ -12,51 +12,55 @@
 use crate::gateway::answer_counts::Measure;
 use crate::gateway::routing::RouteId;
 
-/// An answer is slow from so many half octaves above the present version's middle on: two to three times as long.
+/// An answer is slow from this many half octaves above the present version's median on, which is two to
+/// three times as long.
 const SLOW_BUCKETS: u8 = 3;
-/// Answers of the present version that tell what is usual.
+/// Minimum number of the present version's answers that define which answers are slow.
 const MIN_PRESENT_ANSWERS: u32 = 12;
-/// A version is worse if its bad answers, or more, would come with less than this chance from one that is as good
-/// as the present one. A trial is looked at some hundred times, mostly at the same answers.
+/// Significance level for a worse version: the probability that a version as good as the present one has at
+/// least as many bad answers must be below this. The level is low since a trial is checked some hundred
+/// times, mostly on the same answers.
 const WORSE_SIGNIFICANCE: f64 = 2e-5;
-/// Part of the answers that is bad at least, for all that is known, of a version without a fault.
+/// Minimum baseline rate of bad answers: a version without a fault may have this rate, whatever was measured.
 const MIN_BASELINE_RATE: f64 = 0.01;
-/// Bad answers that speak against a version at least: one request may fail at whatever replica it meets.
+/// Minimum number of bad answers of a worse version: a single request may fail at any replica.
 const MIN_BAD_ANSWERS: u32 = 3;
 
-/// A version is clearly bad if this much more of its answers is bad than usual.
+/// A version is clearly bad if its rate of bad answers is this much above the measured rate of the present
+/// version.
 const CLEARLY_BAD_MARGIN: f64 = 0.2;
-/// Answers speak for a version if a clearly bad one would have so few bad answers, or fewer, with less than this chance.
+/// Significance level for a good version: the probability that a clearly bad version has at most as many bad
+/// answers must be below this.
 const SUPPORT_SIGNIFICANCE: f64 = 0.01;
 
-/// What the counts say of the new version.
+/// Result of comparing the new version with the present one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It has answered nothing yet.
+    /// The new version has answered nothing yet.
     Unknown,
-    /// Nothing speaks against it.
+    /// No regression was found.
     NotWorse,
-    /// It is worse.
+    /// The new version is worse.
     Worse(Regression),
 }
 
-/// What speaks against a version.
+/// Evidence that the new version is worse.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display("{bad} of {of} answers bad on {} ({measure:?}), {usual:.3} usual", route.as_deref().unwrap_or("all routes"))]
 pub struct Regression {
-    /// Where; `None` for all routes together.
+    /// The route; `None` for all routes together.
     pub route: Option<RouteId>,
-    /// What was measured.
+    /// The measure.
     pub measure: Measure,
-    /// Answers that were errors or slow.
+    /// Number of the new version's answers that were bad.
     pub bad: u32,
-    /// Answers in all.
+    /// Number of the new version's answers in all.
     pub of: u32,
-    /// The part that is bad of the present version's, at the most for all that is known.
+    /// Upper estimate of the present version's rate of bad answers.
     pub usual: f64,
 }
 
-/// Answers of one kind, such as errors, among all answers of both versions.
+/// Number of bad answers of one kind, such as errors, and of all answers, of both versions.
 #[derive(Clone, Copy, Debug, Default)]
 struct BadCounts {
     present: u32,
@@ -97,14 +101,15 @@
         }
     }
 
-    /// The part that is bad of the present version's answers, one standard error above what was seen.
+    /// Baseline rate of bad answers: one standard error above the rate measured for the present version.
     fn baseline_rate(self) -> f64 {
         let bad = f64::from(self.present) + 1.0;
         ((bad + bad.sqrt()) / (f64::from(self.of_present) + 2.0)).clamp(MIN_BASELINE_RATE, 1.0)
     }
 
     fn supports_target(self) -> bool {
-        // Where little is known of the present version, nothing is excused by it.
+        // The measured rate, not the upper estimate: few answers of the present version must not excuse bad
+        // ones.
         let seen = f64::from(self.present) / f64::from(self.of_present.max(1));
         let rate = (seen.max(MIN_BASELINE_RATE) + CLEARLY_BAD_MARGIN).min(1.0);
         1.0 - binomial_tail(self.target + 1, self.of_target, rate) < SUPPORT_SIGNIFICANCE
@@ -123,7 +128,8 @@
     }
 }
 
-/// What the counts of all nodes say. Errors are looked at alone too: a service that is often slow would hide them.
+/// Compares both versions by the counts of all nodes. Errors are also checked on their own, since a service
+/// that is often slow would hide them.
 pub fn verdict(counts: &AnswerCounts) -> Verdict {
     let (mut all_errors, mut all) = (BadCounts::default(), BadCounts::default());
     for (route, measure, answers) in counts.iter() {
@@ -144,7 +150,7 @@
     }
 }
 
-/// Whether the new version's answers are enough to speak for it, not just too few to speak against it.
+/// Whether the new version's answers are evidence that it is good, not just too few to show that it is bad.
 pub fn supports_target(counts: &AnswerCounts) -> bool {
     let answers = counts.iter().filter(|(_, measure, _)| *measure == Measure::Answer);
     let all = answers
@@ -152,13 +158,13 @@
     all.supports_target()
 }
 
-/// The chance that at least `bad` of `of` answers are bad where each one is with the chance `usual`.
+/// Probability that at least `bad` of `of` answers are bad if each one is with the probability `usual`.
 pub fn binomial_tail(bad: u32, of: u32, usual: f64) -> f64 {
     if usual >= 1.0 || bad == 0 {
         return 1.0;
     }
     let odds = usual / (1.0 - usual);
-    // The chance of exactly `k` bad ones, from that of none on.
+    // Probability of exactly `k` bad answers, starting at none.
     let mut exactly = (1.0 - usual).powi(of as i32);
     let mut below = 0.0;
     for k in 0..bad.min(of + 1) {
