--- a/lib/tests/test_gateway_judges_model.rs
+++ b/lib/tests/test_gateway_judges_model.rs
@@ -41,14 +41,14 @@
 /// The plays go on beyond the order's time.
 const SIMULATED_S: f64 = 22.0;
 /// Requests a second of the whole fleet.
-const RATE: f64 = 500.0;
+const REQUESTS_PER_S: f64 = 500.0;
 /// Part of the messages that is lost.
-const LOST: f64 = 0.03;
+const LOSS_RATE: f64 = 0.03;
 const TURNS_BAD_AT_S: f64 = 8.0;
 /// Part of a bad version's answers that is bad.
-const BAD: f64 = 0.3;
+const BAD_ANSWER_RATE: f64 = 0.3;
 /// Part of all answers that fails in any case.
-const USUALLY_BAD: f64 = 0.005;
+const BASELINE_FAILURE_RATE: f64 = 0.005;
 /// When something happens to judges of a good version.
 const DISTURBS_GOOD_AT_S: f64 = 10.0;
 const SUSPENDED_FOR_S: f64 = 4.5;
@@ -92,7 +92,7 @@
 }
 
 impl Node {
-    fn runs(&self, at: f64) -> bool {
+    fn is_running(&self, at: f64) -> bool {
         self.ended_at.is_none() && self.suspended_until <= at
     }
 
@@ -191,7 +191,7 @@
             Disturbance::JudgeEnds => (judges[..1].to_vec(), true),
             Disturbance::TwoJudgesEnd => (judges, true),
             Disturbance::JudgeSuspended => (judges[..1].to_vec(), false),
-            Disturbance::HalfEnd => (self.half(), true),
+            Disturbance::HalfEnd => (self.random_half(), true),
         };
         for n in affected {
             let node = &mut self.nodes[n];
@@ -206,7 +206,7 @@
     }
 
     /// Half of the nodes, at random.
-    fn half(&mut self) -> Vec<usize> {
+    fn random_half(&mut self) -> Vec<usize> {
         let mut nodes: Vec<usize> = (0..self.nodes.len()).collect();
         for at in (1..nodes.len()).rev() {
             nodes.swap(at, self.rng.random_range(0..=at));
@@ -218,7 +218,7 @@
     fn call(&mut self, at: f64) {
         let node = loop {
             let n = self.rng.random_range(0..self.nodes.len());
-            if self.nodes[n].runs(at) {
+            if self.nodes[n].is_running(at) {
                 break &mut self.nodes[n];
             }
         };
@@ -234,7 +234,7 @@
             self.outcome.exposed += 1;
             self.outcome.last_exposed = at - TURNS_BAD_AT_S;
         }
-        let fails = self.rng.random_bool(if is_bad { BAD } else { USUALLY_BAD });
+        let fails = self.rng.random_bool(if is_bad { BAD_ANSWER_RATE } else { BASELINE_FAILURE_RATE });
         let took = secs(0.06 * 2.0_f64.powf(self.rng.random_range(-1.0..1.0)));
         let sample = if fails { Sample::Failed } else { Sample::Took(Measure::Answer, took) };
         let side = if to_target { Side::Target } else { Side::Present };
@@ -244,14 +244,14 @@
 
     fn send(&mut self, to: usize, message: Message, delay: f64, at: f64) {
         self.outcome.sent += 1;
-        if !self.rng.random_bool(LOST) {
+        if !self.rng.random_bool(LOSS_RATE) {
             self.nodes[to].inbox.push((at + delay, message));
         }
     }
 
     fn announce_stage(&mut self, stage: Stage, at: f64) {
         for n in 0..self.nodes.len() {
-            let delay = if self.rng.random_bool(LOST) { 0.8 } else { self.rng.random_range(0.0..0.3) };
+            let delay = if self.rng.random_bool(LOSS_RATE) { 0.8 } else { self.rng.random_range(0.0..0.3) };
             self.nodes[n].inbox.push((at + delay, Message::Stage(stage)));
         }
     }
@@ -321,7 +321,7 @@
         let ranked =
             self.ranked(at, if self.scheme == JudgeScheme::One { 1 } else { trial_reports::CANDIDATES });
         let ranked: Vec<&VmId> = ranked.iter().collect();
-        let running: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].runs(at)).collect();
+        let running: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_running(at)).collect();
         for n in &running {
             let inbox = self.nodes[*n].inbox.len() as u64;
             self.outcome.longest_inbox = self.outcome.longest_inbox.max(inbox);
@@ -354,7 +354,7 @@
             is_disturbed = true;
             simulation.apply(disturbance, at);
         }
-        for _ in 0..(RATE * STEP_S) as usize {
+        for _ in 0..(REQUESTS_PER_S * STEP_S) as usize {
             simulation.call(at);
         }
         simulation.step(at);
--- a/lib/tests/test_gateway_upgrade_model.rs
+++ b/lib/tests/test_gateway_upgrade_model.rs
@@ -27,13 +27,13 @@
 const STEP_S: f64 = 0.1;
 const WITHIN_S: f64 = 14.0;
 /// Requests a second of the whole fleet.
-const RATE: f64 = 126.0;
+const REQUESTS_PER_S: f64 = 126.0;
 /// Steps between two reports of a node.
 const REPORT_STEPS: usize = 4;
 /// Part of the messages that is lost.
-const LOST: f64 = 0.03;
+const LOSS_RATE: f64 = 0.03;
 /// Part of a bad version's answers that is bad.
-const BAD: f64 = 0.3;
+const BAD_ANSWER_RATE: f64 = 0.3;
 const SEEDS: u64 = 20;
 
 /// What is wrong with the new version.
@@ -94,7 +94,7 @@
         Fault::ErrorsOnOneRoute => route == 1,
         Fault::ErrorsUnderLoad => load > 0.6,
     };
-    applies && rng.random_bool(BAD)
+    applies && rng.random_bool(BAD_ANSWER_RATE)
 }
 
 /// Times vary by a factor of two either way.
@@ -127,7 +127,8 @@
     let steps = (WITHIN_S / STEP_S) as usize;
     for step in 0..steps {
         let at = step as f64 * STEP_S;
-        let arrivals = (RATE * STEP_S) as usize + usize::from(rng.random_bool((RATE * STEP_S).fract()));
+        let arrivals = (REQUESTS_PER_S * STEP_S) as usize
+            + usize::from(rng.random_bool((REQUESTS_PER_S * STEP_S).fract()));
         // Few new replicas are on trial, each under the load of a present one; in the switch all are.
         let load = 0.9;
         for _ in 0..arrivals {
@@ -156,7 +157,7 @@
             node.unreported.push((route, side, sample));
         }
         for (n, node) in fleet.iter_mut().enumerate() {
-            if (step + n) % REPORT_STEPS == 0 && !rng.random_bool(LOST) {
+            if (step + n) % REPORT_STEPS == 0 && !rng.random_bool(LOSS_RATE) {
                 for (route, side, sample) in node.unreported.drain(..) {
                     counts.on_sample(&["a", "b"][route].into(), side, sample);
                 }
@@ -178,12 +179,12 @@
             (upgrade.stage, upgrade.stage_since, decided) = (next.stage, now, at);
             answers_seen = counts.answered().1;
             for node in &mut fleet {
-                let delay = if rng.random_bool(LOST) { 0.8 } else { rng.random_range(0.0..0.3) };
+                let delay = if rng.random_bool(LOSS_RATE) { 0.8 } else { rng.random_range(0.0..0.3) };
                 node.stages.push((at + delay, next.stage));
             }
         }
     }
-    let bound = BOUNDS.share * RATE * WITHIN_S + BOUNDS.slack;
+    let bound = BOUNDS.share * REQUESTS_PER_S * WITHIN_S + BOUNDS.slack;
     let knows = |node: &Node| node.stages.last().map_or(0.0, |(at, _)| *at);
     let known_to_all_s = fleet.iter().map(knows).fold(decided, f64::max);
     Outcome { exposed, bound, stage: upgrade.stage, known_to_all_s, answers_seen }
