--- a/lib/tests/test_gateway_judges_model.rs
+++ b/lib/tests/test_gateway_judges_model.rs
@@ -1,7 +1,8 @@
-//! A model of who judges an upgrade, in fleets of several sizes: one node by a hash, three of them, or three and each node by its
-//! own counts, while judges end or are suspended.
+//! Model of the judges of an upgrade in fleets of several sizes, while judges end or are suspended. Schemes:
+//! one judge selected by a hash, three of them, or three and each node by its own counts.
 //!
-//! Deaths are believed after 3 to 5 s and suspected after 1.5 to 2.5 s. CI plays a few seeds; by hand:
+//! Failed nodes are suspected after 1.5 to 2.5 s and declared dead after 3 to 5 s. CI runs one seed; to run
+//! more:
 //! `LEADSTAGE_MODEL_SEEDS=60 cargo test --release -p leadstage-lib --test runner judges_model -- --nocapture`.
 
 use std::time::Duration;
@@ -38,18 +39,18 @@
 const BOUNDS: ExposureBounds = ExposureBounds { share: 0.1, slack: 50.0 };
 const STEP_S: f64 = 0.1;
 const WITHIN_S: f64 = 14.0;
-/// The plays go on beyond the order's time.
+/// Simulations continue past the deadline of the order.
 const SIMULATED_S: f64 = 22.0;
-/// Requests a second of the whole fleet.
+/// Requests per second of the whole fleet.
 const REQUESTS_PER_S: f64 = 500.0;
-/// Part of the messages that is lost.
+/// Fraction of the messages that are lost.
 const LOSS_RATE: f64 = 0.03;
 const TURNS_BAD_AT_S: f64 = 8.0;
-/// Part of a bad version's answers that is bad.
+/// Fraction of a bad version's answers that are bad.
 const BAD_ANSWER_RATE: f64 = 0.3;
-/// Part of all answers that fails in any case.
+/// Fraction of the answers of any version without a fault that fail.
 const BASELINE_FAILURE_RATE: f64 = 0.005;
-/// When something happens to judges of a good version.
+/// When the disturbance of a simulation with a good version starts.
 const DISTURBS_GOOD_AT_S: f64 = 10.0;
 const SUSPENDED_FOR_S: f64 = 4.5;
 
@@ -96,7 +97,7 @@
         self.ended_at.is_none() && self.suspended_until <= at
     }
 
-    /// Takes its messages; returns what it sends, with to whom.
+    /// Handles the messages that are due; returns the messages to send, with their recipients.
     fn receive(&mut self, own: usize, at: f64) -> Vec<(usize, Message)> {
         let (now, later) = std::mem::take(&mut self.inbox).into_iter().partition(|(due, _)| *due <= at);
         self.inbox = later;
@@ -139,7 +140,7 @@
 struct Outcome {
     succeeded_at: Option<f64>,
     reverted_at: Option<f64>,
-    /// Requests that the new version got after it had turned bad, and when it got the last one.
+    /// Requests that the new version got after it turned bad, and the time of the last one since then.
     exposed: u32,
     last_exposed: f64,
     sent: u64,
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Half of the nodes, at random.
+    /// A random half of the nodes.
     fn random_half(&mut self) -> Vec<usize> {
         let mut nodes: Vec<usize> = (0..self.nodes.len()).collect();
         for at in (1..nodes.len()).rev() {
@@ -362,13 +363,13 @@
     simulation.outcome
 }
 
-/// The seeds that are played by hand.
+/// Number of seeds set by the environment, for runs by hand.
 fn requested_seeds() -> Option<u64> {
     let seeds = std::env::var("LEADSTAGE_MODEL_SEEDS").ok()?;
     Some(seeds.parse().expect("LEADSTAGE_MODEL_SEEDS is a number"))
 }
 
-/// What came of all seeds. A play whose success and reversal are both told counts for both.
+/// Outcomes of all seeds. A simulation that reports both a success and a reversal counts as both.
 struct Row {
     text: String,
     outcomes: Vec<Outcome>,
@@ -386,7 +387,7 @@
     let version = if is_bad { "bad" } else { "good" };
     let judging = outcomes.iter().map(|outcome| outcome.judging).max().unwrap_or_default();
     let text = format!(
-        "{count:4} {:<12} {version:<4} {:<14} succeeded {succeeded}, told by {succeeded_by:4.1} s; reverted {reverted}; {:3.0} exposed, the last {:3.1} s after; {sent:.2} messages a second and node, {:.0} at one in a step at most; judging {judging:?}",
+        "{count:4} {:<12} {version:<4} {:<14} succeeded {succeeded}, reported by {succeeded_by:4.1} s; reverted {reverted}; {:3.0} exposed, the last {:3.1} s after; {sent:.2} messages per second and node, at most {:.0} at one node in a step; judging {judging:?}",
         format!("{scheme:?}"),
         format!("{disturbance:?}"),
         most(|outcome| f64::from(outcome.exposed)),
@@ -406,8 +407,8 @@
 const GOOD_DISTURBANCES: [Disturbance; 4] =
     [Disturbance::None, Disturbance::JudgeEnds, Disturbance::JudgeSuspended, Disturbance::HalfEnd];
 
-/// Asserts that with three judges no bad version succeeds and no good one is reverted, and that a good one is told in time whatever
-/// happens to one judge. By hand it compares the ways.
+/// Asserts that with three judges no bad version succeeds and no good one is reverted, and that the success
+/// of a good one is reported in time whatever happens to one judge. Runs by hand compare the schemes.
 #[test]
 fn test_three_judges_decide_while_one_is_unavailable() {
     let (sizes, schemes): (&[usize], &[JudgeScheme]) = match requested_seeds() {
--- a/lib/tests/test_gateway_trial_evidence.rs
+++ b/lib/tests/test_gateway_trial_evidence.rs
@@ -1,4 +1,4 @@
-//! Counts of a trial: what judges have heard, and how much of the fleet that is.
+//! Counts of a trial as reported to judges, and how much of the fleet they cover.
 
 use std::time::Duration;
 
@@ -45,10 +45,10 @@
     let mut evidence = TrialEvidence::default();
     evidence.add_report(node(1), report(100, 1.0, 5));
     evidence.add_report(node(2), report(100, 1.0, 2));
-    // It has begun anew.
+    // The process of the node has restarted.
     evidence.add_report(node(1), report(200, 3.0, 1));
     assert_eq!(target_answers(&evidence), 8);
-    // A report that was overtaken, one that came twice, and a late one of the process before.
+    // A reordered report, a duplicate, and a late report of the previous process.
     evidence.add_report(node(1), report(200, 4.0, 4));
     evidence.add_report(node(1), report(200, 3.5, 2));
     evidence.add_report(node(1), report(200, 4.0, 4));
@@ -57,13 +57,13 @@
 }
 
 proptest! {
-    /// Judges that get the same reports, in any order and some of them twice, come to the same counts.
+    /// Judges that receive the same reports, in any order and some of them twice, reach the same counts.
     #[test]
     fn test_judges_reach_the_same_counts(
         reports in prop::collection::vec((0_usize..4, 1_u64..3, 1_u32..20), 1..20),
         order in prop::collection::vec(any::<prop::sample::Index>(), 40),
     ) {
-        // What a process has counted grows with time.
+        // The counts of a process grow with time.
         let report = |(n, started, count): (usize, u64, u32)| (node(n), report(started, f64::from(count), count));
         let mut one = TrialEvidence::default();
         let mut other = TrialEvidence::default();
@@ -93,11 +93,12 @@
     assert_eq!(evidence.coverage(&fleet(1..10, 10), secs(1.5)), Coverage::Few);
     (1..5).for_each(|n| evidence.add_report(node(n), report(1, 2.0, 1)));
     assert_eq!(evidence.coverage(&fleet(1..10, 10), secs(1.5)), Coverage::Half);
-    // Those that are not heard are suspected by now.
+    // Nodes without recent reports are suspected by now.
     assert_eq!(evidence.coverage(&fleet(1..5, 10), secs(1.5)), Coverage::Most);
 }
 
-/// Guards against a side of a cut, or a node that has just started, that takes itself for the fleet.
+/// Guards against the smaller side of a network partition, or a node that has just started, taking itself
+/// for the whole fleet.
 #[test]
 fn test_a_small_side_of_a_cut_is_not_the_fleet() {
     let mut evidence = TrialEvidence::default();
@@ -115,7 +116,7 @@
     let mut pauses = Pauses::default();
     (0..=100).for_each(|tenth| pauses.tick(secs(f64::from(tenth) / 10.0)));
     assert!(!pauses.disturb(secs(9.0), secs(10.3)));
-    // The process goes on at 14 s: before the first tick, after it, and once it has recovered.
+    // The process resumes at 14 s. Checks before the first tick, after it, and once the backlog is processed.
     assert!(pauses.disturb(secs(13.9), secs(14.0)));
     pauses.tick(secs(14.0));
     assert!(pauses.disturb(secs(9.9), secs(14.1)));
@@ -128,7 +129,7 @@
 fn test_fleet_size_is_kept_for_a_while() {
     let mut size = FleetSize::default();
     size.note(410, secs(20.0));
-    // From here on it is cut off with two others.
+    // From here on the node is cut off together with two others.
     let kept: Vec<usize> = (21..60)
         .map(|s| {
             size.note(3, secs(f64::from(s)));
--- a/lib/tests/test_gateway_trial_reports.rs
+++ b/lib/tests/test_gateway_trial_reports.rs
@@ -1,4 +1,4 @@
-//! To whom, and when, nodes report what they have counted in a trial.
+//! Schedule of the reports of nodes to the judges of a trial.
 
 use std::time::Duration;
 
@@ -16,10 +16,11 @@
     format!("10.0.0.{n}:7003").into()
 }
 
-/// Times count from here: the trial has been known for longer than first reports are spread over.
+/// Offset of the times in these tests: the trial is known for longer than the time that first reports are
+/// spread over.
 const KNOWN_FOR: Duration = Duration::from_secs(10);
 
-/// A node whose three judges are 1, 2 and 3, and 4 and 5 the next ones.
+/// A node whose judges are nodes 1, 2 and 3, with 4 and 5 as the next candidates.
 struct Reporter {
     reports: TrialReports,
     candidates: Vec<VmId>,
@@ -45,7 +46,8 @@
         self.reports.due(&ranked, &node(own), &pending, KNOWN_FOR + secs(at))
     }
 
-    /// The nodes that are reported to at these times by a node that is none of them, where `answers` acknowledge.
+    /// Recipients of the reports of a node that is no candidate, for times `at` in tenths of a second. Nodes
+    /// in `answers` acknowledge each report.
     fn reported_to(&mut self, at: impl Iterator<Item = u32>, answers: &[usize]) -> Vec<(u32, Vec<usize>)> {
         let mut reported = Vec::new();
         for tenth in at {
@@ -66,7 +68,8 @@
 fn test_a_lost_report_is_resent_soon() {
     let mut reporter = Reporter::new();
     assert_eq!(reporter.reported_to(0..1, &[2, 3]), [(0, vec![1, 2, 3])]);
-    // The two that have it hear of the node a little later, though it has no news.
+    // The two judges that have the report get another one a little later, although the node has no new
+    // samples.
     assert_eq!(reporter.reported_to(1..6, &[1, 2, 3]), [(4, vec![1]), (5, vec![2, 3])]);
     reporter.counted += 1;
     assert_eq!(reporter.reported_to(6..10, &[1, 2, 3]), [(8, vec![1]), (9, vec![2, 3])]);
@@ -79,7 +82,7 @@
     let reported = reporter.reported_to(10..24, &[2, 3, 4]);
     let first = reported.iter().find(|(_, due)| due.contains(&4)).expect("the next candidate gets a report");
     assert!(first.0 <= 21, "{reported:?}");
-    // The silent one is still tried, and is a judge again once it answers.
+    // Reports are still sent to the silent judge, which is used again once it answers.
     reporter.reported_to(24..40, &[1, 2, 3, 4]);
     let reported = reporter.reported_to(40..60, &[1, 2, 3]);
     assert!(reported.iter().any(|(_, due)| due.contains(&1)), "{reported:?}");
@@ -98,7 +101,7 @@
 #[test]
 fn test_all_nodes_report_once_in_the_switch() {
     let mut reporter = Reporter::new();
-    // So many that those without news report each 5 s.
+    // In a fleet of this size, nodes without new samples report every 5 s.
     reporter.nodes = 1_000;
     reporter.reported_to(0..1, &[1, 2, 3]);
     assert_eq!(reporter.due(9, 1.1, Some(1.2)).to, []);
@@ -108,8 +111,8 @@
     assert_eq!(recipients, (1..4).map(node).collect::<Vec<_>>());
 }
 
-/// Of a thousand nodes that learn of a trial at once, no judge gets many more reports in a tenth of a second than the
-/// fifth that half a second allows.
+/// If a thousand nodes learn of a trial at the same time, their reports are spread over half a second: in a
+/// tenth of a second no judge gets many more than a fifth of them.
 #[test]
 fn test_first_reports_are_spread() {
     let candidates: Vec<VmId> = (0..3).map(node).collect();
--- a/lib/tests/test_gateway_upgrade.rs
+++ b/lib/tests/test_gateway_upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: stages as nodes merge them, which replicas a request may go to, and when an upgrade goes on.
+//! Upgrades: merging of stages, the replicas that a request may go to, verdicts, and the course of stages.
 
 use std::time::Duration;
 
@@ -57,19 +57,20 @@
 fn test_a_later_stage_wins_in_any_order_of_announcements() {
     let mut upgrades = Upgrades::default();
     assert_eq!(upgrades.merge(announced(5, &[("s", 4, Stage::Reverted)]), secs(2.0)), ["s".into()]);
-    // A node that missed it tells the trial, with a newer view of the store.
+    // A node that missed the stage announces the trial, with a newer revision of the store.
     assert!(upgrades.merge(announced(9, &[("s", 4, Stage::Trial)]), secs(3.0)).is_empty());
     assert_eq!(upgrades.of("s").expect("there").stage, Stage::Reverted);
-    // Another order of the same service begins anew.
+    // Another order for the same service starts over.
     assert_eq!(upgrades.merge(announced(10, &[("s", 10, Stage::Trial)]), secs(4.0)), ["s".into()]);
     assert_eq!(upgrades.of("s").expect("there").stage, Stage::Trial);
-    // An older word knows nothing of it.
+    // An older announcement does not know the new order.
     assert!(upgrades.merge(announced(9, &[("s", 4, Stage::Succeeded)]), secs(5.0)).is_empty());
     assert_eq!(upgrades.merge(announced(11, &[]), secs(6.0)), ["s".into()]);
     assert!(upgrades.is_empty());
 }
 
-/// An order that a copy of the store lacks was not withdrawn; a later word of that era that lacks it still tells so.
+/// An order that is missing in a restored copy of the store was not withdrawn. If it is missing in a later
+/// announcement of the same era, it was.
 #[test]
 fn test_an_order_that_a_copy_of_the_store_lacks_stays() {
     let mut upgrades = Upgrades::default();
@@ -80,14 +81,15 @@
 }
 
 proptest! {
-    /// All words of one history of the store, in any order, several times: all nodes come to the same.
+    /// Nodes that get all announcements of one history of the store, in any order and repeatedly, reach the
+    /// same orders.
     #[test]
     fn test_nodes_converge_in_any_order_of_announcements(
         announcements in prop::collection::vec((0_u64..4, 0_usize..6, 0_usize..6), 1..12),
         shuffle in prop::collection::vec(any::<prop::sample::Index>(), 24),
     ) {
-        // At revision 0 nothing is ordered, at 1 one service's order is made, at 2 a second one's, at 3 the
-        // first one is replaced.
+        // At revision 0 there is no order, at 1 an order for one service, at 2 also one for a second
+        // service, and at 3 the first order is replaced.
         let announcement = |(at, a, b): (u64, usize, usize)| {
             let (a, b) = (STAGES[a], STAGES[b]);
             match at {
@@ -105,7 +107,7 @@
         for index in shuffle {
             shuffled.merge(announcement(announcements[index.index(announcements.len())]), secs(10.0));
         }
-        // Each word is heard once at least.
+        // Each announcement is merged at least once.
         announcements.iter().rev().for_each(|w| drop(shuffled.merge(announcement(*w), secs(10.0))));
         let view = |upgrades: &Upgrades| {
             upgrades.iter().map(|(s, u)| (s.clone(), u.order.clone(), u.stage)).collect::<Vec<_>>()
@@ -142,7 +144,7 @@
     table
 }
 
-/// The ids of the replicas that a request may go to, by pool.
+/// Ids of the replicas that a request may go to, by pool.
 fn candidates_of(table: &ReplicaTable, stage: Stage, run: u64) -> Vec<Vec<String>> {
     let key = RunKey { entry: "10.0.0.9:7080".into(), run };
     let upgrade = upgrade(stage);
@@ -164,7 +166,7 @@
     for run in 0..200 {
         let candidates = candidates_of(&table, Stage::Trial, run);
         assert_eq!(candidates, candidates_of(&table, Stage::Trial, run), "a request is selected once");
-        let present = candidates.last().expect("a group");
+        let present = candidates.last().expect("a pool");
         assert!(present.len() == 20 && present.iter().all(|id| id.starts_with("old")), "{candidates:?}");
         if candidates.len() == 2 {
             assert_eq!(candidates[0].len(), 2, "a tenth of 20 present ones: {candidates:?}");
@@ -191,7 +193,7 @@
     }
 }
 
-/// Answers of both versions on a route: so many good ones in 60 ms, and bad ones.
+/// Answers of both versions on one route, as numbers of good answers, of 60 ms each, and of bad answers.
 fn counts(present: (u32, u32), target: (u32, u32), bad: Sample) -> AnswerCounts {
     let mut counts = AnswerCounts::default();
     for (side, (good_count, bad_count)) in [(Side::Present, present), (Side::Target, target)] {
@@ -209,20 +211,16 @@
         let verdict = |present, target| upgrade_verdict::verdict(&counts(present, target, bad));
         assert!(matches!(verdict((200, 1), (12, 5)), Verdict::Worse(_)), "a third is bad");
         assert_eq!(verdict((200, 1), (20, 1)), Verdict::NotWorse, "one may be the request's fault");
-        assert_eq!(
-            verdict((150, 50), (20, 7)),
-            Verdict::NotWorse,
-            "as many are bad of the present version's"
-        );
+        assert_eq!(verdict((150, 50), (20, 7)), Verdict::NotWorse, "the present version has the same rate");
         assert!(matches!(verdict((150, 50), (10, 30)), Verdict::Worse(_)), "many more are bad than usual");
     }
     assert_eq!(upgrade_verdict::verdict(&AnswerCounts::default()), Verdict::Unknown);
-    // Nothing tells what is usual: only errors count.
+    // Without enough answers of the present version there is no baseline: only errors count.
     assert!(matches!(upgrade_verdict::verdict(&counts((0, 0), (2, 6), Sample::Failed)), Verdict::NotWorse));
     assert!(matches!(upgrade_verdict::verdict(&counts((6, 0), (2, 6), slow)), Verdict::NotWorse));
 }
 
-/// A fifth of the present version's answers take several times as long as the others, and none fails.
+/// A fifth of the present version's answers take several times as long as the others, and none fail.
 #[test]
 fn test_errors_show_a_worse_version_of_a_service_with_uneven_times() {
     let mut counts = counts((272, 0), (27, 11), Sample::Failed);
@@ -230,7 +228,7 @@
     (0..68).for_each(|_| counts.on_sample(&"r".into(), Side::Present, slow));
     (0..8).for_each(|_| counts.on_sample(&"r".into(), Side::Target, slow));
     let verdict = upgrade_verdict::verdict(&counts);
-    assert!(matches!(verdict, Verdict::Worse(_)), "a quarter fails, and none is usual: {verdict:?}");
+    assert!(matches!(verdict, Verdict::Worse(_)), "a quarter fails, with a baseline of none: {verdict:?}");
 }
 
 #[test]
@@ -242,7 +240,8 @@
     assert!(close(upgrade_verdict::binomial_tail(0, 10, 0.1), 1.0));
 }
 
-/// The stages that an upgrade comes to, with when, where the counts stay as they are by the second.
+/// The stages that an upgrade reaches, with the elapsed seconds. `counts` gives the counts for the elapsed
+/// seconds and does not depend on the stage.
 fn stage_course(
     counts: impl Fn(f64) -> AnswerCounts,
     capacity: Capacity,
@@ -272,7 +271,7 @@
     stages
 }
 
-/// A hundred requests a second, a twentieth of them to the new version.
+/// Counts of 100 requests per second, a twentieth of them to the new version, all good.
 fn good(elapsed: f64) -> AnswerCounts {
     counts(((95.0 * elapsed) as u32, 0), ((5.0 * elapsed) as u32, 0), Sample::Failed)
 }
@@ -294,7 +293,8 @@
     assert_eq!(stages.iter().map(|(stage, _)| *stage).collect::<Vec<_>>(), [Stage::Reverted]);
 }
 
-/// Whoever judges after another one has ended knows little at first, which speaks against a version only.
+/// A judge that takes over from another one has few reports at first, which are enough to revert a version
+/// only.
 #[test]
 fn test_a_judge_with_reports_of_few_nodes_only_reverts() {
     let capacity = Capacity { present: 40, target: 40 };
@@ -303,7 +303,8 @@
     assert_eq!(stage_course(bad, capacity, true, Coverage::Few), [(Stage::Reverted, 0.0)]);
 }
 
-/// Guards against a success by a handful of answers, of which a clearly bad version may have few bad ones by chance.
+/// Guards against a success that rests on a handful of answers, of which a clearly bad version may have few
+/// bad ones by chance.
 #[test]
 fn test_few_answers_support_no_version() {
     let supports =
@@ -322,7 +323,8 @@
     assert_eq!(stage_course(enough, capacity, true, Coverage::Most).len(), 2);
 }
 
-/// Where half of the nodes are heard, others may have ended a moment ago: that is waited for as long as there is time.
+/// If only half of the nodes have reported, the others may have ended a moment ago: the decision waits for
+/// them as long as there is time.
 #[test]
 fn test_a_success_by_half_of_the_nodes_is_decided_as_late_as_possible() {
     let capacity = Capacity { present: 40, target: 40 };
@@ -338,7 +340,8 @@
             true => counts(((95.0 * elapsed) as u32, 0), ((5.0 * from) as u32, 12), Sample::Failed),
             false => good(elapsed),
         };
-        let last = stage_course(turns_bad, capacity, true, Coverage::Most).pop().expect("it goes on");
+        let last =
+            stage_course(turns_bad, capacity, true, Coverage::Most).pop().expect("the upgrade advances");
         assert_eq!(last, (Stage::Reverted, from + 0.1), "{from}");
     }
 }
--- a/lib/tests/test_gateway_upgrade_model.rs
+++ b/lib/tests/test_gateway_upgrade_model.rs
@@ -1,6 +1,6 @@
-//! A model of an upgrade in fleets of several sizes: callers, both versions' replicas, nodes that draw and report, lost
-//! reports and news that take their time. Two ways to keep to the share are compared: each node draws from its own
-//! requests, or one node hands the share out.
+//! Model of an upgrade in fleets of several sizes: callers, replicas of both versions, nodes that select
+//! requests and report counts, lost reports and delayed announcements. It compares two methods to keep to
+//! the share: each node selects from its own requests, or one node distributes the share.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -26,17 +26,17 @@
 const BOUNDS: ExposureBounds = ExposureBounds { share: 0.1, slack: 50.0 };
 const STEP_S: f64 = 0.1;
 const WITHIN_S: f64 = 14.0;
-/// Requests a second of the whole fleet.
+/// Requests per second of the whole fleet.
 const REQUESTS_PER_S: f64 = 126.0;
 /// Steps between two reports of a node.
 const REPORT_STEPS: usize = 4;
-/// Part of the messages that is lost.
+/// Fraction of the messages that are lost.
 const LOSS_RATE: f64 = 0.03;
-/// Part of a bad version's answers that is bad.
+/// Fraction of a bad version's answers that are bad.
 const BAD_ANSWER_RATE: f64 = 0.3;
 const SEEDS: u64 = 20;
 
-/// What is wrong with the new version.
+/// Fault of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
@@ -47,12 +47,13 @@
     ErrorsUnderLoad,
 }
 
-/// How the share is kept.
+/// Method to keep to the share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ShareMethod {
-    /// Each node draws from its own requests.
+    /// Each node selects from its own requests.
     Drawn,
-    /// The judge hands the share out, with each report that reaches it, by what that report counts.
+    /// The judge distributes the share: each report that reaches it grants its sender a share of the
+    /// requests counted in it.
     HandedOut,
 }
 
@@ -60,7 +61,7 @@
     exposed: u32,
     bound: f64,
     stage: Stage,
-    /// When the last node knew the last stage, in seconds from the order.
+    /// When the last node learned of the last stage, in seconds since the order.
     known_to_all_s: f64,
     /// Requests that the new version had answered when the judge decided.
     answers_seen: u32,
@@ -68,19 +69,20 @@
 
 struct Node {
     id: VmId,
-    /// What it has counted and the judge has not: a report tells all since the order, so the next one makes up for
-    /// a lost one.
+    /// Samples that the judge does not have yet. Reports are cumulative, so the next report makes up for a
+    /// lost one.
     unreported: Vec<(usize, Side, Sample)>,
     requests: u64,
-    /// Requests that it may still send to the new version where shares are handed out.
+    /// Requests that the node may still send to the new version if the judge distributes the share.
     allowance: f64,
     allowance_up_to: u64,
-    /// The stages it knows, with when.
+    /// The stages that the node knows, with the times since when.
     stages: Vec<(f64, Stage)>,
 }
 
 impl Node {
-    /// `None` before it knows of the order; no replica of the new version is there so early.
+    /// Latest known stage; `None` before the node knows of the order, when no replica of the new version
+    /// exists yet.
     fn stage(&self, at: f64) -> Option<Stage> {
         self.stages.iter().filter(|(from, _)| *from <= at).map(|(_, stage)| *stage).max()
     }
@@ -97,7 +99,7 @@
     applies && rng.random_bool(BAD_ANSWER_RATE)
 }
 
-/// Times vary by a factor of two either way.
+/// Time of an answer without a fault, which varies by up to a factor of two either way.
 fn typical_time_s(rng: &mut SmallRng) -> f64 {
     0.06 * 2.0_f64.powf(rng.random_range(-1.0..1.0) * rng.random_range(0.0..1.0))
 }
@@ -129,7 +131,7 @@
         let at = step as f64 * STEP_S;
         let arrivals = (REQUESTS_PER_S * STEP_S) as usize
             + usize::from(rng.random_bool((REQUESTS_PER_S * STEP_S).fract()));
-        // Few new replicas are on trial, each under the load of a present one; in the switch all are.
+        // In the trial a few new replicas have the load of a present one each, in the switch all of them.
         let load = 0.9;
         for _ in 0..arrivals {
             let node = &mut fleet[rng.random_range(0..nodes)];
@@ -235,7 +237,7 @@
             }
         }
     }
-    // The other way, for comparison: with few requests at each node hardly any is handed out.
+    // The other method, for comparison: with few requests at each node hardly any share is distributed.
     for nodes in [6, 66, 410, 985] {
         for fault in [Fault::None, Fault::ErrorsLater] {
             writeln!(table, "{}", row(nodes, ShareMethod::HandedOut, fault).0).expect("it is text");
