--- a/lib/src/gateway/upgrade.rs
+++ b/lib/src/gateway/upgrade.rs
@@ -96,7 +96,7 @@
     pub order: UpgradeOrder,
     /// When the order was created, as far as this node knows.
     pub began: Timestamp,
-    /// How far it is.
+    /// Stage that the upgrade has reached.
     pub stage: Stage,
     /// When this node learned of the stage.
     pub stage_since: Timestamp,
@@ -126,7 +126,7 @@
     pub order: UpgradeOrder,
     /// Time since the order was created, as far as the sender knows.
     pub age: Duration,
-    /// How far it is.
+    /// Stage that the upgrade has reached.
     pub stage: Stage,
 }
 
