--- a/lib/src/gateway/answer_counts.rs
+++ b/lib/src/gateway/answer_counts.rs
@@ -1,4 +1,4 @@
-//! How the replicas of two versions answer, counted so that all nodes' counts can be added up.
+//! Counts of the answers of two versions' replicas, mergeable across nodes: errors, and times in a histogram.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,95 +8,95 @@
 
 use crate::gateway::routing::RouteId;
 
-/// Times are counted in steps of this factor: half an octave.
-const STEPS_PER_OCTAVE: f64 = 2.0;
-/// The last step takes whatever is longer: some 46 s.
-const LAST_STEP: u8 = 31;
-/// Routes that are counted apart; those beyond share one name.
-const MOST_ROUTES: usize = 48;
-/// The name that they share.
+/// Resolution of the logarithmic histogram of times: each bucket spans half an octave.
+const BUCKETS_PER_OCTAVE: f64 = 2.0;
+/// The last bucket holds all times of about 46 s and more.
+const LAST_BUCKET: u8 = 31;
+/// Limit on routes that are counted separately; further routes share [`OTHER_ROUTES`].
+const MAX_ROUTES: usize = 48;
+/// Route name that further routes are counted under.
 const OTHER_ROUTES: &str = "";
 
 /// Which of the two versions answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The one that is to be replaced.
+    /// The version that is to be replaced.
     Present,
-    /// The one on trial.
+    /// The version on trial.
     Target,
 }
 
-/// What of an answer is measured.
+/// The quantity that is measured of an answer.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Measure {
-    /// Time from the request to its answer; of a stream, to its first event.
+    /// Time from the request to its answer; for a stream, to its first event.
     Answer,
-    /// Time from one event of a stream to the next, on average.
+    /// Average time between two events of a stream.
     Pace,
 }
 
-/// What came of a request at a replica.
+/// Outcome of a request at a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sample {
     /// The replica answered with an error of its own.
     Failed,
-    /// It answered well, in this time.
+    /// The replica answered successfully, with this time.
     Took(Measure, Duration),
 }
 
 /// The answers of one version on one route.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Answers {
-    /// Errors of the replicas' own.
+    /// Errors of the replicas themselves.
     pub failed: u32,
-    /// Good answers by the step of their time.
+    /// Number of successful answers per time bucket.
     pub took: BTreeMap<u8, u32>,
 }
 
 impl Answers {
-    /// All of them.
+    /// Number of answers in all.
     pub fn count(&self) -> u32 {
         self.failed + self.took.values().sum::<u32>()
     }
 
-    /// The step that half of the good answers don't exceed.
-    pub fn middle(&self) -> Option<u8> {
-        let good: u32 = self.took.values().sum();
-        let mut so_far = 0;
-        self.took.iter().find_map(|(step, count)| {
-            so_far += count;
-            (2 * so_far >= good).then_some(*step)
+    /// Bucket of the median time of the successful answers; `None` if there are none.
+    pub fn median_bucket(&self) -> Option<u8> {
+        let succeeded: u32 = self.took.values().sum();
+        let mut cumulated = 0;
+        self.took.iter().find_map(|(bucket, count)| {
+            cumulated += count;
+            (2 * cumulated >= succeeded).then_some(*bucket)
         })
     }
 
-    /// Good answers whose step is this or a later one.
-    pub fn from_step(&self, step: u8) -> u32 {
-        self.took.range(step..).map(|(_, count)| count).sum()
+    /// Number of successful answers in this bucket or a later one.
+    pub fn count_from(&self, bucket: u8) -> u32 {
+        self.took.range(bucket..).map(|(_, count)| count).sum()
     }
 
     fn add(&mut self, other: &Answers) {
-        self.add_growth(&Answers::default(), other);
+        self.add_delta(&Answers::default(), other);
     }
 
-    fn add_growth(&mut self, from: &Answers, to: &Answers) {
+    fn add_delta(&mut self, from: &Answers, to: &Answers) {
         self.failed += to.failed.saturating_sub(from.failed);
-        for (step, count) in &to.took {
-            let before = from.took.get(step).copied().unwrap_or_default();
-            *self.took.entry(*step).or_default() += count.saturating_sub(before);
+        for (bucket, count) in &to.took {
+            let before = from.took.get(bucket).copied().unwrap_or_default();
+            *self.took.entry(*bucket).or_default() += count.saturating_sub(before);
         }
     }
 }
 
-/// The answers of both versions.
+/// The answers of both versions for one route and measure.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
-pub struct Compared {
-    /// Of the version that is to be replaced.
+pub struct AnswersByVersion {
+    /// Answers of the version that is to be replaced.
     pub present: Answers,
-    /// Of the one on trial.
+    /// Answers of the version on trial.
     pub target: Answers,
 }
 
-impl Compared {
+impl AnswersByVersion {
     fn side(&mut self, side: Side) -> &mut Answers {
         match side {
             Side::Present => &mut self.present,
@@ -105,18 +105,18 @@
     }
 }
 
-/// Answers by route and measure.
+/// Answers per route and measure.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct AnswerCounts {
-    cells: BTreeMap<(RouteId, Measure), Compared>,
+    cells: BTreeMap<(RouteId, Measure), AnswersByVersion>,
 }
 
 impl AnswerCounts {
     /// Counts an answer.
     pub fn on_sample(&mut self, route: &RouteId, side: Side, sample: Sample) {
         let is_known = self.cells.keys().any(|(known, _)| known == route);
-        let is_counted_apart = is_known || self.cells.len() < MOST_ROUTES;
-        let route = if is_counted_apart { route.clone() } else { OTHER_ROUTES.into() };
+        let has_own_cell = is_known || self.cells.len() < MAX_ROUTES;
+        let route = if has_own_cell { route.clone() } else { OTHER_ROUTES.into() };
         let measure = match sample {
             Sample::Failed => Measure::Answer,
             Sample::Took(measure, _) => measure,
@@ -124,7 +124,7 @@
         let answers = self.cells.entry((route, measure)).or_default().side(side);
         match sample {
             Sample::Failed => answers.failed += 1,
-            Sample::Took(_, took) => *answers.took.entry(step_of(took)).or_default() += 1,
+            Sample::Took(_, took) => *answers.took.entry(bucket_of(took)).or_default() += 1,
         }
     }
 
@@ -137,34 +137,34 @@
         }
     }
 
-    /// Adds what another node has counted between two of its reports.
-    pub fn add_growth(&mut self, from: &AnswerCounts, to: &AnswerCounts) {
-        let nothing = Compared::default();
+    /// Adds what another node counted between two of its reports, `from` and `to`.
+    pub fn add_delta(&mut self, from: &AnswerCounts, to: &AnswerCounts) {
+        let nothing = AnswersByVersion::default();
         for (cell, counts) in &to.cells {
             let before = from.cells.get(cell).unwrap_or(&nothing);
             let own = self.cells.entry(cell.clone()).or_default();
-            own.present.add_growth(&before.present, &counts.present);
-            own.target.add_growth(&before.target, &counts.target);
+            own.present.add_delta(&before.present, &counts.present);
+            own.target.add_delta(&before.target, &counts.target);
         }
     }
 
-    /// All counts.
-    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, Measure, &Compared)> {
+    /// Iterates over all counts.
+    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, Measure, &AnswersByVersion)> {
         self.cells.iter().map(|((route, measure), counts)| (route, *measure, counts))
     }
 
-    /// Requests that were answered, those of both versions, and those of the one on trial.
+    /// Number of requests answered by both versions together, and by the version on trial alone.
     pub fn answered(&self) -> (u32, u32) {
         let answers = self.cells.iter().filter(|((_, measure), _)| *measure == Measure::Answer);
         answers.fold((0, 0), |(all, target), (_, counts)| {
-            let of_target = counts.target.count();
-            (all + counts.present.count() + of_target, target + of_target)
+            let by_target = counts.target.count();
+            (all + counts.present.count() + by_target, target + by_target)
         })
     }
 }
 
-/// The step of a time: two steps are an octave, from 1 ms on.
-pub fn step_of(took: Duration) -> u8 {
+/// Bucket of a time: two buckets per octave, starting at 1 ms.
+pub fn bucket_of(took: Duration) -> u8 {
     let ms = took.as_secs_f64() * 1_000.0;
-    (ms.max(1.0).log2() * STEPS_PER_OCTAVE).min(f64::from(LAST_STEP)) as u8
+    (ms.max(1.0).log2() * BUCKETS_PER_OCTAVE).min(f64::from(LAST_BUCKET)) as u8
 }
--- a/lib/src/gateway/choice.rs
+++ b/lib/src/gateway/choice.rs
@@ -1,109 +1,114 @@
-//! The choice of a replica by the load.
+//! Chooses a replica by its load.
 //!
-//! For engines a request costs time until its first event (prompts are read one after
-//! another), what it takes from the streams that run beside it, and the risk that the
-//! engine's memory overflows. For plain services only the requests in flight count.
+//! An engine's cost consists of the time until the first event (an engine prefills one prompt after
+//! another), the slowdown of the streams that run beside the new one, and the risk that the engine's
+//! memory overflows. For plain services only the requests in flight count.
 
 use rand::Rng;
 use rand::RngExt;
 
 use crate::gateway::load::EngineLoad;
 use crate::gateway::load::GenerationSize;
-use crate::gateway::load::LoadBook;
+use crate::gateway::load::LoadTracker;
 use crate::gateway::replica::Replica;
 use crate::gateway::routing::EngineTraits;
 use crate::gateway::shortage::Shortage;
 use crate::ids::HallId;
 use crate::ids::Timestamp;
 
-/// A time to the first event that counts twice: it is close to the objectives, which are
-/// 1.5 s and more.
-const WAIT_TWICE_AS_BAD_MS: f64 = 1_000.0;
-/// Milliseconds that one more running stream adds to the cost of an engine: each makes
-/// every step a little longer, and is one more to move when the engine leaves.
+/// Time to the first event at which its cost is doubled. It is close to the objectives, which are 1.5 s
+/// and more.
+const FIRST_EVENT_DOUBLING_MS: f64 = 1_000.0;
+/// Cost of each running stream, in milliseconds: every stream makes each step of the engine a little
+/// longer, and is one more to move when the engine leaves.
 const COST_PER_RUN_MS: f64 = 25.0;
-/// Cost of a call in another hall: its bytes are priced.
-const COST_OTHER_HALL_MS: f64 = 12.0;
-/// Cost of a generation in another hall: where a link between halls loses 3 packets in 100, a
-/// stream that crosses it stalls within a second or two. With more, halls fill unevenly and more
+/// Cost of a plain call to another hall: traffic between halls is charged for.
+const COST_CROSS_HALL_CALL_MS: f64 = 12.0;
+/// Cost of a generation in another hall. Where a link between halls loses 3 packets in 100, a stream
+/// that crosses it stalls within a second or two. With a higher cost, halls fill unevenly and more
 /// generations are lost when engines are taken away (docs/BENCHMARKS.md).
-const COST_FAR_STREAM_MS: f64 = 150.0;
+const COST_CROSS_HALL_STREAM_MS: f64 = 150.0;
 /// Part of an engine's memory that expected use may reach without a cost.
-const MEMORY_AT_EASE: f64 = 0.7;
-/// The same for generations that move: the links' time is scarcer than the memory.
-const MEMORY_AT_EASE_FOR_MOVES: f64 = 0.85;
-/// Part of an engine's memory that is expected to be used at the most after a new generation is admitted. The
-/// rest is for what hints leave out and for those that move when other engines leave, which are worth more:
-/// their callers have waited already. On modelled engines whose memory holds six long streams
-/// (`test_fleet_model`), 20 days of each load: with 0.9 793 of 18,994 long streams are late at the usual load, 122 of
-/// 18,997 with 0.95, 111 of 19,145 with 1.0; 0, 0 and 11 generations a day are preempted, and 32, 87 and 125 of all broken.
-pub const PEAK_UP_TO: f64 = 0.95;
-/// The same by what is in use and some seconds' growth, where the peak does not decide.
-const ADMITS_UP_TO: f64 = 0.9;
-/// Part of an engine's memory that moving generations may fill.
-const MOVES_UP_TO: f64 = 1.0;
-/// Cost of expecting to fill all of the memory beyond that, growing with the square.
+const MAX_FILL_WITHOUT_COST: f64 = 0.7;
+/// The same for generations that move: bandwidth of the links is scarcer than memory.
+const MAX_FILL_WITHOUT_COST_FOR_MOVES: f64 = 0.85;
+/// Largest expected peak of an engine's memory, as a part of it, up to which a new generation is
+/// admitted. The rest is a reserve for requests whose length hints are too low and for generations that
+/// move when other engines leave; these matter more, as their callers have waited already. In the fleet
+/// model (`test_fleet_model`), with engines whose memory holds six long streams and 20 days of each
+/// load: at the usual load 793 of 18,994 long streams are late with 0.9, 122 of 18,997 with 0.95, and
+/// 111 of 19,145 with 1.0. In the same order, 0, 0 and 11 generations a day are preempted, and 32, 87
+/// and 125 of all generations are broken.
+pub const MAX_EXPECTED_PEAK: f64 = 0.95;
+/// Largest near-term fill of an engine's memory up to which a new generation is admitted, if the
+/// expected peak does not decide.
+const MAX_ADMISSION_FILL: f64 = 0.9;
+/// Largest near-term fill of an engine's memory up to which a moving generation is admitted.
+const MAX_MOVE_FILL: f64 = 1.0;
+/// Cost of an engine whose memory is expected to be full. Beyond the fill without a cost, it grows with
+/// the square.
 const COST_FULL_MEMORY_MS: f64 = 4_000.0;
-/// Cost of one request in flight at a plain replica, against [`COST_OTHER_HALL_MS`].
+/// Cost of one request in flight at a plain replica, to be compared with [`COST_CROSS_HALL_CALL_MS`].
 const COST_PER_CALL_MS: f64 = 30.0;
-/// Cost of a move to another hall, in times that a copy takes within one: it takes twice as long,
-/// on the links of both engines, and others wait for these.
-const FAR_MOVE_COPIES: f64 = 3.0;
-/// Random part of a cost, so that nodes which know the same don't all choose the same.
-const SPREAD_MS: f64 = 8.0;
-/// Cost of a plain replica all of whose answers are errors, growing with the square of their share:
-/// some replicas fail one request in seven for reasons of the request.
+/// Cost of a move to another hall, in multiples of the time of a copy within a hall: the copy takes
+/// twice as long, occupies the links of both engines, and delays other copies on them.
+const CROSS_HALL_MOVE_COPIES: f64 = 3.0;
+/// Random part of a cost. Without it, nodes with the same knowledge would all choose the same replica.
+const COST_JITTER_MS: f64 = 8.0;
+/// Cost of a plain replica whose answers are all errors; it grows with the square of their share. Some
+/// replicas fail one request in seven because of the request itself.
 const COST_ALL_ERRORS_MS: f64 = 600.0;
-/// The same for an engine: a generation that it fails is lost, unlike a call that can be
-/// repeated. One failure among its last answers outweighs five running streams.
+/// The same for an engine. A generation that fails there is lost, unlike a call, which can be repeated.
+/// One failure among its last answers outweighs five running streams.
 const COST_ENGINE_ERRORS_MS: f64 = 8_000.0;
-/// Cost for each failure in a row that a replica had lately.
+/// Cost of each recent consecutive failure of a replica.
 const COST_PER_FAILURE_MS: f64 = 100.0;
 
-/// What differs between engines and plain replicas, in milliseconds.
+/// Costs that differ between engines and plain replicas, in milliseconds.
 struct Costs {
     other_hall: f64,
     all_errors: f64,
 }
 
-const PLAIN_COSTS: Costs = Costs { other_hall: COST_OTHER_HALL_MS, all_errors: COST_ALL_ERRORS_MS };
-const ENGINE_COSTS: Costs = Costs { other_hall: COST_FAR_STREAM_MS, all_errors: COST_ENGINE_ERRORS_MS };
+const PLAIN_COSTS: Costs = Costs { other_hall: COST_CROSS_HALL_CALL_MS, all_errors: COST_ALL_ERRORS_MS };
+const ENGINE_COSTS: Costs =
+    Costs { other_hall: COST_CROSS_HALL_STREAM_MS, all_errors: COST_ENGINE_ERRORS_MS };
 
-/// An engine with what speaks for and against it.
+/// An engine with the figures that decide whether it is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineChoice<'a> {
     /// The engine.
     pub replica: &'a Replica,
-    /// Requests there.
+    /// Number of requests at the engine.
     pub runs: usize,
-    /// Part of its memory that is expected to be used soon, with the request.
+    /// Part of its memory that is expected to be used soon, including the request.
     pub fill: f64,
-    /// Whether its memory takes the request.
+    /// Whether its memory admits the request.
     pub fits: bool,
-    /// Time until it has read the prompts that it was given.
+    /// Time until it has prefilled the prompts that were assigned to it.
     pub wait: Timestamp,
-    /// The cost, in milliseconds; lower is better.
+    /// Its cost in milliseconds; lower is better.
     pub cost: f64,
 }
 
-/// A generation that wants an engine, or another one.
+/// A generation that needs an engine, or a different one.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineRequest<'a> {
     /// Its size.
     pub size: GenerationSize,
-    /// What the service's engines are.
+    /// The traits of the service's engines.
     pub engine: &'a EngineTraits,
-    /// The hall where it came in; for one that moves, where it runs.
+    /// The hall where it arrived; for a generation that moves, the hall where it runs.
     pub hall: &'a HallId,
-    /// Tokens made so far.
+    /// Number of tokens produced so far.
     pub produced: u32,
     /// Whether it runs on another engine and moves.
     pub moves: bool,
 }
 
-impl LoadBook {
-    /// The cheapest replica for a generation, among usable ones; `None` where it would
-    /// overfill each.
+impl LoadTracker {
+    /// Returns the cheapest of the given usable engines for a generation, or `None` if none of them
+    /// admits it.
     pub fn choose_engine<'a, R: Rng>(
         &self,
         candidates: impl Iterator<Item = &'a Replica>,
@@ -111,55 +116,57 @@
         now: Timestamp,
         rng: &mut R,
     ) -> Option<EngineChoice<'a>> {
-        let choices = candidates.map(|replica| self.consider(replica, request, now, rng));
+        let choices = candidates.map(|replica| self.evaluate(replica, request, now, rng));
         let fitting = choices.filter(|choice| choice.fits);
         fitting.min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    /// The cheapest engine for a generation among those that read it soon, or what is short. The others are
-    /// only asked whether they would have had memory.
-    pub fn choose_engine_soon<'a, R: Rng>(
+    /// Returns the cheapest engine for a generation among `available` ones, which can start its prefill
+    /// soon, or what is short. Engines in `backlogged` are only checked for whether their memory would
+    /// admit it.
+    pub fn choose_engine_or_shortage<'a, R: Rng>(
         &self,
-        soon: Vec<&'a Replica>,
-        later: Vec<&'a Replica>,
+        available: Vec<&'a Replica>,
+        backlogged: Vec<&'a Replica>,
         request: &EngineRequest<'_>,
         now: Timestamp,
         rng: &mut R,
     ) -> Result<EngineChoice<'a>, Shortage> {
-        if soon.is_empty() && later.is_empty() {
+        if available.is_empty() && backlogged.is_empty() {
             return Err(Shortage::Engines);
         }
-        if let Some(choice) = self.choose_engine(soon.into_iter(), request, now, rng) {
+        if let Some(choice) = self.choose_engine(available.into_iter(), request, now, rng) {
             return Ok(choice);
         }
-        Err(if self.has_memory(later, request) { Shortage::Reading } else { Shortage::Memory })
+        Err(if self.has_memory(backlogged, request) { Shortage::Prefill } else { Shortage::Memory })
     }
 
     fn has_memory(&self, engines: Vec<&Replica>, request: &EngineRequest<'_>) -> bool {
         engines.into_iter().any(|engine| self.fits(self.load_with(engine, request), request))
     }
 
-    /// What runs at an engine, and the memory that it takes together with a generation.
+    /// Load of an engine with a further generation.
     fn load_with(&self, replica: &Replica, request: &EngineRequest<'_>) -> EngineLoad {
         let mut load = self.engine_load(replica);
         load.add(request.size, request.produced);
         load
     }
 
-    /// Whether the memory of an engine takes what it would have. One that runs nothing takes any generation.
+    /// Whether the memory of an engine admits this load. An engine that runs nothing admits any
+    /// generation.
     fn fits(&self, load: EngineLoad, request: &EngineRequest<'_>) -> bool {
         if load.runs == 0 {
             true
         } else if request.moves {
-            load.fill(request.engine) <= MOVES_UP_TO
+            load.fill(request.engine) <= MAX_MOVE_FILL
         } else if self.policy.admit_by_peak {
-            load.peak(request.engine) <= PEAK_UP_TO
+            load.peak(request.engine) <= MAX_EXPECTED_PEAK
         } else {
-            load.fill(request.engine) <= ADMITS_UP_TO
+            load.fill(request.engine) <= MAX_ADMISSION_FILL
         }
     }
 
-    /// The cheapest replica for a plain call, among usable ones.
+    /// Returns the cheapest of the given usable replicas for a plain call.
     pub fn choose_plain<'a, R: Rng>(
         &self,
         candidates: impl Iterator<Item = &'a Replica>,
@@ -168,13 +175,13 @@
         rng: &mut R,
     ) -> Option<&'a Replica> {
         let costs = candidates.map(|replica| {
-            let calls = self.at(&replica.record.id).count() as f64;
+            let calls = self.runs_at(&replica.record.id).count() as f64;
             (calls * COST_PER_CALL_MS + self.general_cost(replica, hall, &PLAIN_COSTS, now, rng), replica)
         });
         costs.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, replica)| replica)
     }
 
-    fn consider<'a, R: Rng>(
+    fn evaluate<'a, R: Rng>(
         &self,
         replica: &'a Replica,
         request: &EngineRequest<'_>,
@@ -186,23 +193,23 @@
         let load = self.load_with(replica, request);
         let (runs, arriving, fill) = (load.runs, load.arriving, load.fill(request.engine));
         let fits = self.fits(load, request);
-        let far = moves && replica.record.hall != *request.hall;
-        let wait = self.reading.wait(id, now);
-        // A copy goes ahead of the prompts that wait there.
-        let way = if moves {
+        let crosses_halls = moves && replica.record.hall != *request.hall;
+        let wait = self.prefill.wait(id, now);
+        // A copy does not wait for the prompts that are queued there.
+        let delay_cost = if moves {
             let copy = millis(request.engine.copy_time(request.size.prompt + request.produced));
-            let copies = arriving as f64 + if far { FAR_MOVE_COPIES } else { 0.0 };
+            let copies = arriving as f64 + if crosses_halls { CROSS_HALL_MOVE_COPIES } else { 0.0 };
             copies * copy
         } else {
-            let own_time = self.reading.reading_time(replica, request.size.prompt, now);
-            let first_event = millis(wait + own_time);
-            first_event + first_event * first_event / WAIT_TWICE_AS_BAD_MS
+            let prefill = self.prefill.prefill_time(replica, request.size.prompt, now);
+            let first_event = millis(wait + prefill);
+            first_event + first_event * first_event / FIRST_EVENT_DOUBLING_MS
         };
-        let at_ease = if moves { MEMORY_AT_EASE_FOR_MOVES } else { MEMORY_AT_EASE };
-        let beyond = (fill - at_ease).max(0.0) / (1.0 - at_ease);
-        let cost = way
+        let max_free_fill = if moves { MAX_FILL_WITHOUT_COST_FOR_MOVES } else { MAX_FILL_WITHOUT_COST };
+        let excess = (fill - max_free_fill).max(0.0) / (1.0 - max_free_fill);
+        let cost = delay_cost
             + runs as f64 * COST_PER_RUN_MS
-            + beyond * beyond * COST_FULL_MEMORY_MS
+            + excess * excess * COST_FULL_MEMORY_MS
             + self.general_cost(replica, request.hall, &ENGINE_COSTS, now, rng);
         EngineChoice { replica, runs, fill, fits, wait, cost }
     }
@@ -215,11 +222,11 @@
         now: Timestamp,
         rng: &mut R,
     ) -> f64 {
-        let is_near = replica.record.hall == *hall || !self.policy.stay_in_hall;
-        let elsewhere = if is_near { 0.0 } else { costs.other_hall };
-        let failures = f64::from(replica.failures()) * COST_PER_FAILURE_MS;
-        let errors = if self.policy.avoid_errors { replica.errors(now) } else { 0.0 };
-        elsewhere + failures + errors * errors * costs.all_errors + rng.random::<f64>() * SPREAD_MS
+        let is_local = replica.record.hall == *hall || !self.policy.stay_in_hall;
+        let hall_cost = if is_local { 0.0 } else { costs.other_hall };
+        let failures = f64::from(replica.consecutive_failures()) * COST_PER_FAILURE_MS;
+        let errors = if self.policy.avoid_errors { replica.error_share(now) } else { 0.0 };
+        hall_cost + failures + errors * errors * costs.all_errors + rng.random::<f64>() * COST_JITTER_MS
     }
 }
 
--- a/lib/src/gateway/fleet_size.rs
+++ b/lib/src/gateway/fleet_size.rs
@@ -1,37 +1,37 @@
-//! How many nodes a fleet has, as one that may be cut off from most of them knows.
+//! Estimates the number of nodes in the fleet during a network partition.
 //!
-//! Whoever is cut off takes the others for dead after some seconds, and its own side for the fleet. So a size that was
-//! known is kept for a while.
+//! A node that is cut off considers the nodes on the other side dead after some seconds, and its own side the
+//! whole fleet. The largest size that was known is therefore kept for a while.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// A size is kept for one to two of these.
-const KEPT_FOR: Duration = Duration::from_secs(15);
+/// Length of the window for the maximum; a size is kept for one to two windows.
+const WINDOW: Duration = Duration::from_secs(15);
 
-/// The most nodes that anybody has taken to be alive lately.
+/// The largest number of live nodes that any node has recently reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetSize {
-    since: Timestamp,
-    most: usize,
-    /// The most of the interval before `since`.
-    before: usize,
+    window_start: Timestamp,
+    max: usize,
+    /// The maximum of the window before `window_start`.
+    previous_max: usize,
 }
 
 impl FleetSize {
-    /// A node, perhaps this one, takes so many to be alive, itself included.
-    pub fn note(&mut self, nodes: usize, now: Timestamp) {
-        let age = now.saturating_sub(self.since);
-        if age >= KEPT_FOR {
-            let before = if age < 2 * KEPT_FOR { self.most } else { 0 };
-            *self = FleetSize { since: now, most: 0, before };
+    /// Records the number of nodes that some node, possibly this one, considers alive, itself included.
+    pub fn observe(&mut self, nodes: usize, now: Timestamp) {
+        let age = now.saturating_sub(self.window_start);
+        if age >= WINDOW {
+            let previous_max = if age < 2 * WINDOW { self.max } else { 0 };
+            *self = FleetSize { window_start: now, max: 0, previous_max };
         }
-        self.most = self.most.max(nodes);
+        self.max = self.max.max(nodes);
     }
 
-    /// The size.
-    pub fn most(&self) -> usize {
-        self.most.max(self.before)
+    /// The largest number of nodes recorded in this window and the previous one.
+    pub fn recent_max(&self) -> usize {
+        self.max.max(self.previous_max)
     }
 }
--- a/lib/src/gateway/load.rs
+++ b/lib/src/gateway/load.rs
@@ -1,5 +1,5 @@
-//! The load of the replicas as a node knows it: the requests there, how fast prompts are read, and
-//! how fast generations make tokens.
+//! A node's view of the load of the replicas: the requests there, how fast prompts are prefilled, and
+//! how fast generations produce tokens.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,32 +11,35 @@
 use serde::Serialize;
 
 use crate::gateway::policy::Policy;
-use crate::gateway::reading::ReadingClocks;
+use crate::gateway::prefill::PrefillClocks;
 use crate::gateway::replica::Replica;
 use crate::gateway::routing::EngineTraits;
 use crate::gateway::routing::ServiceId;
 use crate::gateway::run_key::RunId;
 use crate::gateway::run_key::RunKey;
-use crate::gateway::token_pace::GUESSED_TOKENS_PER_SECOND;
+use crate::gateway::token_pace::DEFAULT_TOKENS_PER_SECOND;
 use crate::gateway::token_pace::TokenPaces;
 use crate::ids::Timestamp;
 use crate::ids::UpstreamId;
 use crate::ids::VmId;
 
-/// Seconds for which a generation is taken to grow, at most: beyond them others have ended.
-const MOST_GROWTH_S: f64 = 3.0;
-/// Seconds for which one is taken to grow that should have ended already.
-const LEAST_GROWTH_S: f64 = 0.7;
-/// Reading that an engine may have ahead when a generation that can wait is given to it. So much keeps
-/// it at work until the next one comes, some tens of milliseconds after one was read. What would wait
-/// there longer waits at the lead, which can still let others go first and choose another engine.
-pub const READS_AHEAD: Duration = Duration::from_millis(300);
+/// Longest time, in seconds, for which the growth of a generation is counted. Beyond it, others will
+/// have ended.
+const MAX_GROWTH_S: f64 = 3.0;
+/// Shortest time, in seconds, for which growth is counted, also for a generation that should have ended
+/// already.
+const MIN_GROWTH_S: f64 = 0.7;
+/// Longest prefill that may be queued at an engine when a generation that can wait is assigned to it.
+/// This much keeps the engine busy until the next generation arrives, some tens of milliseconds after a
+/// prefill has ended. A generation that would wait longer there waits at the lead, which can still let
+/// others go first and choose another engine.
+pub const MAX_QUEUED_PREFILL: Duration = Duration::from_millis(300);
 /// The size of a generation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct GenerationSize {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens that are expected out.
+    /// Expected number of output tokens.
     pub expected: u32,
 }
 
@@ -47,154 +50,157 @@
     pub replica: UpstreamId,
     /// Set for generations.
     pub size: Option<GenerationSize>,
-    /// Tokens made so far.
+    /// Number of tokens produced so far.
     pub produced: u32,
-    /// The engine that it runs on while its memory is being copied here.
+    /// While its memory is being copied to the replica: the engine on which it still runs.
     pub copied_from: Option<UpstreamId>,
 }
 
 impl Run {
-    /// Tokens that it is still expected to make.
+    /// Number of tokens that it is still expected to produce.
     pub fn remaining(&self) -> u32 {
         self.size.unwrap_or_default().expected.saturating_sub(self.produced)
     }
 }
 
-/// What a node knows of the requests at the replicas.
+/// Tracks the requests at the replicas, as far as a node knows them.
 #[derive(Debug, Default)]
-pub struct LoadBook {
-    /// What is switched on.
+pub struct LoadTracker {
+    /// The mechanisms that are enabled.
     pub policy: Policy,
-    /// The requests at each replica, together: a choice looks at all of some tens of engines.
+    /// The requests of each replica, stored together: a choice looks at all requests of some tens of
+    /// engines.
     by_replica: BTreeMap<UpstreamId, Vec<(RunKey, Run)>>,
-    /// Where each one is, by node: each of hundreds tells a lead of its own some times a second.
-    places: HashMap<VmId, BTreeMap<RunId, UpstreamId>>,
-    /// The services of the replicas that were given requests.
+    /// The replica of each request, by entry node. Each of hundreds of nodes reports its own requests
+    /// to a lead several times a second.
+    placements: HashMap<VmId, BTreeMap<RunId, UpstreamId>>,
+    /// The services of the replicas that requests were assigned to.
     services: HashMap<UpstreamId, ServiceId>,
-    /// When engines will have read what they were given.
-    pub reading: ReadingClocks,
+    /// When engines will have prefilled the prompts assigned to them.
+    pub prefill: PrefillClocks,
     paces: TokenPaces,
 }
 
-impl LoadBook {
-    /// A book without requests.
+impl LoadTracker {
+    /// Creates a tracker without requests.
     pub fn new(policy: Policy) -> Self {
-        LoadBook { policy, reading: ReadingClocks::new(policy), ..LoadBook::default() }
+        LoadTracker { policy, prefill: PrefillClocks::new(policy), ..LoadTracker::default() }
     }
 
-    /// A request was given to a replica.
+    /// Records that a request was assigned to a replica.
     pub fn add(&mut self, key: RunKey, run: Run, replica: &Replica, now: Timestamp) {
         if let Some(size) = run.size {
             self.services.insert(run.replica.clone(), replica.record.service.clone());
             if run.produced == 0 {
-                self.reading.on_given(&key, replica, size.prompt, now);
+                self.prefill.on_assigned(&key, replica, size.prompt, now);
             }
         }
         self.insert(key, run);
     }
 
     fn insert(&mut self, key: RunKey, run: Run) {
-        self.take_out(&key);
-        self.places.entry(key.entry.clone()).or_default().insert(key.run, run.replica.clone());
+        self.remove_run(&key);
+        self.placements.entry(key.entry.clone()).or_default().insert(key.run, run.replica.clone());
         self.by_replica.entry(run.replica.clone()).or_default().push((key, run));
     }
 
-    /// A generation's first event came.
+    /// Handles the first event of a generation.
     pub fn on_first_event(&mut self, key: &RunKey, now: Timestamp) {
-        let replica = self.places.get(&key.entry).and_then(|places| places.get(&key.run));
+        let replica = self.placements.get(&key.entry).and_then(|placements| placements.get(&key.run));
         if let Some(replica) = replica {
-            self.reading.on_first_event(key, replica, now);
+            self.prefill.on_first_event(key, replica, now);
         }
     }
 
-    /// Forgets what it learnt of replicas that are gone.
+    /// Drops what is known of replicas that are gone.
     pub fn retain_replicas(&mut self, is_known: impl Fn(&str) -> bool) {
         self.services.retain(|replica, _| is_known(replica));
-        self.reading.retain(is_known);
+        self.prefill.retain(is_known);
     }
 
-    /// A replica has started again: nothing of what it was given is there, nor of what was copied from it.
+    /// Handles the restart of a replica: the requests assigned to it are gone, and so are copies from
+    /// it that had not finished.
     pub fn on_restarted(&mut self, replica: &str) {
-        let there: Vec<RunKey> = self.at(replica).map(|(key, _)| key.clone()).collect();
-        there.iter().for_each(|key| {
+        let runs: Vec<RunKey> = self.runs_at(replica).map(|(key, _)| key.clone()).collect();
+        runs.iter().for_each(|key| {
             self.remove(key);
         });
-        self.reading.retain(|engine| engine != replica);
+        self.prefill.retain(|engine| engine != replica);
         let runs = self.by_replica.values_mut().flatten().map(|(_, run)| run);
         for copy in runs.filter(|run| run.copied_from.as_deref() == Some(replica)) {
             copy.copied_from = None;
         }
     }
 
-    /// A request has ended, or was never sent.
+    /// Removes a request that has ended or was never sent.
     pub fn remove(&mut self, key: &RunKey) -> Option<Run> {
-        self.reading.forget(key);
+        self.prefill.forget(key);
         self.paces.forget(key);
-        self.take_out(key)
+        self.remove_run(key)
     }
 
-    fn take_out(&mut self, key: &RunKey) -> Option<Run> {
-        let places = self.places.get_mut(&key.entry)?;
-        let replica = places.remove(&key.run)?;
-        if places.is_empty() {
-            self.places.remove(&key.entry);
+    fn remove_run(&mut self, key: &RunKey) -> Option<Run> {
+        let placements = self.placements.get_mut(&key.entry)?;
+        let replica = placements.remove(&key.run)?;
+        if placements.is_empty() {
+            self.placements.remove(&key.entry);
         }
-        let there = self.by_replica.get_mut(&replica)?;
-        let at = there.iter().position(|(other, _)| other == key)?;
-        let (_, run) = there.remove(at);
-        if there.is_empty() {
+        let runs = self.by_replica.get_mut(&replica)?;
+        let at = runs.iter().position(|(other, _)| other == key)?;
+        let (_, run) = runs.remove(at);
+        if runs.is_empty() {
             self.by_replica.remove(&replica);
         }
         Some(run)
     }
 
-    /// A generation made tokens.
+    /// Records how many tokens a generation has produced.
     pub fn on_progress(&mut self, key: &RunKey, produced: u32, now: Timestamp) {
         let Some(run) = self.get_mut(key) else {
             return;
         };
         run.produced = produced;
         let replica = run.replica.clone();
-        self.note_pace(key, &replica, produced, now);
+        self.record_pace(key, &replica, produced, now);
     }
 
-    fn note_pace(&mut self, key: &RunKey, replica: &str, produced: u32, now: Timestamp) {
+    fn record_pace(&mut self, key: &RunKey, replica: &str, produced: u32, now: Timestamp) {
         if let Some(service) = self.services.get(replica).filter(|_| self.policy.learn) {
             self.paces.on_progress(key, service, produced, now);
         }
     }
 
-    /// How fast the generations of each service make tokens.
+    /// How fast the generations of each service produce tokens.
     pub fn paces(&self) -> &TokenPaces {
         &self.paces
     }
 
-    /// Tokens of memory that a generation of a service is expected to take soon.
+    /// Tokens of memory that a generation of a service is expected to use soon.
     pub fn memory_of(&self, service: &str, size: GenerationSize, produced: u32) -> f64 {
-        soon(size, produced, self.paces.tokens_per_second(service))
+        near_term_memory(size, produced, self.paces.tokens_per_second(service))
     }
 
-    /// Tokens of memory that a request is expected to take soon.
+    /// Tokens of memory that a request is expected to use soon.
     pub fn memory(&self, run: &Run) -> f64 {
         let service = self.services.get(&run.replica);
-        let pace = service.map_or(GUESSED_TOKENS_PER_SECOND, |service| self.paces.tokens_per_second(service));
-        run.size.map_or(0.0, |size| soon(size, run.produced, pace))
+        let pace = service.map_or(DEFAULT_TOKENS_PER_SECOND, |service| self.paces.tokens_per_second(service));
+        run.size.map_or(0.0, |size| near_term_memory(size, run.produced, pace))
     }
 
-    /// A copy is complete.
+    /// Records that the copy of a generation's memory is complete.
     pub fn on_copied(&mut self, key: &RunKey) {
         if let Some(run) = self.get_mut(key) {
             run.copied_from = None;
         }
     }
 
-    /// Copies that are under way from an engine.
+    /// Number of copies that are under way from an engine.
     pub fn copies_from(&self, engine: &str) -> usize {
         self.iter().map(|(_, run)| run).filter(|run| run.copied_from.as_deref() == Some(engine)).count()
     }
 
-    /// All requests of a node with the given ids, as it reports them: those that it does not name
-    /// have ended. It may name some with other ids beside them.
+    /// Takes in a node's report of its requests with the given ids. Known requests in this range that
+    /// the report omits have ended. It may also contain requests with ids outside the range.
     pub fn on_inventory(
         &mut self,
         entry: &VmId,
@@ -202,77 +208,79 @@
         runs: Vec<(RunId, Run)>,
         now: Timestamp,
     ) {
-        let named: HashSet<RunId> = runs.iter().map(|(run, _)| *run).collect();
-        let known = self.places.get(entry).into_iter().flat_map(|places| places.range(*ids.start()..));
+        let reported: HashSet<RunId> = runs.iter().map(|(run, _)| *run).collect();
+        let known =
+            self.placements.get(entry).into_iter().flat_map(|placements| placements.range(*ids.start()..));
         let known = known.map(|(run, _)| *run).take_while(|run| ids.contains(run));
-        let ended: Vec<RunId> = known.filter(|run| !named.contains(run)).collect();
+        let ended: Vec<RunId> = known.filter(|run| !reported.contains(run)).collect();
         for run in ended {
             self.remove(&RunKey { entry: entry.clone(), run });
         }
         for (run, report) in runs {
             let key = RunKey { entry: entry.clone(), run };
-            self.note_pace(&key, &report.replica, report.produced, now);
+            self.record_pace(&key, &report.replica, report.produced, now);
             self.insert(key, report);
         }
     }
 
-    /// A node is gone, and its requests with it.
+    /// Drops a node that is gone, and its requests.
     pub fn on_entry_gone(&mut self, entry: &VmId) {
         self.on_inventory(entry, 0..=RunId::MAX, Vec::new(), Timestamp::ZERO);
     }
 
-    /// A request.
+    /// The request with this key.
     pub fn get(&self, key: &RunKey) -> Option<&Run> {
-        let replica = self.places.get(&key.entry)?.get(&key.run)?;
-        self.at(replica).find(|(other, _)| *other == key).map(|(_, run)| run)
+        let replica = self.placements.get(&key.entry)?.get(&key.run)?;
+        self.runs_at(replica).find(|(other, _)| *other == key).map(|(_, run)| run)
     }
 
     fn get_mut(&mut self, key: &RunKey) -> Option<&mut Run> {
-        let replica = self.places.get(&key.entry)?.get(&key.run)?;
-        let there = self.by_replica.get_mut(replica)?;
-        there.iter_mut().find(|(other, _)| other == key).map(|(_, run)| run)
+        let replica = self.placements.get(&key.entry)?.get(&key.run)?;
+        let runs = self.by_replica.get_mut(replica)?;
+        runs.iter_mut().find(|(other, _)| other == key).map(|(_, run)| run)
     }
 
-    /// The requests of a node.
-    pub fn of_entry(&self, entry: &VmId) -> impl Iterator<Item = (RunId, &Run)> {
-        let keys = self.places.get(entry).into_iter().flat_map(BTreeMap::keys);
+    /// The requests that arrived at a node.
+    pub fn runs_of_entry(&self, entry: &VmId) -> impl Iterator<Item = (RunId, &Run)> {
+        let keys = self.placements.get(entry).into_iter().flat_map(BTreeMap::keys);
         keys.filter_map(|run| {
             let key = RunKey { entry: entry.clone(), run: *run };
             Some((*run, self.get(&key)?))
         })
     }
 
-    /// All requests, with the node that each came to.
+    /// All requests, each with its entry node.
     pub fn iter(&self) -> impl Iterator<Item = (&VmId, &Run)> {
         self.by_replica.values().flatten().map(|(key, run)| (&key.entry, run))
     }
 
     /// The replicas that have requests.
-    pub fn busy(&self) -> impl Iterator<Item = &UpstreamId> {
+    pub fn busy_replicas(&self) -> impl Iterator<Item = &UpstreamId> {
         self.by_replica.keys()
     }
 
     /// The requests at a replica.
-    pub fn at<'a>(&'a self, replica: &str) -> impl Iterator<Item = (&'a RunKey, &'a Run)> {
+    pub fn runs_at<'a>(&'a self, replica: &str) -> impl Iterator<Item = (&'a RunKey, &'a Run)> {
         self.by_replica.get(replica).into_iter().flatten().map(|(key, run)| (key, run))
     }
 
-    /// Whether a generation that can wait may be given to an engine: it will have read what it was given
-    /// within [`READS_AHEAD`], or has nothing to do.
-    pub fn reads_soon(&self, replica: &str, now: Timestamp) -> bool {
-        self.reading.wait(replica, now) <= READS_AHEAD || self.at(replica).next().is_none()
+    /// Whether a generation that can wait may be assigned to an engine: the engine is idle, or will
+    /// have finished its prefills within [`MAX_QUEUED_PREFILL`].
+    pub fn has_prefill_capacity(&self, replica: &str, now: Timestamp) -> bool {
+        self.prefill.wait(replica, now) <= MAX_QUEUED_PREFILL || self.runs_at(replica).next().is_none()
     }
 
-    /// What runs at an engine, in one pass over what is kept together: a lead weighs up to 64 engines for each
-    /// generation, which takes 16 to 23 us so with 8 generations at each, 50 to 62 us where each generation is looked
-    /// up by its name, and 161 to 225 us with a pass for each figure (decision bench, beside other load).
+    /// Computes the load of an engine in one pass over its requests. A lead compares up to 64 engines
+    /// for each generation; with 8 generations at each engine this takes 16 to 23 us, compared with 50
+    /// to 62 us if each generation is looked up by its key, and 161 to 225 us with one pass for each
+    /// figure.
     pub fn engine_load(&self, replica: &Replica) -> EngineLoad {
         let pace = self.paces.tokens_per_second(&replica.record.service);
-        let there = self.by_replica.get(&replica.record.id).map_or(&[][..], Vec::as_slice);
-        // One more is weighed with those that are there.
-        let growths = Vec::with_capacity(there.len() + 1);
+        let runs = self.by_replica.get(&replica.record.id).map_or(&[][..], Vec::as_slice);
+        // Leaves room for the generation that is considered for this engine.
+        let growths = Vec::with_capacity(runs.len() + 1);
         let mut load = EngineLoad { pace, growths, ..EngineLoad::default() };
-        for (_, run) in there {
+        for (_, run) in runs {
             load.runs += 1;
             load.arriving += usize::from(run.copied_from.is_some());
             if let Some(size) = run.size {
@@ -283,67 +291,70 @@
     }
 }
 
-/// What runs at an engine.
+/// The load of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLoad {
-    /// Requests there.
+    /// Number of requests there.
     pub runs: usize,
-    /// Of these, generations whose memory is being copied here.
+    /// Number of generations among them whose memory is being copied to the engine.
     pub arriving: usize,
-    /// Tokens that a generation makes in a second.
+    /// Tokens that a generation produces in a second.
     pace: f64,
-    soon: f64,
+    near_term_memory: f64,
     growths: Vec<Growth>,
 }
 
 impl EngineLoad {
-    /// A further generation, which runs there or would.
+    /// Adds a further generation, which runs there or is considered for it.
     pub fn add(&mut self, size: GenerationSize, produced: u32) {
-        self.soon += soon(size, produced, self.pace);
+        self.near_term_memory += near_term_memory(size, produced, self.pace);
         self.growths.push(growth(size, produced, self.pace));
     }
 
-    /// The part of the engine's memory that is expected to be used soon.
+    /// Part of the engine's memory that is expected to be used soon.
     pub fn fill(&self, engine: &EngineTraits) -> f64 {
-        self.soon / f64::from(engine.memory_tokens.max(1))
+        self.near_term_memory / f64::from(engine.memory_tokens.max(1))
     }
 
-    /// The part that is expected to be used at the most until what is there has ended.
+    /// Largest part of the engine's memory that is expected to be used at any time until its
+    /// generations have ended.
     pub fn peak(self, engine: &EngineTraits) -> f64 {
         expected_peak(self.growths) / f64::from(engine.memory_tokens.max(1))
     }
 }
 
-/// What a generation takes of an engine's memory: tokens now, and tokens that it is still to make.
+/// Memory use of a generation at an engine: the tokens that it holds, and those that it has still to
+/// produce.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Growth {
-    /// Tokens that it has there.
-    pub now: f64,
-    /// Tokens that it is expected to add before it ends.
-    pub to_come: f64,
+    /// Number of tokens that it holds there.
+    pub held: f64,
+    /// Number of tokens that it is expected to add before it ends.
+    pub remaining: f64,
 }
 
-/// The most tokens that generations are expected to hold together at any time. All make tokens equally fast, so
-/// each time one ends, those that go on have grown by what it had to come.
+/// Largest number of tokens that generations are expected to hold together at any time. All of them
+/// produce tokens equally fast, so when one ends, each of those that go on has grown by that one's
+/// remaining tokens.
 pub fn expected_peak(mut growths: Vec<Growth>) -> f64 {
-    growths.sort_by(|a, b| b.to_come.total_cmp(&a.to_come));
+    growths.sort_by(|a, b| b.remaining.total_cmp(&a.remaining));
     let mut held = 0.0;
     let peaks = growths.iter().enumerate().map(|(before, growth)| {
-        held += growth.now;
-        held + (before + 1) as f64 * growth.to_come
+        held += growth.held;
+        held + (before + 1) as f64 * growth.remaining
     });
     peaks.fold(0.0, f64::max)
 }
 
-/// A generation's growth. One that should have ended already goes on for a while.
+/// Growth of a generation. One that should have ended already is expected to go on for a while.
 fn growth(size: GenerationSize, produced: u32, tokens_per_second: f64) -> Growth {
-    let to_come = f64::from(size.expected.saturating_sub(produced)).max(LEAST_GROWTH_S * tokens_per_second);
-    Growth { now: f64::from(size.prompt) + f64::from(produced), to_come }
+    let remaining = f64::from(size.expected.saturating_sub(produced)).max(MIN_GROWTH_S * tokens_per_second);
+    Growth { held: f64::from(size.prompt) + f64::from(produced), remaining }
 }
 
-/// Tokens of memory that a generation takes within the horizon.
-fn soon(size: GenerationSize, produced: u32, tokens_per_second: f64) -> f64 {
+/// Tokens of memory that a generation is expected to use within [`MAX_GROWTH_S`].
+fn near_term_memory(size: GenerationSize, produced: u32, tokens_per_second: f64) -> f64 {
     let remaining = f64::from(size.expected.saturating_sub(produced));
-    let growth = remaining.clamp(LEAST_GROWTH_S * tokens_per_second, MOST_GROWTH_S * tokens_per_second);
+    let growth = remaining.clamp(MIN_GROWTH_S * tokens_per_second, MAX_GROWTH_S * tokens_per_second);
     f64::from(size.prompt) + f64::from(produced) + growth
 }
--- a/lib/src/gateway/shortage.rs
+++ b/lib/src/gateway/shortage.rs
@@ -1,76 +1,77 @@
-//! What the first one that waits for an engine lacks, over time.
+//! Records what the first generation in a queue lacks to get an engine, over time.
 //!
-//! All that wait in one queue wait for what its first one lacks: the time of each is split by that.
+//! All generations in a queue wait for what the first one lacks, so the waiting time of each is split
+//! by that.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Why no engine is given to the first one that waits.
+/// Why the first generation in the queue gets no engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// No engine takes requests: each leaves, is cold or names a limit.
+    /// No engine accepts requests: each is leaving, cold or rate-limited.
     Engines,
-    /// None that has memory for it reads a prompt soon.
-    Reading,
-    /// None has memory for it.
+    /// No engine that has memory for it can prefill its prompt soon.
+    Prefill,
+    /// No engine has memory for it.
     Memory,
 }
 
-/// Time by what was short.
+/// Time by shortage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShortageTimes {
-    /// No engine took requests.
+    /// Time during which no engine accepted requests.
     pub engines: Duration,
-    /// No engine read soon.
-    pub reading: Duration,
-    /// There was no memory.
+    /// Time during which no engine could prefill soon.
+    pub prefill: Duration,
+    /// Time during which memory was short.
     pub memory: Duration,
 }
 
 impl ShortageTimes {
-    /// What has passed since an earlier reading of the same clock.
+    /// The time that has passed since an earlier reading of the same clock.
     pub fn since(&self, earlier: &ShortageTimes) -> ShortageTimes {
         ShortageTimes {
             engines: self.engines.saturating_sub(earlier.engines),
-            reading: self.reading.saturating_sub(earlier.reading),
+            prefill: self.prefill.saturating_sub(earlier.prefill),
             memory: self.memory.saturating_sub(earlier.memory),
         }
     }
 
-    /// All of it.
+    /// The sum of all times.
     pub fn sum(&self) -> Duration {
-        self.engines + self.reading + self.memory
+        self.engines + self.prefill + self.memory
     }
 
     fn add(&mut self, shortage: Shortage, time: Duration) {
-        let part = match shortage {
+        let total = match shortage {
             Shortage::Engines => &mut self.engines,
-            Shortage::Reading => &mut self.reading,
+            Shortage::Prefill => &mut self.prefill,
             Shortage::Memory => &mut self.memory,
         };
-        *part += time;
+        *total += time;
     }
 }
 
-/// Adds up the time by what was short.
+/// Accumulates time by shortage.
 #[derive(Debug, Default)]
 pub struct ShortageClock {
     times: ShortageTimes,
-    short: Option<(Shortage, Timestamp)>,
+    current: Option<(Shortage, Timestamp)>,
 }
 
 impl ShortageClock {
-    /// From now on this is short.
+    /// Sets the current shortage.
     pub fn set(&mut self, shortage: Shortage, now: Timestamp) {
         self.times = self.times(now);
-        self.short = Some((shortage, now));
+        self.current = Some((shortage, now));
     }
 
     /// The times until now.
     pub fn times(&self, now: Timestamp) -> ShortageTimes {
         let mut times = self.times;
-        if let Some((shortage, since)) = self.short {
+        if let Some((shortage, since)) = self.current {
             times.add(shortage, now.saturating_sub(since));
         }
         times
--- a/lib/tests/test_gateway_full_engines.rs
+++ b/lib/tests/test_gateway_full_engines.rs
@@ -1,5 +1,5 @@
-//! What callers get where engines are given more prompts than they read: the lead's queue and its choice
-//! of engines, on modelled engines that read one prompt after another.
+//! What callers get if engines are sent more prompts than they can prefill: the lead's queue and its
+//! choice of engines, on modelled engines that prefill one prompt after another.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::choice::EngineRequest;
-use leadstage_lib::gateway::lead_queue::Asked;
 use leadstage_lib::gateway::lead_queue::Engines;
 use leadstage_lib::gateway::lead_queue::LeadQueue;
-use leadstage_lib::gateway::lead_queue::Terms;
+use leadstage_lib::gateway::lead_queue::QueueReply;
+use leadstage_lib::gateway::lead_queue::QueueTerms;
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::load::LoadBook;
-use leadstage_lib::gateway::load::READS_AHEAD;
+use leadstage_lib::gateway::load::LoadTracker;
+use leadstage_lib::gateway::load::MAX_QUEUED_PREFILL;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::replica::Replica;
@@ -31,20 +31,20 @@
 use crate::test_gateway_replicas::record;
 
 const ENGINES: usize = 20;
-/// Prompt tokens that an engine reads in a millisecond beside some streams.
-const READS_PER_MS: f64 = 7.2;
-const TOKEN_EVERY: Duration = Duration::from_millis(14);
-/// Too many prompts come for so long, then a little fewer than engines read.
-const PEAK: Duration = Duration::from_secs(15);
+/// Prompt tokens that an engine prefills in a millisecond beside some running streams.
+const PREFILL_TOKENS_PER_MS: f64 = 7.2;
+const TOKEN_INTERVAL: Duration = Duration::from_millis(14);
+/// Until then more prompts arrive than the engines can prefill, after it a little fewer.
+const PEAK_END: Duration = Duration::from_secs(15);
 const AFTER_PEAK: f64 = 0.8;
-const ENDS: Duration = Duration::from_secs(30);
+const ARRIVALS_END: Duration = Duration::from_secs(30);
 const START: Duration = Duration::from_secs(100);
 const TICK: Duration = Duration::from_millis(100);
 
-/// A kind of requests.
+/// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
-    /// Short answers to long prompts, more urgent.
+    /// Short answers to long prompts; more urgent.
     Verdict,
     /// Long streams.
     Chat,
@@ -55,7 +55,7 @@
         Duration::from_millis(if self == Kind::Chat { 1_800 } else { 1_500 })
     }
 
-    /// A caller that has had no event leaves after this.
+    /// A caller that has received no event leaves after this time.
     fn leaves_after(self) -> Duration {
         self.objective() * 4
     }
@@ -68,21 +68,21 @@
     }
 }
 
-/// How the lead lets wait.
+/// Which requests wait at the lead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lead {
-    /// Nobody: each prompt goes to the engine that will have read it first.
+    /// None: each prompt goes to the engine that will finish its prefill first.
     Never,
-    /// Whoever no engine reads soon, by urgency and arrival.
+    /// Requests that no engine can prefill soon, ordered by urgency and arrival.
     ByArrival,
-    /// The same, and those that can't begin in time any more behind the others.
+    /// The same, but requests that can no longer begin in time go behind the others.
     ByTurn,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(Kind),
-    Read { engine: usize, run: u64 },
+    Arrival(Kind),
+    PrefillDone { engine: usize, run: u64 },
     Ends { run: u64 },
     Tick,
 }
@@ -92,19 +92,19 @@
     run: u64,
     kind: Kind,
     size: GenerationSize,
-    came: Timestamp,
+    arrived_at: Timestamp,
 }
 
-/// What became of the callers of a kind.
+/// The outcomes of the callers of a kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
+struct Outcomes {
     in_time: usize,
     late: usize,
     left: usize,
     longest: Duration,
 }
 
-impl Got {
+impl Outcomes {
     fn all(&self) -> usize {
         self.in_time + self.late + self.left
     }
@@ -114,14 +114,14 @@
     lead: Lead,
     load: f64,
     table: ReplicaTable,
-    book: LoadBook,
+    tracker: LoadTracker,
     queue: LeadQueue<Caller>,
-    /// What each engine was given and has not read, in order.
-    given: Vec<VecDeque<Caller>>,
+    /// The prompts that each engine was assigned and has not prefilled, in order.
+    prompts: Vec<VecDeque<Caller>>,
     now: Timestamp,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     count: u64,
-    got: [Got; 2],
+    outcomes: [Outcomes; 2],
     rng: SmallRng,
 }
 
@@ -150,16 +150,16 @@
             lead,
             load,
             table,
-            book: LoadBook::default(),
+            tracker: LoadTracker::default(),
             queue: LeadQueue::new(Policy::default()),
-            given: vec![VecDeque::new(); ENGINES],
+            prompts: vec![VecDeque::new(); ENGINES],
             now: START,
             events: BinaryHeap::new(),
             count: 0,
-            got: [Got::default(); 2],
+            outcomes: [Outcomes::default(); 2],
             rng: SmallRng::seed_from_u64(seed),
         };
-        for event in [Event::Arrives(Kind::Chat), Event::Arrives(Kind::Verdict), Event::Tick] {
+        for event in [Event::Arrival(Kind::Chat), Event::Arrival(Kind::Verdict), Event::Tick] {
             model.push(START, event);
         }
         model
@@ -174,12 +174,12 @@
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
             match event {
-                Event::Arrives(kind) => self.arrives(kind),
-                Event::Read { engine, run } => self.read(engine, run),
+                Event::Arrival(kind) => self.on_arrival(kind),
+                Event::PrefillDone { engine, run } => self.on_prefill_done(engine, run),
                 Event::Ends { run } => {
-                    self.book.remove(&key(run));
+                    self.tracker.remove(&key(run));
                 }
-                Event::Tick if at < START + 2 * ENDS => {
+                Event::Tick if at < START + 2 * ARRIVALS_END => {
                     self.settle();
                     self.push(at + TICK, Event::Tick);
                 }
@@ -188,38 +188,38 @@
         }
     }
 
-    fn arrives(&mut self, kind: Kind) {
+    fn on_arrival(&mut self, kind: Kind) {
         let since = self.now - START;
-        if since > ENDS {
+        if since > ARRIVALS_END {
             return;
         }
-        let load = if since < PEAK { self.load } else { AFTER_PEAK };
-        // Chats are six of ten prompt tokens.
+        let load = if since < PEAK_END { self.load } else { AFTER_PEAK };
+        // Chats make up six of ten prompt tokens.
         let (part, tokens) = if kind == Kind::Chat { (0.6, 3_050.0) } else { (0.4, 2_550.0) };
-        let per_ms = load * ENGINES as f64 * READS_PER_MS * part / tokens;
+        let per_ms = load * ENGINES as f64 * PREFILL_TOKENS_PER_MS * part / tokens;
         let pause = -(1.0 - self.rng.random::<f64>()).ln() / per_ms;
-        self.push(self.now + Duration::from_secs_f64(pause / 1_000.0), Event::Arrives(kind));
+        self.push(self.now + Duration::from_secs_f64(pause / 1_000.0), Event::Arrival(kind));
         let size = kind.size(&mut self.rng);
-        let caller = Caller { run: self.count, kind, size, came: self.now };
+        let caller = Caller { run: self.count, kind, size, arrived_at: self.now };
         if self.lead == Lead::Never {
-            assert!(self.grant(caller, false), "memory is ample");
+            assert!(self.grant(caller, false), "memory is never short");
             return;
         }
         let priority = kind as u8;
-        let reading = self.book.reading.usual_time("m", size.prompt);
-        let may_wait = kind.leaves_after() - reading;
+        let prefill = self.tracker.prefill.usual_prefill_time("m", size.prompt);
+        let may_wait = kind.leaves_after() - prefill;
         let in_time = match self.lead {
-            Lead::ByTurn => (kind.objective() - reading).saturating_sub(READS_AHEAD),
+            Lead::ByTurn => (kind.objective() - prefill).saturating_sub(MAX_QUEUED_PREFILL),
             _ => may_wait,
         };
-        let terms = Terms { priority, in_time, may_wait, tokens: 0.0 };
+        let terms = QueueTerms { priority, in_time, may_wait, tokens: 0.0 };
         let mut queue = self.take_queue();
         let asked = queue.ask(caller, &terms, self, self.now);
-        assert!(!matches!(asked, Asked::Refused(..)), "nothing is known of when there is room");
+        assert!(!matches!(asked, QueueReply::Refused(..)), "without a forecast of room nothing is refused");
         self.queue = queue;
     }
 
-    /// The queue, which is put back when it has settled with the engines here.
+    /// Takes the queue out, to be put back after it has settled with the engines of this model.
     fn take_queue(&mut self) -> LeadQueue<Caller> {
         std::mem::replace(&mut self.queue, LeadQueue::new(Policy::default()))
     }
@@ -229,65 +229,69 @@
         let settled = queue.settle(self, self.now);
         self.queue = queue;
         for caller in settled.into_iter().filter(|settled| settled.outcome.is_err()) {
-            self.got[caller.item.kind as usize].left += 1;
+            self.outcomes[caller.item.kind as usize].left += 1;
         }
     }
 
-    /// Gives a caller's prompt to the best engine, if there is one.
+    /// Assigns a caller's prompt to the best engine, if there is one.
     fn grant(&mut self, caller: Caller, may_wait: bool) -> bool {
         let (traits, hall) = (traits(), HallId::from("a"));
         let request =
             EngineRequest { size: caller.size, engine: &traits, hall: &hall, produced: 0, moves: false };
         let engines: Vec<&Replica> = self.table.of_service("m");
         let candidates = engines.iter().copied();
-        let soon = candidates.filter(|engine| !may_wait || self.book.reads_soon(&engine.record.id, self.now));
-        let Some(choice) = self.book.choose_engine(soon, &request, self.now, &mut self.rng) else {
+        let soon = candidates
+            .filter(|engine| !may_wait || self.tracker.has_prefill_capacity(&engine.record.id, self.now));
+        let Some(choice) = self.tracker.choose_engine(soon, &request, self.now, &mut self.rng) else {
             return false;
         };
         let replica = choice.replica.clone();
-        let at =
-            engines.iter().position(|engine| engine.record.id == replica.record.id).expect("it is listed");
+        let at = engines
+            .iter()
+            .position(|engine| engine.record.id == replica.record.id)
+            .expect("the engine is listed");
         let id = replica.record.id.clone();
         let run = Run { replica: id, size: Some(caller.size), produced: 0, copied_from: None };
-        self.book.add(key(caller.run), run, &replica, self.now);
-        self.given[at].push_back(caller);
-        if self.given[at].len() == 1 {
-            self.begin_reading(at);
+        self.tracker.add(key(caller.run), run, &replica, self.now);
+        self.prompts[at].push_back(caller);
+        if self.prompts[at].len() == 1 {
+            self.start_prefill(at);
         }
         true
     }
 
-    fn begin_reading(&mut self, engine: usize) {
-        while let Some(next) = self.given[engine].front().copied() {
-            if self.now <= next.came + next.kind.leaves_after() {
-                let takes = Duration::from_secs_f64(f64::from(next.size.prompt) / READS_PER_MS / 1_000.0);
-                self.push(self.now + takes, Event::Read { engine, run: next.run });
+    fn start_prefill(&mut self, engine: usize) {
+        while let Some(next) = self.prompts[engine].front().copied() {
+            if self.now <= next.arrived_at + next.kind.leaves_after() {
+                let duration =
+                    Duration::from_secs_f64(f64::from(next.size.prompt) / PREFILL_TOKENS_PER_MS / 1_000.0);
+                self.push(self.now + duration, Event::PrefillDone { engine, run: next.run });
                 return;
             }
             // Its caller has left.
-            self.given[engine].pop_front();
-            self.book.remove(&key(next.run));
-            self.got[next.kind as usize].left += 1;
+            self.prompts[engine].pop_front();
+            self.tracker.remove(&key(next.run));
+            self.outcomes[next.kind as usize].left += 1;
         }
     }
 
-    fn read(&mut self, engine: usize, run: u64) {
-        let caller = self.given[engine].pop_front().expect("it was being read");
+    fn on_prefill_done(&mut self, engine: usize, run: u64) {
+        let caller = self.prompts[engine].pop_front().expect("the prompt was in prefill");
         let id = format!("e{engine:02}").into();
         let id: leadstage_lib::ids::UpstreamId = id;
-        self.book.reading.on_first_event(&key(run), &id, self.now);
-        let took = self.now - caller.came;
-        let got = &mut self.got[caller.kind as usize];
-        got.longest = got.longest.max(took);
+        self.tracker.prefill.on_first_event(&key(run), &id, self.now);
+        let took = self.now - caller.arrived_at;
+        let outcomes = &mut self.outcomes[caller.kind as usize];
+        outcomes.longest = outcomes.longest.max(took);
         if took <= caller.kind.objective() {
-            got.in_time += 1;
+            outcomes.in_time += 1;
         } else if took <= caller.kind.leaves_after() {
-            got.late += 1;
+            outcomes.late += 1;
         } else {
-            got.left += 1;
+            outcomes.left += 1;
         }
-        self.push(self.now + TOKEN_EVERY * caller.size.expected, Event::Ends { run });
-        self.begin_reading(engine);
+        self.push(self.now + TOKEN_INTERVAL * caller.size.expected, Event::Ends { run });
+        self.start_prefill(engine);
         self.settle();
     }
 }
@@ -295,9 +299,9 @@
 impl Engines<Caller> for Model {
     type Place = ();
 
-    /// Memory is ample here.
+    /// Memory is never short in this model.
     fn choose(&mut self, caller: &Caller) -> Result<(), Shortage> {
-        if self.grant(*caller, true) { Ok(()) } else { Err(Shortage::Reading) }
+        if self.grant(*caller, true) { Ok(()) } else { Err(Shortage::Prefill) }
     }
 
     fn time_until(&self, _tokens: f64) -> Option<Duration> {
@@ -305,16 +309,16 @@
     }
 }
 
-fn play(lead: Lead, load: f64) -> [Got; 2] {
-    let mut sums = [Got::default(); 2];
+fn simulate(lead: Lead, load: f64) -> [Outcomes; 2] {
+    let mut sums = [Outcomes::default(); 2];
     for seed in 0..4 {
         let mut model = Model::new(lead, load, seed);
         model.run();
-        for (sum, got) in sums.iter_mut().zip(model.got) {
-            sum.in_time += got.in_time;
-            sum.late += got.late;
-            sum.left += got.left;
-            sum.longest = sum.longest.max(got.longest);
+        for (sum, outcomes) in sums.iter_mut().zip(model.outcomes) {
+            sum.in_time += outcomes.in_time;
+            sum.late += outcomes.late;
+            sum.left += outcomes.left;
+            sum.longest = sum.longest.max(outcomes.longest);
         }
     }
     sums
@@ -325,10 +329,10 @@
     let mut text = String::new();
     for load in [0.7, 0.95, 1.1, 1.3] {
         for lead in [Lead::Never, Lead::ByArrival, Lead::ByTurn] {
-            let got = play(lead, load);
+            let outcomes = simulate(lead, load);
             write!(text, "load {load}, {lead:?}:").unwrap();
             for kind in [Kind::Verdict, Kind::Chat] {
-                let Got { in_time, late, left, longest } = got[kind as usize];
+                let Outcomes { in_time, late, left, longest } = outcomes[kind as usize];
                 write!(
                     text,
                     " {kind:?} {in_time} in time, {late} late, {left} left, {} ms at most;",
@@ -342,16 +346,16 @@
     insta::assert_snapshot!(text);
 }
 
-/// A peak of 1.1 times what engines read: the queue by turns has fewer begin late than both others, has
-/// nobody leave, and the more urgent kind is served no less.
+/// At a peak of 1.1 times what the engines can prefill, the queue by turns has fewer late callers than
+/// both alternatives, no caller leaves, and the more urgent kind is served no worse.
 #[test]
-fn test_a_peak_makes_few_late() {
+fn test_few_callers_are_late_in_a_peak() {
     let [never, by_arrival, by_turn] =
-        [Lead::Never, Lead::ByArrival, Lead::ByTurn].map(|lead| play(lead, 1.1));
-    let late = |got: &[Got; 2]| got.iter().map(|got| got.late + got.left).sum::<usize>();
+        [Lead::Never, Lead::ByArrival, Lead::ByTurn].map(|lead| simulate(lead, 1.1));
+    let late = |kinds: &[Outcomes; 2]| kinds.iter().map(|kind| kind.late + kind.left).sum::<usize>();
     assert!(2 * late(&by_turn) < late(&never), "{by_turn:?} {never:?}");
     assert!(late(&by_turn) < late(&by_arrival), "{by_turn:?} {by_arrival:?}");
-    assert_eq!(by_turn.map(|got| got.left), [0, 0]);
-    let share = |got: &Got| got.in_time as f64 / got.all() as f64;
+    assert_eq!(by_turn.map(|kind| kind.left), [0, 0]);
+    let share = |kind: &Outcomes| kind.in_time as f64 / kind.all() as f64;
     assert!(share(&by_turn[0]) >= share(&by_turn[1]), "{by_turn:?}");
 }
--- a/lib/tests/test_gateway_lead_queue.rs
+++ b/lib/tests/test_gateway_lead_queue.rs
@@ -1,35 +1,36 @@
-//! A lead's queue where engines lack memory, or do not read soon.
+//! The queue of a lead whose engines are short of memory or of prefill capacity.
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::lead_queue::Asked;
 use leadstage_lib::gateway::lead_queue::Engines;
 use leadstage_lib::gateway::lead_queue::LeadQueue;
+use leadstage_lib::gateway::lead_queue::QueueReply;
+use leadstage_lib::gateway::lead_queue::QueueTerms;
 use leadstage_lib::gateway::lead_queue::Settled;
-use leadstage_lib::gateway::lead_queue::Terms;
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_lib::gateway::shortage::Shortage;
 
-/// Engines that have so many tokens of memory left together, which all read soon or none.
-struct Left {
+/// Model engines with `tokens` of free memory in total; either all of them have prefill capacity soon or
+/// none.
+struct ModelEngines {
     tokens: f64,
-    reads_soon: bool,
-    asked: usize,
+    has_prefill_capacity: bool,
+    attempts: usize,
 }
 
 /// A generation: its name and the memory that it needs.
 type Generation = (&'static str, f64);
 
-impl Engines<Generation> for Left {
+impl Engines<Generation> for ModelEngines {
     type Place = ();
 
     fn choose(&mut self, (_, tokens): &Generation) -> Result<(), Shortage> {
-        self.asked += 1;
+        self.attempts += 1;
         if *tokens > self.tokens {
             return Err(Shortage::Memory);
         }
-        if !self.reads_soon {
-            return Err(Shortage::Reading);
+        if !self.has_prefill_capacity {
+            return Err(Shortage::Prefill);
         }
         self.tokens -= tokens;
         Ok(())
@@ -44,73 +45,77 @@
     Duration::from_secs(seconds)
 }
 
-fn left(tokens: f64) -> Left {
-    Left { tokens, reads_soon: true, asked: 0 }
+fn engines_with_memory(tokens: f64) -> ModelEngines {
+    ModelEngines { tokens, has_prefill_capacity: true, attempts: 0 }
 }
 
-/// A queue in which generations wait for 10 s each that could begin in time for 5 s.
+/// Returns a queue of generations that wait up to 10 s each and can begin in time for 5 s.
 fn queue(policy: Policy, generations: &[Generation]) -> LeadQueue<Generation> {
     let mut queue = LeadQueue::new(policy);
     for (name, tokens) in generations.iter().copied() {
-        let terms = Terms { priority: 0, in_time: s(5), may_wait: s(10), tokens };
-        assert!(matches!(queue.ask((name, tokens), &terms, &mut left(0.0), s(0)), Asked::Waits));
+        let terms = QueueTerms { priority: 0, in_time: s(5), may_wait: s(10), tokens };
+        assert!(matches!(
+            queue.ask((name, tokens), &terms, &mut engines_with_memory(0.0), s(0)),
+            QueueReply::Waits
+        ));
     }
     queue
 }
 
-fn given(settled: Vec<Settled<Generation, ()>>) -> Vec<&'static str> {
+fn placed(settled: Vec<Settled<Generation, ()>>) -> Vec<&'static str> {
     settled.into_iter().filter(|settled| settled.outcome.is_ok()).map(|settled| settled.item.0).collect()
 }
 
 const LONG_AND_SHORT: [Generation; 3] = [("long", 5.0), ("short", 1.0), ("shorter", 0.5)];
 
-/// Memory that would do for a shorter prompt is not kept empty for a longer one, which goes as soon as it fits.
+/// Memory that suffices for a shorter prompt is not kept free for a longer one, which is placed once it
+/// fits.
 #[test]
-fn test_shorter_prompts_go_while_the_first_one_does_not_fit() {
+fn test_shorter_prompts_are_placed_while_the_first_does_not_fit() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
-    assert_eq!(given(queue.settle(&mut left(1.2), s(1))), ["short"]);
-    assert_eq!(given(queue.settle(&mut left(5.5), s(2))), ["long", "shorter"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(1.2), s(1))), ["short"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(5.5), s(2))), ["long", "shorter"]);
     assert!(queue.is_empty());
 }
 
 #[test]
-fn test_nobody_is_passed_over_where_that_is_switched_off() {
+fn test_none_are_skipped_where_the_policy_disables_it() {
     let policy = Policy { pass_over: false, ..Policy::default() };
     let mut queue = queue(policy, &LONG_AND_SHORT);
-    assert_eq!(given(queue.settle(&mut left(1.2), s(1))), [""; 0]);
-    assert_eq!(given(queue.settle(&mut left(5.5), s(2))), ["long"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(1.2), s(1))), [""; 0]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(5.5), s(2))), ["long"]);
 }
 
-/// Where no engine reads soon, one look asks once.
+/// Where no engine has prefill capacity soon, one pass tries a single placement.
 #[test]
-fn test_nobody_is_passed_over_for_reading() {
+fn test_none_are_skipped_for_lack_of_prefill_capacity() {
     let mut queue = queue(Policy::default(), &LONG_AND_SHORT);
-    let mut engines = Left { tokens: 9.0, reads_soon: false, asked: 0 };
-    assert_eq!(given(queue.settle(&mut engines, s(1))), [""; 0]);
-    assert_eq!((engines.asked, queue.len()), (1, 3));
+    let mut engines = ModelEngines { tokens: 9.0, has_prefill_capacity: false, attempts: 0 };
+    assert_eq!(placed(queue.settle(&mut engines, s(1))), [""; 0]);
+    assert_eq!((engines.attempts, queue.len()), (1, 3));
 }
 
-/// A long queue costs a look no more than five choices without a place.
+/// In a long queue, one pass tries at most five placements without success.
 #[test]
-fn test_few_are_passed_over_in_one_look() {
+fn test_few_are_skipped_in_one_pass() {
     let generations: Vec<Generation> = (0..50).map(|_| ("long", 5.0)).collect();
     let mut queue = queue(Policy::default(), &generations);
-    let mut engines = left(1.0);
-    assert_eq!(given(queue.settle(&mut engines, s(1))), [""; 0]);
-    assert_eq!((engines.asked, queue.len()), (5, 50));
+    let mut engines = engines_with_memory(1.0);
+    assert_eq!(placed(queue.settle(&mut engines, s(1))), [""; 0]);
+    assert_eq!((engines.attempts, queue.len()), (5, 50));
 }
 
-/// Who was passed over keeps its place before those that came later, and is told as others are when it can't
-/// begin any more.
+/// A skipped generation keeps its place before later ones, and is refused like any other when it can no
+/// longer begin.
 #[test]
-fn test_who_is_passed_over_keeps_its_place_and_its_end() {
+fn test_skipped_generations_keep_their_place_and_deadline() {
     let mut queue = queue(Policy::default(), &[("first", 5.0), ("second", 5.0), ("short", 1.0)]);
-    assert_eq!(given(queue.settle(&mut left(1.0), s(1))), ["short"]);
-    assert_eq!(given(queue.settle(&mut left(5.0), s(2))), ["first"]);
-    let told = queue.settle(&mut left(0.0), s(10));
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(1.0), s(1))), ["short"]);
+    assert_eq!(placed(queue.settle(&mut engines_with_memory(5.0), s(2))), ["first"]);
+    let refused = queue.settle(&mut engines_with_memory(0.0), s(10));
     assert_eq!(
-        told.iter().map(|settled| (settled.item.0, settled.outcome)).collect::<Vec<_>>(),
+        refused.iter().map(|settled| (settled.item.0, settled.outcome)).collect::<Vec<_>>(),
         [("second", Err(None))]
     );
-    assert_eq!(told[0].waited.memory, s(10));
+    assert_eq!(refused[0].waited.memory, s(10));
 }
--- a/lib/tests/test_gateway_replica_limits.rs
+++ b/lib/tests/test_gateway_replica_limits.rs
@@ -1,17 +1,17 @@
-//! What a node knows of the limits that replicas name.
+//! The limits of replicas as a node knows them.
 
 use std::time::Duration;
 
-use leadstage_lib::gateway::replica_limits::AnswerTimes;
-use leadstage_lib::gateway::replica_limits::LimitWord;
+use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
+use leadstage_lib::gateway::replica_limits::LimitReport;
 use leadstage_lib::gateway::replica_limits::ReplicaLimits;
-use leadstage_lib::gateway::replica_limits::ToldLimit;
+use leadstage_lib::gateway::replica_limits::ResponseTimes;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::ids::Timestamp;
 
 const REPLICA: &str = "r-1";
 
-fn start(born: u64) -> Incarnation {
+fn incarnation(born: u64) -> Incarnation {
     Incarnation { id: REPLICA.into(), born }
 }
 
@@ -19,110 +19,113 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn times(sent: f64, came: f64) -> AnswerTimes {
-    AnswerTimes { sent: s(sent), came: s(came) }
+fn times(sent: f64, received: f64) -> ResponseTimes {
+    ResponseTimes { sent: s(sent), received: s(received) }
 }
 
-fn told(born: u64, limit: Option<f64>, age: f64) -> ToldLimit {
-    ToldLimit { replica: start(born), limit, age: s(age) }
+fn announced(born: u64, limit: Option<f64>, age: f64) -> AnnouncedLimit {
+    AnnouncedLimit { replica: incarnation(born), limit, age: s(age) }
 }
 
 fn limited() -> ReplicaLimits {
     let mut limits = ReplicaLimits::default();
-    assert!(limits.on_answer(&start(1), LimitWord::Named(3.0), times(9.9, 10.0)));
+    assert!(limits.on_answer(&incarnation(1), LimitReport::Named(3.0), times(9.9, 10.0)));
     limits
 }
 
-/// A long call that was sent before the need began is answered after another one that named the limit.
+/// The response to a long call that was sent before the limit began arrives after another response that
+/// named the limit.
 #[test]
-fn test_an_answer_to_an_earlier_request_takes_no_limit_back() {
+fn test_a_response_to_an_earlier_request_withdraws_no_limit() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(1), LimitWord::NotNamed, times(9.0, 12.0)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(9.0, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(!limits.on_answer(&start(1), LimitWord::Silent, times(11.0, 12.0)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::Silent, times(11.0, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(limits.on_answer(&start(1), LimitWord::NotNamed, times(10.1, 10.2)));
+    assert!(limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(10.1, 10.2)));
     assert_eq!(limits.limit(REPLICA), None);
     assert!(limits.in_force().is_empty());
 }
 
 #[test]
-fn test_a_limit_that_is_named_again_holds_from_then() {
+fn test_a_repeated_limit_applies_from_its_response() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(1), LimitWord::Named(3.1), times(10.9, 11.0)));
-    assert!(!limits.on_answer(&start(1), LimitWord::NotNamed, times(10.5, 11.5)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::Named(3.1), times(10.9, 11.0)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(10.5, 11.5)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert!(limits.on_answer(&start(1), LimitWord::Named(4.0), times(11.9, 12.0)));
+    assert!(limits.on_answer(&incarnation(1), LimitReport::Named(4.0), times(11.9, 12.0)));
     assert_eq!(limits.limit(REPLICA), Some(4.0));
 }
 
-/// What an earlier start named, or named none, says nothing of a later one.
+/// Statements of an earlier incarnation, with or without a limit, do not apply to a later one.
 #[test]
-fn test_nothing_carries_over_to_another_start() {
+fn test_limits_do_not_carry_over_to_another_incarnation() {
     let mut limits = limited();
-    assert!(!limits.on_answer(&start(0), LimitWord::Named(1.0), times(20.0, 20.0)));
+    assert!(!limits.on_answer(&incarnation(0), LimitReport::Named(1.0), times(20.0, 20.0)));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    limits.on_answer(&start(2), LimitWord::Named(5.0), times(5.0, 5.1));
+    limits.on_answer(&incarnation(2), LimitReport::Named(5.0), times(5.0, 5.1));
     assert_eq!(limits.limit(REPLICA), Some(5.0));
-    assert!(!limits.on_answer(&start(1), LimitWord::NotNamed, times(30.0, 30.1)));
+    assert!(!limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(30.0, 30.1)));
     assert_eq!(limits.limit(REPLICA), Some(5.0));
     limits.forget(REPLICA);
     assert_eq!(limits.limit(REPLICA), None);
 }
 
 #[test]
-fn test_what_other_nodes_tell_counts_from_when_it_was_said() {
+fn test_announced_limits_are_ordered_by_their_age() {
     let mut limits = limited();
-    assert!(limits.on_told(vec![told(1, None, 4.0)], s(12.0)).is_empty());
+    assert!(limits.on_announced(vec![announced(1, None, 4.0)], s(12.0)).is_empty());
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    assert_eq!(limits.on_told(vec![told(1, None, 1.0)], s(12.0)).len(), 1);
+    assert_eq!(limits.on_announced(vec![announced(1, None, 1.0)], s(12.0)).len(), 1);
     assert_eq!(limits.limit(REPLICA), None);
-    assert_eq!(limits.on_told(vec![told(1, Some(2.0), 0.5)], s(12.0)).len(), 1);
+    assert_eq!(limits.on_announced(vec![announced(1, Some(2.0), 0.5)], s(12.0)).len(), 1);
     assert_eq!(limits.limit(REPLICA), Some(2.0));
-    for wrong in [f64::NAN, f64::INFINITY, -1.0] {
-        assert!(limits.on_told(vec![told(1, Some(wrong), 0.0)], s(12.0)).is_empty());
+    for invalid in [f64::NAN, f64::INFINITY, -1.0] {
+        assert!(limits.on_announced(vec![announced(1, Some(invalid), 0.0)], s(12.0)).is_empty());
     }
     assert_eq!(limits.limit(REPLICA), Some(2.0));
 }
 
-/// Nodes that know the same tell each other nothing; a node that missed the end of a need is told of it.
+/// Nodes that know the same limits announce nothing to each other; a node that missed the withdrawal of a
+/// limit is notified.
 #[test]
 fn test_digests_stand_for_the_limits_in_force() {
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
     assert_eq!(b.digest(), 0);
     assert_ne!(a.digest(), b.digest());
-    b.on_told(a.all(s(11.0)), s(511.0));
+    b.on_announced(a.all(s(11.0)), s(511.0));
     assert_eq!(a.digest(), b.digest());
-    a.on_answer(&start(1), LimitWord::NotNamed, times(11.5, 11.6));
+    a.on_answer(&incarnation(1), LimitReport::NotNamed, times(11.5, 11.6));
     assert_eq!(a.digest(), 0);
-    b.on_told(a.all(s(12.0)), s(512.0));
+    b.on_announced(a.all(s(12.0)), s(512.0));
     assert_eq!(b.digest(), 0);
 }
 
-/// A replica that measures its load names another figure in each answer. Two nodes that heard 3.0 and 3.1 kept to
-/// theirs for as long as the need lasted: their digests never agreed, and each told the other all limits once a
-/// second. What differs so little is told to nobody else.
+/// A replica that measures its load names a slightly different limit in each response. Two nodes that
+/// received 3.0 and 3.1 must agree in the end: if each keeps its own value for as long as the limit
+/// lasts, their digests never match and each announces all limits to the other once a second. Such a
+/// small difference is not forwarded to further nodes.
 #[test]
-fn test_nodes_that_heard_slightly_different_figures_come_to_the_same() {
+fn test_nodes_with_slightly_different_limits_converge() {
     let (mut a, mut b) = (limited(), ReplicaLimits::default());
-    b.on_answer(&start(1), LimitWord::Named(3.1), times(10.0, 10.1));
-    assert!(a.on_told(b.all(s(10.5)), s(10.5)).is_empty());
+    b.on_answer(&incarnation(1), LimitReport::Named(3.1), times(10.0, 10.1));
+    assert!(a.on_announced(b.all(s(10.5)), s(10.5)).is_empty());
     assert_eq!(a.limit(REPLICA), Some(3.1));
     assert_eq!(a.digest(), b.digest());
-    // Neither an own answer nor an older word brings the difference back.
-    assert!(!b.on_answer(&start(1), LimitWord::Named(3.0), times(10.9, 11.0)));
-    assert!(a.on_told(vec![told(1, Some(3.0), 4.0)], s(11.0)).is_empty());
+    // Neither a node's own response nor an older announcement restores the difference.
+    assert!(!b.on_answer(&incarnation(1), LimitReport::Named(3.0), times(10.9, 11.0)));
+    assert!(a.on_announced(vec![announced(1, Some(3.0), 4.0)], s(11.0)).is_empty());
     assert_eq!(a.digest(), b.digest());
 }
 
-/// A limit is not dropped because nobody asked; one that was taken back is forgotten in time, as is what
-/// is known of replicas that are gone.
+/// A limit does not expire for lack of requests; a withdrawn one is removed in time, as is the state of
+/// replicas that no longer exist.
 #[test]
-fn test_what_is_kept() {
+fn test_limits_are_kept_until_withdrawn() {
     let mut limits = limited();
     limits.retain(|_| true, s(10_000.0));
     assert_eq!(limits.limit(REPLICA), Some(3.0));
-    limits.on_answer(&start(1), LimitWord::NotNamed, times(10_001.0, 10_001.1));
+    limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(10_001.0, 10_001.1));
     limits.retain(|_| true, s(10_030.0));
     assert_eq!(limits.all(s(10_030.0)).len(), 1);
     limits.retain(|_| true, s(10_062.0));
@@ -132,16 +135,17 @@
     assert_eq!(limits.limit(REPLICA), None);
 }
 
-/// It was given what it took before until a moment ago. Another figure is the same need, another need is not.
+/// A newly limited replica has just received its former load. A different value continues the same
+/// limitation; a limit after a withdrawal starts a new one.
 #[test]
-fn test_a_replica_that_comes_into_need_is_left_to_others_for_a_while() {
+fn test_newly_limited_replicas_are_avoided_for_a_while() {
     let mut limits = limited();
-    assert!(limits.is_left_to_others(REPLICA, s(12.9)));
-    limits.on_answer(&start(1), LimitWord::Named(2.0), times(11.0, 11.1));
-    assert!(!limits.is_left_to_others(REPLICA, s(13.1)));
-    limits.on_answer(&start(1), LimitWord::NotNamed, times(20.0, 20.1));
-    assert!(!limits.is_left_to_others(REPLICA, s(20.2)));
-    limits.on_answer(&start(1), LimitWord::Named(2.0), times(29.9, 30.0));
-    assert!(limits.is_left_to_others(REPLICA, s(31.0)));
-    assert!(!limits.is_left_to_others("r-2", s(31.0)));
+    assert!(limits.is_newly_limited(REPLICA, s(12.9)));
+    limits.on_answer(&incarnation(1), LimitReport::Named(2.0), times(11.0, 11.1));
+    assert!(!limits.is_newly_limited(REPLICA, s(13.1)));
+    limits.on_answer(&incarnation(1), LimitReport::NotNamed, times(20.0, 20.1));
+    assert!(!limits.is_newly_limited(REPLICA, s(20.2)));
+    limits.on_answer(&incarnation(1), LimitReport::Named(2.0), times(29.9, 30.0));
+    assert!(limits.is_newly_limited(REPLICA, s(31.0)));
+    assert!(!limits.is_newly_limited("r-2", s(31.0)));
 }
--- a/lib/tests/test_gateway_replica_list.rs
+++ b/lib/tests/test_gateway_replica_list.rs
@@ -1,4 +1,4 @@
-//! What nodes hand to each other of the replicas.
+//! Replica lists and changes that nodes fetch from each other.
 
 use std::time::Duration;
 
@@ -24,18 +24,18 @@
     fn entry(&mut self, id: &str, leaving: bool) {
         let mut change = ListChange::default();
         self.table.on_entry(record(id, leaving), self.now, &mut change);
-        self.took(&change);
+        self.record_change(&change);
     }
 
     fn unlisted(&mut self, id: &str) {
         let mut change = ListChange::default();
         self.table.on_unlisted(id, self.now, &mut change);
-        self.took(&change);
+        self.record_change(&change);
     }
 
     fn sign(&mut self, id: &str) {
-        if self.table.on_sign(&record(id, false).incarnation(), LeavingSign::Unwell, self.now) {
-            self.took(&ListChange { leaving: vec![id.into()], ..ListChange::default() });
+        if self.table.on_sign(&record(id, false).incarnation(), LeavingSign::Unhealthy, self.now) {
+            self.record_change(&ListChange { leaving: vec![id.into()], ..ListChange::default() });
         }
     }
 
@@ -44,18 +44,19 @@
         self.table.tick(self.now, FORGET_AFTER);
     }
 
-    fn took(&mut self, change: &ListChange) {
+    fn record_change(&mut self, change: &ListChange) {
         self.at += 1;
-        self.table.mark(change, self.at);
+        self.table.set_changed_at(change, self.at);
     }
 
-    /// Takes what another node hands out to one that knows as much as this.
+    /// Applies what another node serves to a node that knows as much as this one. Returns the number of
+    /// transferred entries.
     fn fetch(&mut self, other: &Follower) -> usize {
         let list = other.table.since(other.at, self.at);
         let size = list.staying.len() + list.leaving.len();
         self.at = list.at;
-        let change = self.table.on_handed_list(list, self.now);
-        self.table.mark(&change, self.at);
+        let change = self.table.on_peer_list(list, self.now);
+        self.table.set_changed_at(&change, self.at);
         size
     }
 
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn test_only_what_changed_is_handed_over() {
+fn test_only_changes_are_transferred() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
     for n in 0..500 {
         watcher.entry(&format!("engine-{n:03}"), false);
@@ -82,9 +83,9 @@
     assert_eq!(other.fetch(&watcher), 0);
 }
 
-/// A replica that was taken to be leaving and stays after all is news.
+/// A replica that was considered to be leaving and is listed as staying again counts as changed.
 #[test]
-fn test_a_replica_that_stays_after_all_is_handed_over() {
+fn test_a_replica_that_stays_again_is_transferred() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
     watcher.entry("engine-1", false);
     watcher.unlisted("engine-1");
@@ -95,9 +96,10 @@
     assert_eq!(other.staying(), ["engine-1"]);
 }
 
-/// Who has missed more than is remembered gets all, and sees what is missing.
+/// A node that has missed more than the other one remembers gets the whole list, and detects the missing
+/// replicas.
 #[test]
-fn test_who_knows_too_little_gets_the_whole_list() {
+fn test_a_node_too_far_behind_gets_the_whole_list() {
     let (mut watcher, mut other) = (Follower::default(), Follower::default());
     watcher.entry("engine-1", false);
     watcher.entry("engine-2", false);
@@ -111,8 +113,8 @@
 }
 
 proptest! {
-    /// Whatever happens, and however rarely it asks, a node that is handed the changes agrees
-    /// with the one that follows the store, but for the grace of what lapsed.
+    /// After any sequence of events, and however rarely it fetches, a node that fetches changes agrees with
+    /// the node that follows the store, except during the grace period of expired entries.
     #[test]
     fn test_changes_add_up_to_the_list(steps in prop::collection::vec((0u8..6, 0u8..8), 1..80)) {
         let (mut watcher, mut other) = (Follower::default(), Follower::default());
--- a/lib/tests/test_gateway_revision.rs
+++ b/lib/tests/test_gateway_revision.rs
@@ -1,10 +1,10 @@
-//! Revisions over a store's returns from copies.
+//! Revisions across restores of the store from a copy.
 
 use std::time::Duration;
 
 use leadstage_lib::gateway::replica::LeavingSign;
-use leadstage_lib::gateway::replica_news::NewsProgress;
-use leadstage_lib::gateway::replica_news::ReplicaNews;
+use leadstage_lib::gateway::replica_updates::ReplicaUpdate;
+use leadstage_lib::gateway::replica_updates::UpdateProgress;
 use leadstage_lib::gateway::replicas::ListChange;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::revision;
@@ -20,9 +20,12 @@
 }
 
 proptest! {
-    /// Eras go before numbers, and numbers of one era are as the store has them.
+    /// Revisions are ordered by era first, and within an era by the store's numbers.
     #[test]
-    fn test_revisions_are_ordered_by_era_then_number(a in (0u64..1 << 20, 0u64..1 << 39), b in (0u64..1 << 20, 0u64..1 << 39)) {
+    fn test_revisions_are_ordered_by_era_then_number(
+        a in (0u64..1 << 20, 0u64..1 << 39),
+        b in (0u64..1 << 20, 0u64..1 << 39)
+    ) {
         let of = |(era, number)| revision::in_era(era, number);
         prop_assert_eq!(of(a).cmp(&of(b)), a.cmp(&b));
         prop_assert_eq!((revision::era(of(a)), revision::number(of(a))), a);
@@ -30,28 +33,29 @@
 }
 
 #[test]
-fn test_what_no_store_can_count_to_is_the_largest() {
+fn test_values_out_of_range_are_clamped() {
     let largest = revision::in_era(u64::MAX, u64::MAX);
     assert_eq!(largest, Revision::MAX);
     assert_eq!(revision::era(revision::in_era(3, u64::MAX)), 3);
 }
 
 #[test]
-fn test_news_of_a_later_era_are_newer() {
-    let mut progress = NewsProgress::default();
+fn test_updates_of_a_later_era_are_newer() {
+    let mut progress = UpdateProgress::default();
     progress.on_known(revision::in_era(0, 90));
     let at = revision::in_era(1, 5);
-    let news = ReplicaNews { before: revision::in_era(0, 90), at, ..ReplicaNews::default() };
-    assert!(!progress.has(&news.pack().expect("small")));
-    assert!(!progress.on_part(&news), "nothing is missing");
+    let update = ReplicaUpdate { before: revision::in_era(0, 90), at, ..ReplicaUpdate::default() };
+    assert!(!progress.has(&update.pack().expect("small")));
+    assert!(!progress.on_part(&update), "nothing is missing");
     assert_eq!(progress.at(), at);
-    let late = ReplicaNews { before: 80, at: revision::in_era(0, 95), ..ReplicaNews::default() };
-    assert!(progress.has(&late.pack().expect("small")), "of the era before");
+    let late = ReplicaUpdate { before: 80, at: revision::in_era(0, 95), ..ReplicaUpdate::default() };
+    assert!(progress.has(&late.pack().expect("small")), "of the previous era");
 }
 
-/// Of what a copy lists, the end of a replica that was learnt before is newer, and what only lapsed is not.
+/// If a copy lists a replica whose end was learnt before the restore, the end is newer; a replica whose
+/// entry only expired comes back.
 #[test]
-fn test_a_list_of_a_copy_brings_no_ended_replica_back() {
+fn test_list_of_a_restored_store_revives_no_ended_replica() {
     let mut table = ReplicaTable::default();
     let all = || ["a", "b", "c", "d"].map(|id| record(id, false)).to_vec();
     table.on_list(all(), false, SECOND);
@@ -60,9 +64,9 @@
     table.on_missing("b", Duration::ZERO);
     let lapsed = table.tick(3 * SECOND, 30 * SECOND);
     assert_eq!(lapsed.leaving, ["b".into()]);
-    assert!(table.on_sign(&record("c", false).incarnation(), LeavingSign::Told, SECOND));
+    assert!(table.on_sign(&record("c", false).incarnation(), LeavingSign::ReportedByPeer, SECOND));
     for id in ["a", "b", "c"] {
-        table.mark(&change(id), revision::in_era(0, 90));
+        table.set_changed_at(&change(id), revision::in_era(0, 90));
     }
     let staying = |table: &ReplicaTable| {
         let mut ids: Vec<String> = table.staying("m").map(|replica| replica.record.id.to_string()).collect();
@@ -74,16 +78,16 @@
     assert_eq!((change.added, staying(&table)), (vec!["b".into()], vec!["b".to_owned(), "d".to_owned()]));
     let mut change = ListChange::default();
     table.on_entry(record("a", false), 5 * SECOND, &mut change);
-    assert_eq!(change.added, ["a".into()], "it is written in the new era");
+    assert_eq!(change.added, ["a".into()], "the entry was written in the new era");
 }
 
-/// A list of the same era as the end is newer than the end.
+/// A list of the same era as a replica's end is newer than the end.
 #[test]
-fn test_a_list_of_the_same_era_brings_a_replica_back() {
+fn test_list_of_the_same_era_revives_a_replica() {
     let mut table = ReplicaTable::default();
     table.on_list(vec![record("a", false)], false, SECOND);
     table.on_unlisted("a", SECOND, &mut ListChange::default());
-    table.mark(&change("a"), revision::in_era(1, 4));
+    table.set_changed_at(&change("a"), revision::in_era(1, 4));
     let change = table.on_store_list(vec![record("a", false)], revision::in_era(1, 5), false, 2 * SECOND);
     assert_eq!(change.added, ["a".into()]);
 }
--- a/node/src/gateway/control/grant_questions.rs
+++ b/node/src/gateway/control/grant_questions.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadstage_lib::gateway::limit_grants::GrantQuestionId;
+use leadstage_lib::gateway::limit_grants::GrantRequestId;
 use leadstage_lib::gateway::limit_grants::LEAST_URGENT;
-use leadstage_lib::gateway::questions::Questions;
-use leadstage_lib::gateway::replica_limits::ToldLimit;
+use leadstage_lib::gateway::pending_queries::PendingQueries;
+use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::ids::VmId;
 
@@ -36,8 +36,8 @@
 }
 
 impl GrantQuestion {
-    fn id(&self) -> GrantQuestionId {
-        GrantQuestionId { run: self.ask.key.run, number: self.tries }
+    fn id(&self) -> GrantRequestId {
+        GrantRequestId { run: self.ask.key.run, number: self.tries }
     }
 }
 
@@ -45,32 +45,32 @@
 pub struct GrantQuestions {
     shared: Arc<Shared>,
     outbox: Outbox,
-    open: Questions<GrantQuestionId, GrantQuestion>,
+    open: PendingQueries<GrantRequestId, GrantQuestion>,
 }
 
 impl GrantQuestions {
     /// None yet.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
-        GrantQuestions { shared, outbox, open: Questions::default() }
+        GrantQuestions { shared, outbox, open: PendingQueries::default() }
     }
 
     /// Asks another node, at `address`.
-    pub fn ask(&mut self, question: GrantQuestion, limit: ToldLimit, address: SocketAddr) {
+    pub fn ask(&mut self, question: GrantQuestion, limit: AnnouncedLimit, address: SocketAddr) {
         let id = question.id();
         let ask = AskGrant { question: id, limit, urgency: urgency(&question.ask) };
         self.outbox.send(address, &PeerMessage::AskGrant(ask));
-        self.open.on_asked(id, question, self.shared.now() + GRANT_LIMIT);
+        self.open.insert(id, question, self.shared.now() + GRANT_LIMIT);
         self.shared.tell_after(GRANT_LIMIT, ToControl::GrantSilent(id));
     }
 
     /// Takes a question out, as its answer came.
-    pub fn answered(&mut self, id: GrantQuestionId) -> Option<GrantQuestion> {
-        self.open.answered(id)
+    pub fn answered(&mut self, id: GrantRequestId) -> Option<GrantQuestion> {
+        self.open.take_answered(id)
     }
 
     /// Takes a question out if who was asked is to be passed over.
-    pub fn overdue(&mut self, id: GrantQuestionId) -> Option<GrantQuestion> {
-        self.open.overdue(id, self.shared.now())
+    pub fn overdue(&mut self, id: GrantRequestId) -> Option<GrantQuestion> {
+        self.open.take_overdue(id, self.shared.now())
     }
 }
 
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use leadstage_lib::gateway::closed_halls::ClosedHalls;
-use leadstage_lib::gateway::closed_halls::ClosedHallsBook;
+use leadstage_lib::gateway::closed_halls::ClosedHallsTracker;
 use leadstage_lib::gateway::closed_halls::HallChange;
-use leadstage_lib::gateway::retelling::Retelling;
+use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::ids::HallId;
 use leadstage_platform::store::Change;
 use leadstage_platform::store::Listed;
@@ -34,14 +34,14 @@
 /// The way of closed halls into this node, and on to others.
 pub struct HallIntake {
     shared: Arc<Shared>,
-    book: ClosedHallsBook,
-    retelling: Retelling<HallId>,
+    book: ClosedHallsTracker,
+    rebroadcast: Rebroadcast<HallId>,
 }
 
 impl HallIntake {
     /// Nothing has come yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        HallIntake { shared, book: ClosedHallsBook::default(), retelling: Retelling::default() }
+        HallIntake { shared, book: ClosedHallsTracker::default(), rebroadcast: Rebroadcast::default() }
     }
 
     /// The store told of the closed halls.
@@ -60,7 +60,7 @@
                     Change::Unreadable(_) => None,
                 });
                 let halls: Vec<HallChange> = halls.collect();
-                self.book.told().after(halls, changes.at)
+                self.book.stored().after(halls, changes.at)
             }
         };
         if self.take(placing, told, Source::Store) {
@@ -79,7 +79,7 @@
     /// series of changes, with a third of the messages lost, 13 left a node without them for 5 s, none since.
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet) {
         self.publish(placing, Source::Store);
-        if !self.retelling.round(self.shared.now()).is_empty() {
+        if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
             fleet.pass_on(&PeerMessage::HallsChanged);
         }
     }
@@ -87,10 +87,10 @@
     /// Returns whether it changed anything.
     fn take(&mut self, placing: &mut Placing, mut told: ClosedHalls, source: Source) -> bool {
         // Nearly all that nodes tell is known.
-        if told.at <= self.book.told().at {
+        if told.at <= self.book.stored().at {
             return false;
         }
-        let beyond = told.limit();
+        let beyond = told.truncate();
         if beyond > 0 {
             warn!(event = "halls_left_out", halls = beyond; "more halls are closed than there can be");
         }
@@ -109,7 +109,7 @@
         self.shared.set_closed_halls(halls);
         for change in &changes {
             let (HallChange::Closed(hall) | HallChange::Opened(hall)) = change;
-            self.retelling.on_news(hall.clone());
+            self.rebroadcast.on_update(hall.clone());
             match change {
                 HallChange::Closed(hall) => {
                     info!(event = "hall_closed", hall = &**hall, at, by:% = source; "a hall's replicas get nothing new")
--- a/node/src/gateway/control/knowledge/eligible.rs
+++ b/node/src/gateway/control/knowledge/eligible.rs
@@ -10,7 +10,7 @@
 use leadstage_lib::gateway::canary;
 use leadstage_lib::gateway::canary::VersionPool;
 use leadstage_lib::gateway::closed_halls::ClosedHalls;
-use leadstage_lib::gateway::cold_start::Giver;
+use leadstage_lib::gateway::cold_start::PlacedBy;
 use leadstage_lib::gateway::regions::AllowedRegions;
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
@@ -72,7 +72,7 @@
     pub fn balanced<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         let upgrade = self.shared.upgrades().of(service).cloned();
         self.open(service).filter(move |replica| {
-            upgrade.as_ref().is_none_or(|upgrade| canary::is_balanced(replica, upgrade))
+            upgrade.as_ref().is_none_or(|upgrade| canary::is_rebalance_target(replica, upgrade))
         })
     }
 
@@ -125,7 +125,7 @@
         mut accepts: impl FnMut(&'a Replica) -> bool,
     ) -> Vec<&'a Replica> {
         match pool {
-            VersionPool::Tried(ids) => {
+            VersionPool::Canaries(ids) => {
                 let tried = ids.iter().filter_map(|id| self.replicas.get(id));
                 tried.filter(|replica| replica.leaving.is_none() && accepts(replica)).collect()
             }
@@ -143,7 +143,7 @@
         match upgrades.of(&wanted.service) {
             Some(upgrade) => {
                 let is_judged = self.judged.may_try(&wanted.service, self.shared.now());
-                let share = if is_judged { self.share_on_trial() } else { 0.0 };
+                let share = if is_judged { self.trial_share() } else { 0.0 };
                 canary::pools(upgrade, key, share, || {
                     self.tried.of(&self.replicas, &wanted.service, &upgrade.order, share)
                 })
@@ -152,8 +152,8 @@
         }
     }
 
-    fn share_on_trial(&self) -> f64 {
-        self.shared.bounds().exposure.map_or(0.0, |exposure| canary::share_on_trial(exposure.share))
+    fn trial_share(&self) -> f64 {
+        self.shared.bounds().exposure.map_or(0.0, |exposure| canary::trial_share(exposure.share))
     }
 
     fn screen<'a>(&self, wanted: &'a Wanted) -> Screen<'a> {
@@ -165,11 +165,11 @@
 
     fn passes(&self, Screen { wanted, halls, leaves_to_others }: &Screen<'_>, replica: &Replica) -> bool {
         let id = &replica.record.id;
-        let is_left_to_others = || self.limits.borrow().limits.is_left_to_others(id, self.shared.now());
+        let is_newly_limited = || self.limits.borrow().limits.is_newly_limited(id, self.shared.now());
         takes_requests(replica, halls)
             && !is_excluded(wanted, id)
             && self.shared.settings.regions.allows(&wanted.regions, &replica.record.hall)
-            && !(*leaves_to_others && is_left_to_others())
+            && !(*leaves_to_others && is_newly_limited())
     }
 
     /// Whether a request may go to a replica that names no limit, should that have room.
@@ -203,8 +203,8 @@
         let first = open.next()?;
         let limit = |replica: &Replica| limits.limits.limit(&replica.record.id);
         let named = open.try_fold(limit(first)?, |named, replica| Some(named + limit(replica)?))?;
-        let nodes = if self.giver(service) == Giver::Lead { 1 } else { self.shared.nodes() };
-        Some(limits.comes_back_after(service, named, nodes, self.shared.now()))
+        let nodes = if self.giver(service) == PlacedBy::Lead { 1 } else { self.shared.nodes() };
+        Some(limits.next_retry_delay(service, named, nodes, self.shared.now()))
     }
 
     /// A replica that names a limit and that this node may ask a grant at, for a plain call.
@@ -236,8 +236,8 @@
             pool.has(replica)
                 && self.passes(screen, replica)
                 && replica.is_usable(now)
-                && self.limits.borrow_mut().may_ask(&replica.record.id, now, rng)
-                && self.is_warm_enough(replica, Giver::Node, now)
+                && self.limits.borrow_mut().may_request(&replica.record.id, now, rng)
+                && self.is_warm_enough(replica, PlacedBy::Node, now)
         });
         open.choose(rng).map(|replica| replica.record.clone())
     }
--- a/node/src/gateway/control/lead_desk.rs
+++ b/node/src/gateway/control/lead_desk.rs
@@ -6,15 +6,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadstage_lib::gateway::lead_queue::Asked;
 use leadstage_lib::gateway::lead_queue::Engines;
 use leadstage_lib::gateway::lead_queue::LeadQueue;
+use leadstage_lib::gateway::lead_queue::QueueReply;
+use leadstage_lib::gateway::lead_queue::QueueTerms;
 use leadstage_lib::gateway::lead_queue::Settled;
-use leadstage_lib::gateway::lead_queue::Terms;
-use leadstage_lib::gateway::load::READS_AHEAD;
+use leadstage_lib::gateway::load::MAX_QUEUED_PREFILL;
 use leadstage_lib::gateway::policy::Policy;
+use leadstage_lib::gateway::rebalance::RebalanceMove;
 use leadstage_lib::gateway::rebalance::Rebalancer;
-use leadstage_lib::gateway::rebalance::Relief;
 use leadstage_lib::gateway::regions::AllowedRegions;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::routing::ServiceId;
@@ -120,9 +120,11 @@
         };
         let queue = self.queues.entry(room.clone()).or_insert_with(|| LeadQueue::new(self.policy));
         match queue.ask(ask, &terms, &mut EnginesOf { knowledge, room, now }, now) {
-            Asked::Given(ask, replica) => Outcome::Decided(Box::new(Decision { ask, chosen: Ok(replica) })),
-            Asked::Refused(ask, expected) => Outcome::Decided(Box::new(refusal(ask, expected))),
-            Asked::Waits => Outcome::Waits(key, there),
+            QueueReply::Placed(ask, replica) => {
+                Outcome::Decided(Box::new(Decision { ask, chosen: Ok(replica) }))
+            }
+            QueueReply::Refused(ask, expected) => Outcome::Decided(Box::new(refusal(ask, expected))),
+            QueueReply::Waits => Outcome::Waits(key, there),
         }
     }
 
@@ -149,13 +151,18 @@
     }
 
     /// Generations of a service that should move for balance.
-    pub fn reliefs(&mut self, knowledge: &Knowledge, service: &ServiceId, now: Timestamp) -> Vec<Relief> {
+    pub fn due_moves(
+        &mut self,
+        knowledge: &Knowledge,
+        service: &ServiceId,
+        now: Timestamp,
+    ) -> Vec<RebalanceMove> {
         let Some(traits) = knowledge.engine_traits(service).filter(|_| self.policy.balance) else {
             return Vec::new();
         };
         let rebalancer = self.rebalancers.entry(service.clone()).or_default();
         let engines = knowledge.balanced(service).filter(|replica| replica.is_usable(now));
-        rebalancer.reliefs(&knowledge.book, engines, &traits, now)
+        rebalancer.due_moves(&knowledge.book, engines, &traits, now)
     }
 }
 
@@ -184,16 +191,16 @@
 }
 
 /// What holds for a generation that may wait.
-fn terms(knowledge: &Knowledge, ask: &Ask) -> Terms {
+fn terms(knowledge: &Knowledge, ask: &Ask) -> QueueTerms {
     let Ask { priority, patience, leaves_after, .. } = *ask;
     if ask.wanted.from.is_some() {
-        return Terms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
+        return QueueTerms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
     }
     let (service, size) = (&ask.wanted.service, ask.wanted.size.unwrap_or_default());
-    let reading = knowledge.book.reading.usual_time(service, size.prompt);
-    Terms {
+    let reading = knowledge.book.prefill.usual_prefill_time(service, size.prompt);
+    QueueTerms {
         priority,
-        in_time: patience.saturating_sub(reading + READS_AHEAD),
+        in_time: patience.saturating_sub(reading + MAX_QUEUED_PREFILL),
         may_wait: leaves_after.saturating_sub(reading),
         tokens: knowledge.book.memory_of(service, size, 0),
     }
@@ -234,5 +241,5 @@
     if ask.wanted.from.is_some() || waited.sum().is_zero() {
         return;
     }
-    info!(event = "waited", entry = &*ask.key.entry, run = ask.key.run, given, engines_ms = waited.engines.as_millis() as u64, reading_ms = waited.reading.as_millis() as u64, memory_ms = waited.memory.as_millis() as u64; "a generation waited for an engine");
+    info!(event = "waited", entry = &*ask.key.entry, run = ask.key.run, given, engines_ms = waited.engines.as_millis() as u64, reading_ms = waited.prefill.as_millis() as u64, memory_ms = waited.memory.as_millis() as u64; "a generation waited for an engine");
 }
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 use leadstage_lib::gateway::answer_counts::Sample;
-use leadstage_lib::gateway::pauses::Pauses;
-use leadstage_lib::gateway::retelling::Retelling;
+use leadstage_lib::gateway::process_pauses::ProcessPauses;
+use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::gateway::routing::ServiceId;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrade;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrades;
 use leadstage_lib::gateway::upgrade::Stage;
-use leadstage_lib::gateway::upgrade::ToldUpgrade;
-use leadstage_lib::gateway::upgrade::ToldUpgrades;
 use leadstage_lib::gateway::upgrade::Upgrade;
 use leadstage_lib::gateway::upgrade::UpgradeOrder;
 use leadstage_lib::gateway::upgrade::Upgrades;
@@ -76,8 +76,8 @@
     shared: Arc<Shared>,
     /// When the process began.
     started: UnixMillis,
-    retelling: Retelling<ServiceId>,
-    pauses: Pauses,
+    rebroadcast: Rebroadcast<ServiceId>,
+    pauses: ProcessPauses,
     trials: BTreeMap<ServiceId, Trial>,
     stored: BTreeMap<ServiceId, Stored>,
 }
@@ -88,8 +88,8 @@
         UpgradeIntake {
             shared,
             started: unix_millis(),
-            retelling: Retelling::default(),
-            pauses: Pauses::default(),
+            rebroadcast: Rebroadcast::default(),
+            pauses: ProcessPauses::default(),
             trials: BTreeMap::new(),
             stored: BTreeMap::new(),
         }
@@ -98,10 +98,10 @@
     /// The store told of the orders.
     pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<StoredUpgrade>) {
         let now = self.shared.now();
-        let mut told = self.shared.upgrades().told(now);
+        let mut told = self.shared.upgrades().announced(now);
         match news {
             News::Listed { list: Listed { items, at, .. }, .. } => {
-                told = ToldUpgrades { at, upgrades: Vec::new() };
+                told = AnnouncedUpgrades { at, upgrades: Vec::new() };
                 self.stored.clear();
                 items.into_iter().for_each(|item| self.on_stored(item, &mut told, now));
             }
@@ -118,20 +118,20 @@
                 }
             }
         }
-        if self.take(placing, told, Source::Store) {
+        if self.merge(placing, told, Source::Store) {
             fleet.tell(&PeerMessage::UpgradesChanged);
         }
     }
 
     /// Takes an object in, and puts what it orders into `told`.
-    fn on_stored(&mut self, held: StoredUpgrade, told: &mut ToldUpgrades, now: Timestamp) {
+    fn on_stored(&mut self, held: StoredUpgrade, told: &mut AnnouncedUpgrades, now: Timestamp) {
         let known = told.upgrades.iter().position(|upgrade| upgrade.service == held.service);
         let known = known.map(|at| told.upgrades.swap_remove(at));
         match &held.order {
             Ok(order) => {
                 let known = known.filter(|known| known.order == *order);
                 let stage = held.state.and_then(upgrade_store::stage_of).unwrap_or(Stage::Trial);
-                told.upgrades.push(ToldUpgrade {
+                told.upgrades.push(AnnouncedUpgrade {
                     service: held.service.clone(),
                     order: order.clone(),
                     age: known.as_ref().map_or(Duration::ZERO, |known| known.age),
@@ -148,20 +148,20 @@
     }
 
     /// Another node told of them.
-    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: ToldUpgrades) {
+    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: AnnouncedUpgrades) {
         // Nearly always there is none.
         if told.upgrades.is_empty() && told.at <= self.shared.upgrades().at() {
             return;
         }
-        if self.take(placing, told, Source::Node) {
+        if self.merge(placing, told, Source::Node) {
             fleet.pass_on(&PeerMessage::UpgradesChanged);
         }
     }
 
     /// Returns whether it changed anything.
-    fn take(&mut self, placing: &mut Placing, told: ToldUpgrades, source: Source) -> bool {
+    fn merge(&mut self, placing: &mut Placing, told: AnnouncedUpgrades, source: Source) -> bool {
         let mut upgrades = (*self.shared.upgrades()).clone();
-        let changed = upgrades.take(told, self.shared.now());
+        let changed = upgrades.merge(told, self.shared.now());
         self.publish(placing, upgrades, &changed, source);
         !changed.is_empty()
     }
@@ -176,7 +176,7 @@
         }
         self.shared.set_upgrades(upgrades.clone());
         for service in changed {
-            self.retelling.on_news(service.clone());
+            self.rebroadcast.on_update(service.clone());
             match upgrades.of(service) {
                 Some(upgrade) => self.on_stage(placing, service, upgrade, source),
                 None => {
@@ -209,7 +209,7 @@
     pub fn on_sample(&mut self, sample: AnswerSample) {
         let now = self.shared.now();
         let is_disturbed = match sample.sample {
-            Sample::Took(_, took) => self.pauses.disturb(now.saturating_sub(took), now),
+            Sample::Took(_, took) => self.pauses.may_affect(now.saturating_sub(took), now),
             Sample::Failed => false,
         };
         if is_disturbed {
@@ -258,7 +258,7 @@
         store_answers: bool,
     ) {
         self.pauses.tick(self.shared.now());
-        if !self.retelling.round(self.shared.now()).is_empty() {
+        if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
             fleet.pass_on(&PeerMessage::UpgradesChanged);
         }
         for service in self.trials.keys().cloned().collect::<Vec<_>>() {
@@ -305,7 +305,7 @@
             capacity: capacity(placing, service, &upgrade.order),
             has_streams: placing.knowledge.engine_traits(service).is_some(),
             store_answers,
-            hearing: trial.hearing(fleet, upgrade, now),
+            hearing: trial.coverage(fleet, upgrade, now),
             bounds,
         };
         let Some(NextStage { stage, reason }) = situation.next(now) else {
@@ -314,7 +314,7 @@
         let (answered, exposed) = counts.answered();
         info!(event = "upgrade_judged", service = &**service, stage:% = stage, reason:% = reason, answered, exposed, nodes = trial.nodes(), hearing:? = situation.hearing; "an upgrade goes on");
         let order = upgrade.order.clone();
-        upgrades.raise(service, &order, stage, now);
+        upgrades.advance(service, &order, stage, now);
         self.publish(placing, upgrades, std::slice::from_ref(service), Source::Judge);
         fleet.tell(&PeerMessage::UpgradesChanged);
     }
@@ -357,7 +357,7 @@
             return;
         };
         let mut upgrades = (*self.shared.upgrades()).clone();
-        if upgrades.raise(&written.service, &order, stage, now) {
+        if upgrades.advance(&written.service, &order, stage, now) {
             self.publish(placing, upgrades, &[written.service], Source::Store);
             fleet.tell(&PeerMessage::UpgradesChanged);
         }
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -10,20 +10,20 @@
 use leadstage_lib::gateway::crash_ledger::Suspect;
 use leadstage_lib::gateway::inventory::Inventory;
 use leadstage_lib::gateway::limit_grants::Grant;
-use leadstage_lib::gateway::limit_grants::GrantQuestionId;
+use leadstage_lib::gateway::limit_grants::GrantRequestId;
 use leadstage_lib::gateway::load::GenerationSize;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::regions::AllowedRegions;
-use leadstage_lib::gateway::replica_limits::ToldLimit;
-use leadstage_lib::gateway::replica_news::PackedNews;
+use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
+use leadstage_lib::gateway::replica_updates::PackedUpdate;
 use leadstage_lib::gateway::routing::ConfigVersion;
 use leadstage_lib::gateway::routing::ServiceId;
 use leadstage_lib::gateway::run_key::RunId;
 use leadstage_lib::gateway::trial_evidence::TrialReport;
 use leadstage_lib::gateway::trial_reports::SampleCount;
-use leadstage_lib::gateway::upgrade::ToldUpgrades;
+use leadstage_lib::gateway::upgrade::AnnouncedUpgrades;
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::gateway::watchers::PulseNumber;
 use leadstage_lib::gateway::watchers::StoreState;
@@ -59,7 +59,7 @@
     /// Stands for the limits of replicas that the sender knows.
     pub limits_digest: u64,
     /// The upgrades, as far as the sender knows.
-    pub upgrades: ToldUpgrades,
+    pub upgrades: AnnouncedUpgrades,
     /// The message.
     pub message: M,
 }
@@ -92,7 +92,7 @@
     /// The sender's requests at the replicas of services that the receiver leads, or a part of them.
     Inventory(Inventory),
     /// What a watcher has learnt of the replicas; passed on unchanged.
-    Replicas(PackedNews),
+    Replicas(PackedUpdate),
     /// A watcher of the store is there; passed on unchanged.
     Pulse(Pulse),
     /// The sender has a newer configuration; its version stands in the datagram.
@@ -102,11 +102,11 @@
     /// Requests under which replicas ended. What is new is passed on.
     Suspects(Vec<Suspect>),
     /// Limits that replicas name, or take back. What is new is passed on.
-    Limits(Vec<ToldLimit>),
+    Limits(Vec<AnnouncedLimit>),
     /// May the sender send a request to a replica that names a limit?
     AskGrant(AskGrant),
     /// Whether it may.
-    Granted(GrantQuestionId, Grant),
+    Granted(GrantRequestId, Grant),
     /// An upgrade has come to another stage; all stand in the datagram.
     UpgradesChanged,
     /// How the replicas of both versions have answered the sender's requests.
@@ -233,9 +233,9 @@
 #[derive(Debug, Deserialize, Serialize)]
 pub struct AskGrant {
     /// Names the question at the asking node.
-    pub question: GrantQuestionId,
+    pub question: GrantRequestId,
     /// The replica's limit, as far as the asking node knows.
-    pub limit: ToldLimit,
+    pub limit: AnnouncedLimit,
     /// Its urgency; 0 goes first.
     pub urgency: u8,
 }
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -18,14 +18,14 @@
 use leadstage_lib::gateway::fingerprint::Fingerprint;
 use leadstage_lib::gateway::fingerprint::RequestParts;
 use leadstage_lib::gateway::load::GenerationSize;
-use leadstage_lib::gateway::reading;
+use leadstage_lib::gateway::prefill;
 use leadstage_lib::gateway::regions::AllowedRegions;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::routing::Organisation;
 use leadstage_lib::gateway::routing::Route;
+use leadstage_lib::gateway::routing::RouteError;
 use leadstage_lib::gateway::routing::RoutingTable;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::gateway::routing::Unrouted;
 use leadstage_lib::ids::Timestamp;
 use leadstage_platform::engine::Resume;
 use leadstage_platform::headers;
@@ -141,7 +141,7 @@
 
     /// Time until its caller leaves or its deadline passes, if no event comes; no less than until the first is due.
     pub fn caller_leaves(&self) -> Duration {
-        let silent = self.route.callers_patience().saturating_sub(self.age());
+        let silent = self.route.caller_patience().saturating_sub(self.age());
         silent.min(self.left()).max(self.first_event_due())
     }
 
@@ -163,7 +163,7 @@
     /// Where it may be served: both its route and its organisation bind.
     pub fn regions(&self) -> AllowedRegions {
         let of_organisation = self.organisation.as_ref().map(|organisation| &organisation.regions);
-        self.route.regions.both(of_organisation.unwrap_or(&AllowedRegions::ANY))
+        self.route.regions.intersection(of_organisation.unwrap_or(&AllowedRegions::ANY))
     }
 
     /// The last event that its caller has from an earlier attempt, where that counts.
@@ -174,7 +174,7 @@
     /// Whether it may be sent to one more replica after `sent`, the retry budget aside: with less
     /// time than a replica needs to answer, that would work in vain.
     pub fn may_repeat(&self, sent: u32) -> bool {
-        let needs = LEAST_TO_ANSWER + reading::guessed_time(self.generation_size().prompt);
+        let needs = LEAST_TO_ANSWER + prefill::default_prefill_time(self.generation_size().prompt);
         self.route.is_repeatable() && sent < self.route.max_attempts && self.left() > needs
     }
 
@@ -252,13 +252,13 @@
 }
 
 /// What a newer configuration may allow is not denied while that is on its way.
-fn refuse(unrouted: Unrouted, lacks_newer_config: bool) -> Refusal {
+fn refuse(unrouted: RouteError, lacks_newer_config: bool) -> Refusal {
     if lacks_newer_config {
         return Refusal { code: Code::NotReady, retry_after: Some(CONFIG_COMES_WITHIN) };
     }
     Refusal::new(match unrouted {
-        Unrouted::NoRoute => Code::NoRoute,
-        Unrouted::UnknownKey => Code::Unauthorised,
+        RouteError::NoRoute => Code::NoRoute,
+        RouteError::UnknownKey => Code::Unauthorised,
     })
 }
 
@@ -280,8 +280,8 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), node.nothing()));
     }
-    let reading = held_bytes::collect(Limited::new(body, limit), async |bytes| node.take(bytes));
-    match tokio::time::timeout_at(until, reading).await {
+    let prefill = held_bytes::collect(Limited::new(body, limit), async |bytes| node.take(bytes));
+    match tokio::time::timeout_at(until, prefill).await {
         Ok(Ok(Some((body, held)))) => Ok((body, held.unwrap_or_else(|| node.nothing()))),
         Ok(Ok(None)) => Err(memory_full()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Refusal::new(Code::BodyTooLarge)),
