--- a/node/src/gateway.rs
+++ b/node/src/gateway.rs
@@ -7,6 +7,7 @@
 mod balancer_port;
 mod control;
 mod held_bytes;
+mod http_port;
 mod ingress;
 mod messages;
 mod observability;
@@ -17,7 +18,6 @@
 mod request;
 pub mod settings;
 mod shared;
-mod small_port;
 mod start;
 mod stop;
 mod upstream;
--- a/node/src/gateway/held_bytes.rs
+++ b/node/src/gateway/held_bytes.rs
@@ -14,17 +14,17 @@
 
 /// Part of the VM's memory that may be held. The rest is for the process, the connections' buffers and what the
 /// node knows.
-const PART_OF_MEMORY: f64 = 0.3;
+const MAX_MEMORY_SHARE: f64 = 0.3;
 /// From this part of the bound on new requests are refused: what is under way already needs the rest.
-const PART_FOR_NEW: f64 = 0.7;
+const NEW_REQUEST_SHARE: f64 = 0.7;
 
 /// Bytes that are reserved at once at most for a body of announced length: its sender may send less.
-const MOST_RESERVED: usize = 256 << 10;
+const MAX_PREALLOCATED_BYTES: usize = 256 << 10;
 
 /// What a node holds.
 #[derive(Debug)]
 pub struct HeldBytes {
-    most: usize,
+    max: usize,
     held: AtomicUsize,
     freed: Notify,
 }
@@ -32,8 +32,8 @@
 impl HeldBytes {
     /// Nothing yet, on a VM with so many bytes of memory.
     pub fn new(memory_bytes: usize) -> Arc<Self> {
-        let most = (memory_bytes as f64 * PART_OF_MEMORY) as usize;
-        Arc::new(HeldBytes { most, held: AtomicUsize::new(0), freed: Notify::new() })
+        let max = (memory_bytes as f64 * MAX_MEMORY_SHARE) as usize;
+        Arc::new(HeldBytes { max, held: AtomicUsize::new(0), freed: Notify::new() })
     }
 
     /// Bytes that are held.
@@ -42,29 +42,29 @@
     }
 
     /// Whether another request may be taken.
-    pub fn takes_requests(&self) -> bool {
-        (self.held() as f64) < self.most as f64 * PART_FOR_NEW
+    pub fn accepts_requests(&self) -> bool {
+        (self.held() as f64) < self.max as f64 * NEW_REQUEST_SHARE
     }
 
     /// Holds nothing.
-    pub fn nothing(self: &Arc<Self>) -> Held {
-        Held { by: self.clone(), bytes: 0 }
+    pub fn empty_guard(self: &Arc<Self>) -> HeldGuard {
+        HeldGuard { owner: self.clone(), bytes: 0 }
     }
 
     /// Holds bytes if there is room for them.
-    pub fn take(self: &Arc<Self>, bytes: usize) -> Option<Held> {
-        let more = |held: usize| held.checked_add(bytes).filter(|held| *held <= self.most);
-        self.held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more).ok()?;
-        Some(Held { by: self.clone(), bytes })
+    pub fn try_acquire(self: &Arc<Self>, bytes: usize) -> Option<HeldGuard> {
+        let add = |held: usize| held.checked_add(bytes).filter(|held| *held <= self.max);
+        self.held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add).ok()?;
+        Some(HeldGuard { owner: self.clone(), bytes })
     }
 
     /// Holds bytes as soon as there is room for them.
-    pub async fn take_when_free(self: &Arc<Self>, bytes: usize) -> Held {
+    pub async fn acquire(self: &Arc<Self>, bytes: usize) -> HeldGuard {
         loop {
             let mut freed = std::pin::pin!(self.freed.notified());
             // Enabled before the look, so that nothing that is freed between is missed.
             freed.as_mut().enable();
-            if let Some(held) = self.take(bytes.min(self.most)) {
+            if let Some(held) = self.try_acquire(bytes.min(self.max)) {
                 return held;
             }
             freed.await;
@@ -76,61 +76,61 @@
 /// read all the same, as its sender may look for an answer only then.
 pub async fn collect<B>(
     mut body: B,
-    mut take: impl AsyncFnMut(usize) -> Option<Held>,
-) -> Result<Option<(Bytes, Option<Held>)>, B::Error>
+    mut acquire: impl AsyncFnMut(usize) -> Option<HeldGuard>,
+) -> Result<Option<(Bytes, Option<HeldGuard>)>, B::Error>
 where
     B: Body<Data = Bytes> + Unpin,
 {
     let announced = body.size_hint().exact().unwrap_or(0) as usize;
-    let mut parts = BytesMut::with_capacity(announced.min(MOST_RESERVED));
-    let mut all: Option<Held> = None;
+    let mut buffer = BytesMut::with_capacity(announced.min(MAX_PREALLOCATED_BYTES));
+    let mut total: Option<HeldGuard> = None;
     let mut has_room = true;
     while let Some(frame) = body.frame().await {
-        let Ok(part) = frame?.into_data() else { continue };
-        if !has_room || part.is_empty() {
+        let Ok(chunk) = frame?.into_data() else { continue };
+        if !has_room || chunk.is_empty() {
             continue;
         }
-        match (take(part.len()).await, &mut all) {
-            (Some(held), Some(all)) => all.join(held),
-            (Some(held), None) => all = Some(held),
+        match (acquire(chunk.len()).await, &mut total) {
+            (Some(held), Some(total)) => total.merge(held),
+            (Some(held), None) => total = Some(held),
             (None, _) => {
                 has_room = false;
-                (parts, all) = (BytesMut::new(), None);
+                (buffer, total) = (BytesMut::new(), None);
                 continue;
             }
         }
-        parts.extend_from_slice(&part);
+        buffer.extend_from_slice(&chunk);
     }
     // What was reserved beyond would be held as well, and counted by nobody.
-    let is_tight = parts.capacity() - parts.len() <= parts.len() / 8;
-    let whole = if is_tight { parts.freeze() } else { Bytes::copy_from_slice(&parts) };
-    Ok(has_room.then_some((whole, all)))
+    let is_tight = buffer.capacity() - buffer.len() <= buffer.len() / 8;
+    let bytes = if is_tight { buffer.freeze() } else { Bytes::copy_from_slice(&buffer) };
+    Ok(has_room.then_some((bytes, total)))
 }
 
 /// Some held bytes, until this is dropped.
 #[derive(Debug)]
-pub struct Held {
-    by: Arc<HeldBytes>,
+pub struct HeldGuard {
+    owner: Arc<HeldBytes>,
     bytes: usize,
 }
 
-impl Held {
+impl HeldGuard {
     /// Adds what another one holds.
-    pub fn join(&mut self, mut other: Held) {
+    pub fn merge(&mut self, mut other: HeldGuard) {
         self.bytes += std::mem::take(&mut other.bytes);
     }
 
     /// Gives some of them back.
-    pub fn give_back(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
-        self.by.held.fetch_sub(bytes, Ordering::Relaxed);
-        self.by.freed.notify_waiters();
+        self.owner.held.fetch_sub(bytes, Ordering::Relaxed);
+        self.owner.freed.notify_waiters();
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldGuard {
     fn drop(&mut self) {
-        self.give_back(self.bytes);
+        self.release(self.bytes);
     }
 }
--- a/node/src/gateway/small_port.rs
+++ b/node/src/gateway/http_port.rs
@@ -23,7 +23,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Answers one request.
-pub type Answer = fn(&Arc<Shared>, &Request<Incoming>) -> Response<Full<Bytes>>;
+pub type Handler = fn(&Arc<Shared>, &Request<Incoming>) -> Response<Full<Bytes>>;
 
 /// The next connection of a port; `port` names it in logs. One whose peer falls silent for good
 /// ends by itself: else it would take a descriptor until the process ends.
@@ -45,14 +45,14 @@
 }
 
 /// Serves `listener` until the process ends.
-pub async fn serve(shared: Arc<Shared>, listener: TcpListener, port: &'static str, answer: Answer) {
+pub async fn serve(shared: Arc<Shared>, listener: TcpListener, port: &'static str, handler: Handler) {
     loop {
         let stream = accept(&listener, port).await;
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|req: Request<Incoming>| {
-                let answer = answer(&shared, &req);
-                async move { Ok::<_, Infallible>(answer) }
+                let res = handler(&shared, &req);
+                async move { Ok::<_, Infallible>(res) }
             });
             // Whoever asked asks again.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
--- a/node/src/gateway/ingress/caller_port.rs
+++ b/node/src/gateway/ingress/caller_port.rs
@@ -18,8 +18,9 @@
 use tokio::net::TcpStream;
 use tokio_util::task::TaskTracker;
 
+use crate::gateway::http_port;
 use crate::gateway::ingress::io_watch::Activity;
-use crate::gateway::ingress::io_watch::Serving;
+use crate::gateway::ingress::io_watch::ServingGuard;
 use crate::gateway::ingress::io_watch::WatchedIo;
 use crate::gateway::ingress::plain;
 use crate::gateway::ingress::streams;
@@ -29,23 +30,22 @@
 use crate::gateway::shared::OpenGuard;
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
-use crate::gateway::small_port;
 use crate::gateway::stop;
 use crate::gateway::upstream::traffic::Traffic;
 
 /// Limits until there is a configuration.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     head_bytes: 16 << 10,
     body_bytes: 1 << 20,
     head_within: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
 /// The least that the server's buffer may have.
-const LEAST_HEAD_BYTES: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 /// Time for a connection that broke a limit to close by itself.
-const CLOSES_WITHIN: Duration = Duration::from_millis(100);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time between two sweeps of unused connections.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Serves callers until the node takes no more, then until the answers to what was read before are
 /// written and all connections are closed.
@@ -62,8 +62,8 @@
         tokio::select! {
             biased;
             () = &mut closing => break,
-            stream = small_port::accept(&listener, "callers") => {
-                connections.spawn_local(connection(traffic.clone(), stream));
+            stream = http_port::accept(&listener, "callers") => {
+                connections.spawn_local(serve_connection(traffic.clone(), stream));
             }
         }
     }
@@ -75,17 +75,17 @@
 
 async fn sweep(traffic: Traffic) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         traffic.connections.sweep();
     }
 }
 
 fn limits(shared: &Shared) -> CallerLimits {
-    shared.table().map_or(FIRST_LIMITS, |table| table.limits)
+    shared.table().map_or(DEFAULT_LIMITS, |table| table.limits)
 }
 
 /// Serves one connection until either side closes it or it breaks a limit.
-async fn connection(traffic: Traffic, stream: TcpStream) {
+async fn serve_connection(traffic: Traffic, stream: TcpStream) {
     let activity = Activity::new();
     let io = TokioIo::new(WatchedIo::new(stream, activity.clone()));
     let shared = traffic.shared.clone();
@@ -95,28 +95,28 @@
         async move { Ok::<_, Infallible>(handle(&traffic, req, &activity).await) }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits(&shared).head_bytes.max(LEAST_HEAD_BYTES)).half_close(false);
+    builder.max_buf_size(limits(&shared).head_bytes.max(MIN_BUFFER_BYTES)).half_close(false);
     let mut connection = std::pin::pin!(builder.serve_connection(io, service));
     let mut closing = std::pin::pin!(async {
-        stop::close_unused(&shared).await;
+        stop::wait_to_close_idle(&shared).await;
         // Closed now, it would leave its caller in doubt about a request that is half read.
-        activity.between_heads().await;
+        activity.wait_while_reading_head().await;
     });
-    let mut breaks = std::pin::pin!(activity.breaks(|| limits(&shared)));
+    let mut limit_exceeded = std::pin::pin!(activity.limit_exceeded(|| limits(&shared)));
     let mut versions = shared.config_versions();
-    let (mut asked_to_close, mut broke) = (false, false);
-    while !broke {
+    let (mut close_requested, mut exceeded_limit) = (false, false);
+    while !exceeded_limit {
         tokio::select! {
             biased;
             // What breaks a connection concerns its caller only, and requests log their ends.
             _ = connection.as_mut() => return,
-            () = &mut breaks => {
+            () = &mut limit_exceeded => {
                 connection.as_mut().graceful_shutdown();
-                broke = true;
+                exceeded_limit = true;
             }
-            () = &mut closing, if !asked_to_close => {
+            () = &mut closing, if !close_requested => {
                 connection.as_mut().graceful_shutdown();
-                asked_to_close = true;
+                close_requested = true;
             }
             // New limits may be shorter.
             Ok(()) = versions.changed() => {}
@@ -124,13 +124,13 @@
     }
     // An answer that is being written goes out; a connection that stalls is dropped, but not with a
     // request whose head came just after the limit: that has been taken, and is served.
-    while tokio::time::timeout(CLOSES_WITHIN, connection.as_mut()).await.is_err() && activity.is_serving() {}
+    while tokio::time::timeout(CLOSE_TIMEOUT, connection.as_mut()).await.is_err() && activity.is_serving() {}
 }
 
 async fn handle(traffic: &Traffic, req: Request<Incoming>, activity: &Activity) -> Reply {
-    let serving = activity.serving();
+    let serving = activity.begin_serving();
     let open = traffic.shared.open();
-    let mut reply = match admitted(traffic, req, serving, open).await {
+    let mut reply = match admit_and_serve(traffic, req, serving, open).await {
         Ok(reply) => reply,
         Err(refused) => refused,
     };
@@ -140,10 +140,10 @@
     reply
 }
 
-async fn admitted(
+async fn admit_and_serve(
     traffic: &Traffic,
     req: Request<Incoming>,
-    serving: Serving,
+    serving: ServingGuard,
     open: OpenGuard,
 ) -> Result<Reply, Reply> {
     let id = leadstage_platform::headers::REQUEST_ID;
@@ -154,7 +154,7 @@
         refusal.reply()
     };
     let req = request::admit(&traffic.shared, req).await.map_err(refused)?;
-    if !stop::takes(&traffic.shared, &req) {
+    if !stop::accepts(&traffic.shared, &req) {
         return Err(refused(stop::refusal(&traffic.shared)));
     }
     traffic.on_request(&req.service);
@@ -164,7 +164,7 @@
     let reply = plain::serve(traffic, &req).await.map_err(refused);
     drop((serving, open));
     let status = reply.as_ref().map_or_else(|refused| refused.status(), |reply| reply.status());
-    let took = req.came.elapsed();
+    let took = req.received_at.elapsed();
     info!(event = "call_end", request = req.id(), route = &*req.route.name, status = status.as_u16(), took_ms = took.as_millis() as u64; "call ended");
     traffic.shared.metrics.on_call(took);
     traffic.shared.metrics.on_answer(&req.route.name, status.as_u16());
--- a/node/src/gateway/ingress/io_watch.rs
+++ b/node/src/gateway/ingress/io_watch.rs
@@ -19,11 +19,11 @@
 
 /// Time between two looks at a connection whose request is being served: no limit holds then,
 /// and the connection is looked at whenever something happens on it.
-const LONGEST_LOOK: Duration = Duration::from_secs(60);
+const SERVING_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 /// What a caller's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum ConnectionState {
     /// Nothing since then.
     Idle(Instant),
     /// A request's head has been arriving since then.
@@ -34,54 +34,54 @@
 
 /// Activity of one connection, shared with the requests on it.
 #[derive(Clone, Debug)]
-pub struct Activity(Rc<Cell<Doing>>);
+pub struct Activity(Rc<Cell<ConnectionState>>);
 
 impl Activity {
     /// A connection that has just come.
     pub fn new() -> Self {
-        Activity(Rc::new(Cell::new(Doing::Idle(Instant::now()))))
+        Activity(Rc::new(Cell::new(ConnectionState::Idle(Instant::now()))))
     }
 
     /// A request is served until the guard is dropped.
-    pub fn serving(&self) -> Serving {
-        self.0.set(Doing::Serving);
-        Serving(self.clone())
+    pub fn begin_serving(&self) -> ServingGuard {
+        self.0.set(ConnectionState::Serving);
+        ServingGuard(self.clone())
     }
 
     /// Whether no request is served or arriving.
     pub fn is_idle(&self) -> bool {
-        matches!(self.0.get(), Doing::Idle(_))
+        matches!(self.0.get(), ConnectionState::Idle(_))
     }
 
     /// Whether a request is being served.
     pub fn is_serving(&self) -> bool {
-        matches!(self.0.get(), Doing::Serving)
+        matches!(self.0.get(), ConnectionState::Serving)
     }
 
     /// Waits while a request's head is arriving. Whoever polls this beside the connection wakes it
     /// when the head is there.
-    pub async fn between_heads(&self) {
+    pub async fn wait_while_reading_head(&self) {
         let poll = |_: &mut Context<'_>| match self.0.get() {
-            Doing::Head(_) => Poll::Pending,
-            Doing::Idle(_) | Doing::Serving => Poll::Ready(()),
+            ConnectionState::Head(_) => Poll::Pending,
+            ConnectionState::Idle(_) | ConnectionState::Serving => Poll::Ready(()),
         };
         std::future::poll_fn(poll).await;
     }
 
     /// Waits until the connection breaks a limit. The limits may change: whoever polls this
     /// beside the connection wakes it when they do.
-    pub async fn breaks(&self, limits: impl Fn() -> CallerLimits) {
-        let mut look = std::pin::pin!(tokio::time::sleep(LONGEST_LOOK));
+    pub async fn limit_exceeded(&self, limits: impl Fn() -> CallerLimits) {
+        let mut timer = std::pin::pin!(tokio::time::sleep(SERVING_CHECK_INTERVAL));
         std::future::poll_fn(|cx| {
             loop {
-                let due = self.due(&limits());
-                if due <= Instant::now() {
+                let deadline = self.limit_deadline(&limits());
+                if deadline <= Instant::now() {
                     return Poll::Ready(());
                 }
-                if due < look.deadline() || look.is_elapsed() {
-                    look.as_mut().reset(due);
+                if deadline < timer.deadline() || timer.is_elapsed() {
+                    timer.as_mut().reset(deadline);
                 }
-                if look.as_mut().poll(cx).is_pending() {
+                if timer.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
             }
@@ -90,27 +90,27 @@
     }
 
     /// When the connection breaks a limit if nothing happens on it.
-    fn due(&self, limits: &CallerLimits) -> Instant {
+    fn limit_deadline(&self, limits: &CallerLimits) -> Instant {
         match self.0.get() {
-            Doing::Serving => Instant::now() + LONGEST_LOOK,
-            Doing::Idle(since) => since + limits.idle,
-            Doing::Head(since) => since + limits.head_within,
+            ConnectionState::Serving => Instant::now() + SERVING_CHECK_INTERVAL,
+            ConnectionState::Idle(since) => since + limits.idle,
+            ConnectionState::Head(since) => since + limits.head_within,
         }
     }
 
     fn on_read(&self) {
         if self.is_idle() {
-            self.0.set(Doing::Head(Instant::now()));
+            self.0.set(ConnectionState::Head(Instant::now()));
         }
     }
 }
 
 /// A request is being served.
-pub struct Serving(Activity);
+pub struct ServingGuard(Activity);
 
-impl Drop for Serving {
+impl Drop for ServingGuard {
     fn drop(&mut self) {
-        self.0.0.set(Doing::Idle(Instant::now()));
+        self.0.0.set(ConnectionState::Idle(Instant::now()));
     }
 }
 
--- a/node/src/gateway/ingress/plain.rs
+++ b/node/src/gateway/ingress/plain.rs
@@ -15,8 +15,8 @@
 use crate::gateway::peers::peer_message::Wanted;
 use crate::gateway::reply::Refusal;
 use crate::gateway::reply::Reply;
+use crate::gateway::reply_body::BufferedBody;
 use crate::gateway::reply_body::ReplyBody;
-use crate::gateway::reply_body::WholeBody;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::shared::RunGuard;
 use crate::gateway::upstream::connections::Choice;
@@ -26,7 +26,7 @@
 use crate::gateway::upstream::traffic::Traffic;
 
 /// Replicas that a request may fail to reach, beyond those that it was sent to.
-const MOST_UNREACHED: u32 = 3;
+const MAX_UNREACHED: u32 = 3;
 
 /// What one attempt came to.
 enum Attempt {
@@ -72,7 +72,7 @@
             Attempt::Answer(answer) => return Ok(reply(answer)),
             Attempt::NotSent => {
                 unreached += 1;
-                if unreached > MOST_UNREACHED {
+                if unreached > MAX_UNREACHED {
                     break;
                 }
                 continue;
@@ -134,7 +134,7 @@
     let sent = exchange::send(traffic, &replica, req, &added, choice, sent).await;
     let exchanged = match sent {
         Ok(exchanged) => exchanged,
-        Err(err) => return failed(req, run, err),
+        Err(err) => return on_send_error(req, run, err),
     };
     if exchanged.says_not_run() {
         traffic.on_not_run(req, &run, exchanged.status);
@@ -153,11 +153,11 @@
             run.end(if is_error { Outcome::Errored } else { Outcome::Answered });
             Attempt::Answer(answer)
         }
-        Err(err) => failed(req, run, err),
+        Err(err) => on_send_error(req, run, err),
     }
 }
 
-fn failed(req: &CallerRequest, run: RunGuard, err: SendError) -> Attempt {
+fn on_send_error(req: &CallerRequest, run: RunGuard, err: SendError) -> Attempt {
     match exchange::failed(req, run, &err) {
         Some(code) if matches!(err, SendError::ConnectionSilent) => Attempt::ConnectionSilent(code),
         Some(code) => Attempt::Unknown(code),
@@ -167,8 +167,8 @@
 
 /// A replica's answer as the caller gets it.
 pub fn reply(answer: WholeAnswer) -> Reply {
-    let body = WholeBody::new(answer.body, Some(answer.held));
-    let mut res = Response::new(ReplyBody::Whole(body));
+    let body = BufferedBody::new(answer.body, Some(answer.held));
+    let mut res = Response::new(ReplyBody::Buffered(body));
     *res.status_mut() = answer.status;
     *res.headers_mut() = headers::for_caller(&answer.headers);
     res
--- a/node/src/gateway/ingress/streams.rs
+++ b/node/src/gateway/ingress/streams.rs
@@ -13,7 +13,7 @@
 use log::info;
 use tokio::sync::mpsc;
 
-use crate::gateway::ingress::io_watch::Serving;
+use crate::gateway::ingress::io_watch::ServingGuard;
 use crate::gateway::ingress::plain;
 use crate::gateway::messages::Outcome;
 use crate::gateway::messages::StreamHandle;
@@ -34,38 +34,38 @@
 use crate::gateway::upstream::traffic::Traffic;
 
 /// Engines that a request may fail to reach.
-const MOST_UNREACHED: u32 = 3;
+const MAX_UNREACHED: u32 = 3;
 
 /// Serves a stream: answers with its head, and passes its events on in a task.
 pub async fn serve(
     traffic: &Traffic,
     req: CallerRequest,
-    serving: Serving,
+    serving: ServingGuard,
     open: OpenGuard,
 ) -> Result<Reply, Refusal> {
-    let (orders_tx, orders) = mpsc::unbounded_channel();
-    let handle = StreamHandle { orders: orders_tx.clone(), produced: Arc::new(AtomicU32::new(0)) };
-    let Begun { run, exchange, sent } = match begin(traffic, &req, &handle).await? {
-        Beginning::Begun(begun) => begun,
-        Beginning::Answered(answer) => return Ok(plain::reply(answer)),
+    let (commands_tx, commands) = mpsc::unbounded_channel();
+    let handle = StreamHandle { orders: commands_tx.clone(), produced: Arc::new(AtomicU32::new(0)) };
+    let StartedStream { run, exchange, sent } = match start(traffic, &req, &handle).await? {
+        StartResult::Started(started) => started,
+        StartResult::Answered(answer) => return Ok(plain::reply(answer)),
     };
-    let placed_ms = run.placed_at.duration_since(req.came.into_std()).as_millis() as u64;
-    info!(event = "stream_begins", request = req.id(), route = &*req.route.name, upstream = &*run.placed.replica.id, run = run.placed.run, entry:% = traffic.shared.settings.peer, priority = req.priority(), placed_ms, head_ms = req.came.elapsed().as_millis() as u64, due_ms = req.route.objective.as_millis() as u64, gap_due_ms = req.route.gap_objective.as_millis() as u64; "stream begins");
-    let (tx, body) = reply_body::parts(traffic.shared.held.clone());
-    let mut res = Response::new(ReplyBody::Parts(body));
+    let placed_ms = run.placed_at.duration_since(req.received_at.into_std()).as_millis() as u64;
+    info!(event = "stream_begins", request = req.id(), route = &*req.route.name, upstream = &*run.placed.replica.id, run = run.placed.run, entry:% = traffic.shared.settings.peer, priority = req.priority(), placed_ms, head_ms = req.received_at.elapsed().as_millis() as u64, due_ms = req.route.objective.as_millis() as u64, gap_due_ms = req.route.gap_objective.as_millis() as u64; "stream begins");
+    let (tx, body) = reply_body::streaming_body(traffic.shared.held.clone());
+    let mut res = Response::new(ReplyBody::Streaming(body));
     *res.status_mut() = exchange.status;
     *res.headers_mut() = headers::for_caller(&exchange.headers);
     let leg = Leg { run, exchange: Some(exchange) };
     let relay = Relay::new(traffic.clone(), req, handle, leg, sent, tx);
     tokio::task::spawn_local(async move {
-        relay.run(orders).await;
+        relay.run(commands).await;
         drop((serving, open));
     });
     Ok(res)
 }
 
 /// A stream that has begun.
-struct Begun {
+struct StartedStream {
     /// Its place at the engine.
     run: RunGuard,
     /// The engine's answer.
@@ -75,15 +75,15 @@
 }
 
 /// How a stream began, or did not.
-enum Beginning {
-    Begun(Begun),
+enum StartResult {
+    Started(StartedStream),
     /// An engine answered with an error of its own.
     Answered(WholeAnswer),
 }
 
 /// What one engine did with the request.
 enum Attempt {
-    Begun(RunGuard, Exchange),
+    Started(RunGuard, Exchange),
     /// An error of its own.
     Answered(WholeAnswer),
     /// Nothing was sent.
@@ -96,12 +96,16 @@
 
 /// Sends the request to an engine. One that may not be repeated is sent once; engines that could
 /// not be reached don't count.
-async fn begin(traffic: &Traffic, req: &CallerRequest, handle: &StreamHandle) -> Result<Beginning, Refusal> {
+async fn start(
+    traffic: &Traffic,
+    req: &CallerRequest,
+    handle: &StreamHandle,
+) -> Result<StartResult, Refusal> {
     let mut tried: Vec<UpstreamId> = Vec::new();
     let mut sent = 0;
     let mut unreached = 0;
     let refusal = |code| refuse(code, None);
-    let mut best: Result<Beginning, Refusal> = Err(refusal(Code::NoUpstream));
+    let mut best: Result<StartResult, Refusal> = Err(refusal(Code::NoUpstream));
     loop {
         if sent == 0 {
             traffic.refuse_quarantined(req)?;
@@ -115,7 +119,7 @@
                 break;
             }
         };
-        if !stop::takes(&traffic.shared, req) {
+        if !stop::accepts(&traffic.shared, req) {
             // It waited while the node began to stop.
             run.end(Outcome::Withdrawn);
             if sent == 0 {
@@ -125,12 +129,12 @@
         }
         tried.push(run.placed.replica.id.clone());
         match attempt(traffic, req, run, sent).await {
-            Attempt::Begun(run, exchange) => {
-                return Ok(Beginning::Begun(Begun { run, exchange, sent: sent + 1 }));
+            Attempt::Started(run, exchange) => {
+                return Ok(StartResult::Started(StartedStream { run, exchange, sent: sent + 1 }));
             }
             Attempt::NotSent => {
                 unreached += 1;
-                if unreached >= MOST_UNREACHED {
+                if unreached >= MAX_UNREACHED {
                     if sent == 0 {
                         best = Err(refusal(Code::UpstreamRefused));
                     }
@@ -138,7 +142,7 @@
                 }
                 continue;
             }
-            Attempt::Answered(answer) => best = Ok(Beginning::Answered(answer)),
+            Attempt::Answered(answer) => best = Ok(StartResult::Answered(answer)),
             Attempt::NotRun if sent == 0 => best = Err(refusal(Code::UpstreamRefused)),
             Attempt::NotRun => {}
             Attempt::Unknown(code) => best = best.or(Err(Refusal::new(code))),
@@ -167,7 +171,7 @@
             run.end(Outcome::Refused);
             Attempt::NotRun
         }
-        Ok(exchanged) if exchanged.status.is_success() => Attempt::Begun(run, exchanged),
+        Ok(exchanged) if exchanged.status.is_success() => Attempt::Started(run, exchanged),
         Ok(exchanged) => {
             let answer = exchanged.whole(traffic, &replica, req).await;
             traffic.sample_answer(req, &replica, true, Duration::ZERO);
--- a/node/src/gateway/peers/peer_port.rs
+++ b/node/src/gateway/peers/peer_port.rs
@@ -32,11 +32,11 @@
 use tokio::time::Instant;
 use tokio_util::task::AbortOnDropHandle;
 
+use crate::gateway::http_port;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::metrics::PeerBytes;
 use crate::gateway::observability::peer_traffic::MessageKind;
 use crate::gateway::shared::Shared;
-use crate::gateway::small_port;
 
 /// Where a node hands its configuration out, see [`leadstage_lib::gateway::config_text`]. The query is the
 /// version that the asking node has.
@@ -77,7 +77,7 @@
     let most = transfer_slots::max_concurrent(shared.settings.link_bits_per_second());
     let transfer_slots = Rc::new(RefCell::new(TransferSlots::new(most)));
     loop {
-        let stream = small_port::accept(&listener, "peer").await;
+        let stream = http_port::accept(&listener, "peer").await;
         let connection = Connection {
             shared: shared.clone(),
             transfer_slots: transfer_slots.clone(),
--- a/node/src/gateway/reload.rs
+++ b/node/src/gateway/reload.rs
@@ -15,17 +15,17 @@
 use crate::gateway::shared::Shared;
 
 /// Time between two looks at a file that may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Takes changed settings in until the process ends. `text` is what the node started with.
-pub async fn follow(shared: Arc<Shared>, path: PathBuf, text: String) -> std::io::Result<()> {
+pub async fn watch_file(shared: Arc<Shared>, path: PathBuf, text: String) -> std::io::Result<()> {
     let mut hangups = signal(SignalKind::hangup())?;
     let mut text = text;
     loop {
-        let asked = wait(&mut hangups).await;
+        let signalled = wait(&mut hangups).await;
         match std::fs::read_to_string(&path) {
             Ok(new) if new == text => {
-                if asked {
+                if signalled {
                     info!(event = "reload", changed = false; "the settings are as they were");
                 }
             }
@@ -44,14 +44,14 @@
 async fn wait(hangups: &mut Signal) -> bool {
     tokio::select! {
         _ = hangups.recv() => true,
-        () = tokio::time::sleep(LOOK) => false,
+        () = tokio::time::sleep(POLL_INTERVAL) => false,
     }
 }
 
 fn reload(shared: &Shared, text: &str) {
     match GatewaySettings::from_yaml(text) {
         Ok(new) => {
-            let restart = !new.same_addresses(&shared.settings);
+            let restart = !new.has_same_fixed_settings(&shared.settings);
             info!(event = "reload", changed = true, needs_restart = restart; "settings taken in");
             shared.set_bounds(new.bounds.clone());
             shared.tell(ToControl::Seeds(new.seeds));
--- a/node/src/gateway/reply.rs
+++ b/node/src/gateway/reply.rs
@@ -8,8 +8,8 @@
 use leadstage_lib::code::Code;
 use serde_json::json;
 
+use crate::gateway::reply_body::BufferedBody;
 use crate::gateway::reply_body::ReplyBody;
-use crate::gateway::reply_body::WholeBody;
 
 /// A refusal that names no time gets this one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -37,7 +37,7 @@
         let body = json!({"error": {
             "code": self.code.number(), "type": self.code.name(), "message": self.code.meaning(),
         }});
-        let mut res = Response::new(ReplyBody::Whole(WholeBody::new(body.to_string().into(), None)));
+        let mut res = Response::new(ReplyBody::Buffered(BufferedBody::new(body.to_string().into(), None)));
         *res.status_mut() = self.code.http_status().try_into().expect("codes have valid statuses");
         let headers = res.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/node/src/gateway/reply_body.rs
+++ b/node/src/gateway/reply_body.rs
@@ -16,15 +16,15 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
 
-use crate::gateway::held_bytes::Held;
 use crate::gateway::held_bytes::HeldBytes;
+use crate::gateway::held_bytes::HeldGuard;
 
 /// A whole answer is handed to the connection in parts of this size: a part counts as held until it is asked for,
 /// and the connection asks for no more while its own buffer is full.
-const PART: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 /// Bytes of one stream that wait for a slow caller at most; then its engine waits too, which cuts a stream off that
 /// is not read for some seconds. Most streams are smaller as a whole.
-const MOST_OF_STREAM: usize = 256 << 10;
+const MAX_PENDING_BYTES: usize = 256 << 10;
 
 /// The stream broke: the caller's connection ends without the answer's end.
 #[derive(Clone, Copy, Debug, Display, Error)]
@@ -34,9 +34,9 @@
 /// The body of an answer.
 pub enum ReplyBody {
     /// It is here as a whole.
-    Whole(WholeBody),
+    Buffered(BufferedBody),
     /// Its parts come from a task.
-    Parts(PartsBody),
+    Streaming(StreamingBody),
 }
 
 impl Body for ReplyBody {
@@ -48,70 +48,72 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenStream>>> {
         match self.get_mut() {
-            ReplyBody::Whole(body) => Poll::Ready(body.next().map(|part| Ok(Frame::data(part)))),
-            ReplyBody::Parts(body) => body.poll_next(cx).map(|part| part.map(|part| part.map(Frame::data))),
+            ReplyBody::Buffered(body) => Poll::Ready(body.next().map(|chunk| Ok(Frame::data(chunk)))),
+            ReplyBody::Streaming(body) => {
+                body.poll_next(cx).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
+            }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, ReplyBody::Whole(body) if body.rest.is_empty())
+        matches!(self, ReplyBody::Buffered(body) if body.rest.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ReplyBody::Whole(body) => SizeHint::with_exact(body.rest.len() as u64),
-            ReplyBody::Parts(_) => SizeHint::default(),
+            ReplyBody::Buffered(body) => SizeHint::with_exact(body.rest.len() as u64),
+            ReplyBody::Streaming(_) => SizeHint::default(),
         }
     }
 }
 
 /// An answer that is here as a whole.
-pub struct WholeBody {
+pub struct BufferedBody {
     rest: Bytes,
-    held: Option<Held>,
+    held: Option<HeldGuard>,
 }
 
-impl WholeBody {
+impl BufferedBody {
     /// An answer, with what it holds; nothing for a short one of leadstage's own.
-    pub fn new(bytes: Bytes, held: Option<Held>) -> Self {
-        WholeBody { rest: bytes, held }
+    pub fn new(bytes: Bytes, held: Option<HeldGuard>) -> Self {
+        BufferedBody { rest: bytes, held }
     }
 
     fn next(&mut self) -> Option<Bytes> {
         if self.rest.is_empty() {
             return None;
         }
-        let part = self.rest.split_to(PART.min(self.rest.len()));
+        let chunk = self.rest.split_to(CHUNK_BYTES.min(self.rest.len()));
         if let Some(held) = &mut self.held {
-            held.give_back(part.len());
+            held.release(chunk.len());
         }
-        Some(part)
+        Some(chunk)
     }
 }
 
 /// A part of a stream, with what it holds.
-type Part = Result<(Bytes, Held), BrokenStream>;
+type Chunk = Result<(Bytes, HeldGuard), BrokenStream>;
 
 /// What both ends of a stream's body share.
 #[derive(Default)]
-struct Waiting {
+struct Backlog {
     bytes: AtomicUsize,
-    taken: Notify,
+    polled: Notify,
 }
 
 /// The end of a stream's body that a caller's connection reads.
-pub struct PartsBody {
-    rx: mpsc::UnboundedReceiver<Part>,
-    waiting: Arc<Waiting>,
+pub struct StreamingBody {
+    rx: mpsc::UnboundedReceiver<Chunk>,
+    backlog: Arc<Backlog>,
 }
 
-impl PartsBody {
+impl StreamingBody {
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BrokenStream>>> {
-        self.rx.poll_recv(cx).map(|part| {
-            part.map(|part| {
-                let (bytes, _held) = part?;
-                self.waiting.bytes.fetch_sub(bytes.len(), Ordering::Relaxed);
-                self.waiting.taken.notify_one();
+        self.rx.poll_recv(cx).map(|chunk| {
+            chunk.map(|chunk| {
+                let (bytes, _held) = chunk?;
+                self.backlog.bytes.fetch_sub(bytes.len(), Ordering::Relaxed);
+                self.backlog.polled.notify_one();
                 Ok(bytes)
             })
         })
@@ -121,42 +123,42 @@
 /// The caller's connection is closed.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("the caller's connection is closed")]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
 /// The end of a stream's body that its events are put into.
 #[derive(Clone)]
-pub struct PartsSender {
-    tx: mpsc::UnboundedSender<Part>,
-    waiting: Arc<Waiting>,
-    node: Arc<HeldBytes>,
+pub struct StreamingBodySender {
+    tx: mpsc::UnboundedSender<Chunk>,
+    backlog: Arc<Backlog>,
+    memory: Arc<HeldBytes>,
 }
 
 /// Both ends of a stream's body.
-pub fn parts(node: Arc<HeldBytes>) -> (PartsSender, PartsBody) {
+pub fn streaming_body(memory: Arc<HeldBytes>) -> (StreamingBodySender, StreamingBody) {
     let (tx, rx) = mpsc::unbounded_channel();
-    let waiting: Arc<Waiting> = Arc::default();
-    (PartsSender { tx, waiting: waiting.clone(), node }, PartsBody { rx, waiting })
+    let backlog: Arc<Backlog> = Arc::default();
+    (StreamingBodySender { tx, backlog: backlog.clone(), memory }, StreamingBody { rx, backlog })
 }
 
-impl PartsSender {
+impl StreamingBodySender {
     /// Puts events in, as soon as few enough wait for the caller.
-    pub async fn send(&self, events: Bytes) -> Result<(), CallerGone> {
-        while self.waiting.bytes.load(Ordering::Relaxed) >= MOST_OF_STREAM {
+    pub async fn send(&self, events: Bytes) -> Result<(), CallerDisconnected> {
+        while self.backlog.bytes.load(Ordering::Relaxed) >= MAX_PENDING_BYTES {
             tokio::select! {
-                () = self.waiting.taken.notified() => {}
-                () = self.tx.closed() => return Err(CallerGone),
+                () = self.backlog.polled.notified() => {}
+                () = self.tx.closed() => return Err(CallerDisconnected),
             }
         }
         let held = tokio::select! {
-            held = self.node.take_when_free(events.len()) => held,
-            () = self.tx.closed() => return Err(CallerGone),
+            held = self.memory.acquire(events.len()) => held,
+            () = self.tx.closed() => return Err(CallerDisconnected),
         };
-        self.waiting.bytes.fetch_add(events.len(), Ordering::Relaxed);
-        self.tx.send(Ok((events, held))).map_err(|_| CallerGone)
+        self.backlog.bytes.fetch_add(events.len(), Ordering::Relaxed);
+        self.tx.send(Ok((events, held))).map_err(|_| CallerDisconnected)
     }
 
     /// Ends the body without its end.
-    pub fn break_off(&self) {
+    pub fn abort(&self) {
         // Nobody may be there any more to see it.
         let _ = self.tx.send(Err(BrokenStream));
     }
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -34,36 +34,36 @@
 
 use crate::clock;
 use crate::gateway::held_bytes;
-use crate::gateway::held_bytes::Held;
 use crate::gateway::held_bytes::HeldBytes;
+use crate::gateway::held_bytes::HeldGuard;
 use crate::gateway::reply::Refusal;
 use crate::gateway::shared::Shared;
 
 /// Urgency levels at an engine for one rank of organisations.
-const ROUTE_RANKS: u8 = 3;
+const LEVELS_PER_RANK: u8 = 3;
 /// The least urgent level at an engine.
-const LEAST_URGENT: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// Time that a replica needs at least for an answer: a short call and the way there and back.
-const LEAST_TO_ANSWER: Duration = Duration::from_millis(20);
+const MIN_RESPONSE_TIME: Duration = Duration::from_millis(20);
 
 /// How long a request is held by a node that has just started. It reads the configuration and the
 /// list of replicas in some tens of milliseconds; refused at once, a caller would come back to
 /// another node, which has just started too after all lost power: 100 nodes that started at once
 /// refused 69 requests in the first second while they had the configuration and not yet the list.
-const START_PATIENCE: Duration = Duration::from_millis(500);
+const START_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// When callers come back that a starting node refused. Nodes usually start one by one and
 /// within some tens of milliseconds, but all at once, as after a loss of power, they wait for
 /// the store; who comes back too early is refused by another starting node.
-const STARTS_WITHIN: Duration = Duration::from_secs(1);
+const START_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// When callers come back whose route or key is not known to a node that lacks a newer
 /// configuration: it usually comes within some tenths of a second.
-const CONFIG_COMES_WITHIN: Duration = Duration::from_millis(200);
+const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// When callers come back that a node refused which holds as much as its memory bears.
-const MEMORY_FREED_WITHIN: Duration = Duration::from_secs(1);
+const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A caller's request, read whole and admitted.
 pub struct CallerRequest {
@@ -84,17 +84,17 @@
     /// The service that takes it.
     pub service: ServiceId,
     /// When it came.
-    pub came: Instant,
+    pub received_at: Instant,
     /// The same, by the time since the VM's start.
-    came_at: Timestamp,
+    received_since_boot: Timestamp,
     /// How long its caller waits, or its route holds it.
-    patience: Duration,
+    timeout: Duration,
     /// Its fingerprint, once somebody has asked for it.
     fingerprint: OnceLock<Fingerprint>,
     /// Where runs of this attempt broke, perhaps because their replicas ended under it.
     pub broken_at: Mutex<Vec<ReplicaRecord>>,
     /// What its body takes of the node's memory.
-    _held: Held,
+    _held: HeldGuard,
 }
 
 impl CallerRequest {
@@ -121,17 +121,17 @@
 
     /// Time since it came. While the VM is suspended its caller's time goes on.
     fn age(&self) -> Duration {
-        clock::since_boot().saturating_sub(self.came_at)
+        clock::since_boot().saturating_sub(self.received_since_boot)
     }
 
     /// Time until it is given up.
-    pub fn left(&self) -> Duration {
-        self.patience.saturating_sub(self.age())
+    pub fn time_left(&self) -> Duration {
+        self.timeout.saturating_sub(self.age())
     }
 
     /// When it is given up, for a timer that is armed now.
-    pub fn until(&self) -> Instant {
-        Instant::now() + self.left()
+    pub fn deadline(&self) -> Instant {
+        Instant::now() + self.time_left()
     }
 
     /// Time until its first event is due.
@@ -140,23 +140,26 @@
     }
 
     /// Time until its caller leaves or its deadline passes, if no event comes; no less than until the first is due.
-    pub fn caller_leaves(&self) -> Duration {
+    pub fn time_until_caller_leaves(&self) -> Duration {
         let silent = self.route.caller_patience().saturating_sub(self.age());
-        silent.min(self.left()).max(self.first_event_due())
+        silent.min(self.time_left()).max(self.first_event_due())
     }
 
     /// The size of the generation that it asks for, no larger than an engine's memory: what a
     /// caller says beyond that must not count for hours of reading.
     pub fn generation_size(&self) -> GenerationSize {
-        let said = headers::size(&self.headers);
-        let expected = said.length_hint.unwrap_or(said.max_tokens).min(said.max_tokens);
+        let stated = headers::size(&self.headers);
+        let expected = stated.length_hint.unwrap_or(stated.max_tokens).min(stated.max_tokens);
         let engine = self.table.service(&self.service).and_then(|service| service.engine.as_ref());
-        let most = engine.map_or(u32::MAX, |engine| engine.memory_tokens);
-        GenerationSize { prompt: said.prompt_tokens.min(most), expected: expected.min(most) }
+        let memory_tokens = engine.map_or(u32::MAX, |engine| engine.memory_tokens);
+        GenerationSize {
+            prompt: stated.prompt_tokens.min(memory_tokens),
+            expected: expected.min(memory_tokens),
+        }
     }
 
     /// The most tokens that it may make.
-    pub fn most_tokens(&self) -> u32 {
+    pub fn max_tokens(&self) -> u32 {
         headers::size(&self.headers).max_tokens
     }
 
@@ -173,15 +176,15 @@
 
     /// Whether it may be sent to one more replica after `sent`, the retry budget aside: with less
     /// time than a replica needs to answer, that would work in vain.
-    pub fn may_repeat(&self, sent: u32) -> bool {
-        let needs = LEAST_TO_ANSWER + prefill::default_prefill_time(self.generation_size().prompt);
-        self.route.is_repeatable() && sent < self.route.max_attempts && self.left() > needs
+    pub fn allows_retry(&self, sent: u32) -> bool {
+        let min_time = MIN_RESPONSE_TIME + prefill::default_prefill_time(self.generation_size().prompt);
+        self.route.is_repeatable() && sent < self.route.max_attempts && self.time_left() > min_time
     }
 
     /// What leadstage adds to it for an engine.
     pub fn added<'a>(&'a self, target: &'a str, resume: Option<&'a Resume>) -> Added<'a> {
         Added {
-            deadline: self.left(),
+            deadline: self.time_left(),
             target,
             organisation: self.organisation.as_ref().map(|o| &*o.name),
             priority: Some(self.engine_priority()),
@@ -194,34 +197,34 @@
     /// again: 580,000 tokens of 15.4 million in 34 s on full engines, 207,000 without.
     pub fn engine_priority(&self) -> u8 {
         let organisation = self.organisation.as_ref().map_or(0, |o| o.priority);
-        organisation.saturating_mul(ROUTE_RANKS).min(LEAST_URGENT)
+        organisation.saturating_mul(LEVELS_PER_RANK).min(LOWEST_PRIORITY)
     }
 
     /// Urgency at the lead: the organisation's rank, then the route's.
     pub fn priority(&self) -> u8 {
         let organisation = self.organisation.as_ref().map_or(0, |o| o.priority);
-        let route = self.route.priority.min(ROUTE_RANKS - 1);
-        organisation.saturating_mul(ROUTE_RANKS).saturating_add(route).min(LEAST_URGENT)
+        let route = self.route.priority.min(LEVELS_PER_RANK - 1);
+        organisation.saturating_mul(LEVELS_PER_RANK).saturating_add(route).min(LOWEST_PRIORITY)
     }
 }
 
 /// Admits a request, or says why not.
 pub async fn admit(shared: &Shared, req: Request<Incoming>) -> Result<CallerRequest, Refusal> {
-    let (came, came_at) = (Instant::now(), clock::since_boot());
-    let not_ready = Refusal { code: Code::NotReady, retry_after: Some(STARTS_WITHIN) };
-    if !shared.started(START_PATIENCE).await {
+    let (received_at, received_since_boot) = (Instant::now(), clock::since_boot());
+    let not_ready = Refusal { code: Code::NotReady, retry_after: Some(START_RETRY_AFTER) };
+    if !shared.started(START_TIMEOUT).await {
         return Err(not_ready);
     }
     let table = shared.table().ok_or(not_ready)?;
     let (head, body) = req.into_parts();
-    let refuse = |unrouted| refuse(unrouted, shared.lacks_newer_config());
+    let refuse = |err| refuse(err, shared.lacks_newer_config());
     let route = table.route(host(&head.uri, &head.headers), head.uri.path()).map_err(refuse)?;
     let organisation = table.organisation(&route, headers::key(&head.headers)).map_err(refuse)?;
-    let patience = headers::deadline(&head.headers).unwrap_or(route.timeout).min(route.timeout);
-    if !shared.held.takes_requests() {
+    let timeout = headers::deadline(&head.headers).unwrap_or(route.timeout).min(route.timeout);
+    if !shared.held.accepts_requests() {
         return Err(memory_full());
     }
-    let (body, held) = read_body(&shared.held, body, table.limits.body_bytes, came + patience).await?;
+    let (body, held) = read_body(&shared.held, body, table.limits.body_bytes, received_at + timeout).await?;
     let service = route.pick_target(&mut rand::rng()).cloned().ok_or(Refusal::new(Code::NoUpstream))?;
     let uri = path_and_query(&head.uri);
     Ok(CallerRequest {
@@ -233,9 +236,9 @@
         organisation,
         table,
         service,
-        came,
-        came_at,
-        patience,
+        received_at,
+        received_since_boot,
+        timeout,
         fingerprint: OnceLock::new(),
         broken_at: Mutex::default(),
         _held: held,
@@ -252,11 +255,11 @@
 }
 
 /// What a newer configuration may allow is not denied while that is on its way.
-fn refuse(unrouted: RouteError, lacks_newer_config: bool) -> Refusal {
+fn refuse(err: RouteError, lacks_newer_config: bool) -> Refusal {
     if lacks_newer_config {
-        return Refusal { code: Code::NotReady, retry_after: Some(CONFIG_COMES_WITHIN) };
+        return Refusal { code: Code::NotReady, retry_after: Some(CONFIG_RETRY_AFTER) };
     }
-    Refusal::new(match unrouted {
+    Refusal::new(match err {
         RouteError::NoRoute => Code::NoRoute,
         RouteError::UnknownKey => Code::Unauthorised,
     })
@@ -264,25 +267,25 @@
 
 /// What the node holds goes as callers and replicas take it, some of it within a second.
 fn memory_full() -> Refusal {
-    Refusal { code: Code::MemoryFull, retry_after: Some(MEMORY_FREED_WITHIN) }
+    Refusal { code: Code::MemoryFull, retry_after: Some(MEMORY_RETRY_AFTER) }
 }
 
 async fn read_body(
-    node: &Arc<HeldBytes>,
+    memory: &Arc<HeldBytes>,
     body: Incoming,
     limit: usize,
-    until: Instant,
-) -> Result<(Bytes, Held), Refusal> {
+    deadline: Instant,
+) -> Result<(Bytes, HeldGuard), Refusal> {
     let announced = body.size_hint().lower();
     if announced > limit as u64 {
         return Err(Refusal::new(Code::BodyTooLarge));
     }
     if body.is_end_stream() {
-        return Ok((Bytes::new(), node.nothing()));
+        return Ok((Bytes::new(), memory.empty_guard()));
     }
-    let prefill = held_bytes::collect(Limited::new(body, limit), async |bytes| node.take(bytes));
-    match tokio::time::timeout_at(until, prefill).await {
-        Ok(Ok(Some((body, held)))) => Ok((body, held.unwrap_or_else(|| node.nothing()))),
+    let body_read = held_bytes::collect(Limited::new(body, limit), async |bytes| memory.try_acquire(bytes));
+    match tokio::time::timeout_at(deadline, body_read).await {
+        Ok(Ok(Some((body, held)))) => Ok((body, held.unwrap_or_else(|| memory.empty_guard()))),
         Ok(Ok(None)) => Err(memory_full()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Refusal::new(Code::BodyTooLarge)),
         // The caller's connection broke: nobody reads this answer.
--- a/node/src/gateway/settings.rs
+++ b/node/src/gateway/settings.rs
@@ -165,7 +165,7 @@
     }
 
     /// Whether `other` has the same identity, addresses and link, which only a restart changes.
-    pub fn same_addresses(&self, other: &GatewaySettings) -> bool {
+    pub fn has_same_fixed_settings(&self, other: &GatewaySettings) -> bool {
         let fixed = |s: &GatewaySettings| {
             (
                 s.vm.clone(),
--- a/node/src/gateway/start.rs
+++ b/node/src/gateway/start.rs
@@ -20,6 +20,7 @@
 use crate::gateway::control::config_intake;
 use crate::gateway::control::control_loop::Control;
 use crate::gateway::control::first_read;
+use crate::gateway::http_port;
 use crate::gateway::ingress::caller_port;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::logging;
@@ -32,7 +33,6 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
-use crate::gateway::small_port;
 use crate::gateway::stop;
 
 /// Why a node did not start.
@@ -75,7 +75,7 @@
     let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
     // Open before the node can call itself ready: opened by the traffic thread, it came after that
     // at 2 to 4 of 20 nodes that started beside other load.
-    let callers = runtime.block_on(listen(settings.listen))?;
+    let callers = runtime.block_on(bind_tcp(settings.listen))?;
     let callers = callers.into_std().map_err(|source| RunError::Port { address: settings.listen, source })?;
     let traffic = shared.clone();
     let thread = std::thread::Builder::new().name("traffic".to_owned());
@@ -88,21 +88,21 @@
     rx: mpsc::UnboundedReceiver<ToControl>,
     file: SettingsFile,
 ) -> Result<(), RunError> {
-    let ready = listen(shared.settings.ready).await?;
-    tokio::task::spawn_local(small_port::serve(shared.clone(), ready, "ready", balancer_port::answer));
-    let metrics = listen(shared.settings.metrics).await?;
-    tokio::task::spawn_local(small_port::serve(shared.clone(), metrics, "metrics", metrics_port::answer));
+    let ready = bind_tcp(shared.settings.ready).await?;
+    tokio::task::spawn_local(http_port::serve(shared.clone(), ready, "ready", balancer_port::answer));
+    let metrics = bind_tcp(shared.settings.metrics).await?;
+    tokio::task::spawn_local(http_port::serve(shared.clone(), metrics, "metrics", metrics_port::answer));
     if !shared.settings.first_start {
         tokio::task::spawn_local(config_intake::read_at_start(shared.clone()));
         tokio::task::spawn_local(first_read::read_unless_told(shared.clone()));
     }
-    let peer = listen(shared.settings.peer).await?;
+    let peer = bind_tcp(shared.settings.peer).await?;
     tokio::task::spawn_local(peer_port::serve(shared.clone(), peer));
-    let socket = Arc::new(datagrams(shared.settings.peer).await?);
+    let socket = Arc::new(bind_udp(shared.settings.peer).await?);
     tokio::task::spawn_local(outbox::receive(socket.clone(), shared.clone()));
     let outbox = Outbox::new(socket, shared.clone());
     tokio::task::spawn_local(Control::new(shared.clone(), outbox).run(rx));
-    let reloads = reload::follow(shared.clone(), file.path, file.text);
+    let reloads = reload::watch_file(shared.clone(), file.path, file.text);
     tokio::select! {
         stopped = stop::wait(&shared) => stopped.map_err(RunError::Signal),
         failed = reloads => failed.map_err(RunError::Signal),
@@ -129,10 +129,10 @@
     std::future::pending().await
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
+async fn bind_tcp(address: SocketAddr) -> Result<TcpListener, RunError> {
     TcpListener::bind(address).await.map_err(|source| RunError::Port { address, source })
 }
 
-async fn datagrams(address: SocketAddr) -> Result<UdpSocket, RunError> {
+async fn bind_udp(address: SocketAddr) -> Result<UdpSocket, RunError> {
     UdpSocket::bind(address).await.map_err(|source| RunError::Port { address, source })
 }
--- a/node/src/gateway/upstream/exchange.rs
+++ b/node/src/gateway/upstream/exchange.rs
@@ -20,8 +20,8 @@
 use tokio::time::Instant;
 
 use crate::gateway::held_bytes;
-use crate::gateway::held_bytes::Held;
 use crate::gateway::held_bytes::HeldBytes;
+use crate::gateway::held_bytes::HeldGuard;
 use crate::gateway::messages::Outcome;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::shared::RunGuard;
@@ -126,7 +126,7 @@
     /// The body.
     pub body: Bytes,
     /// What it takes of the node's memory.
-    pub held: Held,
+    pub held: HeldGuard,
 }
 
 /// Sends a request that was sent to `sent` replicas before to one more, on a connection of
@@ -165,7 +165,8 @@
         }
     };
     let waiting = unless_quarantined(traffic, req, waiting);
-    let answer = tokio::time::timeout_at(req.until(), waiting).await.map_err(|_| SendError::TimedOut)??;
+    let answer =
+        tokio::time::timeout_at(req.deadline(), waiting).await.map_err(|_| SendError::TimedOut)??;
     let answer = answer.ok_or(SendError::ConnectionSilent)?.ok_or(SendError::Stalled)?;
     if let (Err(_), Some(rested)) = (&answer, connection.rested) {
         traffic.connections.on_break(rested);
@@ -222,30 +223,30 @@
         replica: &ReplicaRecord,
         req: &CallerRequest,
     ) -> Result<WholeAnswer, SendError> {
-        let answer = self.read(&traffic.shared.held, &traffic.connections, replica, req.until()).await;
+        let answer = self.read(&traffic.shared.held, &traffic.connections, replica, req.deadline()).await;
         if matches!(answer, Err(SendError::Cut(_))) {
             traffic.on_broken_run(req, replica, None, 0);
         }
         answer
     }
 
-    /// Reads it until `until`, and keeps the connection if it can be used again.
+    /// Reads it until `deadline`, and keeps the connection if it can be used again.
     async fn read(
         self,
         node: &Arc<HeldBytes>,
         connections: &Connections,
         replica: &ReplicaRecord,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<WholeAnswer, SendError> {
         let body = Limited::new(self.body, MAX_ANSWER_BYTES);
-        let reading = held_bytes::collect(body, async |bytes| Some(node.take_when_free(bytes).await));
-        let body = tokio::time::timeout_at(until, reading).await.map_err(|_| SendError::TimedOut)?;
+        let reading = held_bytes::collect(body, async |bytes| Some(node.acquire(bytes).await));
+        let body = tokio::time::timeout_at(deadline, reading).await.map_err(|_| SendError::TimedOut)?;
         let (body, held) = match body {
             Ok(Some(whole)) => whole,
             Ok(None) => return Err(SendError::Cut("no room for it".to_owned())),
             Err(err) => return Err(SendError::Cut(err.to_string())),
         };
-        let held = held.unwrap_or_else(|| node.nothing());
+        let held = held.unwrap_or_else(|| node.empty_guard());
         if !headers::closes(&self.headers) {
             connections.put(replica, self.connection, headers::keeps_for(&self.headers));
         }
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -26,7 +26,7 @@
 use crate::gateway::messages::Outcome;
 use crate::gateway::messages::StreamHandle;
 use crate::gateway::messages::ToControl;
-use crate::gateway::reply_body::PartsSender;
+use crate::gateway::reply_body::StreamingBodySender;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::upstream::copying::Copied;
 use crate::gateway::upstream::copying::Step;
@@ -61,7 +61,7 @@
     req: Arc<CallerRequest>,
     handle: StreamHandle,
     leg: Leg,
-    tx: PartsSender,
+    tx: StreamingBodySender,
     events: EventSplitter,
     tokens_per_event: u32,
     steps_tx: UnboundedSender<Step>,
@@ -97,7 +97,7 @@
         handle: StreamHandle,
         leg: Leg,
         sent: u32,
-        tx: PartsSender,
+        tx: StreamingBodySender,
     ) -> Self {
         let service = req.table.service(&req.service);
         let engine = service.and_then(|s| s.engine.as_ref());
@@ -130,7 +130,7 @@
     /// Passes events on until the stream ends.
     pub async fn run(mut self, mut orders: UnboundedReceiver<Order>) {
         let end = self.relay(&mut orders).await;
-        let took = self.req.came.elapsed().as_millis() as u64;
+        let took = self.req.received_at.elapsed().as_millis() as u64;
         info!(event = "stream_end", request = self.req.id(), route = &*self.req.route.name, end:% = end, upstream = &*self.leg.run.placed.replica.id, events = self.events.events(), moves = self.moves, first_ms = self.pace.first.unwrap_or_default().as_millis() as u64, gap_ms = self.pace.longest_gap.as_millis() as u64, took_ms = took; "stream ended");
         let metrics = &self.traffic.shared.metrics;
         metrics.on_stream(self.pace.first, self.pace.longest_gap);
@@ -147,7 +147,7 @@
         let tx = self.tx.clone();
         self.hang_up(outcome);
         if end != End::Done && end != End::CallerLeft {
-            tx.break_off();
+            tx.abort();
         }
     }
 
@@ -155,7 +155,7 @@
     fn sample_pace(&self) {
         let (first, pauses) = (self.pace.first.unwrap_or_default(), self.events.events().saturating_sub(1));
         if self.moves == 0 && pauses >= LEAST_PAUSES {
-            let took = self.req.came.elapsed().saturating_sub(first) / pauses as u32;
+            let took = self.req.received_at.elapsed().saturating_sub(first) / pauses as u32;
             self.traffic.sample_pace(&self.req, &self.leg.run.placed.replica, took);
         }
     }
@@ -187,7 +187,7 @@
         tokio::select! {
             biased;
             () = tx.closed() => Err(End::CallerLeft),
-            () = tokio::time::sleep_until(self.req.until()) => Err(End::OutOfTime),
+            () = tokio::time::sleep_until(self.req.deadline()) => Err(End::OutOfTime),
             Some(order) = orders.recv() => self.on_order(order),
             Some(step) = self.steps.recv() => self.on_step(step).await,
             frame = self.leg.frame() => match frame {
@@ -222,7 +222,7 @@
             let took = run.placed_at.elapsed();
             self.traffic.sample_answer(&self.req, &run.placed.replica, false, took);
         }
-        self.pace.on_event(self.req.came);
+        self.pace.on_event(self.req.received_at);
         let tokens = self.events.events() as u32 * self.tokens_per_event;
         self.handle.produced.store(tokens, Ordering::Relaxed);
         self.hand_over(whole).await
@@ -232,7 +232,7 @@
     /// second of large events held its engine for 20.6 s instead of the 3 s that it waits, by the
     /// test of such a caller.
     async fn hand_over(&self, events: Bytes) -> Result<(), End> {
-        let sending = tokio::time::timeout_at(self.req.until(), self.tx.send(events));
+        let sending = tokio::time::timeout_at(self.req.deadline(), self.tx.send(events));
         sending.await.map_err(|_| End::OutOfTime)?.map_err(|_| End::CallerLeft)
     }
 
--- a/node/src/gateway/upstream/silence.rs
+++ b/node/src/gateway/upstream/silence.rs
@@ -40,7 +40,7 @@
     }
     let (began, began_at) = (Instant::now(), clock::since_boot());
     let doubted = began + req.route.objective;
-    let leave = (began + req.left().mul_f64(LEAVE_AFTER)).max(doubted);
+    let leave = (began + req.time_left().mul_f64(LEAVE_AFTER)).max(doubted);
     if let Ok(answer) = tokio::time::timeout_at(doubted, &mut sending).await {
         return Some(answer);
     }
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -66,7 +66,7 @@
     pub async fn may_send_again(&self, req: &CallerRequest, sent: u32) -> bool {
         let policy = self.shared.settings.policy;
         let is_on = if req.route.resumable { policy.resume_streams } else { policy.repeat };
-        is_on && req.may_repeat(sent) && self.may_risk_another(req).await && self.take_retry(&req.service)
+        is_on && req.allows_retry(sent) && self.may_risk_another(req).await && self.take_retry(&req.service)
     }
 
     fn take_retry(&self, service: &ServiceId) -> bool {
@@ -103,7 +103,7 @@
             },
             priority: req.priority(),
             patience: req.first_event_due(),
-            leaves_after: stop::may_wait(&self.shared, req),
+            leaves_after: stop::max_placement_wait(&self.shared, req),
             stream: Some(handle.clone()),
         };
         self.place(request).await
