--- a/node/src/gateway.rs
+++ b/node/src/gateway.rs
@@ -1,7 +1,7 @@
-//! The gateway interface: requests pass unaltered to replicas that the platform lists.
+//! The gateway interface: forwards requests unaltered to the replicas that the platform lists.
 //!
-//! The control thread follows the store, keeps what is believed of the replicas and
-//! chooses among them; the traffic thread serves callers and replicas. They talk through
+//! The control thread watches the store, keeps the state of the replicas and chooses among them; the
+//! traffic thread serves callers and connects to replicas. The two threads communicate through
 //! [`messages`]; the routing table is published in [`shared`].
 
 mod balancer_port;
--- a/node/src/gateway/balancer_port.rs
+++ b/node/src/gateway/balancer_port.rs
@@ -1,4 +1,4 @@
-//! What the platform's balancer is told when it asks whether the node takes connections.
+//! Answers the platform's balancer when it checks whether the node accepts connections.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
 
-/// Answers the balancer.
+/// Returns 200 on the readiness path while the node serves, 503 otherwise, and 404 on any other path.
 pub fn answer(shared: &Arc<Shared>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     let status = match (req.uri().path(), shared.phase()) {
         (leadstage_platform::READY_PATH, Phase::Serving) => StatusCode::OK,
--- a/node/src/gateway/held_bytes.rs
+++ b/node/src/gateway/held_bytes.rs
@@ -1,6 +1,6 @@
-//! Bytes of requests and answers that a node holds for callers and replicas, bounded for the whole node.
+//! Bytes of requests and responses that a node holds for callers and replicas, bounded for the whole node.
 //!
-//! Callers and replicas may read slowly, and whatever they have not taken yet takes the VM's memory.
+//! Callers and replicas may read slowly, and whatever they have not read yet occupies the VM's memory.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -12,16 +12,16 @@
 use hyper::body::Body;
 use tokio::sync::Notify;
 
-/// Part of the VM's memory that may be held. The rest is for the process, the connections' buffers and what the
-/// node knows.
+/// Share of the VM's memory that may be held. The rest is for the process, the connections' buffers and the
+/// node's state.
 const MAX_MEMORY_SHARE: f64 = 0.3;
-/// From this part of the bound on new requests are refused: what is under way already needs the rest.
+/// Share of the bound from which on new requests are refused: requests in progress need the rest.
 const NEW_REQUEST_SHARE: f64 = 0.7;
 
-/// Bytes that are reserved at once at most for a body of announced length: its sender may send less.
+/// Largest buffer that is preallocated for a body of announced length: its sender may send less.
 const MAX_PREALLOCATED_BYTES: usize = 256 << 10;
 
-/// What a node holds.
+/// Counts the bytes that a node holds and bounds them.
 #[derive(Debug)]
 pub struct HeldBytes {
     max: usize,
@@ -30,39 +30,39 @@
 }
 
 impl HeldBytes {
-    /// Nothing yet, on a VM with so many bytes of memory.
+    /// Creates a counter at zero for a VM with `memory_bytes` of memory.
     pub fn new(memory_bytes: usize) -> Arc<Self> {
         let max = (memory_bytes as f64 * MAX_MEMORY_SHARE) as usize;
         Arc::new(HeldBytes { max, held: AtomicUsize::new(0), freed: Notify::new() })
     }
 
-    /// Bytes that are held.
+    /// Number of bytes that are held.
     pub fn held(&self) -> usize {
         self.held.load(Ordering::Relaxed)
     }
 
-    /// Whether another request may be taken.
+    /// Whether another request may be accepted.
     pub fn accepts_requests(&self) -> bool {
         (self.held() as f64) < self.max as f64 * NEW_REQUEST_SHARE
     }
 
-    /// Holds nothing.
+    /// Returns a guard that holds no bytes.
     pub fn empty_guard(self: &Arc<Self>) -> HeldGuard {
         HeldGuard { owner: self.clone(), bytes: 0 }
     }
 
-    /// Holds bytes if there is room for them.
+    /// Holds `bytes` if there is room for them.
     pub fn try_acquire(self: &Arc<Self>, bytes: usize) -> Option<HeldGuard> {
         let add = |held: usize| held.checked_add(bytes).filter(|held| *held <= self.max);
         self.held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add).ok()?;
         Some(HeldGuard { owner: self.clone(), bytes })
     }
 
-    /// Holds bytes as soon as there is room for them.
+    /// Holds `bytes`, at most as many as the bound, as soon as there is room for them.
     pub async fn acquire(self: &Arc<Self>, bytes: usize) -> HeldGuard {
         loop {
             let mut freed = std::pin::pin!(self.freed.notified());
-            // Enabled before the look, so that nothing that is freed between is missed.
+            // Registered before the attempt, so that bytes released in between are not missed.
             freed.as_mut().enable();
             if let Some(held) = self.try_acquire(bytes.min(self.max)) {
                 return held;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Reads a body to its end, and holds each part of it as it comes. `None` if there is no room; the rest of the body is
-/// read all the same, as its sender may look for an answer only then.
+/// Reads a body to its end and holds the bytes of each chunk as it arrives. Returns `None` if there is no
+/// room; the rest of the body is read all the same, as its sender may read a response only after that.
 pub async fn collect<B>(
     mut body: B,
     mut acquire: impl AsyncFnMut(usize) -> Option<HeldGuard>,
@@ -101,13 +101,13 @@
         }
         buffer.extend_from_slice(&chunk);
     }
-    // What was reserved beyond would be held as well, and counted by nobody.
+    // Spare capacity would occupy memory too without being counted.
     let is_tight = buffer.capacity() - buffer.len() <= buffer.len() / 8;
     let bytes = if is_tight { buffer.freeze() } else { Bytes::copy_from_slice(&buffer) };
     Ok(has_room.then_some((bytes, total)))
 }
 
-/// Some held bytes, until this is dropped.
+/// Bytes that are held until this guard is dropped.
 #[derive(Debug)]
 pub struct HeldGuard {
     owner: Arc<HeldBytes>,
@@ -115,12 +115,12 @@
 }
 
 impl HeldGuard {
-    /// Adds what another one holds.
+    /// Adds the bytes of another guard to this one.
     pub fn merge(&mut self, mut other: HeldGuard) {
         self.bytes += std::mem::take(&mut other.bytes);
     }
 
-    /// Gives some of them back.
+    /// Releases `bytes`, at most as many as this guard holds.
     pub fn release(&mut self, bytes: usize) {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
--- a/node/src/gateway/http_port.rs
+++ b/node/src/gateway/http_port.rs
@@ -1,4 +1,5 @@
-//! Serves ports whose answers are at hand: the balancer's, the operators', the other nodes'.
+//! Accepts connections for all HTTP ports, and serves those whose responses need no waiting: the balancer's
+//! and the operators'.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,25 +20,25 @@
 
 use crate::gateway::shared::Shared;
 
-/// Pause after a connection that could not be accepted, for descriptors to become free.
+/// Pause after a failed accept, in which file descriptors may become free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers one request.
+/// Handles one request.
 pub type Handler = fn(&Arc<Shared>, &Request<Incoming>) -> Response<Full<Bytes>>;
 
-/// The next connection of a port; `port` names it in logs. One whose peer falls silent for good
-/// ends by itself: else it would take a descriptor until the process ends.
+/// Accepts the next connection of a port; `port` is its name in logs. A connection whose peer falls silent
+/// for good is closed automatically: otherwise it would use a file descriptor until the process ends.
 pub async fn accept(listener: &TcpListener, port: &'static str) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 if let Err(err) = connect::notice_silence(&stream) {
-                    warn!(event = "socket_options", port, reason:% = err; "a socket takes no options");
+                    warn!(event = "socket_options", port, reason:% = err; "socket options could not be set");
                 }
                 return stream;
             }
             Err(err) => {
-                warn!(event = "accept_failed", port, reason:% = err; "a connection could not be accepted");
+                warn!(event = "accept_failed", port, reason:% = err; "connection could not be accepted");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -54,7 +55,7 @@
                 let res = handler(&shared, &req);
                 async move { Ok::<_, Infallible>(res) }
             });
-            // Whoever asked asks again.
+            // The client retries.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/node/src/gateway/ingress.rs
+++ b/node/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! Callers: connections, admitted requests, answers.
+//! Callers: their connections, requests and responses.
 
 pub mod caller_port;
 pub mod io_watch;
--- a/node/src/gateway/ingress/caller_port.rs
+++ b/node/src/gateway/ingress/caller_port.rs
@@ -33,26 +33,27 @@
 use crate::gateway::stop;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Limits until there is a configuration.
+/// Limits until a configuration is available.
 const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     head_bytes: 16 << 10,
     body_bytes: 1 << 20,
     head_within: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
-/// The least that the server's buffer may have.
+/// Smallest buffer that the HTTP server allows.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// Time for a connection that broke a limit to close by itself.
+/// Time for a connection that exceeded a limit to close by itself.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time between two sweeps of unused connections.
+/// Interval between two sweeps of unused connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves callers until the node takes no more, then until the answers to what was read before are
-/// written and all connections are closed.
+/// Serves callers until the node accepts no more requests, then until the responses to the requests read
+/// before are written and all connections are closed.
 ///
-/// Only the port itself knows when nothing is left: while it accepts and reads, a count of open
-/// requests that is zero may not be so a moment later. A node that ended 50 ms after it had found
-/// none open lost calls on kept connections, in one of six runs of a fleet with stops all day.
+/// Only the port itself knows when no request is left: while it accepts connections and reads from them, a
+/// count of open requests that is zero may rise a moment later. A node that ended 50 ms after it had found
+/// no open request lost calls on kept connections, in one of six runs of a fleet with frequent planned
+/// stops.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     let traffic = Traffic::new(shared.clone());
     tokio::task::spawn_local(sweep(traffic.clone()));
@@ -67,7 +68,7 @@
             }
         }
     }
-    // Connections that wait to be accepted are reset: nothing was read on them.
+    // Connections that have not been accepted yet are reset: nothing was read from them.
     drop(listener);
     connections.close();
     connections.wait().await;
@@ -84,7 +85,7 @@
     shared.table().map_or(DEFAULT_LIMITS, |table| table.limits)
 }
 
-/// Serves one connection until either side closes it or it breaks a limit.
+/// Serves one connection until either side closes it or it exceeds a limit.
 async fn serve_connection(traffic: Traffic, stream: TcpStream) {
     let activity = Activity::new();
     let io = TokioIo::new(WatchedIo::new(stream, activity.clone()));
@@ -99,7 +100,8 @@
     let mut connection = std::pin::pin!(builder.serve_connection(io, service));
     let mut closing = std::pin::pin!(async {
         stop::wait_to_close_idle(&shared).await;
-        // Closed now, it would leave its caller in doubt about a request that is half read.
+        // Closing while the head of a request is half read would leave the caller in doubt about the
+        // request.
         activity.wait_while_reading_head().await;
     });
     let mut limit_exceeded = std::pin::pin!(activity.limit_exceeded(|| limits(&shared)));
@@ -108,7 +110,7 @@
     while !exceeded_limit {
         tokio::select! {
             biased;
-            // What breaks a connection concerns its caller only, and requests log their ends.
+            // A connection error concerns only the caller, and requests log their own outcome.
             _ = connection.as_mut() => return,
             () = &mut limit_exceeded => {
                 connection.as_mut().graceful_shutdown();
@@ -118,12 +120,12 @@
                 connection.as_mut().graceful_shutdown();
                 close_requested = true;
             }
-            // New limits may be shorter.
+            // Polls the limits again, as new ones may be shorter.
             Ok(()) = versions.changed() => {}
         }
     }
-    // An answer that is being written goes out; a connection that stalls is dropped, but not with a
-    // request whose head came just after the limit: that has been taken, and is served.
+    // A response that is being written is still sent. A connection that stalls is dropped, but not with a
+    // request whose head arrived just after the limit: that request was accepted and is served.
     while tokio::time::timeout(CLOSE_TIMEOUT, connection.as_mut()).await.is_err() && activity.is_serving() {}
 }
 
--- a/node/src/gateway/ingress/io_watch.rs
+++ b/node/src/gateway/ingress/io_watch.rs
@@ -1,5 +1,5 @@
-//! A caller's connection that knows when bytes last came in, so that limits which change
-//! hold for open connections too.
+//! A caller's connection that records when it became idle and when the head of a request began to arrive,
+//! so that changed limits apply to open connections too.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -17,16 +17,16 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Time between two looks at a connection whose request is being served: no limit holds then,
-/// and the connection is looked at whenever something happens on it.
+/// Interval between two checks of a connection whose request is being served: no limit applies then, and
+/// the connection is polled whenever something happens on it.
 const SERVING_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What a caller's connection is doing.
+/// State of a caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Nothing since then.
+    /// Idle since then.
     Idle(Instant),
-    /// A request's head has been arriving since then.
+    /// The head of a request has been arriving since then.
     Head(Instant),
     /// A request is being served.
     Serving,
@@ -37,18 +37,18 @@
 pub struct Activity(Rc<Cell<ConnectionState>>);
 
 impl Activity {
-    /// A connection that has just come.
+    /// State of a connection that has just been accepted.
     pub fn new() -> Self {
         Activity(Rc::new(Cell::new(ConnectionState::Idle(Instant::now()))))
     }
 
-    /// A request is served until the guard is dropped.
+    /// Marks a request as being served until the guard is dropped.
     pub fn begin_serving(&self) -> ServingGuard {
         self.0.set(ConnectionState::Serving);
         ServingGuard(self.clone())
     }
 
-    /// Whether no request is served or arriving.
+    /// Whether no request is arriving or being served.
     pub fn is_idle(&self) -> bool {
         matches!(self.0.get(), ConnectionState::Idle(_))
     }
@@ -58,8 +58,8 @@
         matches!(self.0.get(), ConnectionState::Serving)
     }
 
-    /// Waits while a request's head is arriving. Whoever polls this beside the connection wakes it
-    /// when the head is there.
+    /// Waits while the head of a request is arriving. The same task has to poll the connection, so that it
+    /// is woken when the head is complete.
     pub async fn wait_while_reading_head(&self) {
         let poll = |_: &mut Context<'_>| match self.0.get() {
             ConnectionState::Head(_) => Poll::Pending,
@@ -68,8 +68,8 @@
         std::future::poll_fn(poll).await;
     }
 
-    /// Waits until the connection breaks a limit. The limits may change: whoever polls this
-    /// beside the connection wakes it when they do.
+    /// Waits until the connection exceeds a limit. The limits may change: the task that polls this and the
+    /// connection has to be woken when they do.
     pub async fn limit_exceeded(&self, limits: impl Fn() -> CallerLimits) {
         let mut timer = std::pin::pin!(tokio::time::sleep(SERVING_CHECK_INTERVAL));
         std::future::poll_fn(|cx| {
@@ -89,7 +89,7 @@
         .await;
     }
 
-    /// When the connection breaks a limit if nothing happens on it.
+    /// When the connection exceeds a limit if nothing happens on it.
     fn limit_deadline(&self, limits: &CallerLimits) -> Instant {
         match self.0.get() {
             ConnectionState::Serving => Instant::now() + SERVING_CHECK_INTERVAL,
@@ -105,7 +105,7 @@
     }
 }
 
-/// A request is being served.
+/// Marks a request as being served until this is dropped.
 pub struct ServingGuard(Activity);
 
 impl Drop for ServingGuard {
@@ -114,14 +114,14 @@
     }
 }
 
-/// A caller's socket that notes reads.
+/// A caller's socket that records reads.
 pub struct WatchedIo {
     stream: TcpStream,
     activity: Activity,
 }
 
 impl WatchedIo {
-    /// Watches `stream`.
+    /// Wraps `stream` and records its reads in `activity`.
     pub fn new(stream: TcpStream, activity: Activity) -> Self {
         WatchedIo { stream, activity }
     }
--- a/node/src/gateway/ingress/plain.rs
+++ b/node/src/gateway/ingress/plain.rs
@@ -1,4 +1,4 @@
-//! Plain calls: answered whole by one replica, sent again only where that is allowed.
+//! Plain calls: answered in full by one replica, and retried only where that is allowed.
 
 use std::time::Duration;
 
@@ -25,20 +25,20 @@
 use crate::gateway::upstream::exchange::WholeAnswer;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Replicas that a request may fail to reach, beyond those that it was sent to.
+/// Maximum number of replicas that a request may fail to reach, not counting those that it was sent to.
 const MAX_UNREACHED: u32 = 3;
 
-/// What one attempt came to.
+/// Outcome of one attempt.
 enum Attempt {
-    /// The replica's answer, to be passed on.
+    /// The replica's response, to be forwarded.
     Answer(WholeAnswer),
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
     /// The replica did not run it.
     NotRun,
     /// It may have run.
     Unknown(Code),
-    /// It got no answer on a kept connection, and is to be sent again on a new one.
+    /// No response arrived on a kept connection; the request is to be sent again on a new one.
     ConnectionSilent(Code),
 }
 
@@ -56,7 +56,8 @@
         }
         let mut placed = place(traffic, req, &tried).await;
         if placed.is_err() && choice == Choice::New {
-            // No other replica has room: the connection was in doubt, not the replica.
+            // No other replica has room. The connection was in doubt, not the replica, so any replica may
+            // be used again.
             placed = place(traffic, req, &[]).await;
         }
         let run = match placed {
@@ -165,7 +166,7 @@
     }
 }
 
-/// A replica's answer as the caller gets it.
+/// Builds the response to the caller from a replica's response.
 pub fn reply(answer: WholeAnswer) -> Reply {
     let body = BufferedBody::new(answer.body, Some(answer.held));
     let mut res = Response::new(ReplyBody::Buffered(body));
--- a/node/src/gateway/ingress/streams.rs
+++ b/node/src/gateway/ingress/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: places a generation, sends it once, and hands its answer to a relay.
+//! Streams: places a generation, sends its request to an engine and passes the response to a relay.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -33,10 +33,10 @@
 use crate::gateway::upstream::relay::Relay;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Engines that a request may fail to reach.
+/// Number of engines that could not be reached after which no other engine is tried.
 const MAX_UNREACHED: u32 = 3;
 
-/// Serves a stream: answers with its head, and passes its events on in a task.
+/// Serves a stream: returns the head of the response and forwards the events in a task.
 pub async fn serve(
     traffic: &Traffic,
     req: CallerRequest,
@@ -64,29 +64,29 @@
     Ok(res)
 }
 
-/// A stream that has begun.
+/// A stream that has started.
 struct StartedStream {
-    /// Its place at the engine.
+    /// Its run at the engine.
     run: RunGuard,
-    /// The engine's answer.
+    /// The engine's response.
     exchange: Exchange,
-    /// Engines that the request was sent to.
+    /// Number of engines that the request was sent to.
     sent: u32,
 }
 
-/// How a stream began, or did not.
+/// Result of starting a stream.
 enum StartResult {
     Started(StartedStream),
-    /// An engine answered with an error of its own.
+    /// An engine responded with an error of its own.
     Answered(WholeAnswer),
 }
 
-/// What one engine did with the request.
+/// Outcome of one attempt at an engine.
 enum Attempt {
     Started(RunGuard, Exchange),
-    /// An error of its own.
+    /// The engine responded with an error of its own.
     Answered(WholeAnswer),
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
     /// The engine did not run it.
     NotRun,
@@ -94,7 +94,7 @@
     Unknown(Code),
 }
 
-/// Sends the request to an engine. One that may not be repeated is sent once; engines that could
+/// Sends the request to an engine. A request that may not be retried is sent only once; engines that could
 /// not be reached don't count.
 async fn start(
     traffic: &Traffic,
@@ -120,7 +120,7 @@
             }
         };
         if !stop::accepts(&traffic.shared, req) {
-            // It waited while the node began to stop.
+            // The node began to stop while the request waited.
             run.end(Outcome::Withdrawn);
             if sent == 0 {
                 best = Err(stop::refusal(&traffic.shared));
@@ -151,12 +151,12 @@
         if !traffic.may_send_again(req, sent).await {
             break;
         }
-        info!(event = "sent_again", request = req.id(), sent; "a stream that has not begun is sent to another engine");
+        info!(event = "sent_again", request = req.id(), sent; "a stream that has not started is retried at another engine");
     }
     best
 }
 
-/// The caller comes back when there should be room, if that is known.
+/// Builds a refusal whose retry delay depends on when room is expected, if that is known.
 fn refuse(code: Code, expected: Option<Duration>) -> Refusal {
     Refusal { code, retry_after: Some(waiting::retry_delay(expected, &mut rand::rng())) }
 }
--- a/node/src/gateway/reload.rs
+++ b/node/src/gateway/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the node runs: after SIGHUP, or without a signal.
+//! Reloads the settings while the node runs: on SIGHUP, or when the file has changed without a signal.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::shared::Shared;
 
-/// Time between two looks at a file that may change without a signal.
+/// Interval between two checks of the file, which may change without a signal.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Takes changed settings in until the process ends. `text` is what the node started with.
+/// Applies changed settings until the process ends. `text` is the content that the node started with.
 pub async fn watch_file(shared: Arc<Shared>, path: PathBuf, text: String) -> std::io::Result<()> {
     let mut hangups = signal(SignalKind::hangup())?;
     let mut text = text;
@@ -26,7 +26,7 @@
         match std::fs::read_to_string(&path) {
             Ok(new) if new == text => {
                 if signalled {
-                    info!(event = "reload", changed = false; "the settings are as they were");
+                    info!(event = "reload", changed = false; "settings are unchanged");
                 }
             }
             Ok(new) => {
@@ -34,13 +34,13 @@
                 text = new;
             }
             Err(err) => {
-                warn!(event = "reload_failed", path:% = path.display(), reason:% = err; "the settings can't be read; the old ones stay")
+                warn!(event = "reload_failed", path:% = path.display(), reason:% = err; "settings file cannot be read; keeping the current settings")
             }
         }
     }
 }
 
-/// Waits for a signal or the time of a look; returns whether it was a signal.
+/// Waits for a signal or the next check of the file; returns whether there was a signal.
 async fn wait(hangups: &mut Signal) -> bool {
     tokio::select! {
         _ = hangups.recv() => true,
@@ -52,13 +52,13 @@
     match GatewaySettings::from_yaml(text) {
         Ok(new) => {
             let restart = !new.has_same_fixed_settings(&shared.settings);
-            info!(event = "reload", changed = true, needs_restart = restart; "settings taken in");
+            info!(event = "reload", changed = true, needs_restart = restart; "settings applied");
             shared.set_bounds(new.bounds.clone());
             shared.tell(ToControl::Seeds(new.seeds));
         }
         Err(problems) => {
             for problem in problems {
-                warn!(event = "reload_failed", reason:% = problem; "a mistake in the settings; the old ones stay");
+                warn!(event = "reload_failed", reason:% = problem; "invalid settings; keeping the current ones");
             }
         }
     }
--- a/node/src/gateway/reply.rs
+++ b/node/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, and refusals with their numbered code.
+//! Responses to callers, and refusals with their numeric code.
 
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 use crate::gateway::reply_body::BufferedBody;
 use crate::gateway::reply_body::ReplyBody;
 
-/// A refusal that names no time gets this one.
+/// Retry delay of a refusal that sets none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// A request that leadstage answers itself.
+/// Refusal of a request, sent by leadstage itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub code: Code,
-    /// When to come back.
+    /// When the caller should retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal without a time of its own.
+    /// Creates a refusal that sets no retry delay.
     pub fn new(code: Code) -> Self {
         Refusal { code, retry_after: None }
     }
 
-    /// The answer.
+    /// Builds the response.
     pub fn reply(&self) -> Reply {
         let body = json!({"error": {
             "code": self.code.number(), "type": self.code.name(), "message": self.code.meaning(),
--- a/node/src/gateway/reply_body.rs
+++ b/node/src/gateway/reply_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers, which count as held until a caller's connection takes them.
+//! Bodies of responses to callers, which count as held until a caller's connection polls for them.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -19,23 +19,24 @@
 use crate::gateway::held_bytes::HeldBytes;
 use crate::gateway::held_bytes::HeldGuard;
 
-/// A whole answer is handed to the connection in parts of this size: a part counts as held until it is asked for,
-/// and the connection asks for no more while its own buffer is full.
+/// A buffered body is passed to the connection in chunks of this size: a chunk counts as held until the
+/// connection polls for it, and the connection polls for no more while its own buffer is full.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Bytes of one stream that wait for a slow caller at most; then its engine waits too, which cuts a stream off that
-/// is not read for some seconds. Most streams are smaller as a whole.
+/// Maximum number of bytes of one stream that wait for a slow caller. Beyond it the engine is blocked too,
+/// and engines cut a stream off that is not read for some seconds. Most streams are smaller than this as a
+/// whole.
 const MAX_PENDING_BYTES: usize = 256 << 10;
 
-/// The stream broke: the caller's connection ends without the answer's end.
+/// The stream broke: the caller's connection is closed before the response is complete.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("the stream broke")]
 pub struct BrokenStream;
 
-/// The body of an answer.
+/// The body of a response.
 pub enum ReplyBody {
-    /// It is here as a whole.
+    /// All of it is in memory.
     Buffered(BufferedBody),
-    /// Its parts come from a task.
+    /// A task produces its chunks.
     Streaming(StreamingBody),
 }
 
@@ -67,14 +68,14 @@
     }
 }
 
-/// An answer that is here as a whole.
+/// A body that is in memory as a whole.
 pub struct BufferedBody {
     rest: Bytes,
     held: Option<HeldGuard>,
 }
 
 impl BufferedBody {
-    /// An answer, with what it holds; nothing for a short one of leadstage's own.
+    /// Creates a body from `bytes`. `held` is `None` for a short body that leadstage itself produced.
     pub fn new(bytes: Bytes, held: Option<HeldGuard>) -> Self {
         BufferedBody { rest: bytes, held }
     }
@@ -91,17 +92,17 @@
     }
 }
 
-/// A part of a stream, with what it holds.
+/// A chunk of a stream, with the guard of its bytes.
 type Chunk = Result<(Bytes, HeldGuard), BrokenStream>;
 
-/// What both ends of a stream's body share.
+/// Bytes that wait for the caller, shared by both ends of a streaming body.
 #[derive(Default)]
 struct Backlog {
     bytes: AtomicUsize,
     polled: Notify,
 }
 
-/// The end of a stream's body that a caller's connection reads.
+/// Receiving end of a streaming body, which the caller's connection reads.
 pub struct StreamingBody {
     rx: mpsc::UnboundedReceiver<Chunk>,
     backlog: Arc<Backlog>,
@@ -125,7 +126,7 @@
 #[display("the caller's connection is closed")]
 pub struct CallerDisconnected;
 
-/// The end of a stream's body that its events are put into.
+/// Sending end of a streaming body.
 #[derive(Clone)]
 pub struct StreamingBodySender {
     tx: mpsc::UnboundedSender<Chunk>,
@@ -133,7 +134,7 @@
     memory: Arc<HeldBytes>,
 }
 
-/// Both ends of a stream's body.
+/// Creates both ends of a streaming body, whose bytes are counted in `memory`.
 pub fn streaming_body(memory: Arc<HeldBytes>) -> (StreamingBodySender, StreamingBody) {
     let (tx, rx) = mpsc::unbounded_channel();
     let backlog: Arc<Backlog> = Arc::default();
@@ -141,7 +142,8 @@
 }
 
 impl StreamingBodySender {
-    /// Puts events in, as soon as few enough wait for the caller.
+    /// Sends events as soon as fewer than `MAX_PENDING_BYTES` wait for the caller and the node has room for
+    /// them.
     pub async fn send(&self, events: Bytes) -> Result<(), CallerDisconnected> {
         while self.backlog.bytes.load(Ordering::Relaxed) >= MAX_PENDING_BYTES {
             tokio::select! {
@@ -157,9 +159,9 @@
         self.tx.send(Ok((events, held))).map_err(|_| CallerDisconnected)
     }
 
-    /// Ends the body without its end.
+    /// Ends the body with an error before it is complete.
     pub fn abort(&self) {
-        // Nobody may be there any more to see it.
+        // The receiver may be gone already.
         let _ = self.tx.send(Err(BrokenStream));
     }
 
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request in: its route, its organisation, its body and its deadline.
+//! Admits a caller's request: finds its route and organisation, determines its deadline and reads its body.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -39,33 +39,33 @@
 use crate::gateway::reply::Refusal;
 use crate::gateway::shared::Shared;
 
-/// Urgency levels at an engine for one rank of organisations.
+/// Priority levels within one rank of organisations.
 const LEVELS_PER_RANK: u8 = 3;
-/// The least urgent level at an engine.
+/// The lowest priority; a higher number is less urgent.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// Time that a replica needs at least for an answer: a short call and the way there and back.
+/// Minimum time in which a replica responds: a short call and the network round trip.
 const MIN_RESPONSE_TIME: Duration = Duration::from_millis(20);
 
-/// How long a request is held by a node that has just started. It reads the configuration and the
-/// list of replicas in some tens of milliseconds; refused at once, a caller would come back to
-/// another node, which has just started too after all lost power: 100 nodes that started at once
-/// refused 69 requests in the first second while they had the configuration and not yet the list.
+/// How long a node that has just started delays a request. It reads the configuration and the list of
+/// replicas in some tens of milliseconds. A caller that is refused at once would retry at another node,
+/// which has just started too after a power loss of all nodes: 100 nodes that started at once refused 69
+/// requests in the first second while they had the configuration and not yet the list.
 const START_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When callers come back that a starting node refused. Nodes usually start one by one and
-/// within some tens of milliseconds, but all at once, as after a loss of power, they wait for
-/// the store; who comes back too early is refused by another starting node.
+/// Retry delay of callers that a starting node refuses. Nodes usually start one by one and within some tens
+/// of milliseconds, but when all start at once, as after a power loss, they wait for the store, and a
+/// caller that retries too early is refused by another starting node.
 const START_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When callers come back whose route or key is not known to a node that lacks a newer
-/// configuration: it usually comes within some tenths of a second.
+/// Retry delay of callers whose route or key is unknown to a node that lacks a newer configuration: it
+/// usually arrives within some tenths of a second.
 const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// When callers come back that a node refused which holds as much as its memory bears.
+/// Retry delay of callers that a node refuses because it holds as many bytes as its memory allows.
 const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A caller's request, read whole and admitted.
+/// An admitted request of a caller, with its whole body.
 pub struct CallerRequest {
     /// The method.
     pub method: Method,
@@ -77,38 +77,38 @@
     pub body: Bytes,
     /// The route.
     pub route: Arc<Route>,
-    /// On whose behalf; `None` where there are no organisations.
+    /// The organisation that it is made for; `None` where there are no organisations.
     pub organisation: Option<Arc<Organisation>>,
-    /// The configuration that admitted it.
+    /// The routing table that it was admitted with.
     pub table: Arc<RoutingTable>,
-    /// The service that takes it.
+    /// The service that serves it.
     pub service: ServiceId,
-    /// When it came.
+    /// When it was received.
     pub received_at: Instant,
-    /// The same, by the time since the VM's start.
+    /// The same on the clock since the VM's boot, which goes on while the VM is suspended.
     received_since_boot: Timestamp,
-    /// How long its caller waits, or its route holds it.
+    /// The caller's deadline or the route's timeout, whichever is shorter.
     timeout: Duration,
-    /// Its fingerprint, once somebody has asked for it.
+    /// Its fingerprint, computed on first use.
     fingerprint: OnceLock<Fingerprint>,
-    /// Where runs of this attempt broke, perhaps because their replicas ended under it.
+    /// Replicas at which runs of this attempt broke, perhaps because the replicas ended while they ran it.
     pub broken_at: Mutex<Vec<ReplicaRecord>>,
-    /// What its body takes of the node's memory.
+    /// The node's memory that its body occupies.
     _held: HeldGuard,
 }
 
 impl CallerRequest {
-    /// The caller's id of this attempt, for logs and calls.
+    /// The caller's id of this attempt, for logs and requests to replicas.
     pub fn id(&self) -> &str {
         headers::text(&self.headers, &headers::REQUEST_ID).unwrap_or("")
     }
 
-    /// What names it and all that are like it. The first question costs a hash of the body.
+    /// Identifies it and all requests that are like it. The first call costs a hash of the body.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| Fingerprint::of(&self.parts()))
     }
 
-    /// What its caller sends again when it comes back.
+    /// The parts that its caller sends again when it retries.
     pub fn parts(&self) -> RequestParts<'_> {
         RequestParts {
             method: self.method.as_str(),
@@ -119,17 +119,17 @@
         }
     }
 
-    /// Time since it came. While the VM is suspended its caller's time goes on.
+    /// Time since it was received, including suspensions of the VM: the caller's time goes on meanwhile.
     fn age(&self) -> Duration {
         clock::since_boot().saturating_sub(self.received_since_boot)
     }
 
-    /// Time until it is given up.
+    /// Time until it is abandoned.
     pub fn time_left(&self) -> Duration {
         self.timeout.saturating_sub(self.age())
     }
 
-    /// When it is given up, for a timer that is armed now.
+    /// When it is abandoned, for a timer that is armed now.
     pub fn deadline(&self) -> Instant {
         Instant::now() + self.time_left()
     }
@@ -139,14 +139,15 @@
         self.route.objective.saturating_sub(self.age())
     }
 
-    /// Time until its caller leaves or its deadline passes, if no event comes; no less than until the first is due.
+    /// Time until its caller disconnects or its deadline passes if no event arrives; at least the time
+    /// until the first event is due.
     pub fn time_until_caller_leaves(&self) -> Duration {
         let silent = self.route.caller_patience().saturating_sub(self.age());
         silent.min(self.time_left()).max(self.first_event_due())
     }
 
-    /// The size of the generation that it asks for, no larger than an engine's memory: what a
-    /// caller says beyond that must not count for hours of reading.
+    /// The size of the generation that it requests, limited to an engine's KV cache memory: a larger size
+    /// that a caller states must not count as hours of prefill.
     pub fn generation_size(&self) -> GenerationSize {
         let stated = headers::size(&self.headers);
         let expected = stated.length_hint.unwrap_or(stated.max_tokens).min(stated.max_tokens);
@@ -158,30 +159,31 @@
         }
     }
 
-    /// The most tokens that it may make.
+    /// Maximum number of tokens that it may generate.
     pub fn max_tokens(&self) -> u32 {
         headers::size(&self.headers).max_tokens
     }
 
-    /// Where it may be served: both its route and its organisation bind.
+    /// The regions in which it may be served: those that both its route and its organisation allow.
     pub fn regions(&self) -> AllowedRegions {
         let of_organisation = self.organisation.as_ref().map(|organisation| &organisation.regions);
         self.route.regions.intersection(of_organisation.unwrap_or(&AllowedRegions::ANY))
     }
 
-    /// The last event that its caller has from an earlier attempt, where that counts.
+    /// The last event that its caller received in an earlier attempt, if streams of its route can be
+    /// resumed.
     pub fn last_event(&self) -> Option<&str> {
         headers::text(&self.headers, &headers::LAST_EVENT_ID).filter(|_| self.route.resumable)
     }
 
-    /// Whether it may be sent to one more replica after `sent`, the retry budget aside: with less
-    /// time than a replica needs to answer, that would work in vain.
+    /// Whether it may be sent to one more replica after `sent`, regardless of the retry budget: with less
+    /// time left than a replica needs to respond, the work would be wasted.
     pub fn allows_retry(&self, sent: u32) -> bool {
         let min_time = MIN_RESPONSE_TIME + prefill::default_prefill_time(self.generation_size().prompt);
         self.route.is_repeatable() && sent < self.route.max_attempts && self.time_left() > min_time
     }
 
-    /// What leadstage adds to it for an engine.
+    /// What leadstage adds to its headers for a replica.
     pub fn added<'a>(&'a self, target: &'a str, resume: Option<&'a Resume>) -> Added<'a> {
         Added {
             deadline: self.time_left(),
@@ -192,15 +194,16 @@
         }
     }
 
-    /// Urgency at an engine: the organisation's rank alone. Kinds of one organisation wait in turn at the
-    /// lead; at an engine a more urgent one would preempt others that run, whose prompts are then read
-    /// again: 580,000 tokens of 15.4 million in 34 s on full engines, 207,000 without.
+    /// Priority at an engine: the organisation's rank alone. The routes of one organisation are ordered by
+    /// priority at the lead. At an engine a more urgent generation would preempt running ones, whose
+    /// prompts then need another prefill: 580,000 tokens of 15.4 million in 34 s on full engines, 207,000
+    /// without.
     pub fn engine_priority(&self) -> u8 {
         let organisation = self.organisation.as_ref().map_or(0, |o| o.priority);
         organisation.saturating_mul(LEVELS_PER_RANK).min(LOWEST_PRIORITY)
     }
 
-    /// Urgency at the lead: the organisation's rank, then the route's.
+    /// Priority at the lead: the organisation's rank, then the route's.
     pub fn priority(&self) -> u8 {
         let organisation = self.organisation.as_ref().map_or(0, |o| o.priority);
         let route = self.route.priority.min(LEVELS_PER_RANK - 1);
@@ -208,7 +211,7 @@
     }
 }
 
-/// Admits a request, or says why not.
+/// Admits a request, or returns the refusal.
 pub async fn admit(shared: &Shared, req: Request<Incoming>) -> Result<CallerRequest, Refusal> {
     let (received_at, received_since_boot) = (Instant::now(), clock::since_boot());
     let not_ready = Refusal { code: Code::NotReady, retry_after: Some(START_RETRY_AFTER) };
@@ -254,7 +257,8 @@
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-/// What a newer configuration may allow is not denied while that is on its way.
+/// Refuses a request that has no route or an unknown key. While a newer configuration is on its way, which
+/// may allow the request, the refusal asks for a retry.
 fn refuse(err: RouteError, lacks_newer_config: bool) -> Refusal {
     if lacks_newer_config {
         return Refusal { code: Code::NotReady, retry_after: Some(CONFIG_RETRY_AFTER) };
@@ -265,7 +269,8 @@
     })
 }
 
-/// What the node holds goes as callers and replicas take it, some of it within a second.
+/// Refuses a request for lack of memory. Held bytes are released as callers and replicas read them, some of
+/// them within a second.
 fn memory_full() -> Refusal {
     Refusal { code: Code::MemoryFull, retry_after: Some(MEMORY_RETRY_AFTER) }
 }
@@ -288,7 +293,7 @@
         Ok(Ok(Some((body, held)))) => Ok((body, held.unwrap_or_else(|| memory.empty_guard()))),
         Ok(Ok(None)) => Err(memory_full()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Refusal::new(Code::BodyTooLarge)),
-        // The caller's connection broke: nobody reads this answer.
+        // The caller's connection broke: no one receives this response.
         Ok(Err(_)) => Err(Refusal::new(Code::BadRequest)),
         Err(_) => Err(Refusal::new(Code::SlowBody)),
     }
--- a/node/src/gateway/settings.rs
+++ b/node/src/gateway/settings.rs
@@ -16,40 +16,40 @@
 
 use crate::settings::required;
 
-/// A VM's link where the settings name none, in 10^6 bits a second.
+/// Bandwidth of a VM's link if the settings don't set it, in 10^6 bits per second.
 const DEFAULT_LINK_MBPS: f64 = 1_000.0;
-/// A VM's memory where the settings name none, in 10^6 bytes.
+/// Memory of a VM if the settings don't set it, in 10^6 bytes.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
-/// Times that cold replicas may get what they bear where the settings don't say.
+/// Factor by which the rate of cold replicas may be exceeded if the settings don't set it.
 const DEFAULT_COLD_OVERSHOOT: f64 = 1.0;
-/// A link is wide from here on: 1 MB takes less than a tenth of a second.
+/// Bandwidth from which on a link counts as wide: 1 MB takes less than a tenth of a second.
 const WIDE_LINK_MBPS: f64 = 100.0;
 
-/// Which of leadstage's two interfaces the node serves.
+/// The interface that the node serves, one of leadstage's two.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Interface {
     /// Chat and text completions, with signed bundles.
     #[default]
     Completions,
-    /// Requests pass unaltered to replicas that the platform lists.
+    /// Forwards requests unaltered to the replicas that the platform lists.
     Gateway,
 }
 
-/// Only the field that says how to read the rest.
+/// Only the field that determines how the rest is read.
 #[derive(Default, Deserialize)]
 struct InterfaceField {
     #[serde(default)]
     interface: Interface,
 }
 
-/// The interface that a settings file asks for; the usual one if it can't be read, so that
-/// the full check reports what is wrong.
+/// The interface that a settings file selects; the default if the file can't be read, so that the full
+/// check reports the error.
 pub fn interface_of(yaml: &str) -> Interface {
     serde_saphyr::from_str::<InterfaceField>(yaml).unwrap_or_default().interface
 }
 
-/// The file as written.
+/// The settings file as written.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct SettingsFile {
@@ -101,21 +101,21 @@
     }
 }
 
-/// Bounds that hold for the whole fleet.
+/// Bounds that apply to the whole fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// A planned stop ends within this.
+    /// Maximum duration of a planned stop.
     pub stop_within: Duration,
-    /// Requests sent again, for each request to a service, over all nodes.
+    /// Maximum ratio of retries to requests to a service, over all nodes.
     pub retry_ratio: f64,
-    /// Requests that may be sent again beyond the ratio, over all nodes.
+    /// Retries that are allowed beyond the ratio, over all nodes.
     pub retry_slack: f64,
-    /// The window of both.
+    /// The time window that `retry_ratio` and `retry_slack` apply to.
     pub retry_window: Duration,
-    /// What all nodes together may give to a cold replica.
+    /// Bounds on what all nodes together may send to a cold replica.
     pub cold: ColdBounds,
-    /// What a version of a service's software may get that is on trial; `None` where the operator orders no
-    /// upgrades.
+    /// Bounds on what a version of a service's software may be sent while it is on trial; `None` if the
+    /// operator orders no upgrades.
     pub exposure: Option<ExposureBounds>,
 }
 
@@ -126,45 +126,46 @@
     pub vm: VmId,
     /// Its hall.
     pub hall: HallId,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether the node is ready.
+    /// Address at which the balancer checks whether the node is ready.
     pub ready: SocketAddr,
-    /// Where other nodes send to.
+    /// Address that other nodes send to.
     pub peer: SocketAddr,
-    /// Where metrics and explanations are served.
+    /// Address at which metrics and explanations are served.
     pub metrics: SocketAddr,
-    /// Other nodes' peer addresses, perhaps stale.
+    /// Peer addresses of other nodes, possibly stale.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What this VM's link carries, in 10^6 bits a second.
+    /// Bandwidth of this VM's link, in 10^6 bits per second.
     pub link_mbps: f64,
-    /// This VM's memory.
+    /// This VM's memory, in bytes.
     pub memory_bytes: usize,
     /// Whether the whole fleet starts for the first time: no callers wait yet, and what the store holds
-    /// comes from the first nodes that follow it.
+    /// comes from the first nodes that watch it.
     pub first_start: bool,
-    /// Which region each hall is in.
+    /// The region of each hall.
     pub regions: HallRegions,
-    /// Bounds that hold for the whole fleet.
+    /// Bounds that apply to the whole fleet.
     pub bounds: Bounds,
-    /// What the node decides by itself.
+    /// Which decisions the node makes by itself.
     pub policy: Policy,
 }
 
 impl GatewaySettings {
-    /// Whether others should rather get what is large from this VM than from most.
+    /// Whether other nodes should prefer this VM to most as the source of large transfers.
     pub fn has_wide_link(&self) -> bool {
         self.link_mbps >= WIDE_LINK_MBPS
     }
 
-    /// What this VM's link carries, bits a second.
+    /// Bandwidth of this VM's link, in bits per second.
     pub fn link_bits_per_second(&self) -> f64 {
         self.link_mbps * 1e6
     }
 
-    /// Whether `other` has the same identity, addresses and link, which only a restart changes.
+    /// Whether `other` has the same identity, addresses, link, memory and policy, which only a restart
+    /// changes.
     pub fn has_same_fixed_settings(&self, other: &GatewaySettings) -> bool {
         let fixed = |s: &GatewaySettings| {
             (
@@ -179,7 +180,7 @@
         fixed(self) == fixed(other)
     }
 
-    /// Reads and checks a settings file; the error lists every mistake.
+    /// Reads and checks a settings file; the error lists every problem.
     pub fn from_yaml(yaml: &str) -> Result<GatewaySettings, Vec<Problem>> {
         let (file, mut problems) = checked_yaml::read::<SettingsFile>(yaml);
         let settings = check(&file.unwrap_or_default(), &mut problems);
--- a/node/src/gateway/start.rs
+++ b/node/src/gateway/start.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway node: the control thread's tasks here, traffic on a thread of its own.
+//! Starts a gateway node: the control tasks on this thread, traffic on a separate thread.
 
 use std::convert::Infallible;
 use std::io;
@@ -35,16 +35,16 @@
 use crate::gateway::shared::Shared;
 use crate::gateway::stop;
 
-/// Why a node did not start.
+/// Reason why a node did not start.
 #[derive(Debug, Display, Error)]
 pub enum RunError {
-    /// No runtime or thread.
+    /// The runtime or a thread could not be created.
     #[display("no runtime: {_0}")]
     Runtime(io::Error),
-    /// No metrics.
+    /// The metrics could not be set up.
     #[display("no metrics: {_0}")]
     Metrics(#[error(not(source))] String),
-    /// A port is not free.
+    /// A port could not be bound.
     #[display("port {address}: {source}")]
     Port {
         /// The address.
@@ -52,16 +52,16 @@
         /// The cause.
         source: io::Error,
     },
-    /// No signal handler.
+    /// A signal handler could not be installed.
     #[display("no signal handler: {_0}")]
     Signal(io::Error),
 }
 
 /// The file that the settings were read from.
 pub struct SettingsFile {
-    /// Where it is.
+    /// Its path.
     pub path: PathBuf,
-    /// What was in it.
+    /// Its content.
     pub text: String,
 }
 
@@ -73,8 +73,8 @@
     let settings = &shared.settings;
     info!(event = "start", vm = &*settings.vm, hall = &*settings.hall, first = settings.first_start, listen:% = settings.listen, version = env!("CARGO_PKG_VERSION"); "leadstaged starts");
     let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
-    // Open before the node can call itself ready: opened by the traffic thread, it came after that
-    // at 2 to 4 of 20 nodes that started beside other load.
+    // Bound before the node can report itself ready: when the traffic thread bound the port, that came
+    // after the report at 2 to 4 of 20 nodes that started beside other load.
     let callers = runtime.block_on(bind_tcp(settings.listen))?;
     let callers = callers.into_std().map_err(|source| RunError::Port { address: settings.listen, source })?;
     let traffic = shared.clone();
@@ -109,7 +109,7 @@
     }
 }
 
-/// Serves callers; without this thread the node is of no use, so its failure ends the process.
+/// Serves callers. The node is useless without this thread, so its failure ends the process.
 fn traffic_thread(shared: Arc<Shared>, callers: std::net::TcpListener) {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime);
     let result =
@@ -125,7 +125,8 @@
     let listener = TcpListener::from_std(callers).map_err(|source| RunError::Port { address, source })?;
     caller_port::serve(shared.clone(), listener).await;
     shared.advance(Phase::Closed);
-    // Streams whose callers left are ended at their engines meanwhile.
+    // Keeps the thread running: streams whose callers have disconnected are still being stopped at their
+    // engines.
     std::future::pending().await
 }
 
