--- a/node/src/gateway/reply_body.rs
+++ b/node/src/gateway/reply_body.rs
@@ -37,7 +37,7 @@
     /// All of it is in memory.
     Buffered(BufferedBody),
     /// A task produces its chunks.
-    Streaming(StreamingBody),
+    Stream(StreamingBody),
 }
 
 impl Body for ReplyBody {
@@ -50,9 +50,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenStream>>> {
         match self.get_mut() {
             ReplyBody::Buffered(body) => Poll::Ready(body.next().map(|chunk| Ok(Frame::data(chunk)))),
-            ReplyBody::Streaming(body) => {
-                body.poll_next(cx).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
-            }
+            ReplyBody::Stream(body) => body.poll_next(cx).map(|next| next.map(|item| item.map(Frame::data))),
         }
     }
 
@@ -63,7 +61,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             ReplyBody::Buffered(body) => SizeHint::with_exact(body.rest.len() as u64),
-            ReplyBody::Streaming(_) => SizeHint::default(),
+            ReplyBody::Stream(_) => SizeHint::default(),
         }
     }
 }
