--- a/cli/tests/test_losses.rs
+++ b/cli/tests/test_losses.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn test_losses_by_cause_and_moment() {
+fn test_losses_by_cause_and_interval() {
     let (code, text) = losses(&["--logs"]);
     assert_eq!(code, 0, "{text}");
     insta::assert_snapshot!(text, @r"
