--- a/lib/src/length_model.rs
+++ b/lib/src/length_model.rs
@@ -15,18 +15,18 @@
 /// Weight of the prior in the model's curve, in generations.
 const PRIOR_WEIGHT: f32 = 8.0;
 /// A curve is made anew after this many observations, or after a tenth more.
-const REFRESH_LEAST: u32 = 8;
+const MIN_REFRESH_OBSERVATIONS: u32 = 8;
 
 #[derive(Debug)]
-struct Learned {
+struct LearnedCurve {
     counts: LengthCounts,
     curve: Rc<SurvivalCurve>,
-    stale: u32,
+    unapplied: u32,
 }
 
-impl Learned {
+impl LearnedCurve {
     fn new(curve: Rc<SurvivalCurve>) -> Self {
-        Learned { counts: LengthCounts::default(), curve, stale: 0 }
+        LearnedCurve { counts: LengthCounts::default(), curve, unapplied: 0 }
     }
 
     fn observe(&mut self, tokens: u32, ended: bool) -> bool {
@@ -35,13 +35,13 @@
         } else {
             self.counts.add_censored(tokens);
         }
-        self.stale += 1;
-        self.stale >= REFRESH_LEAST.max((self.counts.total() * 0.02) as u32)
+        self.unapplied += 1;
+        self.unapplied >= MIN_REFRESH_OBSERVATIONS.max((self.counts.total() * 0.02) as u32)
     }
 
     fn refresh(&mut self, parent: &LengthCounts, weight: f32) {
         self.curve = Rc::new(self.counts.blended(parent, weight).curve());
-        self.stale = 0;
+        self.unapplied = 0;
     }
 }
 
@@ -49,14 +49,14 @@
 #[derive(Debug)]
 pub struct LengthModel {
     prior: LengthCounts,
-    model: Learned,
-    organisations: HashMap<OrganisationId, Learned>,
+    model: LearnedCurve,
+    organisations: HashMap<OrganisationId, LearnedCurve>,
 }
 
 impl Default for LengthModel {
     fn default() -> Self {
         let prior = LengthCounts::prior();
-        let model = Learned::new(Rc::new(prior.curve()));
+        let model = LearnedCurve::new(Rc::new(prior.curve()));
         LengthModel { prior, model, organisations: HashMap::new() }
     }
 }
@@ -73,7 +73,7 @@
         }
         let model_curve = self.model.curve.clone();
         let own = self.organisations.entry(organisation.clone());
-        let own = own.or_insert_with(|| Learned::new(model_curve));
+        let own = own.or_insert_with(|| LearnedCurve::new(model_curve));
         if own.observe(tokens, ended) {
             let parent = self.model.counts.blended(&self.prior, PRIOR_WEIGHT);
             own.refresh(&parent, MODEL_WEIGHT);
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -2,7 +2,6 @@
 //! randomness. Events and the time go in, typed actions come out, and a seed makes a
 //! run repeatable. A foreign bench drives the same interfaces as the node does.
 
-pub mod blame;
 pub mod bundle;
 pub mod bundle_check;
 pub mod burn;
@@ -16,6 +15,7 @@
 pub mod gateway;
 pub mod ids;
 pub mod length_model;
+pub mod loss_limit;
 pub mod membership;
 pub mod overflow;
 pub mod placement;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -19,20 +19,20 @@
 /// Time between two probes by one VM.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// A suspect that does not refute within this is dead.
-pub const SUSPECT_FOR: Duration = Duration::from_secs(2);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
 /// A VM that nobody has heard of may take this long to listen after it is listed; until then its silence
 /// is no sign of trouble. Processes that start together beside other load listen up to 3 s apart: when
 /// silent ones were suspected at once, 200 modelled starts of three VMs each took a living one for dead
 /// 11 to 74 times, and of 40 VMs some 150 times each (`test_membership_start`).
-const STARTS_WITHIN: Duration = Duration::from_secs(5);
+const STARTUP_GRACE: Duration = Duration::from_secs(5);
 /// A dead VM is remembered this long, so that old news does not revive it.
-const REMEMBER_DEAD: Duration = Duration::from_secs(300);
+const DEAD_RETENTION: Duration = Duration::from_secs(300);
 /// VMs that are asked to probe a target that did not answer.
 const INDIRECT_PROBES: usize = 2;
 /// News items on one message.
-pub const NEWS_PER_MESSAGE: usize = 8;
+pub const MAX_UPDATES_PER_MESSAGE: usize = 8;
 /// A pause of the process longer than this makes it doubt what it knows.
-pub const PAUSE: Duration = Duration::from_secs(3);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 
 /// What is thought of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
@@ -49,7 +49,7 @@
 
 /// A piece of news about a VM.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
-pub struct News {
+pub struct MemberUpdate {
     /// About whom.
     pub vm: VmId,
     /// Raised by the VM itself to refute a suspicion.
@@ -74,7 +74,7 @@
         target: VmId,
     },
     /// A VM's liveness changed.
-    Changed(News),
+    Changed(MemberUpdate),
 }
 
 #[derive(Clone, Debug)]
@@ -83,15 +83,15 @@
     liveness: Liveness,
     since: Timestamp,
     /// When this VM learnt that there is one.
-    known_since: Timestamp,
+    added_at: Timestamp,
     /// It was heard from, here or by the node that told of it.
-    met: bool,
+    confirmed: bool,
     /// When it was last heard from directly.
-    heard: Option<Timestamp>,
+    last_contact: Option<Timestamp>,
     /// This VM's own probes failed, so it asks again.
-    suspected_here: bool,
+    suspected_locally: bool,
     listed: bool,
-    told: u32,
+    sent_count: u32,
 }
 
 /// One VM's view of the fleet.
@@ -107,10 +107,10 @@
     /// Those that are dead or left, by when they became so.
     ended: BTreeSet<(Timestamp, VmId)>,
     /// Those that others may be told of, the least told first.
-    fresh: BTreeSet<(u32, VmId)>,
+    pending_updates: BTreeSet<(u32, VmId)>,
     /// Rises when a member comes up or is up no more.
     version: u64,
-    round: Vec<VmId>,
+    probe_round: Vec<VmId>,
     last_probe: Option<Timestamp>,
     last_tick: Option<Timestamp>,
     last_contact: Option<Timestamp>,
@@ -129,9 +129,9 @@
             up: SampleSet::default(),
             suspects: BTreeSet::new(),
             ended: BTreeSet::new(),
-            fresh: BTreeSet::new(),
+            pending_updates: BTreeSet::new(),
             version: 0,
-            round: Vec::new(),
+            probe_round: Vec::new(),
             last_probe: None,
             last_tick: None,
             last_contact: None,
@@ -155,7 +155,7 @@
         }
         if !self.members.contains_key(vm) {
             let member = Member::new(now);
-            self.index(vm, None, Some(&Indexed::of(&member)));
+            self.index(vm, None, Some(&IndexKeys::of(&member)));
             self.members.insert(vm.clone(), member);
         }
         self.update(vm, |member| member.listed = true);
@@ -169,9 +169,9 @@
     /// Changes a member, if there is one, and the indices with it.
     fn update<T>(&mut self, vm: &VmId, change: impl FnOnce(&mut Member) -> T) -> Option<T> {
         let member = self.members.get_mut(vm)?;
-        let before = Indexed::of(member);
+        let before = IndexKeys::of(member);
         let result = change(member);
-        let after = Indexed::of(member);
+        let after = IndexKeys::of(member);
         if before != after {
             self.index(vm, Some(&before), Some(&after));
         }
@@ -179,7 +179,7 @@
     }
 
     /// Brings the indices from what a member was to what it is.
-    fn index(&mut self, vm: &VmId, before: Option<&Indexed>, after: Option<&Indexed>) {
+    fn index(&mut self, vm: &VmId, before: Option<&IndexKeys>, after: Option<&IndexKeys>) {
         let is_up = after.is_some_and(|after| after.is_up);
         if before.is_some_and(|before| before.is_up) != is_up {
             self.version += 1;
@@ -194,23 +194,24 @@
         } else {
             self.suspects.remove(vm);
         }
-        let (ended, ends) = (before.and_then(|b| b.ended), after.and_then(|a| a.ended));
-        if ended != ends {
-            ended.map(|since| self.ended.remove(&(since, vm.clone())));
-            ends.map(|since| self.ended.insert((since, vm.clone())));
+        let (old_ended, ended) = (before.and_then(|b| b.ended), after.and_then(|a| a.ended));
+        if old_ended != ended {
+            old_ended.map(|since| self.ended.remove(&(since, vm.clone())));
+            ended.map(|since| self.ended.insert((since, vm.clone())));
         }
-        let (told, tells) = (before.and_then(|b| b.told), after.and_then(|a| a.told));
-        if told != tells {
-            told.map(|times| self.fresh.remove(&(times, vm.clone())));
-            tells.map(|times| self.fresh.insert((times, vm.clone())));
+        let (old_sent_count, sent_count) =
+            (before.and_then(|b| b.sent_count), after.and_then(|a| a.sent_count));
+        if old_sent_count != sent_count {
+            old_sent_count.map(|count| self.pending_updates.remove(&(count, vm.clone())));
+            sent_count.map(|count| self.pending_updates.insert((count, vm.clone())));
         }
     }
 
     /// Time has passed; wanted a few times a second.
     pub fn tick(&mut self, now: Timestamp) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        self.notice_pause(now);
-        self.expire(now, &mut actions);
+        self.detect_pause(now);
+        self.expire_suspects(now, &mut actions);
         let due = self.last_probe.is_none_or(|at| now.saturating_sub(at) >= PROBE_INTERVAL);
         if due {
             self.last_probe = Some(now);
@@ -221,8 +222,8 @@
     }
 
     /// After a pause others may think this VM dead; and its own suspicions are stale.
-    fn notice_pause(&mut self, now: Timestamp) {
-        let paused = self.last_tick.is_some_and(|at| now.saturating_sub(at) > PAUSE);
+    fn detect_pause(&mut self, now: Timestamp) {
+        let paused = self.last_tick.is_some_and(|at| now.saturating_sub(at) > PAUSE_THRESHOLD);
         self.last_tick = Some(now);
         if !paused {
             return;
@@ -234,31 +235,31 @@
         }
     }
 
-    fn expire(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+    fn expire_suspects(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let is_overdue = |vm: &&VmId| {
-            self.members.get(*vm).is_some_and(|member| now.saturating_sub(member.since) >= SUSPECT_FOR)
+            self.members.get(*vm).is_some_and(|member| now.saturating_sub(member.since) >= SUSPICION_TIMEOUT)
         };
         let overdue: Vec<VmId> = self.suspects.iter().filter(is_overdue).cloned().collect();
         for vm in overdue {
-            let news = self.update(&vm, |member| {
+            let update = self.update(&vm, |member| {
                 member.liveness = Liveness::Dead;
                 member.since = now;
-                member.told = 0;
-                member.news(&vm)
+                member.sent_count = 0;
+                member.to_update(&vm)
             });
-            actions.extend(news.map(MembershipAction::Changed));
+            actions.extend(update.map(MembershipAction::Changed));
         }
-        self.forget_ended(now);
+        self.remove_ended(now);
     }
 
     /// Forgets who ended long ago; who is listed is asked again and again.
-    fn forget_ended(&mut self, now: Timestamp) {
-        let is_long_ago = |(since, _): &&(Timestamp, VmId)| now.saturating_sub(*since) >= REMEMBER_DEAD;
+    fn remove_ended(&mut self, now: Timestamp) {
+        let is_long_ago = |(since, _): &&(Timestamp, VmId)| now.saturating_sub(*since) >= DEAD_RETENTION;
         let long_ago: Vec<VmId> =
             self.ended.iter().take_while(is_long_ago).map(|(_, vm)| vm.clone()).collect();
         for vm in long_ago {
             if let Some(member) = self.members.get(&vm).filter(|member| !member.listed) {
-                self.index(&vm, Some(&Indexed::of(member)), None);
+                self.index(&vm, Some(&IndexKeys::of(member)), None);
                 self.members.remove(&vm);
             }
         }
@@ -268,21 +269,21 @@
     /// VM list still names are tried too, as they may have been cut off only.
     fn next_target(&mut self) -> Option<VmId> {
         loop {
-            if let Some(vm) = self.round.pop() {
+            if let Some(vm) = self.probe_round.pop() {
                 if self.members.get(&vm).is_some_and(|m| m.liveness != Liveness::Left) {
                     return Some(vm);
                 }
                 continue;
             }
             let mut round: Vec<VmId> =
-                self.members.iter().filter(|(_, m)| m.is_worth_a_probe()).map(|(vm, _)| vm.clone()).collect();
+                self.members.iter().filter(|(_, m)| m.is_probe_target()).map(|(vm, _)| vm.clone()).collect();
             if round.is_empty() {
                 return None;
             }
             for at in (1..round.len()).rev() {
                 round.swap(at, self.rng.random_range(0..=at));
             }
-            self.round = round;
+            self.probe_round = round;
         }
     }
 
@@ -290,14 +291,14 @@
     /// back to it only after it is taken for dead.
     fn next_suspect(&self) -> Option<VmId> {
         let suspects = self.suspects.iter().filter_map(|vm| Some((vm, self.members.get(vm)?)));
-        let own = suspects.filter(|(_, member)| member.suspected_here);
+        let own = suspects.filter(|(_, member)| member.suspected_locally);
         own.min_by_key(|(_, member)| member.since).map(|(vm, _)| vm.clone())
     }
 
     /// A direct probe answered, or not.
     pub fn on_probe(&mut self, target: &VmId, answered: bool, now: Timestamp) -> Vec<MembershipAction> {
         if answered {
-            return self.heard_from(target, now);
+            return self.on_direct_contact(target, now);
         }
         let others = self.up.sample(INDIRECT_PROBES + 1, &mut self.rng);
         let others = others.into_iter().filter(|vm| *vm != target).take(INDIRECT_PROBES);
@@ -308,43 +309,43 @@
 
     /// All indirect probes of a target are over; `answered` if any did.
     pub fn on_indirect(&mut self, target: &VmId, answered: bool, now: Timestamp) -> Vec<MembershipAction> {
-        if answered { self.heard_from(target, now) } else { self.suspect(target, now) }
+        if answered { self.on_direct_contact(target, now) } else { self.suspect(target, now) }
     }
 
     /// A VM was heard from directly.
-    pub fn heard_from(&mut self, vm: &VmId, now: Timestamp) -> Vec<MembershipAction> {
+    pub fn on_direct_contact(&mut self, vm: &VmId, now: Timestamp) -> Vec<MembershipAction> {
         self.last_contact = Some(now);
         let Some(member) = self.members.get_mut(vm) else {
             return Vec::new();
         };
-        member.met = true;
-        member.heard = Some(now);
+        member.confirmed = true;
+        member.last_contact = Some(now);
         if matches!(member.liveness, Liveness::Alive | Liveness::Left) {
             return Vec::new();
         }
-        let news = self.update(vm, |member| {
+        let update = self.update(vm, |member| {
             member.set(Liveness::Alive, now);
-            member.news(vm)
+            member.to_update(vm)
         });
-        news.map(MembershipAction::Changed).into_iter().collect()
+        update.map(MembershipAction::Changed).into_iter().collect()
     }
 
     fn suspect(&mut self, vm: &VmId, now: Timestamp) -> Vec<MembershipAction> {
-        let news = self.update(vm, |member| {
-            let suspects = member.liveness == Liveness::Alive && member.may_be_gone(now);
+        let update = self.update(vm, |member| {
+            let suspects = member.liveness == Liveness::Alive && member.may_be_suspected(now);
             suspects.then(|| {
                 member.set(Liveness::Suspect, now);
-                member.suspected_here = true;
-                member.news(vm)
+                member.suspected_locally = true;
+                member.to_update(vm)
             })
         });
-        news.flatten().map(MembershipAction::Changed).into_iter().collect()
+        update.flatten().map(MembershipAction::Changed).into_iter().collect()
     }
 
     /// Takes news in that came with a message.
-    pub fn on_news(&mut self, news: &[News], now: Timestamp) -> Vec<MembershipAction> {
+    pub fn on_updates(&mut self, updates: &[MemberUpdate], now: Timestamp) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        for item in news {
+        for item in updates {
             if item.vm == self.own {
                 self.refute(item);
                 continue;
@@ -357,7 +358,7 @@
                 }
                 member.incarnation = item.incarnation;
                 // Only the VM itself gives out an incarnation.
-                member.met |= item.incarnation > 0;
+                member.confirmed |= item.incarnation > 0;
                 let changes = member.liveness != item.liveness;
                 if changes {
                     member.set(item.liveness, now);
@@ -372,26 +373,31 @@
     }
 
     /// Others doubt this VM: a higher incarnation tells them that it is there.
-    fn refute(&mut self, item: &News) {
+    fn refute(&mut self, item: &MemberUpdate) {
         if item.liveness != Liveness::Alive && !self.leaving {
             self.incarnation = self.incarnation.max(item.incarnation + 1);
         }
     }
 
     /// News to put on the next message: this VM's own and the least told.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn next_updates(&mut self) -> Vec<MemberUpdate> {
         let own = if self.leaving { Liveness::Left } else { Liveness::Alive };
-        let mut news = vec![News { vm: self.own.clone(), incarnation: self.incarnation, liveness: own }];
-        let enough = 3 * (self.members.len() + 2).ilog2() + 3;
-        let fresh = self.fresh.iter().take_while(|(told, _)| *told < enough).take(NEWS_PER_MESSAGE - 1);
-        let fresh: Vec<VmId> = fresh.map(|(_, vm)| vm.clone()).collect();
-        for vm in fresh {
-            news.extend(self.update(&vm, |member| {
-                member.told += 1;
-                member.news(&vm)
+        let mut updates =
+            vec![MemberUpdate { vm: self.own.clone(), incarnation: self.incarnation, liveness: own }];
+        let max_sends = 3 * (self.members.len() + 2).ilog2() + 3;
+        let pending = self
+            .pending_updates
+            .iter()
+            .take_while(|(sent_count, _)| *sent_count < max_sends)
+            .take(MAX_UPDATES_PER_MESSAGE - 1);
+        let pending: Vec<VmId> = pending.map(|(_, vm)| vm.clone()).collect();
+        for vm in pending {
+            updates.extend(self.update(&vm, |member| {
+                member.sent_count += 1;
+                member.to_update(&vm)
             }));
         }
-        news
+        updates
     }
 
     /// This VM is about to stop.
@@ -411,7 +417,7 @@
     }
 
     /// Those of them that are not suspected.
-    pub fn well(&self) -> impl Iterator<Item = &VmId> {
+    pub fn healthy(&self) -> impl Iterator<Item = &VmId> {
         self.up.iter().filter(|vm| !self.suspects.contains(*vm))
     }
 
@@ -438,24 +444,24 @@
 
 /// What of a member the indices go by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Indexed {
+struct IndexKeys {
     is_up: bool,
     is_suspect: bool,
     /// Since when it is dead or left.
     ended: Option<Timestamp>,
     /// How often others were told of it, if there is something to tell.
-    told: Option<u32>,
+    sent_count: Option<u32>,
 }
 
-impl Indexed {
+impl IndexKeys {
     fn of(member: &Member) -> Self {
         let is_up = member.is_up();
-        let is_news = member.incarnation > 0 || member.liveness != Liveness::Alive;
-        Indexed {
+        let has_update = member.incarnation > 0 || member.liveness != Liveness::Alive;
+        IndexKeys {
             is_up,
             is_suspect: member.liveness == Liveness::Suspect,
             ended: (!is_up).then_some(member.since),
-            told: is_news.then_some(member.told),
+            sent_count: has_update.then_some(member.sent_count),
         }
     }
 }
@@ -466,39 +472,39 @@
             incarnation: 0,
             liveness: Liveness::Alive,
             since: now,
-            known_since: now,
-            met: false,
-            heard: None,
-            suspected_here: false,
+            added_at: now,
+            confirmed: false,
+            last_contact: None,
+            suspected_locally: false,
             listed: true,
-            told: 0,
+            sent_count: 0,
         }
     }
 
     fn set(&mut self, liveness: Liveness, now: Timestamp) {
         self.liveness = liveness;
         self.since = now;
-        self.suspected_here = false;
-        self.told = 0;
+        self.suspected_locally = false;
+        self.sent_count = 0;
     }
 
     /// Whether a failed probe can mean that it is gone: not if it may not listen yet, nor if it was heard
     /// from while the probe was under way.
-    fn may_be_gone(&self, now: Timestamp) -> bool {
-        let is_starting = !self.met && now.saturating_sub(self.known_since) < STARTS_WITHIN;
-        let was_heard = self.heard.is_some_and(|at| now.saturating_sub(at) < PROBE_INTERVAL);
-        !is_starting && !was_heard
+    fn may_be_suspected(&self, now: Timestamp) -> bool {
+        let is_starting = !self.confirmed && now.saturating_sub(self.added_at) < STARTUP_GRACE;
+        let has_recent_contact = self.last_contact.is_some_and(|at| now.saturating_sub(at) < PROBE_INTERVAL);
+        !is_starting && !has_recent_contact
     }
 
     fn is_up(&self) -> bool {
         matches!(self.liveness, Liveness::Alive | Liveness::Suspect)
     }
 
-    fn is_worth_a_probe(&self) -> bool {
+    fn is_probe_target(&self) -> bool {
         self.is_up() || (self.listed && self.liveness == Liveness::Dead)
     }
 
-    fn news(&self, vm: &VmId) -> News {
-        News { vm: vm.clone(), incarnation: self.incarnation, liveness: self.liveness }
+    fn to_update(&self, vm: &VmId) -> MemberUpdate {
+        MemberUpdate { vm: vm.clone(), incarnation: self.incarnation, liveness: self.liveness }
     }
 }
--- a/lib/src/rendezvous.rs
+++ b/lib/src/rendezvous.rs
@@ -14,9 +14,9 @@
     let mut ranked: Vec<(u64, &T)> = Vec::with_capacity(count + 1);
     for member in members {
         let weight = weight(key, member.as_ref());
-        let at = ranked.partition_point(|(other, _)| *other > weight);
-        if at < count {
-            ranked.insert(at, (weight, member));
+        let position = ranked.partition_point(|(other, _)| *other > weight);
+        if position < count {
+            ranked.insert(position, (weight, member));
             ranked.truncate(count);
         }
     }
--- a/lib/src/retry.rs
+++ b/lib/src/retry.rs
@@ -12,13 +12,13 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
-    left: f64,
+    available: f64,
 }
 
 impl RetryBudget {
     /// A budget of `ratio` retries for each request, 0 to 1.
     pub fn new(ratio: f64) -> Self {
-        RetryBudget { ratio, left: BURST }
+        RetryBudget { ratio, available: BURST }
     }
 
     /// Changes the ratio.
@@ -28,15 +28,15 @@
 
     /// A request came.
     pub fn on_request(&mut self) {
-        self.left = (self.left + self.ratio).min(BURST);
+        self.available = (self.available + self.ratio).min(BURST);
     }
 
     /// Takes a retry; false when the budget is used up.
     pub fn take(&mut self) -> bool {
-        if self.left < 1.0 {
+        if self.available < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
@@ -44,23 +44,23 @@
 /// Doubling pauses with full jitter.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    least: Duration,
-    most: Duration,
+    min_delay: Duration,
+    max_delay: Duration,
     failures: u32,
 }
 
 impl Backoff {
     /// Pauses from `least` to `most`.
-    pub const fn new(least: Duration, most: Duration) -> Self {
-        Backoff { least, most, failures: 0 }
+    pub const fn new(min_delay: Duration, max_delay: Duration) -> Self {
+        Backoff { min_delay, max_delay, failures: 0 }
     }
 
     /// The pause after one more failure.
     pub fn next<R: Rng>(&mut self, rng: &mut R) -> Duration {
-        let doubled = self.least.saturating_mul(1 << self.failures.min(16));
+        let doubled = self.min_delay.saturating_mul(1 << self.failures.min(16));
         self.failures += 1;
-        let ceiling = doubled.min(self.most);
-        self.least + ceiling.mul_f64(rng.random::<f64>())
+        let ceiling = doubled.min(self.max_delay);
+        self.min_delay + ceiling.mul_f64(rng.random::<f64>())
     }
 
     /// It worked.
--- a/lib/src/sample_set.rs
+++ b/lib/src/sample_set.rs
@@ -10,22 +10,22 @@
 #[derive(Clone, Debug)]
 pub struct SampleSet<T> {
     members: Vec<T>,
-    places: HashMap<T, usize>,
+    positions: HashMap<T, usize>,
 }
 
 impl<T> Default for SampleSet<T> {
     fn default() -> Self {
-        SampleSet { members: Vec::new(), places: HashMap::new() }
+        SampleSet { members: Vec::new(), positions: HashMap::new() }
     }
 }
 
 impl<T: Clone + Eq + Hash> SampleSet<T> {
     /// Adds a member; returns whether it is new.
     pub fn insert(&mut self, member: T) -> bool {
-        if self.places.contains_key(&member) {
+        if self.positions.contains_key(&member) {
             return false;
         }
-        self.places.insert(member.clone(), self.members.len());
+        self.positions.insert(member.clone(), self.members.len());
         self.members.push(member);
         true
     }
@@ -35,12 +35,12 @@
     where
         T: std::borrow::Borrow<Q>,
     {
-        let Some(place) = self.places.remove(member) else {
+        let Some(position) = self.positions.remove(member) else {
             return false;
         };
-        self.members.swap_remove(place);
-        if let Some(moved) = self.members.get(place) {
-            self.places.insert(moved.clone(), place);
+        self.members.swap_remove(position);
+        if let Some(moved) = self.members.get(position) {
+            self.positions.insert(moved.clone(), position);
         }
         true
     }
@@ -50,7 +50,7 @@
     where
         T: std::borrow::Borrow<Q>,
     {
-        self.places.contains_key(member)
+        self.positions.contains_key(member)
     }
 
     /// How many members it has.
@@ -76,7 +76,7 @@
     /// So many members at random, each once; all where there are fewer.
     pub fn sample<'a, R: Rng>(&'a self, count: usize, rng: &mut R) -> Vec<&'a T> {
         let mut shuffle = Shuffle::new(self.members.len());
-        std::iter::from_fn(|| shuffle.next(rng)).take(count).map(|place| &self.members[place]).collect()
+        std::iter::from_fn(|| shuffle.next(rng)).take(count).map(|position| &self.members[position]).collect()
     }
 }
 
@@ -100,10 +100,13 @@
         if self.next >= self.len {
             return None;
         }
-        let place = rng.random_range(self.next..self.len);
-        let at_next = self.swapped.remove(&self.next).unwrap_or(self.next);
-        let drawn =
-            if place == self.next { at_next } else { self.swapped.insert(place, at_next).unwrap_or(place) };
+        let position = rng.random_range(self.next..self.len);
+        let value_at_next = self.swapped.remove(&self.next).unwrap_or(self.next);
+        let drawn = if position == self.next {
+            value_at_next
+        } else {
+            self.swapped.insert(position, value_at_next).unwrap_or(position)
+        };
         self.next += 1;
         Some(drawn)
     }
--- a/lib/src/start_rate.rs
+++ b/lib/src/start_rate.rs
@@ -7,41 +7,42 @@
 /// Time over which starts are counted before they enter the average.
 const WINDOW: Duration = Duration::from_secs(2);
 /// Part of the old rate kept with each window.
-const SMOOTHING: f64 = 0.7;
+const OLD_RATE_WEIGHT: f64 = 0.7;
 
 /// A smoothed rate of starts, counted only while there is a queue.
 #[derive(Debug, Default)]
 pub struct StartRate {
     per_second: Option<f64>,
-    counted: u32,
-    window: Option<Timestamp>,
+    window_starts: u32,
+    window_start: Option<Timestamp>,
 }
 
 impl StartRate {
     /// Counts a start.
     pub fn count(&mut self) {
-        self.counted += 1;
+        self.window_starts += 1;
     }
 
     /// Moves on; with an empty queue, starts say nothing of the pool's capacity.
     pub fn tick(&mut self, now: Timestamp, queue_is_empty: bool) {
-        let start = *self.window.get_or_insert(now);
+        let start = *self.window_start.get_or_insert(now);
         if queue_is_empty {
             self.restart(now);
             return;
         }
         let passed = now.saturating_sub(start);
         if passed >= WINDOW {
-            let rate = f64::from(self.counted) / passed.as_secs_f64();
-            let kept = self.per_second.map_or(rate, |old| old * SMOOTHING + rate * (1.0 - SMOOTHING));
-            self.per_second = Some(kept);
+            let rate = f64::from(self.window_starts) / passed.as_secs_f64();
+            let smoothed =
+                self.per_second.map_or(rate, |old| old * OLD_RATE_WEIGHT + rate * (1.0 - OLD_RATE_WEIGHT));
+            self.per_second = Some(smoothed);
             self.restart(now);
         }
     }
 
     fn restart(&mut self, now: Timestamp) {
-        self.counted = 0;
-        self.window = Some(now);
+        self.window_starts = 0;
+        self.window_start = Some(now);
     }
 
     /// The time that `requests` take to start; zero while the rate is not known.
--- a/lib/src/status.rs
+++ b/lib/src/status.rs
@@ -24,9 +24,9 @@
     /// Whether the latest call to the object API worked.
     pub platform_reached: bool,
     /// The other entry VMs.
-    pub peers: Vec<PeerLine>,
+    pub peers: Vec<PeerSummary>,
     /// The pools that it leads.
-    pub pools: Vec<PoolLine>,
+    pub pools: Vec<PoolSummary>,
     /// Upstreams that it knows to be leaving.
     pub leaving: Vec<String>,
     /// Halls that it knows to be closed.
@@ -42,7 +42,7 @@
 
 /// Another entry VM, as this node sees it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct PeerLine {
+pub struct PeerSummary {
     /// Its VM.
     pub vm: String,
     /// What is thought of it.
@@ -51,7 +51,7 @@
 
 /// A pool that the node leads.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct PoolLine {
+pub struct PoolSummary {
     /// The model.
     pub model: String,
     /// The hall.
@@ -64,12 +64,12 @@
     #[serde(default)]
     pub all_engines: usize,
     /// Its engines; where there are hundreds, some of those with generations.
-    pub engines: Vec<EngineLine>,
+    pub engines: Vec<EngineSummary>,
 }
 
 /// An engine of a pool.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct EngineLine {
+pub struct EngineSummary {
     /// Its id.
     pub id: String,
     /// Whether it gets new work.
--- a/lib/src/stream_cursor.rs
+++ b/lib/src/stream_cursor.rs
@@ -51,7 +51,7 @@
 
 /// What to do with an event from the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum EventAction {
     /// It is the next one; pass it on.
     Deliver,
     /// The caller has it; drop it.
@@ -79,13 +79,13 @@
 pub struct StreamCursor {
     generation: GenerationId,
     next: u64,
-    breaks: u32,
+    consecutive_breaks: u32,
 }
 
 impl StreamCursor {
     /// A stream of which the caller lacks everything from index `next`.
     pub fn new(generation: GenerationId, next: u64) -> Self {
-        StreamCursor { generation, next, breaks: 0 }
+        StreamCursor { generation, next, consecutive_breaks: 0 }
     }
 
     /// The generation that it is bound to.
@@ -99,22 +99,22 @@
     }
 
     /// An event came from the engine.
-    pub fn on_event(&mut self, generation: GenerationId, index: u64) -> Verdict {
+    pub fn on_event(&mut self, generation: GenerationId, index: u64) -> EventAction {
         if generation != self.generation || index > self.next {
-            return Verdict::BreakLink;
+            return EventAction::BreakLink;
         }
         if index < self.next {
-            return Verdict::Repeated;
+            return EventAction::Repeated;
         }
         self.next += 1;
-        self.breaks = 0;
-        Verdict::Deliver
+        self.consecutive_breaks = 0;
+        EventAction::Deliver
     }
 
     /// The link broke, ended early, or stalled, or a resume failed.
     pub fn on_break(&mut self) -> AfterBreak {
-        self.breaks += 1;
-        if self.breaks <= MAX_RESUMES {
+        self.consecutive_breaks += 1;
+        if self.consecutive_breaks <= MAX_RESUMES {
             return AfterBreak::Resume { from: self.next };
         }
         self.on_engine_lost()
--- a/lib/src/survival.rs
+++ b/lib/src/survival.rs
@@ -8,15 +8,15 @@
 /// Buckets in all: lengths up to 2^17 tokens.
 pub const BUCKETS: usize = 137;
 /// Observations after which all counts are halved, so that old ones fade.
-const FORGET_AT: f32 = 4_000.0;
+const HALVING_WEIGHT: f32 = 4_000.0;
 
 /// Lower edge of a bucket in tokens.
-fn edge(bucket: usize) -> f64 {
+fn lower_edge(bucket: usize) -> f64 {
     (bucket as f64 / BUCKETS_PER_OCTAVE).exp2() - 1.0
 }
 
 /// The bucket of a length, with the part of the bucket that it has passed, 0 to 1.
-fn place(tokens: f64) -> (usize, f64) {
+fn bucket_position(tokens: f64) -> (usize, f64) {
     let at = fast_log2(tokens.max(0.0) + 1.0) * BUCKETS_PER_OCTAVE;
     let bucket = (at as usize).min(BUCKETS - 1);
     (bucket, (at - bucket as f64).clamp(0.0, 1.0))
@@ -55,27 +55,27 @@
         let mut counts = LengthCounts::default();
         let octaves = 15;
         let last = octaves * BUCKETS_PER_OCTAVE as usize;
-        let each = 8.0 / last as f32;
-        counts.ended[..last].fill(each);
+        let per_bucket = 8.0 / last as f32;
+        counts.ended[..last].fill(per_bucket);
         counts.total = 8.0;
         counts
     }
 
     /// Adds a generation that ended by itself after `tokens`.
     pub fn add_ended(&mut self, tokens: u32) {
-        self.ended[place(f64::from(tokens)).0] += 1.0;
-        self.count_one();
+        self.ended[bucket_position(f64::from(tokens)).0] += 1.0;
+        self.add_weight();
     }
 
     /// Adds a generation that was cut off after `tokens`; its length is at least that.
     pub fn add_censored(&mut self, tokens: u32) {
-        self.censored[place(f64::from(tokens)).0] += 1.0;
-        self.count_one();
+        self.censored[bucket_position(f64::from(tokens)).0] += 1.0;
+        self.add_weight();
     }
 
-    fn count_one(&mut self) {
+    fn add_weight(&mut self) {
         self.total += 1.0;
-        if self.total > FORGET_AT {
+        if self.total > HALVING_WEIGHT {
             self.ended.iter_mut().chain(&mut self.censored).for_each(|c| *c *= 0.5);
             self.total *= 0.5;
         }
@@ -107,7 +107,7 @@
         for bucket in 0..BUCKETS {
             let exposed = at_risk - self.censored[bucket] * 0.5;
             let hazard = if exposed > 0.0 { (self.ended[bucket] / exposed).min(1.0) } else { 0.0 };
-            alive[bucket + 1] = (alive[bucket] * (1.0 - hazard)).max(SurvivalCurve::LEAST);
+            alive[bucket + 1] = (alive[bucket] * (1.0 - hazard)).max(SurvivalCurve::MIN_PROBABILITY);
             at_risk -= self.ended[bucket] + self.censored[bucket];
         }
         SurvivalCurve::new(alive)
@@ -123,7 +123,7 @@
 
 impl SurvivalCurve {
     /// Chances below this count as this, so that conditions on them stay defined.
-    const LEAST: f32 = 1e-6;
+    const MIN_PROBABILITY: f32 = 1e-6;
 
     /// The curve of a length that only its cap ends.
     pub fn never_ending() -> Self {
@@ -131,7 +131,8 @@
     }
 
     fn new(alive: [f32; BUCKETS + 1]) -> Self {
-        let between = |b: usize| f64::from(alive[b] + alive[b + 1]) * 0.5 * (edge(b + 1) - edge(b));
+        let between =
+            |b: usize| f64::from(alive[b] + alive[b + 1]) * 0.5 * (lower_edge(b + 1) - lower_edge(b));
         let mean = (0..BUCKETS).map(between).sum();
         SurvivalCurve { alive, mean }
     }
@@ -143,8 +144,8 @@
 
     /// The chance that an output has at least `tokens`.
     pub fn at_least(&self, tokens: f64) -> f64 {
-        let (bucket, part) = place(tokens);
+        let (bucket, fraction) = bucket_position(tokens);
         let (from, to) = (f64::from(self.alive[bucket]), f64::from(self.alive[bucket + 1]));
-        from + (to - from) * part
+        from + (to - from) * fraction
     }
 }
--- a/lib/src/upstreams.rs
+++ b/lib/src/upstreams.rs
@@ -15,9 +15,9 @@
 use crate::ids::VmId;
 
 /// An upstream that refused a connection is avoided this long, then tried again.
-const AVOID_FAILED: Duration = Duration::from_secs(2);
+const FAILURE_AVOIDANCE: Duration = Duration::from_secs(2);
 /// A notice that an upstream leaves is kept this long after the list last named it.
-const KEEP_NOTICE: Duration = Duration::from_secs(600);
+const NOTICE_RETENTION: Duration = Duration::from_secs(600);
 
 /// What a VM is for.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
@@ -64,7 +64,7 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownVm {
     record: VmRecord,
     avoid_until: Timestamp,
 }
@@ -72,7 +72,7 @@
 /// All upstreams and entries that are known.
 #[derive(Debug, Default)]
 pub struct Directory {
-    known: BTreeMap<VmId, Known>,
+    vms: BTreeMap<VmId, KnownVm>,
     notices: BTreeMap<UpstreamId, Timestamp>,
 }
 
@@ -80,16 +80,16 @@
     /// Takes the VM list in. A VM that it names again is no news; one that it no
     /// longer names is gone. Returns the ids that are gone.
     pub fn on_list(&mut self, list: Vec<VmRecord>, now: Timestamp) -> Vec<VmId> {
-        let mut before = std::mem::take(&mut self.known);
+        let mut previous = std::mem::take(&mut self.vms);
         for record in list {
-            let avoid_until = before.remove(&record.id).map_or(Timestamp::ZERO, |k| k.avoid_until);
+            let avoid_until = previous.remove(&record.id).map_or(Timestamp::ZERO, |k| k.avoid_until);
             if self.notices.contains_key(&record.id) {
                 self.notices.insert(record.id.clone(), now);
             }
-            self.known.insert(record.id.clone(), Known { record, avoid_until });
+            self.vms.insert(record.id.clone(), KnownVm { record, avoid_until });
         }
-        self.notices.retain(|_, at| now.saturating_sub(*at) < KEEP_NOTICE);
-        before.into_keys().collect()
+        self.notices.retain(|_, at| now.saturating_sub(*at) < NOTICE_RETENTION);
+        previous.into_keys().collect()
     }
 
     /// An upstream is leaving, whatever the list says; true when that is news.
@@ -99,8 +99,8 @@
 
     /// An upstream refused a connection, or was lost.
     pub fn on_failed(&mut self, upstream: &UpstreamId, now: Timestamp) {
-        if let Some(known) = self.known.get_mut(upstream) {
-            known.avoid_until = now + AVOID_FAILED;
+        if let Some(vm) = self.vms.get_mut(upstream) {
+            vm.avoid_until = now + FAILURE_AVOIDANCE;
         }
     }
 
@@ -111,23 +111,23 @@
 
     /// Whether a VM is leaving, by the list or a notice.
     pub fn is_leaving(&self, id: &str) -> bool {
-        let listed = self.known.get(id).is_some_and(|k| k.record.state == VmState::Leaving);
+        let listed = self.vms.get(id).is_some_and(|k| k.record.state == VmState::Leaving);
         listed || self.notices.contains_key(id)
     }
 
     /// A VM by id.
     pub fn get(&self, id: &str) -> Option<&VmRecord> {
-        self.known.get(id).map(|k| &k.record)
+        self.vms.get(id).map(|k| &k.record)
     }
 
     /// VMs with a role, by id.
     pub fn with_role(&self, role: VmRole) -> impl Iterator<Item = &VmRecord> {
-        self.known.values().map(|k| &k.record).filter(move |r| r.role == role)
+        self.vms.values().map(|k| &k.record).filter(move |r| r.role == role)
     }
 
     /// Upstreams that serve this and may get new work now.
     pub fn usable<'a>(&'a self, serves: &'a str, now: Timestamp) -> impl Iterator<Item = &'a VmRecord> {
-        self.known
+        self.vms
             .values()
             .filter(move |k| &*k.record.serves == serves && k.record.role != VmRole::Entry)
             .filter(move |k| !self.is_leaving(&k.record.id) && k.avoid_until <= now)
--- a/lib/tests/test_gateway_crash_blame.rs
+++ b/lib/tests/test_gateway_crash_blame.rs
@@ -10,7 +10,6 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use leadstage_lib::blame;
 use leadstage_lib::gateway::crash_ledger::CrashLedger;
 use leadstage_lib::gateway::crash_ledger::ENDS_TO_QUARANTINE;
 use leadstage_lib::gateway::crash_ledger::Suspect;
@@ -19,6 +18,7 @@
 use leadstage_lib::gateway::replica_record::Incarnation;
 use leadstage_lib::gateway::sound_runs::SoundRuns;
 use leadstage_lib::ids::Timestamp;
+use leadstage_lib::loss_limit;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -260,7 +260,7 @@
             let news = News::Ended(run.node, fingerprint(run.body), of.clone());
             self.news.push((self.now + CONFIRMED_AFTER, news));
         }
-        if run.attempts < MOST_ATTEMPTS && blame::may_risk_another(self.standing(&run), run.broken) {
+        if run.attempts < MOST_ATTEMPTS && loss_limit::may_retry_after_loss(self.standing(&run), run.broken) {
             self.send(run);
         }
     }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -4,10 +4,10 @@
 
 use leadstage_lib::ids::VmId;
 use leadstage_lib::membership::Liveness;
+use leadstage_lib::membership::MAX_UPDATES_PER_MESSAGE;
 use leadstage_lib::membership::Membership;
 use leadstage_lib::membership::MembershipAction;
-use leadstage_lib::membership::NEWS_PER_MESSAGE;
-use leadstage_lib::membership::SUSPECT_FOR;
+use leadstage_lib::membership::SUSPICION_TIMEOUT;
 use proptest::prelude::*;
 
 fn ids(count: usize) -> Vec<VmId> {
@@ -41,46 +41,46 @@
         if !self.up[to] {
             return false;
         }
-        let news = self.views[from].news();
-        assert!(news.len() <= NEWS_PER_MESSAGE);
+        let updates = self.views[from].next_updates();
+        assert!(updates.len() <= MAX_UPDATES_PER_MESSAGE);
         let (own, now) = (self.ids[from].clone(), self.now);
-        self.views[to].heard_from(&own, now);
-        self.views[to].on_news(&news, now);
-        let back = self.views[to].news();
-        self.views[from].on_news(&back, now);
+        self.views[to].on_direct_contact(&own, now);
+        self.views[to].on_updates(&updates, now);
+        let reply = self.views[to].next_updates();
+        self.views[from].on_updates(&reply, now);
         true
     }
 
     fn tick(&mut self) {
         self.now += Duration::from_millis(200);
-        for at in (0..self.views.len()).filter(|at| self.up[*at]).collect::<Vec<_>>() {
+        for from in (0..self.views.len()).filter(|from| self.up[*from]).collect::<Vec<_>>() {
             let now = self.now;
-            for action in self.views[at].tick(now) {
+            for action in self.views[from].tick(now) {
                 let MembershipAction::Probe { target } = action else { continue };
                 let to = self.index(&target);
-                let answered = self.exchange(at, to);
-                let vias = self.views[at].on_probe(&target, answered, now);
-                let mut alive = false;
-                let mut asked = false;
+                let answered = self.exchange(from, to);
+                let vias = self.views[from].on_probe(&target, answered, now);
+                let mut answered_indirectly = false;
+                let mut requested = false;
                 for via in vias {
                     let MembershipAction::ProbeVia { via, target } = via else { continue };
-                    asked = true;
+                    requested = true;
                     let (via, target) = (self.index(&via), self.index(&target));
-                    alive |= self.exchange(at, via) && self.exchange(via, target);
+                    answered_indirectly |= self.exchange(from, via) && self.exchange(via, target);
                 }
-                if asked {
-                    self.views[at].on_indirect(&target, alive, now);
+                if requested {
+                    self.views[from].on_indirect(&target, answered_indirectly, now);
                 }
             }
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         (0..time.as_millis() / 200).for_each(|_| self.tick());
     }
 
-    fn agree(&self, vm: usize, liveness: Liveness) -> bool {
-        let views = self.views.iter().enumerate().filter(|(at, _)| *at != vm && self.up[*at]);
+    fn all_consider(&self, vm: usize, liveness: Liveness) -> bool {
+        let views = self.views.iter().enumerate().filter(|(other, _)| *other != vm && self.up[*other]);
         views.into_iter().all(|(_, view)| view.liveness(&self.ids[vm]) == Some(liveness))
     }
 }
@@ -91,19 +91,19 @@
     /// Every VM that dies is dead to all others soon; nobody else is; and one that
     /// comes back is alive again.
     #[test]
-    fn test_dead_are_found_and_nobody_else(count in 3..20_usize, dies in 0..20_usize, seed in 0..1000_u64) {
-        let dies = dies % count;
+    fn test_only_dead_vms_are_detected(count in 3..20_usize, dead in 0..20_usize, seed in 0..1000_u64) {
+        let dead = dead % count;
         let mut fleet = Fleet::new(count, seed);
-        fleet.pass(Duration::from_secs(5));
-        fleet.up[dies] = false;
-        fleet.pass(Duration::from_secs(30));
-        prop_assert!(fleet.agree(dies, Liveness::Dead));
-        for other in (0..count).filter(|vm| *vm != dies) {
-            prop_assert!(fleet.agree(other, Liveness::Alive), "vm-{other} is not alive to all");
+        fleet.advance(Duration::from_secs(5));
+        fleet.up[dead] = false;
+        fleet.advance(Duration::from_secs(30));
+        prop_assert!(fleet.all_consider(dead, Liveness::Dead));
+        for other in (0..count).filter(|vm| *vm != dead) {
+            prop_assert!(fleet.all_consider(other, Liveness::Alive), "vm-{other} is not alive to all");
         }
-        fleet.up[dies] = true;
-        fleet.pass(Duration::from_secs(60));
-        prop_assert!(fleet.agree(dies, Liveness::Alive), "it did not come back");
+        fleet.up[dead] = true;
+        fleet.advance(Duration::from_secs(60));
+        prop_assert!(fleet.all_consider(dead, Liveness::Alive), "the VM that came back is not alive to all");
     }
 }
 
@@ -112,7 +112,7 @@
 fn test_messages_per_vm_are_constant() {
     let per_vm = |count: usize| {
         let mut fleet = Fleet::new(count, 3);
-        fleet.pass(Duration::from_secs(20));
+        fleet.advance(Duration::from_secs(20));
         fleet.messages as f64 / count as f64 / 20.0
     };
     let (small, large) = (per_vm(5), per_vm(100));
@@ -121,29 +121,29 @@
 
 /// A VM that was frozen and does not know refutes what is said of it.
 #[test]
-fn test_frozen_vm_wakes_and_refutes() {
+fn test_resumed_vm_refutes_its_death() {
     let mut fleet = Fleet::new(5, 1);
-    fleet.pass(Duration::from_secs(5));
+    fleet.advance(Duration::from_secs(5));
     fleet.up[2] = false;
-    fleet.pass(Duration::from_secs(20));
-    assert!(fleet.agree(2, Liveness::Dead));
+    fleet.advance(Duration::from_secs(20));
+    assert!(fleet.all_consider(2, Liveness::Dead));
     assert!(fleet.views[2].last_contact().is_some());
     let now = fleet.now;
     fleet.views[2].tick(now);
-    assert_eq!(fleet.views[2].last_contact(), None, "it still trusts what it knew before the pause");
+    assert_eq!(fleet.views[2].last_contact(), None, "the VM still trusts its view from before the pause");
     fleet.up[2] = true;
-    fleet.pass(Duration::from_secs(20));
-    assert!(fleet.agree(2, Liveness::Alive));
+    fleet.advance(Duration::from_secs(20));
+    assert!(fleet.all_consider(2, Liveness::Alive));
 }
 
 /// A planned stop is known as such, and is not taken back by a late answer.
 #[test]
 fn test_left_is_not_revived() {
     let mut fleet = Fleet::new(4, 1);
-    fleet.pass(Duration::from_secs(3));
+    fleet.advance(Duration::from_secs(3));
     fleet.views[1].leave();
-    fleet.pass(Duration::from_secs(8));
-    assert!(fleet.agree(1, Liveness::Left));
+    fleet.advance(Duration::from_secs(8));
+    assert!(fleet.all_consider(1, Liveness::Left));
 }
 
 #[test]
@@ -151,19 +151,19 @@
     let ids = ids(2);
     let mut view = Membership::new(ids[0].clone(), 1, 1);
     view.on_list(&ids, Duration::ZERO);
-    view.heard_from(&ids[1], Duration::ZERO);
+    view.on_direct_contact(&ids[1], Duration::ZERO);
     view.on_probe(&ids[1], false, Duration::from_secs(1));
     assert_eq!(view.liveness(&ids[1]), Some(Liveness::Suspect));
-    view.tick(Duration::from_secs(1) + SUSPECT_FOR - Duration::from_millis(1));
+    view.tick(Duration::from_secs(1) + SUSPICION_TIMEOUT - Duration::from_millis(1));
     assert_eq!(view.liveness(&ids[1]), Some(Liveness::Suspect));
-    view.tick(Duration::from_secs(1) + SUSPECT_FOR);
+    view.tick(Duration::from_secs(1) + SUSPICION_TIMEOUT);
     assert_eq!(view.liveness(&ids[1]), Some(Liveness::Dead));
 }
 
 /// A VM of which nobody has heard yet may still be starting: a failed probe says nothing for five seconds,
 /// and as much as of any other VM from then on.
 #[test]
-fn test_vm_that_starts_is_not_suspected() {
+fn test_starting_vm_is_not_suspected() {
     let ids = ids(2);
     let mut view = Membership::new(ids[0].clone(), 1, 1);
     view.on_list(&ids, Duration::ZERO);
@@ -176,15 +176,15 @@
 /// The failure of a probe that began before its target was heard from is no sign of trouble, and a suspect
 /// is asked again each second.
 #[test]
-fn test_suspect_is_asked_again() {
+fn test_suspect_is_probed_again() {
     let ids = ids(9);
     let mut view = Membership::new(ids[0].clone(), 1, 1);
     view.on_list(&ids, Duration::ZERO);
-    let heard = Duration::from_secs(10);
-    view.heard_from(&ids[1], heard);
-    view.on_indirect(&ids[1], false, heard + Duration::from_millis(999));
+    let contact = Duration::from_secs(10);
+    view.on_direct_contact(&ids[1], contact);
+    view.on_indirect(&ids[1], false, contact + Duration::from_millis(999));
     assert_eq!(view.liveness(&ids[1]), Some(Liveness::Alive));
-    view.on_indirect(&ids[1], false, heard + Duration::from_secs(1));
+    view.on_indirect(&ids[1], false, contact + Duration::from_secs(1));
     for second in [11, 12] {
         let actions = view.tick(Duration::from_secs(second) + Duration::from_millis(1));
         assert!(actions.contains(&MembershipAction::Probe { target: ids[1].clone() }), "{actions:?}");
@@ -200,9 +200,9 @@
     let mut suspected = Membership::new(ids[1].clone(), 1, 1);
     suspecting.on_list(&ids, Duration::ZERO);
     suspected.on_list(&ids, Duration::ZERO);
-    suspecting.on_news(&suspected.news(), now);
+    suspecting.on_updates(&suspected.next_updates(), now);
     suspecting.on_probe(&ids[1], false, now);
-    suspected.on_news(&suspecting.news(), now);
-    suspecting.on_news(&suspected.news(), now);
+    suspected.on_updates(&suspecting.next_updates(), now);
+    suspecting.on_updates(&suspected.next_updates(), now);
     assert_eq!(suspecting.liveness(&ids[1]), Some(Liveness::Alive));
 }
--- a/lib/tests/test_membership_start.rs
+++ b/lib/tests/test_membership_start.rs
@@ -9,9 +9,9 @@
 
 use leadstage_lib::ids::VmId;
 use leadstage_lib::membership::Liveness;
+use leadstage_lib::membership::MemberUpdate;
 use leadstage_lib::membership::Membership;
 use leadstage_lib::membership::MembershipAction;
-use leadstage_lib::membership::News;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -21,10 +21,10 @@
 /// Time between two ticks of a process that is not late.
 const TICK: Duration = Duration::from_millis(100);
 /// How long a play goes on.
-const PLAY: Duration = Duration::from_secs(12);
+const SIMULATED_TIME: Duration = Duration::from_secs(12);
 
 /// Plays of each case.
-const PLAYS: u64 = 40;
+const RUNS: u64 = 40;
 
 /// What happens to a VM.
 enum Event {
@@ -32,21 +32,21 @@
     /// A probe arrives; its answer, or a refusal, goes back.
     Probe {
         from: usize,
-        news: Vec<News>,
+        updates: Vec<MemberUpdate>,
         sent: Duration,
         /// The VM that wants to know, if `from` asks for it.
-        wanted_by: Option<usize>,
+        requester: Option<usize>,
     },
     /// The answer to a probe of this VM's own, or none within the limit.
     Answer {
         target: usize,
-        news: Option<Vec<News>>,
-        wanted_by: Option<usize>,
+        updates: Option<Vec<MemberUpdate>>,
+        requester: Option<usize>,
     },
     /// A request to probe another VM.
     ProbeFor {
         target: usize,
-        wanted_by: usize,
+        requester: usize,
     },
     /// What that came to.
     Indirect {
@@ -59,14 +59,14 @@
 #[derive(Clone, Copy)]
 struct Load {
     /// VMs listen up to so long after they are listed.
-    starts_within: Duration,
+    max_startup: Duration,
     /// One way of a call takes up to so long.
-    way: Duration,
+    max_one_way: Duration,
     /// Ticks come up to so much late.
-    tick_late: Duration,
+    max_tick_delay: Duration,
 }
 
-struct Play {
+struct Simulation {
     rng: SmallRng,
     load: Load,
     ids: Vec<VmId>,
@@ -83,14 +83,14 @@
     last_doubt: Duration,
 }
 
-impl Play {
-    fn new(count: usize, load: Load, seed: u64) -> Play {
+impl Simulation {
+    fn new(count: usize, load: Load, seed: u64) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
         let ids: Vec<VmId> = (0..count).map(|n| format!("vm-{n}").into()).collect();
         let views = ids.iter().map(|id| Membership::new(id.clone(), 1_000, rng.random())).collect();
         let listens_from: Vec<Duration> =
-            ids.iter().map(|_| load.starts_within.mul_f64(rng.random())).collect();
-        let mut play = Play {
+            ids.iter().map(|_| load.max_startup.mul_f64(rng.random())).collect();
+        let mut simulation = Simulation {
             rng,
             load,
             views,
@@ -104,20 +104,20 @@
             ids,
         };
         for vm in 0..count {
-            let starts = play.listens_from[vm];
-            play.views[vm].on_list(&play.ids.clone(), starts);
-            play.put(starts, vm, Event::Tick);
+            let starts = simulation.listens_from[vm];
+            simulation.views[vm].on_list(&simulation.ids.clone(), starts);
+            simulation.schedule(starts, vm, Event::Tick);
         }
-        play
+        simulation
     }
 
-    fn put(&mut self, at: Duration, vm: usize, event: Event) {
+    fn schedule(&mut self, at: Duration, vm: usize, event: Event) {
         self.sequence += 1;
         self.queue.insert((at, self.sequence), (vm, event));
     }
 
-    fn random(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.rng.random())
+    fn random(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.rng.random())
     }
 
     fn index(&self, vm: &VmId) -> usize {
@@ -126,20 +126,20 @@
 
     fn run(&mut self) {
         while let Some(((at, _), (vm, event))) = self.queue.pop_first() {
-            if at > PLAY {
+            if at > SIMULATED_TIME {
                 return;
             }
             self.now = at;
             let is_tick = matches!(event, Event::Tick);
             self.handle(vm, event);
             if is_tick {
-                self.look();
+                self.record_doubt();
             }
         }
     }
 
     /// A VM that listens should be alive to all others that do.
-    fn look(&mut self) {
+    fn record_doubt(&mut self) {
         let listens = |vm: usize| self.listens_from[vm] <= self.now;
         let doubted = (0..self.ids.len()).filter(|vm| listens(*vm)).any(|vm| {
             let others = (0..self.ids.len()).filter(|other| *other != vm && listens(*other));
@@ -156,55 +156,61 @@
             Event::Tick => {
                 let actions = self.views[vm].tick(now);
                 self.act(vm, actions);
-                let late = self.random(self.load.tick_late);
-                self.put(now + TICK + late, vm, Event::Tick);
+                let delay = self.random(self.load.max_tick_delay);
+                self.schedule(now + TICK + delay, vm, Event::Tick);
             }
-            Event::Probe { from, news, sent, wanted_by } => {
+            Event::Probe { from, updates, sent, requester } => {
                 let listens = self.listens_from[vm] <= now;
                 let answer = listens.then(|| {
                     let from = self.ids[from].clone();
-                    let mut actions = self.views[vm].heard_from(&from, now);
-                    actions.extend(self.views[vm].on_news(&news, now));
+                    let mut actions = self.views[vm].on_direct_contact(&from, now);
+                    actions.extend(self.views[vm].on_updates(&updates, now));
                     self.act(vm, actions);
-                    self.views[vm].news()
+                    self.views[vm].next_updates()
                 });
-                let back = now + self.random(self.load.way);
-                let (at, news) =
-                    if back > sent + CALL_LIMIT { (sent + CALL_LIMIT, None) } else { (back, answer) };
-                self.put(at.max(now), from, Event::Answer { target: vm, news, wanted_by });
+                let arrival = now + self.random(self.load.max_one_way);
+                let (at, updates) =
+                    if arrival > sent + CALL_LIMIT { (sent + CALL_LIMIT, None) } else { (arrival, answer) };
+                self.schedule(at.max(now), from, Event::Answer { target: vm, updates, requester });
             }
-            Event::Answer { target, news, wanted_by } => self.on_answer(vm, target, news, wanted_by),
-            Event::ProbeFor { target, wanted_by } => {
+            Event::Answer { target, updates, requester } => self.on_answer(vm, target, updates, requester),
+            Event::ProbeFor { target, requester } => {
                 if self.listens_from[vm] <= now {
-                    self.probe(vm, target, Some(wanted_by));
+                    self.probe(vm, target, Some(requester));
                 } else {
-                    self.put(now, wanted_by, Event::Indirect { target, answered: false });
+                    self.schedule(now, requester, Event::Indirect { target, answered: false });
                 }
             }
             Event::Indirect { target, answered } => {
-                let Some((left, any)) = self.indirect[vm].get_mut(&target) else { return };
-                *left -= 1;
-                *any |= answered;
-                if let (0, any) = (*left, *any) {
+                let Some((pending, any_answered)) = self.indirect[vm].get_mut(&target) else { return };
+                *pending -= 1;
+                *any_answered |= answered;
+                if let (0, any_answered) = (*pending, *any_answered) {
                     self.indirect[vm].remove(&target);
                     let target = self.ids[target].clone();
-                    let actions = self.views[vm].on_indirect(&target, any, now);
+                    let actions = self.views[vm].on_indirect(&target, any_answered, now);
                     self.act(vm, actions);
                 }
             }
         }
     }
 
-    fn on_answer(&mut self, vm: usize, target: usize, news: Option<Vec<News>>, wanted_by: Option<usize>) {
+    fn on_answer(
+        &mut self,
+        vm: usize,
+        target: usize,
+        updates: Option<Vec<MemberUpdate>>,
+        requester: Option<usize>,
+    ) {
         let now = self.now;
-        let answered = news.is_some();
-        if let Some(asking) = wanted_by {
-            let back = now + self.random(self.load.way);
-            return self.put(back, asking, Event::Indirect { target, answered });
+        let answered = updates.is_some();
+        if let Some(requester) = requester {
+            let arrival = now + self.random(self.load.max_one_way);
+            return self.schedule(arrival, requester, Event::Indirect { target, answered });
         }
         let id = self.ids[target].clone();
         let mut actions = self.views[vm].on_probe(&id, answered, now);
-        actions.extend(self.views[vm].on_news(&news.unwrap_or_default(), now));
+        actions.extend(self.views[vm].on_updates(&updates.unwrap_or_default(), now));
         self.act(vm, actions);
     }
 
@@ -218,46 +224,46 @@
                 MembershipAction::ProbeVia { via, target } => {
                     let (via, target) = (self.index(&via), self.index(&target));
                     self.indirect[vm].entry(target).or_insert((0, false)).0 += 1;
-                    let at = self.now + self.random(self.load.way);
-                    self.put(at, via, Event::ProbeFor { target, wanted_by: vm });
+                    let at = self.now + self.random(self.load.max_one_way);
+                    self.schedule(at, via, Event::ProbeFor { target, requester: vm });
                 }
-                MembershipAction::Changed(news) if news.liveness == Liveness::Dead => self.false_deaths += 1,
+                MembershipAction::Changed(item) if item.liveness == Liveness::Dead => self.false_deaths += 1,
                 MembershipAction::Changed(_) => {}
             }
         }
     }
 
-    fn probe(&mut self, from: usize, target: usize, wanted_by: Option<usize>) {
-        let (sent, news) = (self.now, self.views[from].news());
-        let at = sent + self.random(self.load.way);
-        self.put(at, target, Event::Probe { from, news, sent, wanted_by });
+    fn probe(&mut self, from: usize, target: usize, requester: Option<usize>) {
+        let (sent, updates) = (self.now, self.views[from].next_updates());
+        let at = sent + self.random(self.load.max_one_way);
+        self.schedule(at, target, Event::Probe { from, updates, sent, requester });
     }
 }
 
 /// Living VMs that are taken for dead in so many plays, and the plays in which one is still doubted more
 /// than three seconds after all listen.
-fn troubled(count: usize, load: Load) -> (usize, usize) {
+fn count_false_suspicions(count: usize, load: Load) -> (usize, usize) {
     let mut deaths = 0;
     let mut doubted = 0;
-    for seed in 0..PLAYS {
-        let mut play = Play::new(count, load, seed);
-        play.run();
-        deaths += play.false_deaths;
-        let last = play.listens_from.iter().max().copied().unwrap_or_default();
-        doubted += usize::from(play.last_doubt > last + Duration::from_secs(3));
+    for seed in 0..RUNS {
+        let mut simulation = Simulation::new(count, load, seed);
+        simulation.run();
+        deaths += simulation.false_deaths;
+        let last = simulation.listens_from.iter().max().copied().unwrap_or_default();
+        doubted += usize::from(simulation.last_doubt > last + Duration::from_secs(3));
     }
     (deaths, doubted)
 }
 
 #[test]
-fn test_nobody_who_starts_beside_load_is_taken_for_dead() {
+fn test_false_deaths_while_vms_start_under_load() {
     let millis = Duration::from_millis;
-    let calm = Load { starts_within: millis(300), way: millis(20), tick_late: millis(20) };
-    let busy = Load { starts_within: millis(1_500), way: millis(150), tick_late: millis(300) };
-    let crowded = Load { starts_within: millis(3_000), way: millis(350), tick_late: millis(800) };
-    let plays: Vec<_> = [calm, busy, crowded]
+    let calm = Load { max_startup: millis(300), max_one_way: millis(20), max_tick_delay: millis(20) };
+    let busy = Load { max_startup: millis(1_500), max_one_way: millis(150), max_tick_delay: millis(300) };
+    let crowded = Load { max_startup: millis(3_000), max_one_way: millis(350), max_tick_delay: millis(800) };
+    let results: Vec<_> = [calm, busy, crowded]
         .into_iter()
-        .flat_map(|load| [3, 9, 20].map(|count| (count, troubled(count, load))))
+        .flat_map(|load| [3, 9, 20].map(|count| (count, count_false_suspicions(count, load))))
         .collect();
-    insta::assert_debug_snapshot!(plays);
+    insta::assert_debug_snapshot!(results);
 }
--- a/lib/tests/test_retry.rs
+++ b/lib/tests/test_retry.rs
@@ -9,7 +9,7 @@
 
 /// In an outage where every request fails, retries stay a small part of the requests.
 #[test]
-fn test_outage_is_no_storm() {
+fn test_outage_causes_no_retry_storm() {
     let mut budget = RetryBudget::new(0.1);
     let mut retries = 0;
     for _ in 0..10_000 {
@@ -21,8 +21,8 @@
 
 /// Nodes that fail together do not come back together.
 #[test]
-fn test_backoff_spreads() {
-    let pauses: Vec<Duration> = (0..100)
+fn test_backoff_delays_are_spread() {
+    let delays: Vec<Duration> = (0..100)
         .map(|seed| {
             let mut backoff = Backoff::new(Duration::from_millis(100), Duration::from_secs(2));
             let mut rng = SmallRng::seed_from_u64(seed);
@@ -30,7 +30,7 @@
             backoff.next(&mut rng)
         })
         .collect();
-    let (least, most) = (pauses.iter().min().expect("some"), pauses.iter().max().expect("some"));
-    assert!(*most - *least > Duration::from_secs(1));
-    assert!(*most <= Duration::from_millis(2_100));
+    let (min, max) = (delays.iter().min().expect("some"), delays.iter().max().expect("some"));
+    assert!(*max - *min > Duration::from_secs(1));
+    assert!(*max <= Duration::from_millis(2_100));
 }
--- a/lib/tests/test_stream_cursor.rs
+++ b/lib/tests/test_stream_cursor.rs
@@ -1,9 +1,9 @@
 //! Once, in order, from one generation.
 
 use leadstage_lib::stream_cursor::AfterBreak;
+use leadstage_lib::stream_cursor::EventAction;
 use leadstage_lib::stream_cursor::StreamCursor;
 use leadstage_lib::stream_cursor::StreamPosition;
-use leadstage_lib::stream_cursor::Verdict;
 use leadstage_lib::stream_cursor::parse_engine_event_id;
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
         let mut cursor = StreamCursor::new(1, 0);
         let mut delivered = Vec::new();
         for (generation, index) in events {
-            if cursor.on_event(generation, index) == Verdict::Deliver {
+            if cursor.on_event(generation, index) == EventAction::Deliver {
                 prop_assert_eq!(generation, 1);
                 delivered.push(index);
             }
@@ -33,30 +33,30 @@
     }
 
     #[test]
-    fn test_malformed_position_is_refused_not_a_panic(text in "\\PC{0,40}") {
+    fn test_malformed_position_does_not_panic(text in "\\PC{0,40}") {
         let _ = text.parse::<StreamPosition>();
         let _ = parse_engine_event_id(&text);
     }
 }
 
 #[test]
-fn test_another_generation_only_without_a_token() {
-    let mut fresh = StreamCursor::new(1, 0);
-    let after: Vec<AfterBreak> = (0..4).map(|_| fresh.on_break()).collect();
+fn test_restart_only_without_delivered_token() {
+    let mut without_token = StreamCursor::new(1, 0);
+    let after: Vec<AfterBreak> = (0..4).map(|_| without_token.on_break()).collect();
     let resume = AfterBreak::Resume { from: 0 };
     assert_eq!(after, [resume, resume, resume, AfterBreak::Restart]);
 
-    let mut begun = StreamCursor::new(1, 0);
-    assert_eq!(begun.on_event(1, 0), Verdict::Deliver);
-    assert_eq!(begun.on_break(), AfterBreak::Resume { from: 1 });
-    assert_eq!(begun.on_engine_lost(), AfterBreak::End);
+    let mut with_token = StreamCursor::new(1, 0);
+    assert_eq!(with_token.on_event(1, 0), EventAction::Deliver);
+    assert_eq!(with_token.on_break(), AfterBreak::Resume { from: 1 });
+    assert_eq!(with_token.on_engine_lost(), AfterBreak::End);
 }
 
 #[test]
-fn test_progress_resets_the_breaks() {
+fn test_delivered_event_resets_break_count() {
     let mut cursor = StreamCursor::new(1, 0);
     for index in 0..10 {
         assert!(matches!(cursor.on_break(), AfterBreak::Resume { .. }));
-        assert_eq!(cursor.on_event(1, index), Verdict::Deliver);
+        assert_eq!(cursor.on_event(1, index), EventAction::Deliver);
     }
 }
--- a/lib/tests/test_survival.rs
+++ b/lib/tests/test_survival.rs
@@ -13,27 +13,34 @@
 
     /// Survival falls from 1 and stays a chance; the mean is never above the cap.
     #[test]
-    fn test_curve_is_a_survival_curve(ended in prop::collection::vec(0..60_000_u32, 0..200), seen in prop::collection::vec(0..60_000_u32, 0..50)) {
+    fn test_curve_is_a_survival_curve(
+        ended in prop::collection::vec(0..60_000_u32, 0..200),
+        censored in prop::collection::vec(0..60_000_u32, 0..50)
+    ) {
         let mut counts = LengthCounts::default();
         ended.iter().for_each(|t| counts.add_ended(*t));
-        seen.iter().for_each(|t| counts.add_censored(*t));
+        censored.iter().for_each(|t| counts.add_censored(*t));
         let curve = counts.blended(&LengthCounts::prior(), 8.0).curve();
-        let mut last = 1.0;
+        let mut previous = 1.0;
         for tokens in [0.0, 1.0, 3.0, 10.0, 100.0, 1e3, 1e4, 1e5, 1e6] {
-            let now = curve.at_least(tokens);
-            prop_assert!((0.0..=1.0).contains(&now) && now <= last + 1e-6);
-            last = now;
+            let current = curve.at_least(tokens);
+            prop_assert!((0.0..=1.0).contains(&current) && current <= previous + 1e-6);
+            previous = current;
             prop_assert!(curve.mean(tokens) <= tokens);
         }
     }
 
     /// The bound never falls below what is held, nor rises above all running on.
     #[test]
-    fn test_bound_is_between_held_and_most(sizes in prop::collection::vec((1..4_000_u32, 0..4_000_u32), 1..20), chance in 0.0001..0.5_f64) {
+    fn test_bound_is_between_held_and_maximum(
+        sizes in prop::collection::vec((1..4_000_u32, 0..4_000_u32), 1..20),
+        chance in 0.0001..0.5_f64
+    ) {
         let curve = LengthCounts::prior().curve();
         let mut sum = Projection::default();
         for (prompt, produced) in &sizes {
-            let footprint = Footprint { prompt: f64::from(*prompt), produced: f64::from(*produced), cap: 30_000.0 };
+            let footprint =
+                Footprint { prompt: f64::from(*prompt), produced: f64::from(*produced), cap: 30_000.0 };
             sum.add(&Projection::of(&footprint, &curve));
         }
         let bound = sum.bound(&Margins::new(chance));
@@ -44,7 +51,7 @@
 
 /// A censored generation says that lengths are longer, not that one ended there.
 #[test]
-fn test_censored_ones_lengthen_the_curve() {
+fn test_censored_lengths_do_not_shorten_the_curve() {
     let mut ended = LengthCounts::default();
     (0..100).for_each(|_| ended.add_ended(100));
     let mut censored = ended.clone();
@@ -53,7 +60,7 @@
 }
 
 #[test]
-fn test_learns_each_organisation_and_forgets() {
+fn test_organisations_have_own_curves_and_old_lengths_fade() {
     let mut model = LengthModel::default();
     let (short, long) = ("short".into(), "long".into());
     for _ in 0..500 {
--- a/lib/tests/test_upstreams.rs
+++ b/lib/tests/test_upstreams.rs
@@ -9,7 +9,7 @@
     serde_json::from_str(json).expect("a list")
 }
 
-const TWO: &str = r#"[
+const VM_LIST: &str = r#"[
     {"id":"e1","role":"engine","hall":"a","address":"127.0.0.1:1","serves":"m","state":"live"},
     {"id":"e2","role":"engine","hall":"a","address":"127.0.0.1:2","serves":"m","state":"live"},
     {"id":"n1","role":"entry","hall":"a","address":"127.0.0.1:3","state":"live"}]"#;
@@ -20,31 +20,31 @@
 
 /// A notice counts at once and stays, though the list lags and still says "live".
 #[test]
-fn test_notice_goes_before_the_lagging_list() {
+fn test_leaving_notice_overrides_outdated_list() {
     let mut directory = Directory::default();
-    directory.on_list(list(TWO), Duration::ZERO);
+    directory.on_list(list(VM_LIST), Duration::ZERO);
     assert_eq!(usable(&directory, Duration::ZERO), ["e1", "e2"]);
     assert!(directory.on_leaving(&"e1".into(), Duration::from_secs(1)));
-    assert!(!directory.on_leaving(&"e1".into(), Duration::from_secs(1)), "told twice as news");
+    assert!(!directory.on_leaving(&"e1".into(), Duration::from_secs(1)), "the second notice counts as new");
     for second in 1..900 {
-        directory.on_list(list(TWO), Duration::from_secs(second));
+        directory.on_list(list(VM_LIST), Duration::from_secs(second));
         assert_eq!(usable(&directory, Duration::from_secs(second)), ["e2"]);
     }
 }
 
 #[test]
-fn test_failed_one_is_avoided_for_a_while() {
+fn test_failed_upstream_is_avoided_for_two_seconds() {
     let mut directory = Directory::default();
-    directory.on_list(list(TWO), Duration::ZERO);
+    directory.on_list(list(VM_LIST), Duration::ZERO);
     directory.on_failed(&"e1".into(), Duration::ZERO);
     assert_eq!(usable(&directory, Duration::from_secs(1)), ["e2"]);
     assert_eq!(usable(&directory, Duration::from_secs(2)), ["e1", "e2"]);
 }
 
 #[test]
-fn test_gone_ones_are_named() {
+fn test_unlisted_vms_are_returned() {
     let mut directory = Directory::default();
-    directory.on_list(list(TWO), Duration::ZERO);
+    directory.on_list(list(VM_LIST), Duration::ZERO);
     let gone = directory.on_list(list("[]"), Duration::from_secs(1));
     assert_eq!(gone.len(), 3);
     assert!(directory.get("e1").is_none());
--- a/node/src/call.rs
+++ b/node/src/call.rs
@@ -8,10 +8,10 @@
 use http::Method;
 use http::Request;
 use http_body_util::Full;
-use leadstage_lib::blame;
 use leadstage_lib::bundle::Route;
 use leadstage_lib::claims::ClaimOutcome;
 use leadstage_lib::code::Code;
+use leadstage_lib::loss_limit;
 use leadstage_lib::signing::sha256_hex;
 use rand::seq::IndexedRandom;
 use xitca_web::http::WebResponse;
@@ -170,7 +170,7 @@
             Err(SendError::MayHaveRun) if call.repeatable => {
                 last = Sent::Unknown(Code::UpstreamLost);
                 lost += 1;
-                if !blame::may_risk_another(0, lost) {
+                if !loss_limit::may_retry_after_loss(0, lost) {
                     return last;
                 }
             }
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -10,7 +10,7 @@
 use leadstage_lib::membership::Liveness;
 use leadstage_lib::membership::Membership;
 use leadstage_lib::membership::MembershipAction;
-use leadstage_lib::membership::PAUSE;
+use leadstage_lib::membership::PAUSE_THRESHOLD;
 use leadstage_lib::pool_event::PoolEvent;
 use leadstage_lib::rollout::InForce;
 use leadstage_lib::upstreams::Directory;
@@ -194,7 +194,7 @@
 fn notice_pause(control: &ControlRef) {
     let mut control = control.borrow_mut();
     let now = control.now();
-    let paused = now.saturating_sub(control.last_tick) > PAUSE;
+    let paused = now.saturating_sub(control.last_tick) > PAUSE_THRESHOLD;
     control.last_tick = now;
     if paused {
         info!(event = "pause"; "the process was paused");
--- a/node/src/filters/relay.rs
+++ b/node/src/filters/relay.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 use eventsource_stream::Event;
-use leadstage_lib::blame;
 use leadstage_lib::code::Code;
 use leadstage_lib::code::Ran;
 use leadstage_lib::ids::GenerationId;
+use leadstage_lib::loss_limit;
 use leadstage_lib::pool_event::EndKind;
 use leadstage_lib::stream_cursor::AfterBreak;
+use leadstage_lib::stream_cursor::EventAction;
 use leadstage_lib::stream_cursor::StreamCursor;
 use leadstage_lib::stream_cursor::StreamPosition;
-use leadstage_lib::stream_cursor::Verdict;
 use leadstage_lib::stream_cursor::parse_engine_event_id;
 use log::info;
 use rand::RngExt;
@@ -227,15 +227,15 @@
     fn on_event(&mut self, event: Event) -> Option<Relayed> {
         let verdict = match parse_engine_event_id(&event.id) {
             Some((generation, index)) => self.cursor.on_event(generation, index),
-            None => Verdict::BreakLink,
+            None => EventAction::BreakLink,
         };
         match verdict {
-            Verdict::Repeated => return None,
-            Verdict::BreakLink => {
+            EventAction::Repeated => return None,
+            EventAction::BreakLink => {
                 self.link = None;
                 return None;
             }
-            Verdict::Deliver => {}
+            EventAction::Deliver => {}
         }
         if chunk::is_last(&event.data) {
             self.finished = true;
@@ -274,7 +274,7 @@
                     self.lost += 1;
                     self.give_up_engine()?;
                     // It may be what ends them: without this one request cost all four engines of a pool.
-                    if !blame::may_risk_another(0, self.lost) {
+                    if !loss_limit::may_retry_after_loss(0, self.lost) {
                         return Err(Refusal::new(Code::UpstreamLost));
                     }
                     return Box::pin(self.start_on_an_engine()).await;
--- a/node/src/gateway/observability/status.rs
+++ b/node/src/gateway/observability/status.rs
@@ -2,10 +2,10 @@
 
 use leadstage_lib::gateway::replica::Replica;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::status::EngineLine;
+use leadstage_lib::status::EngineSummary;
 use leadstage_lib::status::NodeStatus;
-use leadstage_lib::status::PeerLine;
-use leadstage_lib::status::PoolLine;
+use leadstage_lib::status::PeerSummary;
+use leadstage_lib::status::PoolSummary;
 
 use crate::gateway::control::knowledge::Knowledge;
 use crate::gateway::peers::fleet::Fleet;
@@ -35,7 +35,7 @@
         platform_reached: shared.store_answers(),
         peers: fleet
             .alive()
-            .map(|node| PeerLine { vm: node.to_string(), liveness: "alive".to_owned() })
+            .map(|node| PeerSummary { vm: node.to_string(), liveness: "alive".to_owned() })
             .collect(),
         pools: led.iter().map(|service| pool(knowledge, service, waiting)).collect(),
         leaving: leaving.map(|replica| replica.record.id.to_string()).collect(),
@@ -71,7 +71,7 @@
     }
 }
 
-fn pool(knowledge: &Knowledge, service: &ServiceId, waiting: usize) -> PoolLine {
+fn pool(knowledge: &Knowledge, service: &ServiceId, waiting: usize) -> PoolSummary {
     let all_engines = knowledge.staying(service).count();
     let engines = if all_engines <= MOST_ENGINES {
         knowledge.replicas.of_service(service)
@@ -80,9 +80,9 @@
         let busy = knowledge.book.busy().filter_map(|id| knowledge.replicas.get(id));
         busy.filter(|replica| replica.record.service == *service).take(MOST_ENGINES).collect()
     };
-    let engines: Vec<EngineLine> =
+    let engines: Vec<EngineSummary> =
         engines.into_iter().map(|replica| engine(knowledge, service, replica)).collect();
-    PoolLine {
+    PoolSummary {
         all_engines,
         model: service.to_string(),
         hall: ALL_HALLS.to_owned(),
@@ -92,9 +92,9 @@
     }
 }
 
-fn engine(knowledge: &Knowledge, service: &ServiceId, replica: &Replica) -> EngineLine {
+fn engine(knowledge: &Knowledge, service: &ServiceId, replica: &Replica) -> EngineSummary {
     let id = &replica.record.id;
-    EngineLine {
+    EngineSummary {
         id: id.to_string(),
         state: replica.leaving.map_or_else(|| "up".to_owned(), |sign| format!("leaving: {sign}")),
         running: knowledge.book.at(id).count(),
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -142,7 +142,7 @@
 
     /// Those of them that seem to be well, and how many nodes there were lately.
     pub fn census(&self) -> Census {
-        Census { well: self.membership.well().cloned().collect(), size: self.size() }
+        Census { well: self.membership.healthy().cloned().collect(), size: self.size() }
     }
 
     fn size(&self) -> Option<usize> {
@@ -296,7 +296,7 @@
         if from != self.own_address && self.list(from, now) {
             self.met += 1;
         }
-        let actions = self.membership.heard_from(&node_id(from), now);
+        let actions = self.membership.on_direct_contact(&node_id(from), now);
         self.act(actions, now)
     }
 
@@ -365,7 +365,7 @@
         for node in gossip.known {
             self.on_known(node, now);
         }
-        let actions = self.membership.on_news(&gossip.news, now);
+        let actions = self.membership.on_updates(&gossip.news, now);
         self.act(actions, now)
     }
 
@@ -394,7 +394,7 @@
             known: known.collect(),
             hall: Some(self.own_hall.clone()),
             has_wide_link: self.own_link_is_wide,
-            news: self.membership.news(),
+            news: self.membership.next_updates(),
             nodes: self.nodes() as u32,
             hears_watchers: self.hears_watchers,
         }
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -29,7 +29,7 @@
 use leadstage_lib::gateway::watchers::StoreState;
 use leadstage_lib::ids::HallId;
 use leadstage_lib::ids::UpstreamId;
-use leadstage_lib::membership::News;
+use leadstage_lib::membership::MemberUpdate;
 use leadstage_platform::store::Revision;
 use serde::Deserialize;
 use serde::Serialize;
@@ -159,7 +159,7 @@
     /// Whether the sender has a wide link.
     pub has_wide_link: bool,
     /// What is thought of nodes; they are named by their peer addresses.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
     /// Some nodes that the sender knows.
     pub known: Vec<KnownNode>,
     /// How many it takes to be alive, itself included; 0 in an answer on behalf of another node.
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadstage_lib::blame;
 use leadstage_lib::code::Code;
 use leadstage_lib::gateway::crash_ledger::CrashTable;
 use leadstage_lib::gateway::crash_ledger::Standing;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
+use leadstage_lib::loss_limit;
 use leadstage_platform::health;
 use log::info;
 use tokio::time::Instant;
@@ -69,18 +69,18 @@
     /// Whether a request may cost one more replica after a run that broke. Of replicas that broke runs of this
     /// attempt those that answer have not ended: with two that lived and did not count, a stream ended at its
     /// second break instead of going on at a third engine, by the test of all faults.
-    pub async fn may_risk_another(&self, req: &CallerRequest) -> bool {
+    pub async fn may_retry_after_loss(&self, req: &CallerRequest) -> bool {
         let ended = self.standing(req).map_or(0, |standing| standing.ends);
         let broken_at = req.broken_at.lock().expect("no holder panics").clone();
-        if blame::may_risk_another(ended, broken_at.len()) {
+        if loss_limit::may_retry_after_loss(ended, broken_at.len()) {
             return true;
         }
         let mut broken = broken_at.len();
-        if blame::may_risk_another(ended, 0) {
+        if loss_limit::may_retry_after_loss(ended, 0) {
             let asked = broken_at.iter().map(|replica| self.lives(req, replica));
             broken -= futures::future::join_all(asked).await.into_iter().filter(|lives| *lives).count();
         }
-        let may = blame::may_risk_another(ended, broken);
+        let may = loss_limit::may_retry_after_loss(ended, broken);
         if !may {
             info!(event = "not_sent_again", request = req.id(), fingerprint:% = req.fingerprint(), ended, broken; "replicas may end under this request: it is not sent to another one");
         }
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -66,7 +66,7 @@
     pub async fn may_send_again(&self, req: &CallerRequest, sent: u32) -> bool {
         let policy = self.shared.settings.policy;
         let is_on = if req.route.resumable { policy.resume_streams } else { policy.repeat };
-        is_on && req.may_repeat(sent) && self.may_risk_another(req).await && self.take_retry(&req.service)
+        is_on && req.may_repeat(sent) && self.may_retry_after_loss(req).await && self.take_retry(&req.service)
     }
 
     fn take_retry(&self, service: &ServiceId) -> bool {
--- a/node/src/membership_driver.rs
+++ b/node/src/membership_driver.rs
@@ -69,7 +69,7 @@
 pub fn gossip(control: &mut Control) -> Gossip {
     Gossip {
         from: control.settings.vm.clone(),
-        news: control.membership.news(),
+        news: control.membership.next_updates(),
         bundle: control.shared.bundle().map_or(0, |b| b.number),
         leaving: control.directory.leaving().take(MAX_LEAVING).cloned().collect(),
     }
@@ -80,8 +80,8 @@
     let newer = {
         let mut control = control.borrow_mut();
         let now = control.now();
-        let mut actions = control.membership.heard_from(&gossip.from, now);
-        actions.extend(control.membership.on_news(&gossip.news, now));
+        let mut actions = control.membership.on_direct_contact(&gossip.from, now);
+        actions.extend(control.membership.on_updates(&gossip.news, now));
         control.on_membership(&actions);
         let mut fresh = false;
         for upstream in &gossip.leaving {
--- a/node/src/status_report.rs
+++ b/node/src/status_report.rs
@@ -2,10 +2,10 @@
 
 use leadstage_lib::engine_book::EngineBook;
 use leadstage_lib::engine_book::EngineState;
-use leadstage_lib::status::EngineLine;
+use leadstage_lib::status::EngineSummary;
 use leadstage_lib::status::NodeStatus;
-use leadstage_lib::status::PeerLine;
-use leadstage_lib::status::PoolLine;
+use leadstage_lib::status::PeerSummary;
+use leadstage_lib::status::PoolSummary;
 use leadstage_lib::upstreams::VmRole;
 
 use crate::control::Control;
@@ -46,13 +46,13 @@
     }
 }
 
-fn peers(control: &Control) -> Vec<PeerLine> {
+fn peers(control: &Control) -> Vec<PeerSummary> {
     let entries = control.directory.with_role(VmRole::Entry);
     let others = entries.filter(|r| r.id != control.settings.vm);
     let line = |id: &str| {
         let liveness = control.membership.liveness(id);
         let liveness = liveness.map_or_else(|| "unknown".to_owned(), |l| format!("{l:?}").to_lowercase());
-        PeerLine { vm: id.to_owned(), liveness }
+        PeerSummary { vm: id.to_owned(), liveness }
     };
     others.map(|r| line(&r.id)).collect()
 }
@@ -63,9 +63,9 @@
     records.filter(|r| control.directory.is_leaving(&r.id)).map(|r| r.id.to_string()).collect()
 }
 
-fn pool_line(key: &PoolKey, led: &LedPool) -> PoolLine {
+fn pool_line(key: &PoolKey, led: &LedPool) -> PoolSummary {
     let status = led.pool.status();
-    PoolLine {
+    PoolSummary {
         model: key.model.to_string(),
         hall: key.hall.to_string(),
         waiting: status.waiting,
@@ -75,8 +75,8 @@
     }
 }
 
-fn engine_line(book: &EngineBook) -> EngineLine {
-    EngineLine {
+fn engine_line(book: &EngineBook) -> EngineSummary {
+    EngineSummary {
         id: book.id.to_string(),
         state: match book.state {
             EngineState::Up => "up".to_owned(),
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -7,7 +7,7 @@
 use leadstage_lib::ids::UpstreamId;
 use leadstage_lib::ids::VmId;
 use leadstage_lib::membership::Liveness;
-use leadstage_lib::membership::News;
+use leadstage_lib::membership::MemberUpdate;
 use leadstage_lib::pool_event::EndKind;
 use leadstage_lib::pool_event::PlaceRequest;
 use leadstage_proto::peer_capnp;
@@ -23,7 +23,7 @@
     /// The sender.
     pub from: VmId,
     /// News of VMs.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
     /// The sender's bundle, 0 for none.
     pub bundle: BundleNumber,
     /// Upstreams that the sender knows to be leaving.
@@ -154,7 +154,11 @@
             peer_capnp::Liveness::Dead => Liveness::Dead,
             peer_capnp::Liveness::Left => Liveness::Left,
         };
-        news.push(News { vm: text(item.get_vm()?)?.into(), incarnation: item.get_incarnation(), liveness });
+        news.push(MemberUpdate {
+            vm: text(item.get_vm()?)?.into(),
+            incarnation: item.get_incarnation(),
+            liveness,
+        });
     }
     let mut leaving = Vec::new();
     for upstream in from.get_leaving()? {
--- a/node/tests/test_gateway_upgrade_judges.rs
+++ b/node/tests/test_gateway_upgrade_judges.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use leadstage_lib::membership::SUSPECT_FOR;
+use leadstage_lib::membership::SUSPICION_TIMEOUT;
 use leadstage_testutils::gateway_replica::PartialFault;
 use leadstage_testutils::gateway_replica::ReplicaFault;
 use leadstage_testutils::metadata_store::StoreFault;
@@ -25,7 +25,7 @@
 const WITHIN: Duration = Duration::from_secs(10);
 const TURNS_BAD_AT: Duration = Duration::from_secs(3);
 /// A node can't be taken for dead sooner than this after its last word.
-const BEFORE_A_DEATH_IS_KNOWN: Duration = SUSPECT_FOR;
+const BEFORE_A_DEATH_IS_KNOWN: Duration = SUSPICION_TIMEOUT;
 /// The operator is told no later than this after the time is over, on a busy machine too.
 const TOLD_WITHIN: Duration = Duration::from_secs(3);
 
