--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -1,7 +1,7 @@
-//! The gateway interface: requests pass unaltered to replicas that the platform lists.
+//! The gateway: forwards requests unmodified to the replicas that the platform lists.
 //!
-//! Everything here is sans-I/O. `node/src/gateway` drives it, and the adapter in
-//! `platform/` fills its types from what the platform says.
+//! Everything here is sans-I/O. `node/src/gateway` drives it, and the adapter in `platform/` fills its types
+//! from the platform's API.
 
 pub mod answer_counts;
 pub mod asked_rests;
--- a/lib/src/length_model.rs
+++ b/lib/src/length_model.rs
@@ -1,5 +1,5 @@
-//! Output lengths of one model by organisation, with the model's and a prior as
-//! fallbacks. Memory is bounded by the number of organisations that are kept.
+//! Distribution of the output lengths of one model for each organisation. The distribution of the whole model
+//! and a prior serve as fallbacks. Memory is bounded by the number of tracked organisations.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,13 +8,13 @@
 use crate::survival::LengthCounts;
 use crate::survival::SurvivalCurve;
 
-/// Organisations with counts of their own at most; others share the model's.
+/// Maximum number of organisations with counts of their own; further ones use the counts of the model.
 const MAX_ORGANISATIONS: usize = 1_024;
 /// Weight of the model's counts in an organisation's curve, in generations.
 const MODEL_WEIGHT: f32 = 50.0;
 /// Weight of the prior in the model's curve, in generations.
 const PRIOR_WEIGHT: f32 = 8.0;
-/// A curve is made anew after this many observations, or after a tenth more.
+/// A curve is recomputed after this many new observations or 2 % of the total, whichever is more.
 const MIN_REFRESH_OBSERVATIONS: u32 = 8;
 
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     }
 }
 
-/// The learned lengths of one model.
+/// Output lengths of one model, learned from its generations.
 #[derive(Debug)]
 pub struct LengthModel {
     prior: LengthCounts,
@@ -62,7 +62,7 @@
 }
 
 impl LengthModel {
-    /// Learns from a generation: `ended` by itself, or cut off after `tokens`.
+    /// Records a generation of `tokens` tokens. `ended` is false if it was cut off before it ended by itself.
     pub fn observe(&mut self, organisation: &OrganisationId, tokens: u32, ended: bool) {
         if self.model.observe(tokens, ended) {
             self.model.refresh(&self.prior, PRIOR_WEIGHT);
@@ -80,13 +80,13 @@
         }
     }
 
-    /// The curve to use for an organisation now.
+    /// The current survival curve for an organisation.
     pub fn curve(&self, organisation: &OrganisationId) -> Rc<SurvivalCurve> {
         let own = self.organisations.get(organisation);
         own.map_or(&self.model, |own| own).curve.clone()
     }
 
-    /// Organisations with counts of their own.
+    /// The number of organisations with counts of their own.
     pub fn organisations(&self) -> usize {
         self.organisations.len()
     }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,6 +1,6 @@
-//! Every decision of leadstage, sans-I/O: no sockets, threads, clocks or global
-//! randomness. Events and the time go in, typed actions come out, and a seed makes a
-//! run repeatable. A foreign bench drives the same interfaces as the node does.
+//! All decision logic of leadstage, sans-I/O: no sockets, threads, clocks or global randomness. Callers pass
+//! in events and the current time and get typed actions back; a seed makes a run reproducible. External
+//! simulations drive the same interfaces as the node does.
 
 pub mod bundle;
 pub mod bundle_check;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,6 +1,7 @@
-//! Which VMs are alive: random probes, indirect probes before suspicion, and news
-//! carried on the probes, after SWIM (Das, Gupta, Motivala, 2002). The cost on a VM
-//! does not grow with the fleet: members that are up, suspect, ended or news are found without a look at all.
+//! Failure detection after SWIM (Das, Gupta, Motivala, 2002): random probes, indirect probes before a VM is
+//! suspected, and membership updates that are piggybacked on the probes. The cost for a VM does not grow with
+//! the fleet: indices find the members that are up, suspect or ended, or that have an update to send, without
+//! a scan of all members.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,59 +19,59 @@
 
 /// Time between two probes by one VM.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// A suspect that does not refute within this is dead.
+/// Time after which a suspect that has not refuted the suspicion is considered dead.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
-/// A VM that nobody has heard of may take this long to listen after it is listed; until then its silence
-/// is no sign of trouble. Processes that start together beside other load listen up to 3 s apart: when
-/// silent ones were suspected at once, 200 modelled starts of three VMs each took a living one for dead
-/// 11 to 74 times, and of 40 VMs some 150 times each (`test_membership_start`).
+/// Time after its listing within which a VM that no VM has received a message from may still be starting, so
+/// that failed probes don't make it a suspect. Processes that start together under load begin to listen up to
+/// 3 s apart. When silent VMs were suspected at once, a live VM was considered dead 11 to 74 times in 200
+/// modelled starts of three VMs, and some 150 times in each start of 40 VMs (`test_membership_start`).
 const STARTUP_GRACE: Duration = Duration::from_secs(5);
-/// A dead VM is remembered this long, so that old news does not revive it.
+/// Time for which a dead VM is remembered, so that outdated updates don't revive it.
 const DEAD_RETENTION: Duration = Duration::from_secs(300);
-/// VMs that are asked to probe a target that did not answer.
+/// Number of VMs that are requested to probe a target that did not answer a direct probe.
 const INDIRECT_PROBES: usize = 2;
-/// News items on one message.
+/// Maximum number of updates in one message.
 pub const MAX_UPDATES_PER_MESSAGE: usize = 8;
-/// A pause of the process longer than this makes it doubt what it knows.
+/// A process that was paused for longer than this no longer trusts its view of the fleet.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 
-/// What is thought of a VM.
+/// A VM's state, as far as the fleet knows.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It answers.
+    /// The VM answers probes.
     Alive,
-    /// It did not answer, directly or through others.
+    /// The VM answered neither direct nor indirect probes.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The VM did not refute the suspicion in time.
     Dead,
-    /// It said that it stops.
+    /// The VM announced that it stops.
     Left,
 }
 
-/// A piece of news about a VM.
+/// An update on the state of a VM.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// About whom.
+    /// The VM.
     pub vm: VmId,
-    /// Raised by the VM itself to refute a suspicion.
+    /// Number that only the VM itself increments, to refute a suspicion.
     pub incarnation: u64,
-    /// What is thought of it.
+    /// The VM's state.
     pub liveness: Liveness,
 }
 
-/// What the driver is to do.
+/// An action that the driver is to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Probe the target and report with [`Membership::on_probe`].
     Probe {
-        /// Whom.
+        /// The VM to probe.
         target: VmId,
     },
-    /// Ask `via` to probe the target and report with [`Membership::on_indirect`].
+    /// Request `via` to probe the target and report with [`Membership::on_indirect`].
     ProbeVia {
-        /// Whom to ask.
+        /// The VM that sends the indirect probe.
         via: VmId,
-        /// Whom it is to probe.
+        /// The VM to probe.
         target: VmId,
     },
     /// A VM's liveness changed.
@@ -82,13 +83,13 @@
     incarnation: u64,
     liveness: Liveness,
     since: Timestamp,
-    /// When this VM learnt that there is one.
+    /// When this VM learnt of the member.
     added_at: Timestamp,
-    /// It was heard from, here or by the node that told of it.
+    /// Whether this VM, or the node that reported the member, has received a message from it.
     confirmed: bool,
-    /// When it was last heard from directly.
+    /// When a message was last received from the member directly.
     last_contact: Option<Timestamp>,
-    /// This VM's own probes failed, so it asks again.
+    /// Whether this VM's own probes failed, so that it keeps probing the member.
     suspected_locally: bool,
     listed: bool,
     sent_count: u32,
@@ -101,14 +102,14 @@
     incarnation: u64,
     leaving: bool,
     members: BTreeMap<VmId, Member>,
-    /// Those that are thought to be alive or only suspected.
+    /// Members that are alive or only suspected.
     up: SampleSet<VmId>,
     suspects: BTreeSet<VmId>,
-    /// Those that are dead or left, by when they became so.
+    /// Members that are dead or left, ordered by the time of that change.
     ended: BTreeSet<(Timestamp, VmId)>,
-    /// Those that others may be told of, the least told first.
+    /// Members with an update that may be sent to others, the least often sent first.
     pending_updates: BTreeSet<(u32, VmId)>,
-    /// Rises when a member comes up or is up no more.
+    /// Incremented when a member comes up or goes down.
     version: u64,
     probe_round: Vec<VmId>,
     last_probe: Option<Timestamp>,
@@ -118,8 +119,8 @@
 }
 
 impl Membership {
-    /// A view with nobody but the VM itself. The incarnation should be higher after
-    /// each start of the process, such as the time in milliseconds.
+    /// Creates a view that contains only the VM itself. The incarnation should rise with each start of the
+    /// process, such as the time in milliseconds.
     pub fn new(own: VmId, incarnation: u64, seed: u64) -> Self {
         Membership {
             own,
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Takes the VM list in: new VMs are candidates, taken to be alive until a probe
-    /// fails; VMs that it no longer names are forgotten once they are dead.
+    /// Applies a VM list. New VMs become members that are considered alive until a probe fails. VMs that are
+    /// no longer listed are removed some time after their death.
     pub fn on_list(&mut self, listed: &[VmId], now: Timestamp) {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -148,7 +149,7 @@
         listed.iter().for_each(|vm| self.list(vm, now));
     }
 
-    /// A VM is listed: it is a candidate, taken to be alive until a probe fails.
+    /// Adds a listed VM, which is considered alive until a probe fails.
     pub fn list(&mut self, vm: &VmId, now: Timestamp) {
         if *vm == self.own {
             return;
@@ -161,12 +162,12 @@
         self.update(vm, |member| member.listed = true);
     }
 
-    /// A VM is not listed any more; it is forgotten once it is dead for some time.
+    /// Marks a VM as no longer listed, so that it is removed some time after its death.
     pub fn unlist(&mut self, vm: &VmId) {
         self.update(vm, |member| member.listed = false);
     }
 
-    /// Changes a member, if there is one, and the indices with it.
+    /// Changes a member, if it exists, and updates the indices.
     fn update<T>(&mut self, vm: &VmId, change: impl FnOnce(&mut Member) -> T) -> Option<T> {
         let member = self.members.get_mut(vm)?;
         let before = IndexKeys::of(member);
@@ -178,7 +179,7 @@
         Some(result)
     }
 
-    /// Brings the indices from what a member was to what it is.
+    /// Updates the indices from a member's previous keys to its current ones.
     fn index(&mut self, vm: &VmId, before: Option<&IndexKeys>, after: Option<&IndexKeys>) {
         let is_up = after.is_some_and(|after| after.is_up);
         if before.is_some_and(|before| before.is_up) != is_up {
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Time has passed; wanted a few times a second.
+    /// Advances the time. The driver calls this a few times a second.
     pub fn tick(&mut self, now: Timestamp) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         self.detect_pause(now);
@@ -221,7 +222,8 @@
         actions
     }
 
-    /// After a pause others may think this VM dead; and its own suspicions are stale.
+    /// Raises the incarnation and restarts the time of each suspicion after a pause of the process: other VMs
+    /// may consider this one dead, and its own suspicions are outdated.
     fn detect_pause(&mut self, now: Timestamp) {
         let paused = self.last_tick.is_some_and(|at| now.saturating_sub(at) > PAUSE_THRESHOLD);
         self.last_tick = Some(now);
@@ -252,7 +254,7 @@
         self.remove_ended(now);
     }
 
-    /// Forgets who ended long ago; who is listed is asked again and again.
+    /// Removes members that ended long ago. Listed ones are kept, as they continue to be probed.
     fn remove_ended(&mut self, now: Timestamp) {
         let is_long_ago = |(since, _): &&(Timestamp, VmId)| now.saturating_sub(*since) >= DEAD_RETENTION;
         let long_ago: Vec<VmId> =
@@ -265,8 +267,8 @@
         }
     }
 
-    /// The next VM of a shuffled round over all that may be reached; dead ones that the
-    /// VM list still names are tried too, as they may have been cut off only.
+    /// The next VM of a shuffled round over all members that may be reachable. These include dead members
+    /// that are still listed, as they may only have been disconnected.
     fn next_target(&mut self) -> Option<VmId> {
         loop {
             if let Some(vm) = self.probe_round.pop() {
@@ -287,15 +289,15 @@
         }
     }
 
-    /// The VM that this one suspects longest. It is asked each second, as the round over all may come
-    /// back to it only after it is taken for dead.
+    /// The VM that this one has suspected for the longest time. It is probed each second, as its turn in the
+    /// round may come only after it is considered dead.
     fn next_suspect(&self) -> Option<VmId> {
         let suspects = self.suspects.iter().filter_map(|vm| Some((vm, self.members.get(vm)?)));
         let own = suspects.filter(|(_, member)| member.suspected_locally);
         own.min_by_key(|(_, member)| member.since).map(|(vm, _)| vm.clone())
     }
 
-    /// A direct probe answered, or not.
+    /// Handles the result of a direct probe.
     pub fn on_probe(&mut self, target: &VmId, answered: bool, now: Timestamp) -> Vec<MembershipAction> {
         if answered {
             return self.on_direct_contact(target, now);
@@ -307,12 +309,12 @@
         if actions.is_empty() { self.suspect(target, now) } else { actions }
     }
 
-    /// All indirect probes of a target are over; `answered` if any did.
+    /// Handles the end of all indirect probes of a target. `answered` is true if any of them was answered.
     pub fn on_indirect(&mut self, target: &VmId, answered: bool, now: Timestamp) -> Vec<MembershipAction> {
         if answered { self.on_direct_contact(target, now) } else { self.suspect(target, now) }
     }
 
-    /// A VM was heard from directly.
+    /// Handles a message that was received directly from a VM.
     pub fn on_direct_contact(&mut self, vm: &VmId, now: Timestamp) -> Vec<MembershipAction> {
         self.last_contact = Some(now);
         let Some(member) = self.members.get_mut(vm) else {
@@ -342,7 +344,7 @@
         update.flatten().map(MembershipAction::Changed).into_iter().collect()
     }
 
-    /// Takes news in that came with a message.
+    /// Applies the updates that came with a message.
     pub fn on_updates(&mut self, updates: &[MemberUpdate], now: Timestamp) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         for item in updates {
@@ -357,7 +359,7 @@
                     return false;
                 }
                 member.incarnation = item.incarnation;
-                // Only the VM itself gives out an incarnation.
+                // Only the VM itself sets an incarnation above 0, so some node received a message from it.
                 member.confirmed |= item.incarnation > 0;
                 let changes = member.liveness != item.liveness;
                 if changes {
@@ -372,14 +374,14 @@
         actions
     }
 
-    /// Others doubt this VM: a higher incarnation tells them that it is there.
+    /// Refutes an update by which this VM is not alive: raises the incarnation above the reported one.
     fn refute(&mut self, item: &MemberUpdate) {
         if item.liveness != Liveness::Alive && !self.leaving {
             self.incarnation = self.incarnation.max(item.incarnation + 1);
         }
     }
 
-    /// News to put on the next message: this VM's own and the least told.
+    /// The updates for the next message: this VM's own state and the least often sent ones of other VMs.
     pub fn next_updates(&mut self) -> Vec<MemberUpdate> {
         let own = if self.leaving { Liveness::Left } else { Liveness::Alive };
         let mut updates =
@@ -400,56 +402,56 @@
         updates
     }
 
-    /// This VM is about to stop.
+    /// Announces that this VM is about to stop.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.incarnation += 1;
     }
 
-    /// VMs thought to be alive or only suspected, without this one.
+    /// The other VMs that are alive or only suspected.
     pub fn alive(&self) -> impl Iterator<Item = &VmId> {
         self.members.iter().filter(|(_, m)| m.is_up()).map(|(vm, _)| vm)
     }
 
-    /// How many these are.
+    /// The number of other VMs that are alive or only suspected.
     pub fn count_alive(&self) -> usize {
         self.up.len()
     }
 
-    /// Those of them that are not suspected.
+    /// The other VMs that are alive and not suspected.
     pub fn healthy(&self) -> impl Iterator<Item = &VmId> {
         self.up.iter().filter(|vm| !self.suspects.contains(*vm))
     }
 
-    /// Rises when one comes to them or goes from them.
+    /// A version of the set of VMs that are alive or only suspected, which rises with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What is thought of a VM.
+    /// The state of a VM, if it is a member.
     pub fn liveness(&self, vm: &str) -> Option<Liveness> {
         self.members.get(vm).map(|m| m.liveness)
     }
 
-    /// When any peer was last heard from since the start or the latest pause.
+    /// When a message was last received directly from any peer since the start or the latest pause.
     pub fn last_contact(&self) -> Option<Timestamp> {
         self.last_contact
     }
 
-    /// Whether there is any peer that should be alive.
+    /// Whether any listed peer has not left.
     pub fn has_peers(&self) -> bool {
         self.members.values().any(|m| m.listed && m.liveness != Liveness::Left)
     }
 }
 
-/// What of a member the indices go by.
+/// The properties of a member that determine its place in the indices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct IndexKeys {
     is_up: bool,
     is_suspect: bool,
-    /// Since when it is dead or left.
+    /// When the member died or left.
     ended: Option<Timestamp>,
-    /// How often others were told of it, if there is something to tell.
+    /// How often the member's update was sent to others; `None` if there is nothing to send.
     sent_count: Option<u32>,
 }
 
@@ -488,8 +490,8 @@
         self.sent_count = 0;
     }
 
-    /// Whether a failed probe can mean that it is gone: not if it may not listen yet, nor if it was heard
-    /// from while the probe was under way.
+    /// Whether a failed probe is a reason to suspect the member: not if it may still be starting, nor if a
+    /// message arrived from it while the probe was under way.
     fn may_be_suspected(&self, now: Timestamp) -> bool {
         let is_starting = !self.confirmed && now.saturating_sub(self.added_at) < STARTUP_GRACE;
         let has_recent_contact = self.last_contact.is_some_and(|at| now.saturating_sub(at) < PROBE_INTERVAL);
--- a/lib/src/rendezvous.rs
+++ b/lib/src/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Rendezvous hashing: everyone who knows the same members picks the same one.
+//! Rendezvous hashing: all nodes that know the same members pick the same one.
 
-/// Picks the member with the highest hash with `key`; `None` when there is none.
+/// Picks the member with the highest weight for `key`; `None` if there are no members.
 pub fn pick<'a, T: AsRef<str>>(key: &str, members: impl IntoIterator<Item = &'a T>) -> Option<&'a T> {
     members.into_iter().max_by_key(|member| weight(key, member.as_ref()))
 }
 
-/// The members with the highest hashes with `key`, at most `count` of them, the highest first.
+/// The members with the highest weights for `key`, at most `count` of them, in descending order.
 pub fn ranked<'a, T: AsRef<str>>(
     key: &str,
     members: impl IntoIterator<Item = &'a T>,
@@ -23,7 +23,8 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// A mixed 64-bit hash of the pair; the same on every machine and version.
+/// The weight of a member for a key: a 64-bit FNV-1a hash of the pair, passed through a finaliser. It is the
+/// same on all machines and in all versions.
 pub fn weight(key: &str, member: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/lib/src/retry.rs
+++ b/lib/src/retry.rs
@@ -1,14 +1,14 @@
-//! A retry budget and back-off with jitter, so that an outage does not become a storm.
+//! A retry budget and a back-off with jitter, which keep an outage from causing a retry storm.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand::RngExt;
 
-/// Retries that a quiet node may make at once.
+/// Maximum number of saved-up retries, which a node may make in a burst.
 const BURST: f64 = 10.0;
 
-/// Allows retries as a part of the requests seen.
+/// Limits retries to a fraction of the requests.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -16,22 +16,22 @@
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` retries for each request, 0 to 1.
+    /// Creates a budget of `ratio` retries per request, from 0 to 1.
     pub fn new(ratio: f64) -> Self {
         RetryBudget { ratio, available: BURST }
     }
 
-    /// Changes the ratio.
+    /// Sets the number of retries per request.
     pub fn set_ratio(&mut self, ratio: f64) {
         self.ratio = ratio;
     }
 
-    /// A request came.
+    /// Adds the share of one request to the budget.
     pub fn on_request(&mut self) {
         self.available = (self.available + self.ratio).min(BURST);
     }
 
-    /// Takes a retry; false when the budget is used up.
+    /// Takes one retry from the budget; returns false if the budget is used up.
     pub fn take(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Doubling pauses with full jitter.
+/// Exponential back-off with jitter.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     min_delay: Duration,
@@ -50,12 +50,13 @@
 }
 
 impl Backoff {
-    /// Pauses from `least` to `most`.
+    /// Creates a back-off. Each delay is `min_delay` plus a random part of a ceiling, which starts at
+    /// `min_delay` and doubles with each failure up to `max_delay`.
     pub const fn new(min_delay: Duration, max_delay: Duration) -> Self {
         Backoff { min_delay, max_delay, failures: 0 }
     }
 
-    /// The pause after one more failure.
+    /// Records a failure and returns the delay before the next attempt.
     pub fn next<R: Rng>(&mut self, rng: &mut R) -> Duration {
         let doubled = self.min_delay.saturating_mul(1 << self.failures.min(16));
         self.failures += 1;
@@ -63,7 +64,7 @@
         self.min_delay + ceiling.mul_f64(rng.random::<f64>())
     }
 
-    /// It worked.
+    /// Resets the delay after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/lib/src/sample_set.rs
+++ b/lib/src/sample_set.rs
@@ -1,4 +1,4 @@
-//! A set from which members are drawn at random, in a time that does not depend on how many there are.
+//! A set with random sampling in time that does not depend on the size of the set.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::RngExt;
 
-/// Distinct members in no order.
+/// An unordered set of distinct members.
 #[derive(Clone, Debug)]
 pub struct SampleSet<T> {
     members: Vec<T>,
@@ -20,7 +20,7 @@
 }
 
 impl<T: Clone + Eq + Hash> SampleSet<T> {
-    /// Adds a member; returns whether it is new.
+    /// Adds a member; returns whether it was absent.
     pub fn insert(&mut self, member: T) -> bool {
         if self.positions.contains_key(&member) {
             return false;
@@ -30,7 +30,7 @@
         true
     }
 
-    /// Takes a member out; returns whether it was there.
+    /// Removes a member; returns whether it was present.
     pub fn remove<Q: Eq + Hash + ?Sized>(&mut self, member: &Q) -> bool
     where
         T: std::borrow::Borrow<Q>,
@@ -45,7 +45,7 @@
         true
     }
 
-    /// Whether it has a member.
+    /// Whether the set contains a member.
     pub fn contains<Q: Eq + Hash + ?Sized>(&self, member: &Q) -> bool
     where
         T: std::borrow::Borrow<Q>,
@@ -53,35 +53,35 @@
         self.positions.contains_key(member)
     }
 
-    /// How many members it has.
+    /// The number of members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether it has none.
+    /// Whether the set has no members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// All members, in no order.
+    /// All members, in arbitrary order.
     pub fn as_slice(&self) -> &[T] {
         &self.members
     }
 
-    /// All members, in no order.
+    /// Iterates over all members, in arbitrary order.
     pub fn iter(&self) -> std::slice::Iter<'_, T> {
         self.members.iter()
     }
 
-    /// So many members at random, each once; all where there are fewer.
+    /// Draws `count` distinct members at random, or all members if there are fewer.
     pub fn sample<'a, R: Rng>(&'a self, count: usize, rng: &mut R) -> Vec<&'a T> {
         let mut shuffle = Shuffle::new(self.members.len());
         std::iter::from_fn(|| shuffle.next(rng)).take(count).map(|position| &self.members[position]).collect()
     }
 }
 
-/// A random order of the numbers below a bound, of which only those cost something that are asked for: the swaps of
-/// Fisher and Yates, kept where they differ from the order at first.
+/// A lazy random permutation of the numbers below a bound, whose cost depends only on how many numbers are
+/// drawn. It is a Fisher-Yates shuffle that stores only the positions whose values were swapped.
 #[derive(Debug)]
 pub struct Shuffle {
     next: usize,
@@ -90,12 +90,12 @@
 }
 
 impl Shuffle {
-    /// An order of the numbers below `len`.
+    /// Creates a permutation of the numbers below `len`.
     pub fn new(len: usize) -> Self {
         Shuffle { next: 0, len, swapped: HashMap::new() }
     }
 
-    /// The next number.
+    /// The next number; `None` once all were drawn.
     pub fn next<R: Rng>(&mut self, rng: &mut R) -> Option<usize> {
         if self.next >= self.len {
             return None;
--- a/lib/src/start_rate.rs
+++ b/lib/src/start_rate.rs
@@ -1,15 +1,15 @@
-//! How fast a pool starts requests while some wait, to predict a wait.
+//! The rate at which a pool starts requests while others wait, for predicting waiting times.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Time over which starts are counted before they enter the average.
+/// Time over which starts are counted before they enter the moving average.
 const WINDOW: Duration = Duration::from_secs(2);
-/// Part of the old rate kept with each window.
+/// Weight of the previous average when a window is added; the window's rate has the rest.
 const OLD_RATE_WEIGHT: f64 = 0.7;
 
-/// A smoothed rate of starts, counted only while there is a queue.
+/// An exponential moving average of the rate of starts, measured only while there is a queue.
 #[derive(Debug, Default)]
 pub struct StartRate {
     per_second: Option<f64>,
@@ -23,7 +23,8 @@
         self.window_starts += 1;
     }
 
-    /// Moves on; with an empty queue, starts say nothing of the pool's capacity.
+    /// Advances the time. With an empty queue the window restarts, as starts then don't show the capacity of
+    /// the pool.
     pub fn tick(&mut self, now: Timestamp, queue_is_empty: bool) {
         let start = *self.window_start.get_or_insert(now);
         if queue_is_empty {
@@ -45,7 +46,7 @@
         self.window_start = Some(now);
     }
 
-    /// The time that `requests` take to start; zero while the rate is not known.
+    /// The predicted time until `requests` requests have started; zero while the rate is unknown.
     pub fn time_for(&self, requests: usize) -> Duration {
         let Some(rate) = self.per_second else {
             return Duration::ZERO;
--- a/lib/src/status.rs
+++ b/lib/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself on its admin port; `leadstage status` reads it.
+//! The status that a node serves on its admin port and `leadstage status` reads.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,43 +9,45 @@
 /// A node's status.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct NodeStatus {
-    /// Its VM.
+    /// The node's VM.
     pub vm: String,
-    /// Its hall.
+    /// The node's hall.
     pub hall: String,
-    /// Whether the balancer may send it requests, or why not.
+    /// Whether the load balancer may send requests to the node, or why not.
     pub readiness: String,
     /// The bundle in force, if any.
     pub bundle: Option<BundleNumber>,
-    /// Hash of its text.
+    /// Hash of the bundle's text.
     pub bundle_hash: String,
-    /// Requests open at its callers' port.
+    /// Open requests on the node's port for callers.
     pub open: u32,
-    /// Whether the latest call to the object API worked.
+    /// Whether the latest call to the object API succeeded.
     pub platform_reached: bool,
     /// The other entry VMs.
     pub peers: Vec<PeerSummary>,
-    /// The pools that it leads.
+    /// The pools that the node leads.
     pub pools: Vec<PoolSummary>,
-    /// Upstreams that it knows to be leaving.
+    /// Upstreams that are known to be leaving.
     pub leaving: Vec<String>,
-    /// Halls that it knows to be closed.
+    /// Halls that are known to be closed.
     #[serde(default)]
     pub closed_halls: Vec<String>,
-    /// Fingerprints of the requests that it sends to no upstream, as upstreams ended under them.
+    /// Fingerprints of the quarantined requests, which are sent to no upstream because upstreams ended under
+    /// them.
     #[serde(default)]
     pub quarantined: Vec<String>,
-    /// Upstreams that name a limit, with the requests a second that they take from all nodes together.
+    /// Upstreams that announce a limit, each with the requests per second that it accepts from all nodes
+    /// together.
     #[serde(default)]
     pub limits: Vec<String>,
 }
 
-/// Another entry VM, as this node sees it.
+/// Another entry VM, as seen by this node.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct PeerSummary {
-    /// Its VM.
+    /// The id of the VM.
     pub vm: String,
-    /// What is thought of it.
+    /// The liveness that this node assigns to the VM.
     pub liveness: String,
 }
 
@@ -56,49 +58,49 @@
     pub model: String,
     /// The hall.
     pub hall: String,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: usize,
-    /// Generations placed and not ended.
+    /// Generations that are placed and have not ended.
     pub running: usize,
-    /// Its engines that may get generations.
+    /// Number of engines that may get generations.
     #[serde(default)]
     pub all_engines: usize,
-    /// Its engines; where there are hundreds, some of those with generations.
+    /// The pool's engines. In a pool of hundreds, only some of those with generations.
     pub engines: Vec<EngineSummary>,
 }
 
 /// An engine of a pool.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct EngineSummary {
-    /// Its id.
+    /// The engine's id.
     pub id: String,
-    /// Whether it gets new work.
+    /// Whether the engine gets new work.
     pub state: String,
-    /// Generations placed there.
+    /// Generations placed on the engine.
     pub running: usize,
-    /// Tokens of memory that they hold, by the lead's book.
+    /// KV cache memory that these generations hold by the lead's accounting, in tokens.
     pub held_tokens: u64,
-    /// Tokens that its memory holds.
+    /// Size of the engine's KV cache memory, in tokens.
     pub memory_tokens: u64,
-    /// Observed time of a step in milliseconds.
+    /// Observed time of an engine step, in milliseconds.
     pub step_ms: f64,
 }
 
-/// A step that was decided for a request, for `leadstage explain`.
+/// A decision that was made for a request, for `leadstage explain`.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Decision {
     /// Milliseconds since the Unix epoch.
     pub at: u64,
-    /// Which filter decided.
+    /// The filter that decided.
     pub filter: String,
-    /// What and why.
+    /// What was decided and why.
     pub what: String,
 }
 
-/// A node's answer to `leadstage report burn`.
+/// A node's response to `leadstage report burn`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct BurnStatus {
-    /// Its counts.
+    /// The node's counts.
     pub counts: BurnCounts,
     /// The objectives of the bundle in force.
     pub levels: crate::bundle::ServiceLevels,
--- a/lib/src/stream_cursor.rs
+++ b/lib/src/stream_cursor.rs
@@ -1,5 +1,5 @@
-//! What a caller has got of its stream, and what to do with each event and each
-//! broken link: once, in order, from one generation.
+//! Tracks which part of a stream its caller has received, and decides what to do with each event and each
+//! broken link. The caller gets the events of one generation, each exactly once and in order.
 
 use std::fmt;
 
@@ -9,21 +9,21 @@
 use crate::ids::GenerationId;
 use crate::ids::UpstreamId;
 
-/// Links that may break in a row without a token before the engine counts as lost.
+/// Number of links that may break in a row without a token before the engine is considered lost.
 const MAX_RESUMES: u32 = 3;
 
-/// Where a caller is in a stream; the `id` of each event that it gets.
+/// A caller's position in a stream, which is sent as the `id` of each event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamPosition {
     /// The generation.
     pub generation: GenerationId,
-    /// The engine that it runs on.
+    /// The engine that runs the generation.
     pub engine: UpstreamId,
-    /// Index of the latest token that was sent, from 0.
+    /// Index of the latest token that was sent, counted from 0.
     pub index: u64,
 }
 
-/// The text is not a stream position.
+/// A text is not a stream position.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("not of the form GENERATION@ENGINE:INDEX")]
 pub struct PositionError;
@@ -52,25 +52,25 @@
 /// What to do with an event from the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventAction {
-    /// It is the next one; pass it on.
+    /// The event is the next one: forward it.
     Deliver,
-    /// The caller has it; drop it.
+    /// The caller already has the event: drop it.
     Repeated,
-    /// One before it is missing, or it is of another generation: drop the link and resume.
+    /// An earlier event is missing, or the event belongs to another generation: close the link and resume.
     BreakLink,
 }
 
 /// What to do after a link broke or stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterBreak {
-    /// Resume at the engine from this index.
+    /// Resume the stream at the same engine.
     Resume {
         /// Index of the first token that the caller lacks.
         from: u64,
     },
-    /// The engine is lost and the caller has no token: place it anew.
+    /// The engine is lost and the caller has no token: place the request again.
     Restart,
-    /// The engine is lost and the caller has tokens: end the stream with a code.
+    /// The engine is lost and the caller has tokens: end the stream with an error code.
     End,
 }
 
@@ -83,22 +83,22 @@
 }
 
 impl StreamCursor {
-    /// A stream of which the caller lacks everything from index `next`.
+    /// Creates the state of a stream whose caller lacks all tokens from index `next` on.
     pub fn new(generation: GenerationId, next: u64) -> Self {
         StreamCursor { generation, next, consecutive_breaks: 0 }
     }
 
-    /// The generation that it is bound to.
+    /// The generation whose events the caller gets.
     pub fn generation(&self) -> GenerationId {
         self.generation
     }
 
-    /// Index of the first token that the caller lacks; also how many it has.
+    /// Index of the first token that the caller lacks, which equals the number of tokens that it has.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// An event came from the engine.
+    /// Handles an event from the engine.
     pub fn on_event(&mut self, generation: GenerationId, index: u64) -> EventAction {
         if generation != self.generation || index > self.next {
             return EventAction::BreakLink;
@@ -111,7 +111,7 @@
         EventAction::Deliver
     }
 
-    /// The link broke, ended early, or stalled, or a resume failed.
+    /// Handles a link that broke, ended early or stalled, or a resume that failed.
     pub fn on_break(&mut self) -> AfterBreak {
         self.consecutive_breaks += 1;
         if self.consecutive_breaks <= MAX_RESUMES {
@@ -120,13 +120,13 @@
         self.on_engine_lost()
     }
 
-    /// The engine does not know the generation, or is gone.
+    /// Handles an engine that is gone or does not know the generation.
     pub fn on_engine_lost(&mut self) -> AfterBreak {
         if self.next == 0 { AfterBreak::Restart } else { AfterBreak::End }
     }
 }
 
-/// Reads the `id` of an engine's event, `GENERATION:INDEX`.
+/// Parses the `id` of an engine's event, `GENERATION:INDEX`.
 pub fn parse_engine_event_id(id: &str) -> Option<(GenerationId, u64)> {
     let (generation, index) = id.split_once(':')?;
     Some((u64::from_str_radix(generation, 16).ok()?, index.parse().ok()?))
--- a/lib/src/survival.rs
+++ b/lib/src/survival.rs
@@ -1,13 +1,13 @@
 //! Survival curves of output lengths, learned from ended and censored generations.
 //!
-//! Lengths fall into buckets that are spaced evenly on a log scale; the curve is
-//! the Kaplan-Meier estimate over them (Kaplan and Meier, 1958).
+//! Lengths are counted in buckets that are evenly spaced on a logarithmic scale. A curve is the Kaplan-Meier
+//! estimate over these buckets (Kaplan and Meier, 1958).
 
-/// Buckets in each doubling of the length.
+/// Number of buckets for each doubling of the length.
 const BUCKETS_PER_OCTAVE: f64 = 8.0;
-/// Buckets in all: lengths up to 2^17 tokens.
+/// Number of buckets, for lengths up to 2^17 tokens.
 pub const BUCKETS: usize = 137;
-/// Observations after which all counts are halved, so that old ones fade.
+/// Total weight of the observations at which all counts are halved, so that old ones lose influence.
 const HALVING_WEIGHT: f32 = 4_000.0;
 
 /// Lower edge of a bucket in tokens.
@@ -15,16 +15,16 @@
     (bucket as f64 / BUCKETS_PER_OCTAVE).exp2() - 1.0
 }
 
-/// The bucket of a length, with the part of the bucket that it has passed, 0 to 1.
+/// The bucket of a length and the position of the length within the bucket, from 0 to 1.
 fn bucket_position(tokens: f64) -> (usize, f64) {
     let at = fast_log2(tokens.max(0.0) + 1.0) * BUCKETS_PER_OCTAVE;
     let bucket = (at as usize).min(BUCKETS - 1);
     (bucket, (at - bucket as f64).clamp(0.0, 1.0))
 }
 
-/// Logarithm to base 2 of a normal number from 1 on, to within 0.0002 and never falling:
-/// the exponent's bits and a polynomial for the fraction's. A projection takes 17 of
-/// these for each generation, which with the exact one was most of a decision's time.
+/// Logarithm to base 2 of a normal number of at least 1, monotonic and accurate to within 0.0002. It combines
+/// the bits of the exponent with a polynomial in the fraction. A projection computes 17 logarithms for each
+/// generation, and the exact function took most of the time of a decision.
 fn fast_log2(value: f64) -> f64 {
     const FRACTION: u64 = (1 << 52) - 1;
     let bits = value.to_bits();
@@ -34,7 +34,7 @@
     exponent as f64 + ln * std::f64::consts::LOG2_E
 }
 
-/// Weighted counts of lengths: ended ones and ones that were only seen so far.
+/// Weighted counts of the lengths of generations that ended by themselves and of censored ones.
 #[derive(Clone, Debug)]
 pub struct LengthCounts {
     ended: [f32; BUCKETS],
@@ -49,8 +49,8 @@
 }
 
 impl LengthCounts {
-    /// What is assumed with no data: each doubling of the length is as likely,
-    /// up to 2^15 tokens; it weighs as much as eight generations.
+    /// The counts to assume without data: generations end in each doubling of the length up to 2^15 tokens
+    /// equally often. They weigh as much as eight generations.
     pub fn prior() -> Self {
         let mut counts = LengthCounts::default();
         let octaves = 15;
@@ -67,7 +67,7 @@
         self.add_weight();
     }
 
-    /// Adds a generation that was cut off after `tokens`; its length is at least that.
+    /// Adds a generation that was cut off after `tokens`, so that its length is at least `tokens`.
     pub fn add_censored(&mut self, tokens: u32) {
         self.censored[bucket_position(f64::from(tokens)).0] += 1.0;
         self.add_weight();
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Weight of all observations.
+    /// The total weight of the observations.
     pub fn total(&self) -> f32 {
         self.total
     }
 
-    /// These counts with `parent`'s added, scaled down to weigh `weight` at most.
+    /// The sum of these counts and those of `parent`, which are scaled down to a weight of `weight` at most.
     pub fn blended(&self, parent: &LengthCounts, weight: f32) -> LengthCounts {
         let scale = weight / parent.total.max(weight);
         let mut sum = self.clone();
@@ -114,7 +114,7 @@
     }
 }
 
-/// The chance that a length is at least so many tokens.
+/// The probability that an output reaches a length, for each length in tokens.
 #[derive(Clone, Debug)]
 pub struct SurvivalCurve {
     alive: [f32; BUCKETS + 1],
@@ -122,10 +122,10 @@
 }
 
 impl SurvivalCurve {
-    /// Chances below this count as this, so that conditions on them stay defined.
+    /// Lower bound of the probabilities, which keeps conditional probabilities defined.
     const MIN_PROBABILITY: f32 = 1e-6;
 
-    /// The curve of a length that only its cap ends.
+    /// The curve of outputs that end only at their cap.
     pub fn never_ending() -> Self {
         SurvivalCurve::new([1.0; BUCKETS + 1])
     }
@@ -137,12 +137,12 @@
         SurvivalCurve { alive, mean }
     }
 
-    /// The mean length of an output of `cap` tokens at most.
+    /// The mean output length, or `cap` if that is lower.
     pub fn mean(&self, cap: f64) -> f64 {
         self.mean.min(cap)
     }
 
-    /// The chance that an output has at least `tokens`.
+    /// The probability that an output has at least `tokens` tokens.
     pub fn at_least(&self, tokens: f64) -> f64 {
         let (bucket, fraction) = bucket_position(tokens);
         let (from, to) = (f64::from(self.alive[bucket]), f64::from(self.alive[bucket + 1]));
--- a/lib/src/upstreams.rs
+++ b/lib/src/upstreams.rs
@@ -1,5 +1,4 @@
-//! Which upstreams and entry VMs there are, from the VM list, reclaim notices and
-//! failed calls together.
+//! Directory of upstreams and entry VMs, combined from the VM list, reclaim notices and failed calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +13,12 @@
 use crate::ids::UpstreamId;
 use crate::ids::VmId;
 
-/// An upstream that refused a connection is avoided this long, then tried again.
+/// Time for which an upstream gets no new work after it refused a connection or was lost.
 const FAILURE_AVOIDANCE: Duration = Duration::from_secs(2);
-/// A notice that an upstream leaves is kept this long after the list last named it.
+/// Time for which a notice that an upstream leaves is kept after the VM list last contained the upstream.
 const NOTICE_RETENTION: Duration = Duration::from_secs(600);
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
@@ -31,31 +30,31 @@
     Service,
 }
 
-/// A VM's state in the list.
+/// A VM's state in the VM list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
     /// In use.
     Live,
-    /// About to be taken back.
+    /// About to be reclaimed by the platform.
     Leaving,
 }
 
-/// A line of the VM list.
+/// An entry of the VM list.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct VmRecord {
-    /// Its id.
+    /// The VM's id.
     pub id: VmId,
-    /// What it is for.
+    /// The VM's role.
     pub role: VmRole,
-    /// Where it is.
+    /// The hall that the VM is in.
     pub hall: HallId,
-    /// Its address: HTTP for upstreams, the peer port for entries.
+    /// The VM's address: of the HTTP server for upstreams, of the peer port for entries.
     pub address: SocketAddr,
-    /// The model or service that it serves; empty for entries.
+    /// The model or service that the VM serves; empty for entries.
     #[serde(default = "no_model")]
     pub serves: ModelId,
-    /// Its state.
+    /// The VM's state.
     pub state: VmState,
 }
 
@@ -69,7 +68,7 @@
     avoid_until: Timestamp,
 }
 
-/// All upstreams and entries that are known.
+/// All known upstreams and entries.
 #[derive(Debug, Default)]
 pub struct Directory {
     vms: BTreeMap<VmId, KnownVm>,
@@ -77,8 +76,8 @@
 }
 
 impl Directory {
-    /// Takes the VM list in. A VM that it names again is no news; one that it no
-    /// longer names is gone. Returns the ids that are gone.
+    /// Replaces the VMs by those of the VM list. A VM that stays listed is avoided after a failure as before.
+    /// Returns the ids of the VMs that are no longer listed.
     pub fn on_list(&mut self, list: Vec<VmRecord>, now: Timestamp) -> Vec<VmId> {
         let mut previous = std::mem::take(&mut self.vms);
         for record in list {
@@ -92,40 +91,41 @@
         previous.into_keys().collect()
     }
 
-    /// An upstream is leaving, whatever the list says; true when that is news.
+    /// Records that an upstream is leaving, even if the VM list says otherwise. Returns true if that was not
+    /// known.
     pub fn on_leaving(&mut self, upstream: &UpstreamId, now: Timestamp) -> bool {
         self.notices.insert(upstream.clone(), now).is_none()
     }
 
-    /// An upstream refused a connection, or was lost.
+    /// Records that an upstream refused a connection or was lost.
     pub fn on_failed(&mut self, upstream: &UpstreamId, now: Timestamp) {
         if let Some(vm) = self.vms.get_mut(upstream) {
             vm.avoid_until = now + FAILURE_AVOIDANCE;
         }
     }
 
-    /// Upstreams known to be leaving, for the peers.
+    /// Upstreams for which there is a leaving notice, for sending to peers.
     pub fn leaving(&self) -> impl Iterator<Item = &UpstreamId> {
         self.notices.keys()
     }
 
-    /// Whether a VM is leaving, by the list or a notice.
+    /// Whether a VM is leaving according to the VM list or a notice.
     pub fn is_leaving(&self, id: &str) -> bool {
         let listed = self.vms.get(id).is_some_and(|k| k.record.state == VmState::Leaving);
         listed || self.notices.contains_key(id)
     }
 
-    /// A VM by id.
+    /// The VM with an id.
     pub fn get(&self, id: &str) -> Option<&VmRecord> {
         self.vms.get(id).map(|k| &k.record)
     }
 
-    /// VMs with a role, by id.
+    /// The VMs with a role, ordered by id.
     pub fn with_role(&self, role: VmRole) -> impl Iterator<Item = &VmRecord> {
         self.vms.values().map(|k| &k.record).filter(move |r| r.role == role)
     }
 
-    /// Upstreams that serve this and may get new work now.
+    /// Upstreams that serve a model or service and may get new work now.
     pub fn usable<'a>(&'a self, serves: &'a str, now: Timestamp) -> impl Iterator<Item = &'a VmRecord> {
         self.vms
             .values()
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,4 +1,4 @@
-//! Liveness by probes, suspicion and news.
+//! Failure detection by probes, suspicion and membership updates.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     (0..count).map(|n| format!("vm-{n}").into()).collect()
 }
 
-/// A fleet of views with calls that work between the VMs that are up.
+/// The views of all VMs of a fleet. Messages reach only the VMs that are up.
 struct Fleet {
     ids: Vec<VmId>,
     views: Vec<Membership>,
@@ -88,8 +88,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Every VM that dies is dead to all others soon; nobody else is; and one that
-    /// comes back is alive again.
+    /// All other VMs detect that a VM died, consider no other VM dead, and detect that it came back.
     #[test]
     fn test_only_dead_vms_are_detected(count in 3..20_usize, dead in 0..20_usize, seed in 0..1000_u64) {
         let dead = dead % count;
@@ -107,7 +106,7 @@
     }
 }
 
-/// The cost on a VM does not grow with the fleet.
+/// The number of messages per VM does not grow with the fleet.
 #[test]
 fn test_messages_per_vm_are_constant() {
     let per_vm = |count: usize| {
@@ -119,7 +118,7 @@
     assert!((small - 1.0).abs() < 0.3 && (large - 1.0).abs() < 0.3, "{small} and {large} messages a second");
 }
 
-/// A VM that was frozen and does not know refutes what is said of it.
+/// A VM that was frozen, and does not know of it, refutes its death when it resumes.
 #[test]
 fn test_resumed_vm_refutes_its_death() {
     let mut fleet = Fleet::new(5, 1);
@@ -136,7 +135,7 @@
     assert!(fleet.all_consider(2, Liveness::Alive));
 }
 
-/// A planned stop is known as such, and is not taken back by a late answer.
+/// A VM that announced its stop stays `Left` if it still answers a probe.
 #[test]
 fn test_left_is_not_revived() {
     let mut fleet = Fleet::new(4, 1);
@@ -160,8 +159,8 @@
     assert_eq!(view.liveness(&ids[1]), Some(Liveness::Dead));
 }
 
-/// A VM of which nobody has heard yet may still be starting: a failed probe says nothing for five seconds,
-/// and as much as of any other VM from then on.
+/// A VM that no VM has received a message from may still be starting: it is not suspected after a failed
+/// probe in its first five seconds, and is suspected like any other VM afterwards.
 #[test]
 fn test_starting_vm_is_not_suspected() {
     let ids = ids(2);
@@ -173,8 +172,8 @@
     assert_eq!(view.liveness(&ids[1]), Some(Liveness::Suspect));
 }
 
-/// The failure of a probe that began before its target was heard from is no sign of trouble, and a suspect
-/// is asked again each second.
+/// A VM is not suspected because of a probe that began before the latest message from the VM, and a suspect
+/// is probed again each second.
 #[test]
 fn test_suspect_is_probed_again() {
     let ids = ids(9);
@@ -191,7 +190,7 @@
     }
 }
 
-/// A VM that is only suspected hears of it and refutes; those who suspected it take that.
+/// A suspected VM is notified of the suspicion and refutes it, and the VM that suspected it accepts that.
 #[test]
 fn test_suspected_vm_refutes() {
     let ids = ids(2);
--- a/lib/tests/test_membership_start.rs
+++ b/lib/tests/test_membership_start.rs
@@ -1,8 +1,8 @@
-//! VMs that start together on a busy machine: nobody who lives is taken for dead.
+//! Guards against live VMs that are considered dead because all VMs start together on a busy machine.
 //!
-//! A model of the calls between VMs: a VM listens some time after its platform lists it, each way of a
-//! call takes its time, a process is late for its ticks, and an answer that comes too late is lost to who
-//! asked, though the call reached its target.
+//! Simulates the calls between VMs: a VM listens some time after the platform lists it, each direction of a
+//! call takes some time, and the ticks of a process are late. An answer that arrives after the call's time
+//! limit is lost to the caller, although the call reached its target.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,28 +16,28 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Time for a call that is answered at once.
+/// Time limit of a call.
 const CALL_LIMIT: Duration = Duration::from_millis(500);
-/// Time between two ticks of a process that is not late.
+/// Time between two ticks of a process that is not delayed.
 const TICK: Duration = Duration::from_millis(100);
-/// How long a play goes on.
+/// Simulated time of each run.
 const SIMULATED_TIME: Duration = Duration::from_secs(12);
 
-/// Plays of each case.
+/// Number of runs for each case.
 const RUNS: u64 = 40;
 
-/// What happens to a VM.
+/// An event at a VM.
 enum Event {
     Tick,
-    /// A probe arrives; its answer, or a refusal, goes back.
+    /// A probe arrives; its answer or a refusal is sent back.
     Probe {
         from: usize,
         updates: Vec<MemberUpdate>,
         sent: Duration,
-        /// The VM that wants to know, if `from` asks for it.
+        /// The VM that requested the probe, if `from` sends it for another VM.
         requester: Option<usize>,
     },
-    /// The answer to a probe of this VM's own, or none within the limit.
+    /// The answer to a probe that this VM sent, or none within the time limit.
     Answer {
         target: usize,
         updates: Option<Vec<MemberUpdate>>,
@@ -48,7 +48,7 @@
         target: usize,
         requester: usize,
     },
-    /// What that came to.
+    /// The result of an indirect probe.
     Indirect {
         target: usize,
         answered: bool,
@@ -58,11 +58,11 @@
 /// How busy the machine is.
 #[derive(Clone, Copy)]
 struct Load {
-    /// VMs listen up to so long after they are listed.
+    /// Maximum time from the listing of a VM until it listens.
     max_startup: Duration,
-    /// One way of a call takes up to so long.
+    /// Maximum time that one direction of a call takes.
     max_one_way: Duration,
-    /// Ticks come up to so much late.
+    /// Maximum delay of a tick.
     max_tick_delay: Duration,
 }
 
@@ -72,14 +72,14 @@
     ids: Vec<VmId>,
     views: Vec<Membership>,
     listens_from: Vec<Duration>,
-    /// Indirect probes that a VM waits for, by target, and whether one was answered.
+    /// For each VM, the number of pending indirect probes by target, and whether any was answered.
     indirect: Vec<BTreeMap<usize, (usize, bool)>>,
     queue: BTreeMap<(Duration, u64), (usize, Event)>,
     sequence: u64,
     now: Duration,
-    /// Living VMs that were taken for dead, each time.
+    /// How often a live VM was considered dead by another one.
     false_deaths: usize,
-    /// The last moment at which a VM that listened was not taken to be alive.
+    /// The last time at which a listening VM was not considered alive by another one.
     last_doubt: Duration,
 }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A VM that listens should be alive to all others that do.
+    /// Records the time if a listening VM is not considered alive by all other listening VMs.
     fn record_doubt(&mut self) {
         let listens = |vm: usize| self.listens_from[vm] <= self.now;
         let doubted = (0..self.ids.len()).filter(|vm| listens(*vm)).any(|vm| {
@@ -240,8 +240,8 @@
     }
 }
 
-/// Living VMs that are taken for dead in so many plays, and the plays in which one is still doubted more
-/// than three seconds after all listen.
+/// How often a live VM was considered dead in all runs, and the number of runs in which a VM was not
+/// considered alive more than three seconds after all VMs listened.
 fn count_false_suspicions(count: usize, load: Load) -> (usize, usize) {
     let mut deaths = 0;
     let mut doubted = 0;
--- a/lib/tests/test_retry.rs
+++ b/lib/tests/test_retry.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// In an outage where every request fails, retries stay a small part of the requests.
+/// During an outage in which every request fails, retries stay a small fraction of the requests.
 #[test]
 fn test_outage_causes_no_retry_storm() {
     let mut budget = RetryBudget::new(0.1);
@@ -19,7 +19,7 @@
     assert!((900..=1_020).contains(&retries), "{retries} retries for 10000 requests");
 }
 
-/// Nodes that fail together do not come back together.
+/// Nodes that fail at the same time retry at different times.
 #[test]
 fn test_backoff_delays_are_spread() {
     let delays: Vec<Duration> = (0..100)
--- a/lib/tests/test_stream_cursor.rs
+++ b/lib/tests/test_stream_cursor.rs
@@ -1,4 +1,4 @@
-//! Once, in order, from one generation.
+//! Delivery of the events of one generation, each exactly once and in order.
 
 use leadstage_lib::stream_cursor::AfterBreak;
 use leadstage_lib::stream_cursor::EventAction;
@@ -10,8 +10,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever links deliver (repeats, gaps, another generation's events), the caller
-    /// gets 0, 1, 2, ... and nothing else.
+    /// The caller gets the indices 0, 1, 2, ... without gaps or repeats, even if links deliver repeated
+    /// events, gaps and events of other generations.
     #[test]
     fn test_delivered_once_in_order(events in prop::collection::vec((0..3_u64, 0..20_u64), 0..300)) {
         let mut cursor = StreamCursor::new(1, 0);
--- a/lib/tests/test_survival.rs
+++ b/lib/tests/test_survival.rs
@@ -1,4 +1,4 @@
-//! Survival curves and the overflow bound.
+//! Survival curves of output lengths and the overflow bound.
 
 use leadstage_lib::length_model::LengthModel;
 use leadstage_lib::overflow::Footprint;
@@ -11,7 +11,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Survival falls from 1 and stays a chance; the mean is never above the cap.
+    /// A curve falls from 1 and stays within 0 and 1, and the mean is at most the cap.
     #[test]
     fn test_curve_is_a_survival_curve(
         ended in prop::collection::vec(0..60_000_u32, 0..200),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The bound never falls below what is held, nor rises above all running on.
+    /// The bound is at least the held memory, and at most the memory if all generations run on.
     #[test]
     fn test_bound_is_between_held_and_maximum(
         sizes in prop::collection::vec((1..4_000_u32, 0..4_000_u32), 1..20),
@@ -49,7 +49,7 @@
     }
 }
 
-/// A censored generation says that lengths are longer, not that one ended there.
+/// A censored generation counts as a longer output, not as an output that ended at its length.
 #[test]
 fn test_censored_lengths_do_not_shorten_the_curve() {
     let mut ended = LengthCounts::default();
--- a/lib/tests/test_upstreams.rs
+++ b/lib/tests/test_upstreams.rs
@@ -1,4 +1,4 @@
-//! The directory of upstreams.
+//! The directory of upstreams and entry VMs.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     directory.usable("m", now).map(|r| r.id.to_string()).collect()
 }
 
-/// A notice counts at once and stays, though the list lags and still says "live".
+/// A leaving notice takes effect at once and stays in effect while an outdated VM list still reports `live`.
 #[test]
 fn test_leaving_notice_overrides_outdated_list() {
     let mut directory = Directory::default();
