--- a/lib/src/engine_book.rs
+++ b/lib/src/engine_tracker.rs
@@ -15,27 +15,27 @@
 use crate::survival::SurvivalCurve;
 
 /// A projection is made anew after this, even without an event.
-const PROJECTION_AGE: Duration = Duration::from_millis(250);
+const MAX_PROJECTION_AGE: Duration = Duration::from_millis(250);
 /// Step time assumed until the engine reports one.
-const ASSUMED_STEP: Duration = Duration::from_millis(25);
+const DEFAULT_STEP_TIME: Duration = Duration::from_millis(25);
 /// Tokens that a generation is taken to have produced since its last report, at most.
-const MAX_EXTRAPOLATED: f64 = 120.0;
+const MAX_EXTRAPOLATED_TOKENS: f64 = 120.0;
 /// Part of the old value kept when a step time is reported.
-const STEP_SMOOTHING: f64 = 0.8;
+const STEP_TIME_SMOOTHING: f64 = 0.8;
 /// Part of an engine's memory that is filled: engines keep a part free when they take
 /// a generation up, and the books are never exact.
-const USED_PART: f64 = 0.98;
+const USABLE_MEMORY_FRACTION: f64 = 0.98;
 /// A generation that made less than this part of the steps since its last report is
 /// taken to have been pushed off its engine.
-const STALLED_PART: f64 = 0.4;
+const STALL_PROGRESS_FRACTION: f64 = 0.4;
 /// Least time between two reports for that, as a step may be long.
-const STALLED_LEAST: Duration = Duration::from_millis(800);
+const MIN_STALL_INTERVAL: Duration = Duration::from_millis(800);
 /// Prompt tokens that an engine is assumed to work on in one step.
-const PREFILL_PER_STEP: f64 = 2_048.0;
+const PREFILL_TOKENS_PER_STEP: f64 = 2_048.0;
 
 /// Steps until a request's first token is due on an engine that takes it up at once.
 fn prefill_steps(request: &PlaceRequest) -> f64 {
-    f64::from(request.prompt_tokens) / PREFILL_PER_STEP + 1.0
+    f64::from(request.prompt_tokens) / PREFILL_TOKENS_PER_STEP + 1.0
 }
 
 /// Whether an engine gets new work.
@@ -55,11 +55,11 @@
     /// Tokens delivered, by the latest report.
     pub tokens: u32,
     /// When `tokens` last rose, or the grant.
-    pub advanced: Timestamp,
+    pub advanced_at: Timestamp,
     /// When its entry last spoke of it, or the grant.
-    pub heard: Timestamp,
+    pub reported_at: Timestamp,
     /// When it was granted, or first heard of.
-    pub placed: Timestamp,
+    pub placed_at: Timestamp,
     /// Its organisation's curve at that time.
     pub curve: Rc<SurvivalCurve>,
     /// Output tokens that its organisation has been charged.
@@ -81,9 +81,9 @@
     ) -> Self {
         Run {
             tokens,
-            advanced: now,
-            heard: now,
-            placed: now,
+            advanced_at: now,
+            reported_at: now,
+            placed_at: now,
             curve,
             charged,
             priority: request.priority,
@@ -99,12 +99,12 @@
 
     /// Whether a report of `tokens` now shows that it stood still since the last one.
     pub fn has_stalled(&self, now: Timestamp, tokens: u32, step: Duration) -> bool {
-        let since = now.saturating_sub(self.heard);
-        if self.is_unstarted() || since < STALLED_LEAST {
+        let elapsed = now.saturating_sub(self.reported_at);
+        if self.is_unstarted() || elapsed < MIN_STALL_INTERVAL {
             return false;
         }
-        let expected = since.as_secs_f64() / step.as_secs_f64();
-        f64::from(tokens.saturating_sub(self.tokens)) < expected * STALLED_PART
+        let expected = elapsed.as_secs_f64() / step.as_secs_f64();
+        f64::from(tokens.saturating_sub(self.tokens)) < expected * STALL_PROGRESS_FRACTION
     }
 
     fn project(&mut self, now: Timestamp, step: Duration) {
@@ -113,12 +113,12 @@
 
     fn footprint(&self, now: Timestamp, step: Duration) -> Footprint {
         let produced = f64::from(self.tokens);
-        let since = now.saturating_sub(self.advanced).as_secs_f64();
+        let elapsed = now.saturating_sub(self.advanced_at).as_secs_f64();
         let prefill = if self.is_unstarted() { prefill_steps(&self.request) } else { 0.0 };
-        let extrapolated = (since / step.as_secs_f64() - prefill).max(0.0);
+        let extrapolated = (elapsed / step.as_secs_f64() - prefill).max(0.0);
         Footprint {
             prompt: f64::from(self.request.prompt_tokens),
-            produced: produced + extrapolated.min(MAX_EXTRAPOLATED),
+            produced: produced + extrapolated.min(MAX_EXTRAPOLATED_TOKENS),
             cap: f64::from(self.request.max_tokens),
         }
     }
@@ -126,7 +126,7 @@
 
 /// One engine's book.
 #[derive(Debug)]
-pub struct EngineBook {
+pub struct EngineTracker {
     /// Its id.
     pub id: UpstreamId,
     /// Its sizes.
@@ -137,42 +137,43 @@
     pub runs: Vec<Run>,
     /// Smoothed time of a step.
     pub step: Duration,
-    unstarted: usize,
-    foreign_tokens: f64,
-    excess: Option<[f64; 3]>,
+    unstarted_count: usize,
+    unaccounted_tokens: f64,
+    recent_excess: Option<[f64; 3]>,
     projection: Projection,
-    projected: Option<Timestamp>,
+    projected_at: Option<Timestamp>,
 }
 
-impl EngineBook {
+impl EngineTracker {
     /// An empty book.
     pub fn new(id: UpstreamId, limits: EngineLimits) -> Self {
-        EngineBook {
+        EngineTracker {
             id,
             limits,
             state: EngineState::Up,
             runs: Vec::new(),
-            step: ASSUMED_STEP,
-            unstarted: 0,
-            foreign_tokens: 0.0,
-            excess: None,
+            step: DEFAULT_STEP_TIME,
+            unstarted_count: 0,
+            unaccounted_tokens: 0.0,
+            recent_excess: None,
             projection: Projection::default(),
-            projected: None,
+            projected_at: None,
         }
     }
 
     /// Tokens that its memory holds, less the half block that each generation wastes
     /// on average.
-    pub fn memory(&self) -> f64 {
-        let block = f64::from(self.limits.block_tokens);
-        let wasted = block * 0.5 * (self.runs.len() + 1) as f64;
-        (self.limits.blocks as f64 * block * USED_PART - wasted - self.foreign_tokens).max(1.0)
+    pub fn usable_tokens(&self) -> f64 {
+        let block_tokens = f64::from(self.limits.block_tokens);
+        let wasted = block_tokens * 0.5 * (self.runs.len() + 1) as f64;
+        (self.limits.blocks as f64 * block_tokens * USABLE_MEMORY_FRACTION - wasted - self.unaccounted_tokens)
+            .max(1.0)
     }
 
     /// Nothing runs here, as far as this lead and the engine's reports know; a generation
     /// may then start even if it could fill the whole memory.
     pub fn is_idle(&self) -> bool {
-        self.runs.is_empty() && self.foreign_tokens < f64::from(self.limits.block_tokens)
+        self.runs.is_empty() && self.unaccounted_tokens < f64::from(self.limits.block_tokens)
     }
 
     /// Tokens that its generations hold by their latest reports.
@@ -187,34 +188,34 @@
 
     /// Adds a generation.
     pub fn add(&mut self, mut run: Run) {
-        run.project(run.placed, self.step);
+        run.project(run.placed_at, self.step);
         self.projection.add(&run.projection);
-        self.unstarted += usize::from(run.is_unstarted());
+        self.unstarted_count += usize::from(run.is_unstarted());
         self.runs.push(run);
     }
 
     /// Takes a generation out.
     pub fn remove(&mut self, generation: GenerationId) -> Option<Run> {
-        let at = self.runs.iter().position(|r| r.request.generation == generation)?;
-        let run = self.runs.swap_remove(at);
+        let index = self.runs.iter().position(|r| r.request.generation == generation)?;
+        let run = self.runs.swap_remove(index);
         self.projection.subtract(&run.projection);
-        self.unstarted -= usize::from(run.is_unstarted());
+        self.unstarted_count -= usize::from(run.is_unstarted());
         Some(run)
     }
 
     /// Notes a generation's tokens, which only rise.
-    pub fn advance(&mut self, generation: GenerationId, tokens: u32, now: Timestamp) {
+    pub fn record_progress(&mut self, generation: GenerationId, tokens: u32, now: Timestamp) {
         let Some(run) = self.run_mut(generation) else {
             return;
         };
-        run.heard = now;
+        run.reported_at = now;
         if tokens <= run.tokens {
             return;
         }
         let first = run.is_unstarted();
         run.tokens = tokens;
-        run.advanced = now;
-        self.unstarted -= usize::from(first);
+        run.advanced_at = now;
+        self.unstarted_count -= usize::from(first);
     }
 
     /// A generation by id.
@@ -224,7 +225,7 @@
 
     /// The projection of all that runs here.
     pub fn projection(&mut self, now: Timestamp) -> &Projection {
-        let fresh = self.projected.is_some_and(|at| now.saturating_sub(at) < PROJECTION_AGE);
+        let fresh = self.projected_at.is_some_and(|at| now.saturating_sub(at) < MAX_PROJECTION_AGE);
         if !fresh {
             self.project(now);
         }
@@ -239,42 +240,42 @@
             sum.add(&run.projection);
         }
         self.projection = sum;
-        self.projected = Some(now);
+        self.projected_at = Some(now);
     }
 
     /// Prompt tokens placed here whose first token should not be there yet.
     pub fn prefill_backlog(&self, now: Timestamp) -> f64 {
-        if self.unstarted == 0 {
+        if self.unstarted_count == 0 {
             return 0.0;
         }
         let unstarted = self.runs.iter().filter(|r| r.is_unstarted());
-        let placed: f64 = unstarted
+        let backlog: f64 = unstarted
             .map(|run| {
-                let done = now.saturating_sub(run.placed).as_secs_f64() / self.step.as_secs_f64();
-                (f64::from(run.request.prompt_tokens) - done * PREFILL_PER_STEP).max(0.0)
+                let done = now.saturating_sub(run.placed_at).as_secs_f64() / self.step.as_secs_f64();
+                (f64::from(run.request.prompt_tokens) - done * PREFILL_TOKENS_PER_STEP).max(0.0)
             })
             .sum();
-        placed
+        backlog
     }
 
     /// Takes the engine's own report in: its step time, and memory that is used by
     /// generations that this lead does not know. As the report lags, only an excess
     /// that three reports in a row show is believed; the first report is believed at
     /// once, so that a new lead does not overload what an earlier one filled.
-    pub fn correct(&mut self, report: &LoadReport, now: Timestamp) {
+    pub fn apply_load_report(&mut self, report: &LoadReport, now: Timestamp) {
         if !report.step.is_zero() {
-            let kept = self.step.as_secs_f64() * STEP_SMOOTHING;
-            let added = report.step.as_secs_f64() * (1.0 - STEP_SMOOTHING);
+            let kept = self.step.as_secs_f64() * STEP_TIME_SMOOTHING;
+            let added = report.step.as_secs_f64() * (1.0 - STEP_TIME_SMOOTHING);
             self.step = Duration::from_secs_f64(kept + added);
         }
-        let block = f64::from(self.limits.block_tokens);
-        let wasted = block * self.runs.len() as f64;
+        let block_tokens = f64::from(self.limits.block_tokens);
+        let wasted = block_tokens * self.runs.len() as f64;
         let held = self.projection(now).held;
-        let reported = report.used_blocks as f64 * block;
+        let reported = report.used_blocks as f64 * block_tokens;
         let latest = (reported - held - wasted).max(0.0);
-        let excess = self.excess.get_or_insert([latest; 3]);
-        excess.rotate_left(1);
-        excess[2] = latest;
-        self.foreign_tokens = excess.iter().copied().fold(f64::INFINITY, f64::min);
+        let recent_excess = self.recent_excess.get_or_insert([latest; 3]);
+        recent_excess.rotate_left(1);
+        recent_excess[2] = latest;
+        self.unaccounted_tokens = recent_excess.iter().copied().fold(f64::INFINITY, f64::min);
     }
 }
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -18,24 +18,24 @@
 
 /// A request that waits.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// What was asked for.
     pub request: PlaceRequest,
     /// When it came.
-    pub since: Timestamp,
+    pub queued_at: Timestamp,
 }
 
 #[derive(Debug)]
-struct Lane {
+struct OrganisationQueue {
     share: f64,
     virtual_time: f64,
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedRequest>,
 }
 
 /// The queue.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    lanes: BTreeMap<OrganisationId, Lane>,
+    queues: BTreeMap<OrganisationId, OrganisationQueue>,
     shares: BTreeMap<OrganisationId, f64>,
     virtual_now: f64,
     len: usize,
@@ -45,8 +45,8 @@
     /// Sets the relative shares; organisations that are not listed have 1.
     pub fn set_shares(&mut self, shares: &[(OrganisationId, f64)]) {
         self.shares = shares.iter().cloned().collect();
-        for (organisation, lane) in &mut self.lanes {
-            lane.share = self.shares.get(organisation).copied().unwrap_or(1.0);
+        for (organisation, queue) in &mut self.queues {
+            queue.share = self.shares.get(organisation).copied().unwrap_or(1.0);
         }
     }
 
@@ -63,83 +63,91 @@
     /// Adds a request behind those of its organisation with the same priority or a higher one.
     pub fn push(&mut self, request: PlaceRequest, now: Timestamp) {
         let virtual_now = self.virtual_now;
-        let lane = self.lane(&request.organisation);
-        if lane.waiting.is_empty() {
-            lane.virtual_time = lane.virtual_time.max(virtual_now);
+        let queue = self.queue_mut(&request.organisation);
+        if queue.waiting.is_empty() {
+            queue.virtual_time = queue.virtual_time.max(virtual_now);
         }
-        let at = lane.waiting.partition_point(|w| w.request.priority >= request.priority);
-        lane.waiting.insert(at, Waiting { request, since: now });
+        let index = queue.waiting.partition_point(|w| w.request.priority >= request.priority);
+        queue.waiting.insert(index, QueuedRequest { request, queued_at: now });
         self.len += 1;
     }
 
-    fn lane(&mut self, organisation: &OrganisationId) -> &mut Lane {
-        if !self.lanes.contains_key(organisation) {
-            self.make_room();
+    fn queue_mut(&mut self, organisation: &OrganisationId) -> &mut OrganisationQueue {
+        if !self.queues.contains_key(organisation) {
+            self.evict_empty_queues();
             let share = self.shares.get(organisation).copied().unwrap_or(1.0);
-            let lane = Lane { share, virtual_time: self.virtual_now, waiting: Vec::new() };
-            self.lanes.insert(organisation.clone(), lane);
+            let queue = OrganisationQueue { share, virtual_time: self.virtual_now, waiting: Vec::new() };
+            self.queues.insert(organisation.clone(), queue);
         }
-        self.lanes.get_mut(organisation).expect("just inserted")
+        self.queues.get_mut(organisation).expect("just inserted")
     }
 
-    fn make_room(&mut self) {
-        if self.lanes.len() >= MAX_ORGANISATIONS {
-            self.lanes.retain(|_, lane| !lane.waiting.is_empty());
+    fn evict_empty_queues(&mut self) {
+        if self.queues.len() >= MAX_ORGANISATIONS {
+            self.queues.retain(|_, queue| !queue.waiting.is_empty());
         }
     }
 
-    /// The organisations that wait, the one furthest behind first, `most` of them.
-    pub fn order(&self, most: usize) -> Vec<OrganisationId> {
-        let mut waiting: Vec<_> = self.lanes.iter().filter(|(_, lane)| !lane.waiting.is_empty()).collect();
+    /// The organisations that wait, the one furthest behind first, `limit` of them.
+    pub fn next_organisations(&self, limit: usize) -> Vec<OrganisationId> {
+        let mut waiting: Vec<_> = self.queues.iter().filter(|(_, queue)| !queue.waiting.is_empty()).collect();
         waiting.sort_by(|a, b| a.1.virtual_time.total_cmp(&b.1.virtual_time));
-        waiting.into_iter().take(most).map(|(id, _)| id.clone()).collect()
+        waiting.into_iter().take(limit).map(|(id, _)| id.clone()).collect()
     }
 
-    /// The requests of an organisation that are next, `most` of them.
-    pub fn next_of(&self, organisation: &OrganisationId, most: usize) -> impl Iterator<Item = &Waiting> {
-        self.lanes.get(organisation).into_iter().flat_map(move |lane| lane.waiting.iter().take(most))
+    /// The requests of an organisation that are next, `limit` of them.
+    pub fn first_requests(
+        &self,
+        organisation: &OrganisationId,
+        limit: usize,
+    ) -> impl Iterator<Item = &QueuedRequest> {
+        self.queues.get(organisation).into_iter().flat_map(move |queue| queue.waiting.iter().take(limit))
     }
 
     /// A request of an organisation by its generation.
-    pub fn get(&self, organisation: &OrganisationId, generation: GenerationId) -> Option<&Waiting> {
-        let lane = self.lanes.get(organisation)?;
-        lane.waiting.iter().find(|w| w.request.generation == generation)
+    pub fn get(&self, organisation: &OrganisationId, generation: GenerationId) -> Option<&QueuedRequest> {
+        let queue = self.queues.get(organisation)?;
+        queue.waiting.iter().find(|w| w.request.generation == generation)
     }
 
     /// Takes a request out to be served.
-    pub fn take(&mut self, organisation: &OrganisationId, generation: GenerationId) -> Option<Waiting> {
-        let lane = self.lanes.get_mut(organisation)?;
-        let at = lane.waiting.iter().position(|w| w.request.generation == generation)?;
-        self.virtual_now = self.virtual_now.max(lane.virtual_time);
+    pub fn dequeue(
+        &mut self,
+        organisation: &OrganisationId,
+        generation: GenerationId,
+    ) -> Option<QueuedRequest> {
+        let queue = self.queues.get_mut(organisation)?;
+        let index = queue.waiting.iter().position(|w| w.request.generation == generation)?;
+        self.virtual_now = self.virtual_now.max(queue.virtual_time);
         self.len -= 1;
-        Some(lane.waiting.remove(at))
+        Some(queue.waiting.remove(index))
     }
 
     /// Charges an organisation for tokens; negative to give some back.
     pub fn charge(&mut self, organisation: &OrganisationId, tokens: f64) {
-        let lane = self.lane(organisation);
-        lane.virtual_time += tokens / lane.share;
+        let queue = self.queue_mut(organisation);
+        queue.virtual_time += tokens / queue.share;
     }
 
     /// Takes a request out by its generation.
-    pub fn remove(&mut self, generation: GenerationId) -> Option<Waiting> {
+    pub fn remove(&mut self, generation: GenerationId) -> Option<QueuedRequest> {
         self.remove_where(|w| w.request.generation == generation).pop()
     }
 
     /// Takes out all that an entry waits for.
-    pub fn remove_entry(&mut self, entry: &VmId) -> Vec<Waiting> {
+    pub fn remove_by_entry(&mut self, entry: &VmId) -> Vec<QueuedRequest> {
         self.remove_where(|w| w.request.entry == *entry)
     }
 
     /// Takes out all that came at `before` or earlier.
-    pub fn remove_older(&mut self, before: Timestamp) -> Vec<Waiting> {
-        self.remove_where(|w| w.since <= before)
+    pub fn remove_older(&mut self, before: Timestamp) -> Vec<QueuedRequest> {
+        self.remove_where(|w| w.queued_at <= before)
     }
 
-    fn remove_where(&mut self, mut is_it: impl FnMut(&Waiting) -> bool) -> Vec<Waiting> {
+    fn remove_where(&mut self, mut is_match: impl FnMut(&QueuedRequest) -> bool) -> Vec<QueuedRequest> {
         let mut removed = Vec::new();
-        for lane in self.lanes.values_mut() {
-            removed.extend(lane.waiting.extract_if(.., |w| is_it(w)));
+        for queue in self.queues.values_mut() {
+            removed.extend(queue.waiting.extract_if(.., |w| is_match(w)));
         }
         self.len -= removed.len();
         removed
@@ -147,12 +155,12 @@
 
     /// Takes the newest request out of the lane that is longest for its share, if
     /// that lane is longer for its share than `organisation`'s would be with one more.
-    pub fn displace_for(&mut self, organisation: &OrganisationId) -> Option<Waiting> {
+    pub fn displace_for(&mut self, organisation: &OrganisationId) -> Option<QueuedRequest> {
         let own_share = self.shares.get(organisation).copied().unwrap_or(1.0);
-        let own_len = self.lanes.get(organisation).map_or(0, |lane| lane.waiting.len());
+        let own_len = self.queues.get(organisation).map_or(0, |queue| queue.waiting.len());
         let own = (own_len + 1) as f64 / own_share;
-        let weight = |lane: &Lane| lane.waiting.len() as f64 / lane.share;
-        let longest = self.lanes.values_mut().max_by(|a, b| weight(a).total_cmp(&weight(b)))?;
+        let weight = |queue: &OrganisationQueue| queue.waiting.len() as f64 / queue.share;
+        let longest = self.queues.values_mut().max_by(|a, b| weight(a).total_cmp(&weight(b)))?;
         if weight(longest) <= own {
             return None;
         }
--- a/lib/src/fence.rs
+++ b/lib/src/fence.rs
@@ -17,10 +17,10 @@
 use crate::ids::VmId;
 
 /// Time for which a holder may send orders after it wrote its lease.
-pub const LEASE: Duration = Duration::from_secs(10);
+pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 /// Longest time from the check of the lease until an order takes effect, with what the
 /// VMs' clocks may differ by.
-pub const ORDER_DELAY: Duration = Duration::from_secs(3);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(3);
 
 /// The object that holds a pool's fence.
 pub fn object_key(model: &str, hall: &str) -> String {
@@ -82,7 +82,7 @@
 /// Sends the orders of one pool for this VM, one at a time.
 #[derive(Debug)]
 pub struct OrderSender {
-    own: VmId,
+    own_vm: VmId,
     checks_fences: bool,
     state: State,
     known: Option<(u64, Fence)>,
@@ -91,8 +91,8 @@
 
 impl OrderSender {
     /// A sender for a pool whose engines check fences, or do not.
-    pub fn new(own: VmId, checks_fences: bool) -> Self {
-        OrderSender { own, checks_fences, state: State::Idle, known: None, proposed: Fence::default() }
+    pub fn new(own_vm: VmId, checks_fences: bool) -> Self {
+        OrderSender { own_vm, checks_fences, state: State::Idle, known: None, proposed: Fence::default() }
     }
 
     /// Goes on with `wanted`, the next order that is needed, if there is one.
@@ -106,19 +106,19 @@
             return Some(FenceAction::Read);
         };
         let (version, fence) = (*version, fence.clone());
-        let is_own = fence.holder.as_ref() == Some(&self.own);
-        if is_own && fence.intent.as_ref() == Some(wanted) && self.may_send(now) {
+        let is_holder = fence.holder.as_ref() == Some(&self.own_vm);
+        if is_holder && fence.intent.as_ref() == Some(wanted) && self.may_send(now) {
             self.state = State::Sending;
             return Some(FenceAction::Send { epoch: fence.epoch, order: wanted.clone() });
         }
-        if !is_own && !self.is_free(&fence, now) {
+        if !is_holder && !self.may_take_over(&fence, now) {
             self.known = None;
             return None;
         }
         self.proposed = Fence {
-            epoch: if is_own { fence.epoch } else { fence.epoch + 1 },
-            holder: Some(self.own.clone()),
-            lease_until: now + LEASE.as_millis() as u64,
+            epoch: if is_holder { fence.epoch } else { fence.epoch + 1 },
+            holder: Some(self.own_vm.clone()),
+            lease_until: now + LEASE_DURATION.as_millis() as u64,
             intent: Some(wanted.clone()),
         };
         self.state = State::Writing;
@@ -128,15 +128,15 @@
 
     /// Whether another VM's fence may be taken: at once where engines check, else only
     /// when none of its orders can still take effect.
-    fn is_free(&self, fence: &Fence, now: UnixMillis) -> bool {
-        let quiet_from = fence.lease_until + ORDER_DELAY.as_millis() as u64;
-        fence.holder.is_none() || self.checks_fences || now > quiet_from
+    fn may_take_over(&self, fence: &Fence, now: UnixMillis) -> bool {
+        let safe_after = fence.lease_until + MAX_ORDER_DELAY.as_millis() as u64;
+        fence.holder.is_none() || self.checks_fences || now > safe_after
     }
 
     /// Whether this VM still holds the lease; to be asked again right before sending.
     pub fn may_send(&self, now: UnixMillis) -> bool {
         let held = self.known.as_ref().map(|(_, fence)| fence);
-        held.is_some_and(|f| f.holder.as_ref() == Some(&self.own) && now < f.lease_until)
+        held.is_some_and(|f| f.holder.as_ref() == Some(&self.own_vm) && now < f.lease_until)
     }
 
     /// The read is over: version and value, (0, empty) when absent, `None` on failure.
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod claim_writer;
 pub mod claims;
 pub mod code;
-pub mod engine_book;
+pub mod engine_tracker;
 pub mod fair_queue;
 pub mod fence;
 pub mod gateway;
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -4,29 +4,32 @@
 use crate::survival::SurvivalCurve;
 
 /// Steps ahead at which memory is projected.
-pub const HORIZONS: [f64; 16] = [
+pub const HORIZON_STEPS: [f64; 16] = [
     16.0, 48.0, 96.0, 160.0, 256.0, 384.0, 512.0, 672.0, 832.0, 1024.0, 1280.0, 1536.0, 1920.0, 2304.0,
     2816.0, 3584.0,
 ];
 
 /// Steps ahead at which the accepted chance of an overflow is the bundle's.
-pub const CHANCE_STEPS: f64 = 1_024.0;
+pub const REFERENCE_HORIZON_STEPS: f64 = 1_024.0;
 
-/// Standard deviations of room to leave at each of [`HORIZONS`].
+/// Standard deviations of room to leave at each of [`HORIZON_STEPS`].
 ///
 /// Under load an engine is always filled up to its bound, so a chance that is accepted
 /// at a near horizon is taken anew very often, while at a far one much will have
 /// changed. The accepted chance therefore grows with the cube of the horizon, and is
-/// `chance` at [`CHANCE_STEPS`]; docs/design/placement.md has the figures.
+/// `chance` at [`REFERENCE_HORIZON_STEPS`]; docs/design/placement.md has the figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Margins {
-    deviations: [f64; HORIZONS.len()],
+    deviations: [f64; HORIZON_STEPS.len()],
 }
 
 impl Margins {
-    /// Margins for an accepted chance of an overflow at [`CHANCE_STEPS`], 0 to 1.
+    /// Margins for an accepted chance of an overflow at [`REFERENCE_HORIZON_STEPS`], 0 to 1.
     pub fn new(chance: f64) -> Self {
-        Margins { deviations: HORIZONS.map(|steps| deviations_for(chance * (steps / CHANCE_STEPS).powi(3))) }
+        Margins {
+            deviations: HORIZON_STEPS
+                .map(|steps| deviations_for(chance * (steps / REFERENCE_HORIZON_STEPS).powi(3))),
+        }
     }
 }
 
@@ -48,31 +51,31 @@
     }
 }
 
-/// Projected memory in tokens at each of [`HORIZONS`].
+/// Projected memory in tokens at each of [`HORIZON_STEPS`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Projection {
     /// Tokens held now.
     pub held: f64,
-    mean: [f64; HORIZONS.len()],
-    variance: [f64; HORIZONS.len()],
-    most: [f64; HORIZONS.len()],
+    mean: [f64; HORIZON_STEPS.len()],
+    variance: [f64; HORIZON_STEPS.len()],
+    upper_limit: [f64; HORIZON_STEPS.len()],
 }
 
 impl Projection {
     /// The projection of a single generation.
     pub fn of(footprint: &Footprint, curve: &SurvivalCurve) -> Self {
         let mut projection = Projection { held: footprint.held(), ..Projection::default() };
-        let now = curve.at_least(footprint.produced);
-        for (at, &steps) in HORIZONS.iter().enumerate() {
-            let later = footprint.produced + steps;
-            if later >= footprint.cap {
+        let survival_now = curve.at_least(footprint.produced);
+        for (horizon, &steps) in HORIZON_STEPS.iter().enumerate() {
+            let produced_then = footprint.produced + steps;
+            if produced_then >= footprint.cap {
                 break;
             }
-            let alive = (curve.at_least(later) / now).min(1.0);
-            let tokens = footprint.prompt + later;
-            projection.mean[at] = alive * tokens;
-            projection.variance[at] = alive * (1.0 - alive) * tokens * tokens;
-            projection.most[at] = tokens;
+            let survival = (curve.at_least(produced_then) / survival_now).min(1.0);
+            let tokens = footprint.prompt + produced_then;
+            projection.mean[horizon] = survival * tokens;
+            projection.variance[horizon] = survival * (1.0 - survival) * tokens * tokens;
+            projection.upper_limit[horizon] = tokens;
         }
         projection
     }
@@ -80,20 +83,20 @@
     /// Adds another one.
     pub fn add(&mut self, other: &Projection) {
         self.held += other.held;
-        for at in 0..HORIZONS.len() {
-            self.mean[at] += other.mean[at];
-            self.variance[at] += other.variance[at];
-            self.most[at] += other.most[at];
+        for horizon in 0..HORIZON_STEPS.len() {
+            self.mean[horizon] += other.mean[horizon];
+            self.variance[horizon] += other.variance[horizon];
+            self.upper_limit[horizon] += other.upper_limit[horizon];
         }
     }
 
     /// Takes one that was added out again.
     pub fn subtract(&mut self, other: &Projection) {
         self.held -= other.held;
-        for at in 0..HORIZONS.len() {
-            self.mean[at] -= other.mean[at];
-            self.variance[at] = (self.variance[at] - other.variance[at]).max(0.0);
-            self.most[at] -= other.most[at];
+        for horizon in 0..HORIZON_STEPS.len() {
+            self.mean[horizon] -= other.mean[horizon];
+            self.variance[horizon] = (self.variance[horizon] - other.variance[horizon]).max(0.0);
+            self.upper_limit[horizon] -= other.upper_limit[horizon];
         }
     }
 
@@ -101,11 +104,11 @@
     /// chance: the mean with the margin's deviations, yet never more than if nothing
     /// ended before its cap.
     pub fn bound(&self, margins: &Margins) -> f64 {
-        let at_horizon = |at: usize| {
-            let margin = margins.deviations[at] * self.variance[at].sqrt();
-            (self.mean[at] + margin).min(self.most[at])
+        let at_horizon = |horizon: usize| {
+            let margin = margins.deviations[horizon] * self.variance[horizon].sqrt();
+            (self.mean[horizon] + margin).min(self.upper_limit[horizon])
         };
-        (0..HORIZONS.len()).map(at_horizon).fold(self.held, f64::max)
+        (0..HORIZON_STEPS.len()).map(at_horizon).fold(self.held, f64::max)
     }
 
     /// [`Projection::bound`] of this one and `other` together.
@@ -121,7 +124,7 @@
 pub fn deviations_for(chance: f64) -> f64 {
     let chance = chance.clamp(1e-9, 0.5);
     let t = (-2.0 * chance.ln()).sqrt();
-    let above = 2.515517 + 0.802853 * t + 0.010328 * t * t;
-    let below = 1.0 + 1.432788 * t + 0.189269 * t * t + 0.001308 * t * t * t;
-    t - above / below
+    let numerator = 2.515517 + 0.802853 * t + 0.010328 * t * t;
+    let denominator = 1.0 + 1.432788 * t + 0.189269 * t * t + 0.001308 * t * t * t;
+    t - numerator / denominator
 }
--- a/lib/src/pool.rs
+++ b/lib/src/pool.rs
@@ -12,11 +12,11 @@
 use rand::rngs::SmallRng;
 
 use crate::code::Code;
-use crate::engine_book::EngineBook;
-use crate::engine_book::EngineState;
-use crate::engine_book::Run;
+use crate::engine_tracker::EngineState;
+use crate::engine_tracker::EngineTracker;
+use crate::engine_tracker::Run;
 use crate::fair_queue::FairQueue;
-use crate::fair_queue::Waiting;
+use crate::fair_queue::QueuedRequest;
 use crate::ids::GenerationId;
 use crate::ids::OrganisationId;
 use crate::ids::Timestamp;
@@ -38,21 +38,21 @@
 use crate::survival::SurvivalCurve;
 
 /// Organisations whose requests are tried when the first one's do not fit.
-const TRIED_ORGANISATIONS: usize = 4;
+const MAX_TRIED_ORGANISATIONS: usize = 4;
 /// Requests of each that are tried.
-const TRIED_REQUESTS: usize = 8;
+const MAX_TRIED_REQUESTS: usize = 8;
 /// Part of the bounded wait after which an engine is kept free for a request.
-const RESERVED_AFTER: f64 = 0.25;
+const RESERVATION_WAIT_FRACTION: f64 = 0.25;
 /// Engines kept free for requests that do not fit, one in this many.
-const RESERVED_DIVISOR: usize = 6;
+const ENGINES_PER_RESERVATION: usize = 6;
 /// Priority added to a generation that was pushed off its engine once.
-const PROTECTED: i32 = 1_000;
+const STALL_PRIORITY_BONUS: i32 = 1_000;
 /// A generation that no entry speaks of for this long has no caller any more.
-const ABANDONED_AFTER: Duration = Duration::from_secs(20);
+const ABANDONED_TIMEOUT: Duration = Duration::from_secs(20);
 /// Least time to come back that a refusal tells.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(500);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Longest time to come back that a refusal tells.
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// The lead's state.
 #[derive(Debug)]
@@ -61,10 +61,10 @@
     margins: Margins,
     lengths: LengthModel,
     queue: FairQueue,
-    engines: BTreeMap<UpstreamId, EngineBook>,
-    places: HashMap<GenerationId, UpstreamId>,
+    engines: BTreeMap<UpstreamId, EngineTracker>,
+    placements: HashMap<GenerationId, UpstreamId>,
     prefixes: PrefixMap,
-    starts: StartRate,
+    start_rate: StartRate,
     reserved: BTreeMap<UpstreamId, GenerationId>,
     rng: SmallRng,
 }
@@ -103,9 +103,9 @@
             lengths: LengthModel::default(),
             queue: FairQueue::default(),
             engines: BTreeMap::new(),
-            places: HashMap::new(),
+            placements: HashMap::new(),
             prefixes: PrefixMap::default(),
-            starts: StartRate::default(),
+            start_rate: StartRate::default(),
             reserved: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             policy,
@@ -127,44 +127,44 @@
                 Scope::Nothing
             }
             PoolEvent::Running(report) => {
-                self.run(now, report, actions);
+                self.on_running_report(now, report, actions);
                 Scope::Nothing
             }
             PoolEvent::Progress { generation, tokens } => {
-                self.advance(now, generation, tokens, actions);
+                self.on_progress(now, generation, tokens, actions);
                 Scope::Nothing
             }
-            PoolEvent::Ended { generation, tokens, how } => self.end(generation, tokens, how),
+            PoolEvent::Ended { generation, tokens, how } => self.on_ended(generation, tokens, how),
             PoolEvent::Load { engine, report } => {
-                if let Some(book) = self.engines.get_mut(&engine) {
-                    book.correct(&report, now);
+                if let Some(tracker) = self.engines.get_mut(&engine) {
+                    tracker.apply_load_report(&report, now);
                 }
                 Scope::Engine(engine)
             }
             PoolEvent::EngineUp { engine, limits } => {
                 let id = engine.clone();
-                let book =
-                    self.engines.entry(id).or_insert_with_key(|id| EngineBook::new(id.clone(), limits));
-                book.limits = limits;
-                book.state = EngineState::Up;
+                let tracker =
+                    self.engines.entry(id).or_insert_with_key(|id| EngineTracker::new(id.clone(), limits));
+                tracker.limits = limits;
+                tracker.state = EngineState::Up;
                 Scope::Engine(engine)
             }
             PoolEvent::EngineLeaving(engine) => {
-                if let Some(book) = self.engines.get_mut(&engine) {
-                    book.state = EngineState::Leaving;
+                if let Some(tracker) = self.engines.get_mut(&engine) {
+                    tracker.state = EngineState::Leaving;
                 }
                 Scope::Nothing
             }
             PoolEvent::EngineGone(engine) => {
-                self.drop_engine(&engine);
+                self.remove_engine(&engine);
                 Scope::Nothing
             }
             PoolEvent::Prefix { engine, prefix, stored } => {
-                self.prefixes.learn(&engine, prefix, stored);
+                self.prefixes.record(&engine, prefix, stored);
                 Scope::Nothing
             }
             PoolEvent::EntryGone(entry) => {
-                for waiting in self.queue.remove_entry(&entry) {
+                for waiting in self.queue.remove_by_entry(&entry) {
                     self.refuse(waiting.request.generation, Code::NotReady, actions);
                 }
                 Scope::Nothing
@@ -175,7 +175,7 @@
                 Scope::All
             }
             PoolEvent::Tick => {
-                self.tick(now, actions);
+                self.on_tick(now, actions);
                 Scope::All
             }
         };
@@ -184,22 +184,22 @@
 
     /// Counts for status and tests.
     pub fn status(&self) -> PoolStatus {
-        let up = self.engines.values().filter(|b| b.state == EngineState::Up).count();
+        let up = self.engines.values().filter(|t| t.state == EngineState::Up).count();
         PoolStatus {
             engines_up: up,
             engines_leaving: self.engines.len() - up,
-            running: self.places.len(),
+            running: self.placements.len(),
             waiting: self.queue.len(),
         }
     }
 
     /// Whether the lead has this generation in its books.
-    pub fn knows(&self, generation: GenerationId) -> bool {
-        self.places.contains_key(&generation)
+    pub fn contains(&self, generation: GenerationId) -> bool {
+        self.placements.contains_key(&generation)
     }
 
     /// The books of all engines, by id.
-    pub fn books(&self) -> impl Iterator<Item = &EngineBook> {
+    pub fn engines(&self) -> impl Iterator<Item = &EngineTracker> {
         self.engines.values()
     }
 
@@ -209,7 +209,7 @@
     }
 
     fn enqueue(&mut self, now: Timestamp, request: PlaceRequest, actions: &mut Vec<PoolAction>) {
-        let up = self.engines.values().any(|b| b.state == EngineState::Up);
+        let up = self.engines.values().any(|t| t.state == EngineState::Up);
         if !up {
             return self.refuse(request.generation, Code::NoUpstream, actions);
         }
@@ -241,108 +241,112 @@
     }
 
     fn refuse(&mut self, generation: GenerationId, code: Code, actions: &mut Vec<PoolAction>) {
-        let base = self.predicted_wait().clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER);
+        let base = self.predicted_wait().clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         let jitter: f64 = self.rng.random_range(0.75..1.5);
         actions.push(PoolAction::Refuse { generation, code, retry_after: base.mul_f64(jitter) });
     }
 
     /// How long a request that came now would wait.
     fn predicted_wait(&self) -> Duration {
-        self.starts.time_for(self.queue.len())
+        self.start_rate.time_for(self.queue.len())
     }
 
     /// Takes a full report in: one of an unknown generation, or of one that its entry
     /// runs elsewhere than the books say, is adopted.
-    fn run(&mut self, now: Timestamp, report: RunningReport, actions: &mut Vec<PoolAction>) {
+    fn on_running_report(&mut self, now: Timestamp, report: RunningReport, actions: &mut Vec<PoolAction>) {
         let generation = report.request.generation;
-        match self.places.get(&generation) {
-            Some(place) if *place == report.engine => self.advance(now, generation, report.tokens, actions),
-            Some(place) => {
-                let place = place.clone();
-                self.engines.get_mut(&place).and_then(|book| book.remove(generation));
-                self.places.remove(&generation);
+        match self.placements.get(&generation) {
+            Some(engine_id) if *engine_id == report.engine => {
+                self.on_progress(now, generation, report.tokens, actions)
+            }
+            Some(engine_id) => {
+                let engine_id = engine_id.clone();
+                self.engines.get_mut(&engine_id).and_then(|tracker| tracker.remove(generation));
+                self.placements.remove(&generation);
                 self.adopt(now, report);
             }
             None => self.adopt(now, report),
         }
     }
 
-    fn advance(
+    fn on_progress(
         &mut self,
         now: Timestamp,
         generation: GenerationId,
         tokens: u32,
         actions: &mut Vec<PoolAction>,
     ) {
-        let Some(book) = self.places.get(&generation).and_then(|place| self.engines.get_mut(place)) else {
+        let Some(tracker) =
+            self.placements.get(&generation).and_then(|engine_id| self.engines.get_mut(engine_id))
+        else {
             return;
         };
-        let (step, engine) = (book.step, book.id.clone());
-        let Some(run) = book.run_mut(generation) else {
+        let (step, engine) = (tracker.step, tracker.id.clone());
+        let Some(run) = tracker.run_mut(generation) else {
             return;
         };
-        if run.has_stalled(now, tokens, step) && run.priority < PROTECTED {
-            run.priority += PROTECTED;
+        if run.has_stalled(now, tokens, step) && run.priority < STALL_PRIORITY_BONUS {
+            run.priority += STALL_PRIORITY_BONUS;
             actions.push(PoolAction::SetPriority { engine, generation, priority: run.priority });
         }
-        let beyond = f64::from(tokens) - run.charged;
-        if beyond > 0.0 {
-            run.charged += beyond;
-            self.queue.charge(&run.request.organisation, beyond);
+        let uncharged = f64::from(tokens) - run.charged;
+        if uncharged > 0.0 {
+            run.charged += uncharged;
+            self.queue.charge(&run.request.organisation, uncharged);
         }
-        book.advance(generation, tokens, now);
+        tracker.record_progress(generation, tokens, now);
     }
 
     /// Takes a generation into the books that another lead, or an entry alone, placed.
     fn adopt(&mut self, now: Timestamp, report: RunningReport) {
         self.queue.remove(report.request.generation);
-        let curve = self.curve(&report.request);
-        let Some(book) = self.engines.get_mut(&report.engine) else {
+        let curve = self.length_curve(&report.request);
+        let Some(tracker) = self.engines.get_mut(&report.engine) else {
             return;
         };
-        self.places.insert(report.request.generation, report.engine);
-        book.add(Run::new(report.request, report.tokens, now, curve, f64::from(report.tokens)));
+        self.placements.insert(report.request.generation, report.engine);
+        tracker.add(Run::new(report.request, report.tokens, now, curve, f64::from(report.tokens)));
     }
 
     /// Takes an end into the books; returns what may have room now.
-    fn end(&mut self, generation: GenerationId, tokens: u32, how: EndKind) -> Scope {
-        let Some(engine) = self.places.remove(&generation) else {
+    fn on_ended(&mut self, generation: GenerationId, tokens: u32, how: EndKind) -> Scope {
+        let Some(engine) = self.placements.remove(&generation) else {
             self.queue.remove(generation);
             return Scope::Nothing;
         };
-        let Some(run) = self.engines.get_mut(&engine).and_then(|b| b.remove(generation)) else {
+        let Some(run) = self.engines.get_mut(&engine).and_then(|t| t.remove(generation)) else {
             return Scope::Nothing;
         };
         let organisation = &run.request.organisation;
-        let by_itself = how == EndKind::Finished && tokens < run.request.max_tokens;
-        self.lengths.observe(organisation, tokens, by_itself);
+        let is_complete = how == EndKind::Finished && tokens < run.request.max_tokens;
+        self.lengths.observe(organisation, tokens, is_complete);
         self.queue.charge(organisation, f64::from(tokens) - run.charged);
         if run.request.prefix != 0 {
-            self.prefixes.learn(&engine, run.request.prefix, true);
+            self.prefixes.record(&engine, run.request.prefix, true);
         }
         Scope::Engine(engine)
     }
 
-    fn drop_engine(&mut self, engine: &UpstreamId) {
-        let Some(book) = self.engines.remove(engine) else {
+    fn remove_engine(&mut self, engine: &UpstreamId) {
+        let Some(tracker) = self.engines.remove(engine) else {
             return;
         };
-        self.prefixes.forget(engine);
-        for run in book.runs {
-            self.places.remove(&run.request.generation);
+        self.prefixes.remove_engine(engine);
+        for run in tracker.runs {
+            self.placements.remove(&run.request.generation);
             self.lengths.observe(&run.request.organisation, run.tokens, false);
             self.queue.charge(&run.request.organisation, f64::from(run.tokens) - run.charged);
         }
     }
 
-    fn tick(&mut self, now: Timestamp, actions: &mut Vec<PoolAction>) {
+    fn on_tick(&mut self, now: Timestamp, actions: &mut Vec<PoolAction>) {
         if now > self.policy.max_wait {
-            let late = self.queue.remove_older(now - self.policy.max_wait);
-            for waiting in late {
+            let expired = self.queue.remove_older(now - self.policy.max_wait);
+            for waiting in expired {
                 self.refuse(waiting.request.generation, Code::WaitTooLong, actions);
             }
         }
-        self.starts.tick(now, self.queue.is_empty());
+        self.start_rate.tick(now, self.queue.is_empty());
         self.cancel_abandoned(now, actions);
     }
 
@@ -350,12 +354,13 @@
     /// through another one in time.
     fn cancel_abandoned(&mut self, now: Timestamp, actions: &mut Vec<PoolAction>) {
         let mut abandoned = Vec::new();
-        for book in self.engines.values() {
-            let silent = book.runs.iter().filter(|r| now.saturating_sub(r.heard) > ABANDONED_AFTER);
-            abandoned.extend(silent.map(|r| (book.id.clone(), r.request.generation, r.tokens)));
+        for tracker in self.engines.values() {
+            let unreported =
+                tracker.runs.iter().filter(|r| now.saturating_sub(r.reported_at) > ABANDONED_TIMEOUT);
+            abandoned.extend(unreported.map(|r| (tracker.id.clone(), r.request.generation, r.tokens)));
         }
         for (engine, generation, tokens) in abandoned {
-            self.end(generation, tokens, EndKind::Cancelled);
+            self.on_ended(generation, tokens, EndKind::Cancelled);
             actions.push(PoolAction::Cancel { engine, generation });
         }
     }
@@ -366,13 +371,13 @@
             Scope::Request(organisation, generation) => {
                 let waiting = self.queue.get(organisation, *generation).map(|w| w.request.clone());
                 let Some(request) = waiting else { return };
-                if let Some(engine) = self.choose(now, &request, None) {
+                if let Some(engine) = self.choose_engine(now, &request, None) {
                     self.grant(now, &request, engine, actions);
                 }
             }
             Scope::Engine(engine) => while self.place_next(now, Some(engine), actions) {},
             Scope::All => {
-                self.reserve(now);
+                self.reserve_engines(now);
                 while self.place_next(now, None, actions) {}
             }
         }
@@ -387,7 +392,7 @@
         actions: &mut Vec<PoolAction>,
     ) -> bool {
         for request in self.next_requests() {
-            if let Some(engine) = self.choose(now, &request, only) {
+            if let Some(engine) = self.choose_engine(now, &request, only) {
                 self.grant(now, &request, engine, actions);
                 return true;
             }
@@ -396,49 +401,49 @@
     }
 
     fn next_requests(&self) -> Vec<PlaceRequest> {
-        let organisations = self.queue.order(TRIED_ORGANISATIONS);
-        let next = organisations.iter().flat_map(|o| self.queue.next_of(o, TRIED_REQUESTS));
+        let organisations = self.queue.next_organisations(MAX_TRIED_ORGANISATIONS);
+        let next = organisations.iter().flat_map(|o| self.queue.first_requests(o, MAX_TRIED_REQUESTS));
         next.map(|waiting| waiting.request.clone()).collect()
     }
 
     /// Keeps an engine free for each of the requests that have waited long because they
     /// fit nowhere: the one where the least is missing. Others may overtake them on
     /// the rest of the engines only.
-    fn reserve(&mut self, now: Timestamp) {
+    fn reserve_engines(&mut self, now: Timestamp) {
         self.reserved.clear();
-        let patience = self.policy.max_wait.mul_f64(RESERVED_AFTER);
-        let most = self.engines.len().div_ceil(RESERVED_DIVISOR);
-        for organisation in self.queue.order(TRIED_ORGANISATIONS) {
-            let Some(waiting) = self.queue.next_of(&organisation, 1).next().cloned() else {
+        let reserve_after = self.policy.max_wait.mul_f64(RESERVATION_WAIT_FRACTION);
+        let max_reserved = self.engines.len().div_ceil(ENGINES_PER_RESERVATION);
+        for organisation in self.queue.next_organisations(MAX_TRIED_ORGANISATIONS) {
+            let Some(waiting) = self.queue.first_requests(&organisation, 1).next().cloned() else {
                 continue;
             };
-            if self.reserved.len() >= most || now.saturating_sub(waiting.since) <= patience {
+            if self.reserved.len() >= max_reserved || now.saturating_sub(waiting.queued_at) <= reserve_after {
                 continue;
             }
-            if let Some(engine) = self.least_missing(now, &waiting.request) {
+            if let Some(engine) = self.engine_with_least_shortfall(now, &waiting.request) {
                 self.reserved.insert(engine, waiting.request.generation);
             }
         }
     }
 
-    fn least_missing(&mut self, now: Timestamp, request: &PlaceRequest) -> Option<UpstreamId> {
+    fn engine_with_least_shortfall(&mut self, now: Timestamp, request: &PlaceRequest) -> Option<UpstreamId> {
         let margins = self.margins;
         let added = self.projection_of(request);
-        let mut least: Option<(f64, UpstreamId)> = None;
-        for book in self.engines.values_mut().filter(|b| b.state == EngineState::Up) {
-            if self.reserved.contains_key(&book.id) {
+        let mut best: Option<(f64, UpstreamId)> = None;
+        for tracker in self.engines.values_mut().filter(|t| t.state == EngineState::Up) {
+            if self.reserved.contains_key(&tracker.id) {
                 continue;
             }
-            let missing = book.projection(now).bound_with(&added, &margins) - book.memory();
-            if least.as_ref().is_none_or(|(value, _)| missing < *value) {
-                least = Some((missing, book.id.clone()));
+            let shortfall = tracker.projection(now).bound_with(&added, &margins) - tracker.usable_tokens();
+            if best.as_ref().is_none_or(|(least, _)| shortfall < *least) {
+                best = Some((shortfall, tracker.id.clone()));
             }
         }
-        least.map(|(_, engine)| engine)
+        best.map(|(_, engine)| engine)
     }
 
     /// The curve of a request's length.
-    fn curve(&self, request: &PlaceRequest) -> Rc<SurvivalCurve> {
+    fn length_curve(&self, request: &PlaceRequest) -> Rc<SurvivalCurve> {
         if self.policy.lengths_known {
             return Rc::new(SurvivalCurve::never_ending());
         }
@@ -451,11 +456,11 @@
             produced: 0.0,
             cap: f64::from(request.max_tokens),
         };
-        Projection::of(&footprint, &self.curve(request))
+        Projection::of(&footprint, &self.length_curve(request))
     }
 
     /// The engine where the request costs least, among those that may take it.
-    fn choose(
+    fn choose_engine(
         &mut self,
         now: Timestamp,
         request: &PlaceRequest,
@@ -464,21 +469,21 @@
         let added = self.projection_of(request);
         let mut best: Option<(f64, UpstreamId)> = None;
         let all = (Bound::Unbounded, Bound::Unbounded);
-        let within = only.map_or(all, |id| (Bound::Included(id), Bound::Included(id)));
-        for book in self.engines.range_mut::<UpstreamId, _>(within).map(|(_, book)| book) {
-            if self.reserved.get(&book.id).is_some_and(|generation| *generation != request.generation) {
+        let range = only.map_or(all, |id| (Bound::Included(id), Bound::Included(id)));
+        for tracker in self.engines.range_mut::<UpstreamId, _>(range).map(|(_, tracker)| tracker) {
+            if self.reserved.get(&tracker.id).is_some_and(|generation| *generation != request.generation) {
                 continue;
             }
             let candidate = Candidate {
                 request,
                 added: &added,
-                has_prefix: self.prefixes.has(&book.id, request.prefix),
+                has_prefix: self.prefixes.is_cached(&tracker.id, request.prefix),
                 objective: self.policy.objective,
                 margins: &self.margins,
             };
-            let least = best.as_ref().map_or(f64::INFINITY, |(least, _)| *least);
-            if let Some(cost) = placement::cost(book, &candidate, now, least) {
-                best = Some((cost, book.id.clone()));
+            let cost_limit = best.as_ref().map_or(f64::INFINITY, |(cost, _)| *cost);
+            if let Some(cost) = placement::cost(tracker, &candidate, now, cost_limit) {
+                best = Some((cost, tracker.id.clone()));
             }
         }
         best.map(|(_, engine)| engine)
@@ -492,19 +497,20 @@
         actions: &mut Vec<PoolAction>,
     ) {
         let generation = request.generation;
-        let Some(Waiting { request, .. }) = self.queue.take(&request.organisation, generation) else {
+        let Some(QueuedRequest { request, .. }) = self.queue.dequeue(&request.organisation, generation)
+        else {
             return;
         };
-        let curve = self.curve(&request);
+        let curve = self.length_curve(&request);
         let charged = curve.mean(f64::from(request.max_tokens));
         self.queue.charge(&request.organisation, charged);
-        self.starts.count();
+        self.start_rate.count();
         self.reserved.retain(|_, reserved| *reserved != generation);
         let priority = request.priority;
-        if let Some(book) = self.engines.get_mut(&engine) {
-            book.add(Run::new(request, 0, now, curve, charged));
+        if let Some(tracker) = self.engines.get_mut(&engine) {
+            tracker.add(Run::new(request, 0, now, curve, charged));
         }
-        self.places.insert(generation, engine.clone());
+        self.placements.insert(generation, engine.clone());
         actions.push(PoolAction::Grant { generation, engine, priority });
     }
 }
--- a/lib/src/prefix_map.rs
+++ b/lib/src/prefix_map.rs
@@ -19,24 +19,24 @@
 
 impl PrefixMap {
     /// Notes that an engine has a prefix cached, or no longer has.
-    pub fn learn(&mut self, engine: &UpstreamId, prefix: u64, stored: bool) {
-        let known = self.engines.entry(engine.clone()).or_default();
-        known.retain(|p| *p != prefix);
+    pub fn record(&mut self, engine: &UpstreamId, prefix: u64, stored: bool) {
+        let prefixes = self.engines.entry(engine.clone()).or_default();
+        prefixes.retain(|p| *p != prefix);
         if stored {
-            known.push_back(prefix);
+            prefixes.push_back(prefix);
         }
-        if known.len() > MAX_PREFIXES {
-            known.pop_front();
+        if prefixes.len() > MAX_PREFIXES {
+            prefixes.pop_front();
         }
     }
 
     /// Whether the engine is thought to have it; never for 0.
-    pub fn has(&self, engine: &UpstreamId, prefix: u64) -> bool {
-        prefix != 0 && self.engines.get(engine).is_some_and(|known| known.contains(&prefix))
+    pub fn is_cached(&self, engine: &UpstreamId, prefix: u64) -> bool {
+        prefix != 0 && self.engines.get(engine).is_some_and(|prefixes| prefixes.contains(&prefix))
     }
 
     /// Forgets an engine.
-    pub fn forget(&mut self, engine: &UpstreamId) {
+    pub fn remove_engine(&mut self, engine: &UpstreamId) {
         self.engines.remove(engine);
     }
 }
--- a/lib/tests/test_pool.rs
+++ b/lib/tests/test_pool.rs
@@ -49,7 +49,7 @@
     pool: Pool,
     now: Duration,
     granted: BTreeMap<u64, (String, PlaceRequest)>,
-    asked: BTreeMap<u64, PlaceRequest>,
+    requested: BTreeMap<u64, PlaceRequest>,
     answered: BTreeSet<u64>,
     refused: Vec<(u64, Code, Duration)>,
     leaving: BTreeSet<String>,
@@ -62,7 +62,7 @@
             pool: Pool::new(policy(), seed),
             now: Duration::from_secs(1),
             granted: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            requested: BTreeMap::new(),
             answered: BTreeSet::new(),
             refused: Vec::new(),
             leaving: BTreeSet::new(),
@@ -74,7 +74,7 @@
 
     fn event(&mut self, event: PoolEvent) {
         if let PoolEvent::Place(request) = &event {
-            self.asked.insert(request.generation, request.clone());
+            self.requested.insert(request.generation, request.clone());
         }
         let mut actions = Vec::new();
         self.pool.handle(self.now, event, &mut actions);
@@ -83,7 +83,7 @@
                 PoolAction::Grant { generation, engine, .. } => {
                     assert!(self.answered.insert(*generation), "answered twice: {generation}");
                     assert!(!self.leaving.contains(&**engine), "granted on leaving {engine}");
-                    let request = self.asked[generation].clone();
+                    let request = self.requested[generation].clone();
                     self.granted.insert(*generation, (engine.to_string(), request));
                 }
                 PoolAction::Refuse { generation, code, retry_after } => {
@@ -101,15 +101,15 @@
     /// By the tokens that the lead knows of, no engine is over its memory, unless it
     /// runs a single generation.
     fn check_memory(&self) {
-        for book in self.pool.books().filter(|b| b.runs.len() > 1) {
+        for tracker in self.pool.engines().filter(|t| t.runs.len() > 1) {
             let memory = LIMITS.blocks * u64::from(LIMITS.block_tokens);
-            let prompts: u64 = book.runs.iter().map(|r| u64::from(r.request.prompt_tokens)).sum();
-            assert!(prompts <= memory, "{} prompt tokens on {}", prompts, book.id);
-            assert!(book.runs.len() <= LIMITS.max_batch as usize);
+            let prompts: u64 = tracker.runs.iter().map(|r| u64::from(r.request.prompt_tokens)).sum();
+            assert!(prompts <= memory, "{} prompt tokens on {}", prompts, tracker.id);
+            assert!(tracker.runs.len() <= LIMITS.max_batch as usize);
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance_time(&mut self, time: Duration) {
         let ticks = (time.as_millis() / 100).max(1);
         for _ in 0..ticks {
             self.now += Duration::from_millis(100);
@@ -137,7 +137,7 @@
     Leaving { engine: usize },
     Gone { engine: usize },
     Up { engine: usize },
-    Pass { tenths: u64 },
+    Wait { tenths: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -149,22 +149,22 @@
         1 => (0..ENGINES).prop_map(|engine| Step::Leaving { engine }),
         1 => (0..ENGINES).prop_map(|engine| Step::Gone { engine }),
         2 => (0..ENGINES).prop_map(|engine| Step::Up { engine }),
-        3 => (1..15_u64).prop_map(|tenths| Step::Pass { tenths }),
+        3 => (1..15_u64).prop_map(|tenths| Step::Wait { tenths }),
     ]
 }
 
 fn run(steps: &[Step], seed: u64) -> Env {
     let mut env = Env::new(seed);
     let mut withdrawn = BTreeSet::new();
-    for (at, step) in steps.iter().enumerate() {
+    for (index, step) in steps.iter().enumerate() {
         match *step {
             Step::Place { organisation, prompt } => {
                 let name = format!("org-{organisation}");
-                env.event(PoolEvent::Place(request(at as u64 + 1, &name, prompt)));
+                env.event(PoolEvent::Place(request(index as u64 + 1, &name, prompt)));
             }
             Step::Withdraw { nth } => {
                 let open: Vec<u64> =
-                    env.asked.keys().filter(|g| !env.answered.contains(g)).copied().collect();
+                    env.requested.keys().filter(|g| !env.answered.contains(g)).copied().collect();
                 if let Some(generation) = open.get(nth % open.len().max(1)) {
                     withdrawn.insert(*generation);
                     env.answered.insert(*generation);
@@ -184,17 +184,17 @@
             }
             Step::Gone { engine: e } => {
                 env.leaving.insert(engine(e).to_string());
-                env.granted.retain(|_, (at, _)| **at != *engine(e));
+                env.granted.retain(|_, (granted_engine, _)| **granted_engine != *engine(e));
                 env.event(PoolEvent::EngineGone(engine(e)));
             }
             Step::Up { engine: e } => {
                 env.leaving.remove(&*engine(e));
                 env.event(PoolEvent::EngineUp { engine: engine(e), limits: LIMITS });
             }
-            Step::Pass { tenths } => env.pass(Duration::from_millis(tenths * 100)),
+            Step::Wait { tenths } => env.advance_time(Duration::from_millis(tenths * 100)),
         }
     }
-    env.pass(policy().max_wait + Duration::from_millis(200));
+    env.advance_time(policy().max_wait + Duration::from_millis(200));
     env
 }
 
@@ -205,8 +205,8 @@
     #[test]
     fn test_every_request_is_answered_once(steps in prop::collection::vec(step(), 1..120), seed: u64) {
         let env = run(&steps, seed);
-        let asked: BTreeSet<u64> = env.asked.keys().copied().collect();
-        prop_assert_eq!(env.answered, asked);
+        let requested: BTreeSet<u64> = env.requested.keys().copied().collect();
+        prop_assert_eq!(env.answered, requested);
         prop_assert_eq!(env.pool.status().waiting, 0);
     }
 
@@ -221,22 +221,30 @@
     fn test_new_lead_converges(steps in prop::collection::vec(step(), 1..80), seed: u64) {
         let old = run(&steps, seed);
         let mut new = Pool::new(policy(), seed + 1);
-        for book in old.pool.books() {
-            new.handle(old.now, PoolEvent::EngineUp { engine: book.id.clone(), limits: LIMITS }, &mut Vec::new());
-            for run in &book.runs {
-                let report = RunningReport { request: run.request.clone(), engine: book.id.clone(), tokens: run.tokens };
+        for tracker in old.pool.engines() {
+            new.handle(
+                old.now,
+                PoolEvent::EngineUp { engine: tracker.id.clone(), limits: LIMITS },
+                &mut Vec::new()
+            );
+            for run in &tracker.runs {
+                let report = RunningReport {
+                    request: run.request.clone(),
+                    engine: tracker.id.clone(),
+                    tokens: run.tokens
+                };
                 new.handle(old.now, PoolEvent::Running(report), &mut Vec::new());
             }
         }
         let held = |pool: &Pool| -> Vec<(String, u64, usize)> {
-            pool.books().map(|b| (b.id.to_string(), b.held_tokens(), b.runs.len())).collect()
+            pool.engines().map(|t| (t.id.to_string(), t.held_tokens(), t.runs.len())).collect()
         };
         prop_assert_eq!(held(&new), held(&old.pool));
     }
 }
 
 #[test]
-fn test_refused_at_once_with_a_time_to_come_back() {
+fn test_full_queue_refuses_at_once_with_retry_after() {
     let mut env = Env::new(1);
     (1..=60).for_each(|g| env.event(PoolEvent::Place(request(g, "a", 300))));
     let full: Vec<_> = env.refused.iter().filter(|(_, code, _)| *code == Code::QueueFull).collect();
@@ -245,7 +253,7 @@
 }
 
 #[test]
-fn test_no_engine_is_refused_at_once() {
+fn test_request_without_engine_is_refused_at_once() {
     let mut env = Env::new(1);
     (0..ENGINES).for_each(|e| env.event(PoolEvent::EngineGone(engine(e))));
     env.event(PoolEvent::Place(request(1, "a", 10)));
@@ -254,7 +262,7 @@
 
 /// A new lead that has no books yet does not fill engines that say they are full.
 #[test]
-fn test_new_lead_believes_the_first_load() {
+fn test_new_lead_applies_first_load_report_at_once() {
     let mut env = Env::new(1);
     for e in 0..ENGINES {
         let report = LoadReport { running: 6, waiting: 0, used_blocks: 62, step: Duration::from_millis(25) };
@@ -271,7 +279,7 @@
 
 /// What a dead entry waits for is refused: it may only be cut off, and is told at once.
 #[test]
-fn test_dead_entry_is_answered() {
+fn test_requests_of_dead_entry_are_refused() {
     let mut env = Env::new(1);
     (1..=20).for_each(|g| env.event(PoolEvent::Place(request(g, "a", 400))));
     let waiting = env.pool.status().waiting;
@@ -293,7 +301,7 @@
         if round % 2 == 0 {
             env.event(PoolEvent::Place(request(round * 10 + 9, "quiet", 300)));
         }
-        env.pass(Duration::from_millis(100));
+        env.advance_time(Duration::from_millis(100));
         let running: Vec<u64> = env.granted.keys().copied().take(2).collect();
         for generation in running {
             let (_, request) = env.granted.remove(&generation).expect("listed");
@@ -314,7 +322,7 @@
 fn test_abandoned_generation_is_cancelled() {
     let mut env = Env::new(1);
     env.event(PoolEvent::Place(request(7, "a", 100)));
-    env.pass(Duration::from_secs(21));
+    env.advance_time(Duration::from_secs(21));
     let cancelled = PoolAction::Cancel { engine: env.granted[&7].0.as_str().into(), generation: 7 };
     assert_eq!(env.log.last(), Some(&cancelled));
     assert_eq!(env.pool.status().running, 0);
@@ -327,23 +335,23 @@
     let mut env = Env::new(1);
     for generation in 1_000..1_200 {
         env.event(PoolEvent::Place(request(generation, "a", 10)));
-        env.pass(Duration::from_millis(100));
+        env.advance_time(Duration::from_millis(100));
         env.granted.remove(&generation);
         env.event(PoolEvent::Ended { generation, tokens: 5, how: EndKind::Finished });
     }
     for generation in 1..=6 {
         env.event(PoolEvent::Place(request(generation, "a", 150)));
-        env.pass(Duration::from_millis(100));
+        env.advance_time(Duration::from_millis(100));
     }
-    let crowded: Vec<usize> = env.pool.books().map(|book| book.runs.len()).collect();
-    assert_eq!(crowded, [2, 2, 2]);
+    let run_counts: Vec<usize> = env.pool.engines().map(|tracker| tracker.runs.len()).collect();
+    assert_eq!(run_counts, [2, 2, 2]);
     env.event(PoolEvent::Place(request(100, "a", 900)));
     env.event(PoolEvent::Place(request(101, "a", 10)));
-    env.pass(Duration::from_millis(100));
+    env.advance_time(Duration::from_millis(100));
     assert!(!env.granted.contains_key(&100));
     assert!(env.granted.contains_key(&101), "a small request waits behind a large one");
     for round in 0..36 {
-        env.pass(Duration::from_millis(100));
+        env.advance_time(Duration::from_millis(100));
         (0..2).for_each(|n| env.event(PoolEvent::Place(request(200 + round * 2 + n, "a", 150))));
         let oldest = env.granted.keys().copied().find(|g| *g != 100);
         if let Some(generation) = oldest {
@@ -363,7 +371,7 @@
     env.event(PoolEvent::Progress { generation: 7, tokens: 30 });
     env.now += Duration::from_secs(1);
     env.event(PoolEvent::Progress { generation: 7, tokens: 32 });
-    let raised =
+    let priority_changes =
         env.log.iter().filter(|a| matches!(a, PoolAction::SetPriority { generation: 7, priority: 1000, .. }));
-    assert_eq!(raised.count(), 1);
+    assert_eq!(priority_changes.count(), 1);
 }
--- a/node/src/leads.rs
+++ b/node/src/leads.rs
@@ -340,5 +340,5 @@
 
 /// Whether this VM's pool has a generation in its books.
 pub fn knows(control: &Control, key: &PoolKey, generation: GenerationId) -> bool {
-    control.leads.pools.get(key).is_some_and(|led| led.pool.knows(generation))
+    control.leads.pools.get(key).is_some_and(|led| led.pool.contains(generation))
 }
--- a/node/src/status_report.rs
+++ b/node/src/status_report.rs
@@ -1,7 +1,7 @@
 //! Publishes the node's status for the admin port.
 
-use leadstage_lib::engine_book::EngineBook;
-use leadstage_lib::engine_book::EngineState;
+use leadstage_lib::engine_tracker::EngineState;
+use leadstage_lib::engine_tracker::EngineTracker;
 use leadstage_lib::status::EngineLine;
 use leadstage_lib::status::NodeStatus;
 use leadstage_lib::status::PeerLine;
@@ -70,12 +70,12 @@
         hall: key.hall.to_string(),
         waiting: status.waiting,
         running: status.running,
-        all_engines: led.pool.books().count(),
-        engines: led.pool.books().map(engine_line).collect(),
+        all_engines: led.pool.engines().count(),
+        engines: led.pool.engines().map(engine_line).collect(),
     }
 }
 
-fn engine_line(book: &EngineBook) -> EngineLine {
+fn engine_line(book: &EngineTracker) -> EngineLine {
     EngineLine {
         id: book.id.to_string(),
         state: match book.state {
