--- a/lib/src/engine_tracker.rs
+++ b/lib/src/engine_tracker.rs
@@ -1,5 +1,5 @@
-//! What a pool's lead knows of one engine: the generations that it placed there,
-//! their projected memory, and the engine's own reports as a correction.
+//! Tracks the load of one engine for a pool's lead: the generations placed there and their projected memory,
+//! corrected by the engine's own load reports.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,64 +14,64 @@
 use crate::pool_event::PlaceRequest;
 use crate::survival::SurvivalCurve;
 
-/// A projection is made anew after this, even without an event.
+/// Age at which a projection is recomputed, even without an event.
 const MAX_PROJECTION_AGE: Duration = Duration::from_millis(250);
-/// Step time assumed until the engine reports one.
+/// Initial step time, until the engine reports its own.
 const DEFAULT_STEP_TIME: Duration = Duration::from_millis(25);
-/// Tokens that a generation is taken to have produced since its last report, at most.
+/// Maximum number of tokens that a generation is assumed to have produced since its last report.
 const MAX_EXTRAPOLATED_TOKENS: f64 = 120.0;
-/// Part of the old value kept when a step time is reported.
+/// Weight of the old step time when a new one is reported.
 const STEP_TIME_SMOOTHING: f64 = 0.8;
-/// Part of an engine's memory that is filled: engines keep a part free when they take
-/// a generation up, and the books are never exact.
+/// Fraction of an engine's memory that is filled. Engines keep some memory free when they admit a generation,
+/// and the tracked usage is never exact.
 const USABLE_MEMORY_FRACTION: f64 = 0.98;
-/// A generation that made less than this part of the steps since its last report is
-/// taken to have been pushed off its engine.
+/// A generation that produced less than this fraction of the tokens expected since its last report is assumed
+/// to have been preempted by its engine.
 const STALL_PROGRESS_FRACTION: f64 = 0.4;
-/// Least time between two reports for that, as a step may be long.
+/// Minimum time between two reports for detecting a stall, as a step may be long.
 const MIN_STALL_INTERVAL: Duration = Duration::from_millis(800);
-/// Prompt tokens that an engine is assumed to work on in one step.
+/// Prompt tokens that an engine is assumed to prefill in one step.
 const PREFILL_TOKENS_PER_STEP: f64 = 2_048.0;
 
-/// Steps until a request's first token is due on an engine that takes it up at once.
+/// Returns the number of steps until a request's first token is due on an engine that starts it at once.
 fn prefill_steps(request: &PlaceRequest) -> f64 {
     f64::from(request.prompt_tokens) / PREFILL_TOKENS_PER_STEP + 1.0
 }
 
-/// Whether an engine gets new work.
+/// Whether an engine accepts new generations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
-    /// It does.
+    /// The engine accepts new generations.
     Up,
-    /// It does not; what runs there goes on.
+    /// The engine accepts no new generations; running ones continue.
     Leaving,
 }
 
 /// A generation on an engine.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What was asked for.
+    /// The placement request.
     pub request: PlaceRequest,
-    /// Tokens delivered, by the latest report.
+    /// Output tokens delivered according to the latest report.
     pub tokens: u32,
-    /// When `tokens` last rose, or the grant.
+    /// Time when `tokens` last increased, initially `placed_at`.
     pub advanced_at: Timestamp,
-    /// When its entry last spoke of it, or the grant.
+    /// Time of the entry's latest report, initially `placed_at`.
     pub reported_at: Timestamp,
-    /// When it was granted, or first heard of.
+    /// Time when the generation was granted, or first reported to this lead.
     pub placed_at: Timestamp,
-    /// Its organisation's curve at that time.
+    /// Survival curve of the organisation's output lengths at `placed_at`.
     pub curve: Rc<SurvivalCurve>,
-    /// Output tokens that its organisation has been charged.
+    /// Output tokens that the organisation has been charged for.
     pub charged: f64,
-    /// The priority that the engine was given.
+    /// The priority that was sent to the engine.
     pub priority: i32,
-    /// What it adds to the book's projection.
+    /// The generation's part of the engine's projection.
     pub projection: Projection,
 }
 
 impl Run {
-    /// A generation that is placed, or first heard of, now.
+    /// Creates a generation that is placed, or first reported, at `now`.
     pub fn new(
         request: PlaceRequest,
         tokens: u32,
@@ -92,12 +92,12 @@
         }
     }
 
-    /// No token has been seen of it.
+    /// Whether no token has been reported yet.
     pub fn is_unstarted(&self) -> bool {
         self.tokens == 0
     }
 
-    /// Whether a report of `tokens` now shows that it stood still since the last one.
+    /// Whether a report of `tokens` at `now` shows that the generation has stalled since the last report.
     pub fn has_stalled(&self, now: Timestamp, tokens: u32, step: Duration) -> bool {
         let elapsed = now.saturating_sub(self.reported_at);
         if self.is_unstarted() || elapsed < MIN_STALL_INTERVAL {
@@ -124,18 +124,18 @@
     }
 }
 
-/// One engine's book.
+/// The tracked state of one engine.
 #[derive(Debug)]
 pub struct EngineTracker {
-    /// Its id.
+    /// The engine's id.
     pub id: UpstreamId,
-    /// Its sizes.
+    /// Size limits of the engine.
     pub limits: EngineLimits,
-    /// Whether it gets new work.
+    /// Whether the engine accepts new generations.
     pub state: EngineState,
-    /// What runs there.
+    /// Generations that run on the engine.
     pub runs: Vec<Run>,
-    /// Smoothed time of a step.
+    /// Smoothed step time.
     pub step: Duration,
     unstarted_count: usize,
     unaccounted_tokens: f64,
@@ -145,7 +145,7 @@
 }
 
 impl EngineTracker {
-    /// An empty book.
+    /// Creates a tracker without generations.
     pub fn new(id: UpstreamId, limits: EngineLimits) -> Self {
         EngineTracker {
             id,
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Tokens that its memory holds, less the half block that each generation wastes
-    /// on average.
+    /// Returns the tokens that the engine's memory holds, less the half block that each generation wastes on
+    /// average and the tokens held by generations that this lead does not know.
     pub fn usable_tokens(&self) -> f64 {
         let block_tokens = f64::from(self.limits.block_tokens);
         let wasted = block_tokens * 0.5 * (self.runs.len() + 1) as f64;
@@ -170,18 +170,18 @@
             .max(1.0)
     }
 
-    /// Nothing runs here, as far as this lead and the engine's reports know; a generation
-    /// may then start even if it could fill the whole memory.
+    /// Whether nothing runs on the engine according to this lead and the engine's reports. A generation may
+    /// then start even if it could fill the whole memory.
     pub fn is_idle(&self) -> bool {
         self.runs.is_empty() && self.unaccounted_tokens < f64::from(self.limits.block_tokens)
     }
 
-    /// Tokens that its generations hold by their latest reports.
+    /// Returns the tokens that the generations hold according to their latest reports.
     pub fn held_tokens(&self) -> u64 {
         self.runs.iter().map(|r| u64::from(r.request.prompt_tokens) + u64::from(r.tokens)).sum()
     }
 
-    /// Whether its batch has room for one more.
+    /// Whether the batch has room for another generation.
     pub fn has_slot(&self) -> bool {
         self.runs.len() < self.limits.max_batch as usize
     }
@@ -194,7 +194,7 @@
         self.runs.push(run);
     }
 
-    /// Takes a generation out.
+    /// Removes a generation.
     pub fn remove(&mut self, generation: GenerationId) -> Option<Run> {
         let index = self.runs.iter().position(|r| r.request.generation == generation)?;
         let run = self.runs.swap_remove(index);
@@ -203,7 +203,7 @@
         Some(run)
     }
 
-    /// Notes a generation's tokens, which only rise.
+    /// Records a report of a generation's tokens. The recorded number of tokens never decreases.
     pub fn record_progress(&mut self, generation: GenerationId, tokens: u32, now: Timestamp) {
         let Some(run) = self.run_mut(generation) else {
             return;
@@ -218,12 +218,12 @@
         self.unstarted_count -= usize::from(first);
     }
 
-    /// A generation by id.
+    /// Returns the run of a generation.
     pub fn run_mut(&mut self, generation: GenerationId) -> Option<&mut Run> {
         self.runs.iter_mut().find(|r| r.request.generation == generation)
     }
 
-    /// The projection of all that runs here.
+    /// Returns the projection of all generations on the engine.
     pub fn projection(&mut self, now: Timestamp) -> &Projection {
         let fresh = self.projected_at.is_some_and(|at| now.saturating_sub(at) < MAX_PROJECTION_AGE);
         if !fresh {
@@ -243,7 +243,7 @@
         self.projected_at = Some(now);
     }
 
-    /// Prompt tokens placed here whose first token should not be there yet.
+    /// Returns the prompt tokens of unstarted generations whose prefill should not be finished yet.
     pub fn prefill_backlog(&self, now: Timestamp) -> f64 {
         if self.unstarted_count == 0 {
             return 0.0;
@@ -258,10 +258,10 @@
         backlog
     }
 
-    /// Takes the engine's own report in: its step time, and memory that is used by
-    /// generations that this lead does not know. As the report lags, only an excess
-    /// that three reports in a row show is believed; the first report is believed at
-    /// once, so that a new lead does not overload what an earlier one filled.
+    /// Applies the engine's own report: its step time, and the memory used by generations that this lead does
+    /// not know. As the report lags, only the excess that three consecutive reports show is counted. The
+    /// first report counts at once, so that a new lead does not overload an engine that an earlier lead has
+    /// filled.
     pub fn apply_load_report(&mut self, report: &LoadReport, now: Timestamp) {
         if !report.step.is_zero() {
             let kept = self.step.as_secs_f64() * STEP_TIME_SMOOTHING;
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -1,9 +1,10 @@
-//! The wait queue of a pool: fair between organisations by tokens served, by
-//! priority and arrival within one, with a bounded length and bounded waits.
+//! The wait queue of a pool. It is fair between organisations by tokens served, and orders the requests of
+//! one organisation by priority and arrival. The pool bounds its length and the time that requests wait in
+//! it.
 //!
-//! Fairness is start-time fair queueing (Goyal, Vin, Cheng, 1996) over tokens: each
-//! organisation has a virtual time that grows by the tokens it is served divided by
-//! its share; the one that is furthest behind goes first.
+//! Fairness is start-time fair queueing (Goyal, Vin, Cheng, 1996) over tokens: the virtual time of an
+//! organisation grows by the tokens it is served divided by its share, and the organisation with the lowest
+//! virtual time is served first.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +14,15 @@
 use crate::ids::VmId;
 use crate::pool_event::PlaceRequest;
 
-/// Organisations remembered at most; the ones without work go first.
+/// Number of recorded organisations at which those without waiting requests are evicted.
 const MAX_ORGANISATIONS: usize = 4_096;
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// What was asked for.
+    /// The request.
     pub request: PlaceRequest,
-    /// When it came.
+    /// Time when the request was added.
     pub queued_at: Timestamp,
 }
 
@@ -32,7 +33,7 @@
     waiting: Vec<QueuedRequest>,
 }
 
-/// The queue.
+/// A queue that is fair between organisations.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     queues: BTreeMap<OrganisationId, OrganisationQueue>,
@@ -42,7 +43,7 @@
 }
 
 impl FairQueue {
-    /// Sets the relative shares; organisations that are not listed have 1.
+    /// Sets the relative shares of the organisations. An organisation that is not listed has a share of 1.
     pub fn set_shares(&mut self, shares: &[(OrganisationId, f64)]) {
         self.shares = shares.iter().cloned().collect();
         for (organisation, queue) in &mut self.queues {
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -88,14 +89,14 @@
         }
     }
 
-    /// The organisations that wait, the one furthest behind first, `limit` of them.
+    /// Returns up to `limit` organisations with waiting requests, ordered by ascending virtual time.
     pub fn next_organisations(&self, limit: usize) -> Vec<OrganisationId> {
         let mut waiting: Vec<_> = self.queues.iter().filter(|(_, queue)| !queue.waiting.is_empty()).collect();
         waiting.sort_by(|a, b| a.1.virtual_time.total_cmp(&b.1.virtual_time));
         waiting.into_iter().take(limit).map(|(id, _)| id.clone()).collect()
     }
 
-    /// The requests of an organisation that are next, `limit` of them.
+    /// Returns the first `limit` waiting requests of an organisation.
     pub fn first_requests(
         &self,
         organisation: &OrganisationId,
@@ -104,13 +105,13 @@
         self.queues.get(organisation).into_iter().flat_map(move |queue| queue.waiting.iter().take(limit))
     }
 
-    /// A request of an organisation by its generation.
+    /// Returns the waiting request of an organisation for a generation.
     pub fn get(&self, organisation: &OrganisationId, generation: GenerationId) -> Option<&QueuedRequest> {
         let queue = self.queues.get(organisation)?;
         queue.waiting.iter().find(|w| w.request.generation == generation)
     }
 
-    /// Takes a request out to be served.
+    /// Removes a request that is about to be served and advances the queue's virtual time.
     pub fn dequeue(
         &mut self,
         organisation: &OrganisationId,
@@ -123,23 +124,23 @@
         Some(queue.waiting.remove(index))
     }
 
-    /// Charges an organisation for tokens; negative to give some back.
+    /// Charges an organisation for tokens; a negative number is a refund.
     pub fn charge(&mut self, organisation: &OrganisationId, tokens: f64) {
         let queue = self.queue_mut(organisation);
         queue.virtual_time += tokens / queue.share;
     }
 
-    /// Takes a request out by its generation.
+    /// Removes the request for a generation.
     pub fn remove(&mut self, generation: GenerationId) -> Option<QueuedRequest> {
         self.remove_where(|w| w.request.generation == generation).pop()
     }
 
-    /// Takes out all that an entry waits for.
+    /// Removes all requests of an entry.
     pub fn remove_by_entry(&mut self, entry: &VmId) -> Vec<QueuedRequest> {
         self.remove_where(|w| w.request.entry == *entry)
     }
 
-    /// Takes out all that came at `before` or earlier.
+    /// Removes all requests that were added at `before` or earlier.
     pub fn remove_older(&mut self, before: Timestamp) -> Vec<QueuedRequest> {
         self.remove_where(|w| w.queued_at <= before)
     }
@@ -153,8 +154,8 @@
         removed
     }
 
-    /// Takes the newest request out of the lane that is longest for its share, if
-    /// that lane is longer for its share than `organisation`'s would be with one more.
+    /// Removes the last request of the organisation whose queue is longest relative to its share, if that
+    /// queue is longer relative to its share than the queue of `organisation` would be with one more request.
     pub fn displace_for(&mut self, organisation: &OrganisationId) -> Option<QueuedRequest> {
         let own_share = self.shares.get(organisation).copied().unwrap_or(1.0);
         let own_len = self.queues.get(organisation).map_or(0, |queue| queue.waiting.len());
--- a/lib/src/fence.rs
+++ b/lib/src/fence.rs
@@ -1,10 +1,11 @@
-//! Fenced orders to the engines of a pool. An epoch is taken by conditional update only
-//! when there is something to order; an engine that checks fences refuses an older one.
+//! Fenced orders to the engines of a pool. A sender acquires a new epoch by a conditional update of the
+//! stored fence, and only when there is an order to send. An engine that checks fences refuses an order of an
+//! older epoch.
 //!
-//! An engine that does not check gets an order only within a lease that was checked just
-//! before sending, after the predecessor's lease and the longest delay of an order have
-//! passed, and with the intent recorded first. What that cannot cover: a holder that is
-//! paused between the check and the send for longer than the lease's reserve.
+//! An engine that does not check fences gets an order only under these conditions: the sender holds a lease
+//! that it checks just before sending, the predecessor's lease and the maximum delay of an order have passed,
+//! and the intent has been recorded. This does not cover a holder that is paused between the check and the
+//! send for longer than [`MAX_ORDER_DELAY`] allows for.
 
 use std::time::Duration;
 
@@ -16,13 +17,13 @@
 use crate::ids::UpstreamId;
 use crate::ids::VmId;
 
-/// Time for which a holder may send orders after it wrote its lease.
+/// Time for which a holder may send orders after writing its lease.
 pub const LEASE_DURATION: Duration = Duration::from_secs(10);
-/// Longest time from the check of the lease until an order takes effect, with what the
-/// VMs' clocks may differ by.
+/// Maximum time from the check of the lease until an order takes effect, including the clock skew between
+/// VMs.
 pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(3);
 
-/// The object that holds a pool's fence.
+/// Returns the key of the object that stores a pool's fence.
 pub fn object_key(model: &str, hall: &str) -> String {
     format!("fences/{model}/{hall}")
 }
@@ -30,41 +31,42 @@
 /// An order to an engine.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Order {
-    /// Which engine.
+    /// The engine that the order is for.
     pub engine: UpstreamId,
-    /// What to do, as the engine's protocol names it, as in `load:ADAPTER`.
+    /// The action in the terms of the engine's protocol, such as `load:ADAPTER`.
     pub action: String,
 }
 
-/// A pool's fence as it is stored.
+/// The fence of a pool as stored in the object API.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Fence {
-    /// Rises with each holder; sent with each order.
+    /// The epoch, which increases with each new holder and is sent with each order.
     pub epoch: u64,
     /// The VM that may send orders.
     pub holder: Option<VmId>,
-    /// Until when, by the holder's clock.
+    /// End of the lease by the holder's clock.
     pub lease_until: UnixMillis,
-    /// The order that is about to be sent, or was.
+    /// The order that the holder is about to send or has sent.
     pub intent: Option<Order>,
 }
 
-/// What the driver is to do. It reports each exactly once.
+/// An action for the driver, which reports the result of each action exactly once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FenceAction {
-    /// Read the fence and report with [`OrderSender::on_read`].
+    /// Read the fence and report the result to [`OrderSender::on_read`].
     Read,
-    /// Write it if it still has this version, and report with [`OrderSender::on_write`].
+    /// Write the fence if it still has the expected version, and report the result to
+    /// [`OrderSender::on_write`].
     Write {
-        /// The version; 0 for absent.
+        /// The expected version; 0 if the fence must be absent.
         expected: u64,
-        /// The new value.
+        /// The serialised new fence.
         value: Vec<u8>,
     },
-    /// Send the order now, if [`OrderSender::may_send`] still says so, and report with
+    /// Send the order now if [`OrderSender::may_send`] still returns true, and report the result to
     /// [`OrderSender::on_sent`].
     Send {
-        /// The fence to send with it.
+        /// The epoch to send with the order.
         epoch: u64,
         /// The order.
         order: Order,
@@ -79,7 +81,7 @@
     Sending,
 }
 
-/// Sends the orders of one pool for this VM, one at a time.
+/// The state machine that sends this VM's orders to the engines of one pool, one order at a time.
 #[derive(Debug)]
 pub struct OrderSender {
     own_vm: VmId,
@@ -90,12 +92,13 @@
 }
 
 impl OrderSender {
-    /// A sender for a pool whose engines check fences, or do not.
+    /// Creates a sender. `checks_fences` says whether the engines of the pool check fences.
     pub fn new(own_vm: VmId, checks_fences: bool) -> Self {
         OrderSender { own_vm, checks_fences, state: State::Idle, known: None, proposed: Fence::default() }
     }
 
-    /// Goes on with `wanted`, the next order that is needed, if there is one.
+    /// Returns the next action towards sending `wanted`, or `None` if there is no order to send, an action is
+    /// still in progress or another VM's fence is in force.
     pub fn advance(&mut self, wanted: Option<&Order>, now: UnixMillis) -> Option<FenceAction> {
         let wanted = wanted?;
         if self.state != State::Idle {
@@ -126,20 +129,20 @@
         Some(FenceAction::Write { expected: version, value })
     }
 
-    /// Whether another VM's fence may be taken: at once where engines check, else only
-    /// when none of its orders can still take effect.
+    /// Whether this VM may take over a fence that it does not hold: at once if the engines check fences,
+    /// otherwise only when no order of the holder can take effect any more.
     fn may_take_over(&self, fence: &Fence, now: UnixMillis) -> bool {
         let safe_after = fence.lease_until + MAX_ORDER_DELAY.as_millis() as u64;
         fence.holder.is_none() || self.checks_fences || now > safe_after
     }
 
-    /// Whether this VM still holds the lease; to be asked again right before sending.
+    /// Whether this VM still holds the lease. The driver must check this again right before sending.
     pub fn may_send(&self, now: UnixMillis) -> bool {
         let held = self.known.as_ref().map(|(_, fence)| fence);
         held.is_some_and(|f| f.holder.as_ref() == Some(&self.own_vm) && now < f.lease_until)
     }
 
-    /// The read is over: version and value, (0, empty) when absent, `None` on failure.
+    /// Handles the result of a read: version and value, (0, empty) if the fence is absent, `None` on failure.
     pub fn on_read(&mut self, read: Option<(u64, Vec<u8>)>) {
         if self.state != State::Reading {
             return;
@@ -152,7 +155,8 @@
         });
     }
 
-    /// The write is over; unless it is known to have taken effect, the fence is read again.
+    /// Handles the result of a write. Unless the write is known to have taken effect, the fence is read
+    /// again.
     pub fn on_write(&mut self, result: WriteResult) {
         if self.state != State::Writing {
             return;
@@ -164,8 +168,8 @@
         };
     }
 
-    /// The order was sent, refused, or not sent after all. A refusal means that another
-    /// VM has a higher epoch.
+    /// Handles the end of a send: the order was sent, was refused, or was not sent after all. A refusal means
+    /// that another VM has a higher epoch, so the fence is read again.
     pub fn on_sent(&mut self, refused: bool) {
         self.state = State::Idle;
         if refused {
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -1,30 +1,31 @@
-//! The chance that an engine's memory overflows: the memory that its generations
-//! will hold at a few times ahead, as a mean and a variance.
+//! Bounds the probability that an engine's memory overflows. The memory that its generations will hold is
+//! projected to several horizons as a mean and a variance.
 
 use crate::survival::SurvivalCurve;
 
-/// Steps ahead at which memory is projected.
+/// Horizons, in steps ahead, at which memory is projected.
 pub const HORIZON_STEPS: [f64; 16] = [
     16.0, 48.0, 96.0, 160.0, 256.0, 384.0, 512.0, 672.0, 832.0, 1024.0, 1280.0, 1536.0, 1920.0, 2304.0,
     2816.0, 3584.0,
 ];
 
-/// Steps ahead at which the accepted chance of an overflow is the bundle's.
+/// Horizon at which the accepted probability of an overflow is the one that the bundle sets.
 pub const REFERENCE_HORIZON_STEPS: f64 = 1_024.0;
 
-/// Standard deviations of room to leave at each of [`HORIZON_STEPS`].
+/// Standard deviations of memory to keep free at each of [`HORIZON_STEPS`].
 ///
-/// Under load an engine is always filled up to its bound, so a chance that is accepted
-/// at a near horizon is taken anew very often, while at a far one much will have
-/// changed. The accepted chance therefore grows with the cube of the horizon, and is
-/// `chance` at [`REFERENCE_HORIZON_STEPS`]; docs/design/placement.md has the figures.
+/// Under load an engine is always filled up to its bound. The risk that is accepted at a near horizon is thus
+/// taken again very often, while the load will have changed much before a far horizon. The accepted
+/// probability therefore grows with the cube of the horizon and equals `chance` at
+/// [`REFERENCE_HORIZON_STEPS`]; see docs/design/placement.md for the figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Margins {
     deviations: [f64; HORIZON_STEPS.len()],
 }
 
 impl Margins {
-    /// Margins for an accepted chance of an overflow at [`REFERENCE_HORIZON_STEPS`], 0 to 1.
+    /// Computes the margins for an accepted probability (0 to 1) of an overflow at
+    /// [`REFERENCE_HORIZON_STEPS`].
     pub fn new(chance: f64) -> Self {
         Margins {
             deviations: HORIZON_STEPS
@@ -33,19 +34,19 @@
     }
 }
 
-/// What a generation adds to an engine's memory.
+/// The tokens that a generation holds in an engine's memory, and its maximum output.
 #[derive(Clone, Copy, Debug)]
 pub struct Footprint {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: f64,
-    /// Tokens produced so far.
+    /// Output tokens produced so far.
     pub produced: f64,
-    /// Tokens it may produce at most.
+    /// Maximum number of output tokens.
     pub cap: f64,
 }
 
 impl Footprint {
-    /// Tokens held now.
+    /// Returns the tokens currently held in memory.
     pub fn held(&self) -> f64 {
         self.prompt + self.produced
     }
@@ -54,7 +55,7 @@
 /// Projected memory in tokens at each of [`HORIZON_STEPS`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Projection {
-    /// Tokens held now.
+    /// Tokens currently held in memory.
     pub held: f64,
     mean: [f64; HORIZON_STEPS.len()],
     variance: [f64; HORIZON_STEPS.len()],
@@ -62,7 +63,7 @@
 }
 
 impl Projection {
-    /// The projection of a single generation.
+    /// Computes the projection of a single generation.
     pub fn of(footprint: &Footprint, curve: &SurvivalCurve) -> Self {
         let mut projection = Projection { held: footprint.held(), ..Projection::default() };
         let survival_now = curve.at_least(footprint.produced);
@@ -80,7 +81,7 @@
         projection
     }
 
-    /// Adds another one.
+    /// Adds the projection of another generation.
     pub fn add(&mut self, other: &Projection) {
         self.held += other.held;
         for horizon in 0..HORIZON_STEPS.len() {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes one that was added out again.
+    /// Subtracts a projection that was added before.
     pub fn subtract(&mut self, other: &Projection) {
         self.held -= other.held;
         for horizon in 0..HORIZON_STEPS.len() {
@@ -100,9 +101,9 @@
         }
     }
 
-    /// Tokens that the memory stays below at the worst horizon, but for the accepted
-    /// chance: the mean with the margin's deviations, yet never more than if nothing
-    /// ended before its cap.
+    /// Returns the tokens that memory use does not exceed at the worst horizon, except with the accepted
+    /// probability. This is the mean plus the margin's standard deviations, limited to the tokens held if no
+    /// generation ended before its cap.
     pub fn bound(&self, margins: &Margins) -> f64 {
         let at_horizon = |horizon: usize| {
             let margin = margins.deviations[horizon] * self.variance[horizon].sqrt();
@@ -111,7 +112,7 @@
         (0..HORIZON_STEPS.len()).map(at_horizon).fold(self.held, f64::max)
     }
 
-    /// [`Projection::bound`] of this one and `other` together.
+    /// Returns the [`Projection::bound`] of the sum of this projection and `other`.
     pub fn bound_with(&self, other: &Projection, margins: &Margins) -> f64 {
         let mut sum = *self;
         sum.add(other);
@@ -119,8 +120,8 @@
     }
 }
 
-/// Standard deviations that a normal variable exceeds with `chance`, by the
-/// rational approximation of Abramowitz and Stegun, 26.2.23 (error under 0.0005).
+/// Returns the number of standard deviations that a normal variable exceeds with probability `chance`, by the
+/// rational approximation 26.2.23 of Abramowitz and Stegun (error below 0.0005).
 pub fn deviations_for(chance: f64) -> f64 {
     let chance = chance.clamp(1e-9, 0.5);
     let t = (-2.0 * chance.ln()).sqrt();
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,4 +1,4 @@
-//! What it costs to place a request on an engine, and whether it may be placed there.
+//! The cost of placing a request on an engine, and whether it may be placed there at all.
 
 use crate::bundle::Objective;
 use crate::engine_tracker::EngineState;
@@ -8,39 +8,39 @@
 use crate::overflow::Projection;
 use crate::pool_event::PlaceRequest;
 
-/// Prompt tokens that may wait for their first token on one engine.
+/// An engine that is not idle gets no new request while more prompt tokens than this wait for prefill.
 const MAX_PREFILL_BACKLOG_TOKENS: f64 = 1.0;
 /// Cost of a full batch, relative to that of a full memory.
 const BATCH_WEIGHT: f64 = 3.0;
-/// Cost of working on [`PROMPT_UNIT_TOKENS`] tokens of prompt beside a full batch, whose
-/// streams all wait for it.
+/// Cost of the prefill of [`PROMPT_UNIT_TOKENS`] beside a full batch, as all streams of the batch wait for
+/// it.
 const PROMPT_WEIGHT: f64 = 3.0;
-/// Tokens of prompt that [`PROMPT_WEIGHT`] is for.
+/// Prompt tokens that [`PROMPT_WEIGHT`] refers to.
 const PROMPT_UNIT_TOKENS: f64 = 2_048.0;
-/// Gain of a cached prefix, as a part of the memory.
+/// Cost reduction for a cached prefix, relative to the cost of a full memory.
 const PREFIX_GAIN: f64 = 0.1;
-/// Cost of a step of [`STEP_UNIT_SECONDS`], relative to that of a full memory.
+/// Cost of a step time of [`STEP_UNIT_SECONDS`], relative to that of a full memory.
 const STEP_WEIGHT: f64 = 4.0;
-/// Seconds of a step that [`STEP_WEIGHT`] is for.
+/// Step time in seconds that [`STEP_WEIGHT`] refers to.
 const STEP_UNIT_SECONDS: f64 = 0.1;
 
-/// A request with what is needed to weigh it on an engine.
+/// A request with the data that is needed to compute its cost on an engine.
 #[derive(Debug)]
 pub struct Candidate<'a> {
-    /// What was asked for.
+    /// The request.
     pub request: &'a PlaceRequest,
-    /// The memory that it adds.
+    /// Projected memory that the request adds.
     pub added: &'a Projection,
-    /// Whether the engine is thought to have its prefix cached.
+    /// Whether the engine is assumed to have the request's prefix cached.
     pub has_prefix: bool,
-    /// What is put first.
+    /// The objective that the costs are weighted for.
     pub objective: Objective,
-    /// Room that must be left.
+    /// Memory margins that must stay free.
     pub margins: &'a Margins,
 }
 
-/// The cost of placing the candidate on this engine, or `None` when it may not be placed
-/// there or costs `cost_limit` or more.
+/// Returns the cost of placing the candidate on this engine, or `None` if it may not be placed there or its
+/// cost is not below `cost_limit`.
 pub fn cost(
     tracker: &mut EngineTracker,
     candidate: &Candidate<'_>,
@@ -72,14 +72,14 @@
     (!exceeds_memory(bound) && cost < cost_limit).then_some(cost)
 }
 
-/// What the streams of a batch and the candidate's prompt cost each other.
+/// The cost of the delays that the running batch and the candidate's prefill cause each other.
 fn interference_cost(tracker: &EngineTracker, candidate: &Candidate<'_>) -> f64 {
     let batch = tracker.runs.len() as f64 / f64::from(tracker.limits.max_batch);
     let prompt = f64::from(candidate.request.prompt_tokens) / PROMPT_UNIT_TOKENS;
     batch * (BATCH_WEIGHT + PROMPT_WEIGHT * prompt)
 }
 
-/// What the engine's observed step time costs; a throttled engine is a full one sooner.
+/// The cost of the engine's observed step time, so that a throttled engine counts as full sooner.
 fn step_time_cost(tracker: &EngineTracker) -> f64 {
     STEP_WEIGHT * tracker.step.as_secs_f64() / STEP_UNIT_SECONDS
 }
--- a/lib/src/pool.rs
+++ b/lib/src/pool.rs
@@ -1,5 +1,7 @@
-//! The lead of a pool: which engine takes a request, which requests wait, and which
-//! stream gives way when an engine fills up. Sans-I/O and seeded.
+//! The state machine of a pool's lead. It decides which engine a request is placed on, which requests wait
+//! or are refused, and which generations an engine should preempt last when its memory fills up.
+//!
+//! Performs no I/O and is deterministic for a given seed.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -37,24 +39,24 @@
 use crate::start_rate::StartRate;
 use crate::survival::SurvivalCurve;
 
-/// Organisations whose requests are tried when the first one's do not fit.
+/// Organisations, in fairness order, whose requests are tried in one placement pass.
 const MAX_TRIED_ORGANISATIONS: usize = 4;
-/// Requests of each that are tried.
+/// Requests of each organisation that are tried in one placement pass.
 const MAX_TRIED_REQUESTS: usize = 8;
-/// Part of the bounded wait after which an engine is kept free for a request.
+/// Fraction of the maximum wait after which an engine is reserved for a request.
 const RESERVATION_WAIT_FRACTION: f64 = 0.25;
-/// Engines kept free for requests that do not fit, one in this many.
+/// At most one engine in this many (rounded up) is reserved for requests that do not fit anywhere.
 const ENGINES_PER_RESERVATION: usize = 6;
-/// Priority added to a generation that was pushed off its engine once.
+/// Priority added once to a generation that has stalled, so that its engine does not preempt it again.
 const STALL_PRIORITY_BONUS: i32 = 1_000;
-/// A generation that no entry speaks of for this long has no caller any more.
+/// Time without a report from any entry after which a generation is assumed to have no caller.
 const ABANDONED_TIMEOUT: Duration = Duration::from_secs(20);
-/// Least time to come back that a refusal tells.
+/// Minimum `retry_after` of a refusal, before jitter.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Longest time to come back that a refusal tells.
+/// Maximum `retry_after` of a refusal, before jitter.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// The lead's state.
+/// The state of a pool's lead: its engines, placements and wait queue.
 #[derive(Debug)]
 pub struct Pool {
     policy: PoolPolicy,
@@ -69,34 +71,34 @@
     rng: SmallRng,
 }
 
-/// What has changed, so that only that is tried again.
+/// Which waiting requests and engines an event makes worth trying again.
 #[derive(Clone, Debug)]
 enum Scope {
-    /// Time has passed: everything.
+    /// Waiting requests on all engines.
     All,
-    /// This engine may have room again.
+    /// Waiting requests on this engine, which may have room again.
     Engine(UpstreamId),
-    /// This request is new.
+    /// This new request on all engines.
     Request(OrganisationId, GenerationId),
-    /// Nothing.
+    /// No placement is tried.
     Nothing,
 }
 
-/// Counts for status and tests.
+/// Counts of a pool's engines and requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolStatus {
-    /// Engines that get new work.
+    /// Engines that accept new generations.
     pub engines_up: usize,
-    /// Engines that do not.
+    /// Engines that accept no new generations.
     pub engines_leaving: usize,
-    /// Generations placed and not ended.
+    /// Generations that are placed and have not ended.
     pub running: usize,
-    /// Requests that wait.
+    /// Requests in the wait queue.
     pub waiting: usize,
 }
 
 impl Pool {
-    /// An empty pool; the same seed and events give the same actions.
+    /// Creates an empty pool. The same seed and events produce the same actions.
     pub fn new(policy: PoolPolicy, seed: u64) -> Self {
         let mut pool = Pool {
             margins: Margins::default(),
@@ -114,7 +116,7 @@
         pool
     }
 
-    /// Takes an event in and adds what follows from it to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: PoolEvent, actions: &mut Vec<PoolAction>) {
         let scope = match event {
             PoolEvent::Place(request) => {
@@ -182,7 +184,7 @@
         self.place_waiting(now, &scope, actions);
     }
 
-    /// Counts for status and tests.
+    /// Returns the current counts of engines and requests.
     pub fn status(&self) -> PoolStatus {
         let up = self.engines.values().filter(|t| t.state == EngineState::Up).count();
         PoolStatus {
@@ -193,12 +195,12 @@
         }
     }
 
-    /// Whether the lead has this generation in its books.
+    /// Whether the generation is placed on one of the pool's engines.
     pub fn contains(&self, generation: GenerationId) -> bool {
         self.placements.contains_key(&generation)
     }
 
-    /// The books of all engines, by id.
+    /// Returns the trackers of all engines, ordered by engine id.
     pub fn engines(&self) -> impl Iterator<Item = &EngineTracker> {
         self.engines.values()
     }
@@ -222,8 +224,9 @@
         self.queue.push(request, now);
     }
 
-    /// Refuses the newest request of the organisation that fills the queue beyond its
-    /// share, or else the one that came.
+    /// Refuses the last request of the organisation whose queue is longest relative to its share, to make
+    /// room for `request`. Refuses `request` itself if its own organisation's queue would be at least as
+    /// long.
     fn refuse_longest(
         &mut self,
         now: Timestamp,
@@ -246,22 +249,20 @@
         actions.push(PoolAction::Refuse { generation, code, retry_after: base.mul_f64(jitter) });
     }
 
-    /// How long a request that came now would wait.
+    /// Predicts how long a request that arrives now would wait.
     fn predicted_wait(&self) -> Duration {
         self.start_rate.time_for(self.queue.len())
     }
 
-    /// Takes a full report in: one of an unknown generation, or of one that its entry
-    /// runs elsewhere than the books say, is adopted.
+    /// Processes a full report. Adopts the generation if it is unknown, or moves it if its entry runs it on
+    /// another engine than the one recorded here.
     fn on_running_report(&mut self, now: Timestamp, report: RunningReport, actions: &mut Vec<PoolAction>) {
         let generation = report.request.generation;
         match self.placements.get(&generation) {
-            Some(engine_id) if *engine_id == report.engine => {
-                self.on_progress(now, generation, report.tokens, actions)
-            }
-            Some(engine_id) => {
-                let engine_id = engine_id.clone();
-                self.engines.get_mut(&engine_id).and_then(|tracker| tracker.remove(generation));
+            Some(id) if *id == report.engine => self.on_progress(now, generation, report.tokens, actions),
+            Some(id) => {
+                let id = id.clone();
+                self.engines.get_mut(&id).and_then(|tracker| tracker.remove(generation));
                 self.placements.remove(&generation);
                 self.adopt(now, report);
             }
@@ -297,7 +298,7 @@
         tracker.record_progress(generation, tokens, now);
     }
 
-    /// Takes a generation into the books that another lead, or an entry alone, placed.
+    /// Records a generation that was placed by another lead, or by an entry without a lead.
     fn adopt(&mut self, now: Timestamp, report: RunningReport) {
         self.queue.remove(report.request.generation);
         let curve = self.length_curve(&report.request);
@@ -308,7 +309,7 @@
         tracker.add(Run::new(report.request, report.tokens, now, curve, f64::from(report.tokens)));
     }
 
-    /// Takes an end into the books; returns what may have room now.
+    /// Removes an ended generation. Returns the engine that may have room now.
     fn on_ended(&mut self, generation: GenerationId, tokens: u32, how: EndKind) -> Scope {
         let Some(engine) = self.placements.remove(&generation) else {
             self.queue.remove(generation);
@@ -350,8 +351,8 @@
         self.cancel_abandoned(now, actions);
     }
 
-    /// Cancels generations whose entry is gone and whose caller did not come back
-    /// through another one in time.
+    /// Cancels generations that no entry has reported for [`ABANDONED_TIMEOUT`]: their entry is gone and
+    /// their caller has not reconnected through another entry.
     fn cancel_abandoned(&mut self, now: Timestamp, actions: &mut Vec<PoolAction>) {
         let mut abandoned = Vec::new();
         for tracker in self.engines.values() {
@@ -383,8 +384,8 @@
         }
     }
 
-    /// Places the first request, in the order of fairness, that fits; on `only` this
-    /// engine, if one is given. Returns whether one did.
+    /// Places the first request in fairness order that fits on an engine, or on `only` if that is given.
+    /// Returns whether a request was placed.
     fn place_next(
         &mut self,
         now: Timestamp,
@@ -406,9 +407,8 @@
         next.map(|waiting| waiting.request.clone()).collect()
     }
 
-    /// Keeps an engine free for each of the requests that have waited long because they
-    /// fit nowhere: the one where the least is missing. Others may overtake them on
-    /// the rest of the engines only.
+    /// Reserves an engine for each request that has waited long because it fits nowhere: the engine with the
+    /// smallest memory shortfall. Other requests can overtake it only on engines that are not reserved.
     fn reserve_engines(&mut self, now: Timestamp) {
         self.reserved.clear();
         let reserve_after = self.policy.max_wait.mul_f64(RESERVATION_WAIT_FRACTION);
@@ -442,7 +442,7 @@
         best.map(|(_, engine)| engine)
     }
 
-    /// The curve of a request's length.
+    /// Returns the survival curve of a request's output length.
     fn length_curve(&self, request: &PlaceRequest) -> Rc<SurvivalCurve> {
         if self.policy.lengths_known {
             return Rc::new(SurvivalCurve::never_ending());
@@ -459,7 +459,7 @@
         Projection::of(&footprint, &self.length_curve(request))
     }
 
-    /// The engine where the request costs least, among those that may take it.
+    /// Returns the engine with the lowest placement cost among those that the request may be placed on.
     fn choose_engine(
         &mut self,
         now: Timestamp,
--- a/lib/src/pool_event.rs
+++ b/lib/src/pool_event.rs
@@ -1,7 +1,7 @@
-//! The event interface of a pool's lead: what goes in and what comes out.
+//! The event interface of a pool's lead.
 //!
-//! A driver (the node, the measuring loop, or any other bench) feeds
-//! [`PoolEvent`]s with the time and carries out the [`PoolAction`]s.
+//! A driver, such as the node or a benchmark, passes [`PoolEvent`]s with the current time and executes the
+//! resulting [`PoolAction`]s.
 
 use std::time::Duration;
 
@@ -13,26 +13,26 @@
 use crate::ids::UpstreamId;
 use crate::ids::VmId;
 
-/// What a pool's lead needs to know of the bundle.
+/// The settings of the bundle that a pool's lead uses.
 #[derive(Clone, Debug)]
 pub struct PoolPolicy {
-    /// What is put first.
+    /// The objective that placement optimises for.
     pub objective: Objective,
-    /// Accepted chance that an engine's memory overflows.
+    /// Accepted probability that an engine's memory overflows.
     pub overflow_chance: f64,
-    /// Requests that wait at most.
+    /// Maximum number of waiting requests.
     pub max_queue: usize,
-    /// Time that a request waits at most.
+    /// Maximum time that a request waits.
     pub max_wait: Duration,
-    /// Relative shares by organisation; 1 for one that is not listed.
+    /// Relative shares by organisation. An organisation that is not listed has a share of 1.
     pub shares: Vec<(OrganisationId, f64)>,
-    /// Each request's `max_tokens` is its exact length: an oracle, to measure what
-    /// knowing the lengths would be worth. Never set by a bundle.
+    /// Whether each request's `max_tokens` is its exact output length. Benchmarks set this as an oracle, to
+    /// measure the benefit of known lengths; a bundle never does.
     pub lengths_known: bool,
 }
 
 impl PoolPolicy {
-    /// The policy with the bundle's bounds and default shares.
+    /// Creates a policy with the bundle's bounds and equal shares.
     pub fn new(objective: Objective, bounds: &Bounds) -> Self {
         PoolPolicy {
             objective,
@@ -45,166 +45,168 @@
     }
 }
 
-/// An entry asks for an engine.
+/// An entry's request to place a generation on an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlaceRequest {
     /// The new generation.
     pub generation: GenerationId,
-    /// Whose it is.
+    /// The organisation that the generation belongs to.
     pub organisation: OrganisationId,
-    /// The entry that asks and will report.
+    /// The entry that sends the request and reports the generation's progress.
     pub entry: VmId,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u32,
-    /// Output tokens at most.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Higher starts first within its organisation.
+    /// Priority within the organisation; higher starts first.
     pub priority: i32,
-    /// Hash of the prompt's start, 0 for none.
+    /// Hash of the prompt's prefix; 0 for none.
     pub prefix: u64,
 }
 
-/// Sizes of an engine.
+/// Size limits of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Blocks of memory.
+    /// Number of memory blocks.
     pub blocks: u64,
-    /// Tokens that fit one block.
+    /// Tokens per block.
     pub block_tokens: u32,
-    /// Sequences that run at once at most.
+    /// Maximum number of sequences in a batch.
     pub max_batch: u32,
 }
 
-/// An engine's own report; as old as its lag.
+/// A load report of an engine. It may lag behind the engine's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Sequences in the batch.
     pub running: u32,
-    /// Sequences that wait at the engine.
+    /// Sequences in the engine's own queue.
     pub waiting: u32,
     /// Blocks in use.
     pub used_blocks: u64,
-    /// Time of a step.
+    /// Step time.
     pub step: Duration,
 }
 
 /// How a generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// By itself: its length is known.
+    /// The generation finished by itself, so its length is known.
     Finished,
-    /// By its caller or a limit: its length is at least what was seen.
+    /// The caller or a limit ended the generation; its length is at least the number of delivered tokens.
     Cancelled,
-    /// Its engine was lost.
+    /// The engine was lost.
     Lost,
 }
 
-/// A running generation, with all that a lead that does not know it needs.
+/// A full report of a running generation, with all data that a lead needs to adopt it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningReport {
-    /// What was asked for.
+    /// The placement request of the generation.
     pub request: PlaceRequest,
-    /// Where it runs.
+    /// The engine that it runs on.
     pub engine: UpstreamId,
     /// Tokens delivered so far.
     pub tokens: u32,
 }
 
-/// What goes in.
+/// An event that a pool's lead handles.
 #[derive(Clone, Debug)]
 pub enum PoolEvent {
-    /// An entry asks for an engine.
+    /// An entry requests an engine for a generation.
     Place(PlaceRequest),
-    /// An entry no longer wants the engine it asked for.
+    /// An entry withdraws its request for an engine.
     Withdraw(GenerationId),
-    /// An entry reports a running generation.
+    /// An entry sends a full report of a running generation.
     Running(RunningReport),
-    /// An entry reports a running generation that the lead knows.
+    /// An entry reports the progress of a generation that the lead knows.
     Progress {
-        /// Which one.
+        /// The generation.
         generation: GenerationId,
         /// Tokens delivered so far.
         tokens: u32,
     },
-    /// A generation is over.
+    /// A generation has ended.
     Ended {
-        /// Which one.
+        /// The generation.
         generation: GenerationId,
         /// Tokens delivered.
         tokens: u32,
-        /// How.
+        /// How the generation ended.
         how: EndKind,
     },
     /// An engine reported its load.
     Load {
-        /// Which engine.
+        /// The engine.
         engine: UpstreamId,
         /// The report.
         report: LoadReport,
     },
-    /// An engine can be used.
+    /// An engine is available, new or again.
     EngineUp {
-        /// Which engine.
+        /// The engine.
         engine: UpstreamId,
-        /// Its sizes.
+        /// Size limits of the engine.
         limits: EngineLimits,
     },
-    /// An engine gets no new work; what runs there goes on.
+    /// An engine accepts no new generations; running ones continue.
     EngineLeaving(UpstreamId),
-    /// An engine is gone with all that ran there.
+    /// An engine is lost with all generations that ran there.
     EngineGone(UpstreamId),
-    /// An engine said that a prefix is cached, or no longer is; late and with gaps.
+    /// An engine reported that a prefix is cached, or no longer is. These reports are delayed and may be
+    /// missing.
     Prefix {
-        /// Which engine.
+        /// The engine.
         engine: UpstreamId,
         /// Hash of the prefix.
         prefix: u64,
-        /// Cached or not.
+        /// Whether the prefix is cached.
         stored: bool,
     },
-    /// An entry VM is dead; what it waits for is refused, in case it is only cut off.
+    /// An entry VM is considered dead. Its waiting requests are refused, in case it is only partitioned and
+    /// still waits for a response.
     EntryGone(VmId),
-    /// Another bundle is in force.
+    /// A new bundle is in force.
     Policy(PoolPolicy),
-    /// Time has passed; wanted every 100 ms or so.
+    /// Time has passed. The driver sends this about every 100 ms.
     Tick,
 }
 
-/// What comes out.
+/// An action that the driver executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolAction {
     /// The generation may start at the engine.
     Grant {
-        /// Which one.
+        /// The generation.
         generation: GenerationId,
-        /// Where.
+        /// The engine to start it on.
         engine: UpstreamId,
-        /// The priority to give to the engine.
+        /// The priority to send to the engine.
         priority: i32,
     },
-    /// The generation does not start; the caller is told at once.
+    /// The generation does not start, and the caller is notified at once.
     Refuse {
-        /// Which one.
+        /// The generation.
         generation: GenerationId,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// The engine is to change a generation's priority.
+    /// Change a generation's priority on its engine.
     SetPriority {
-        /// Which engine.
+        /// The engine.
         engine: UpstreamId,
-        /// Which generation.
+        /// The generation.
         generation: GenerationId,
-        /// Higher is preempted later.
+        /// The new priority; generations with a higher priority are preempted later.
         priority: i32,
     },
-    /// The engine is to cancel a generation that nobody waits for any more.
+    /// Cancel a generation that has no caller any more on its engine.
     Cancel {
-        /// Which engine.
+        /// The engine.
         engine: UpstreamId,
-        /// Which generation.
+        /// The generation.
         generation: GenerationId,
     },
 }
--- a/lib/tests/test_fence.rs
+++ b/lib/tests/test_fence.rs
@@ -1,4 +1,4 @@
-//! Orders under a fence, with holders that lose their lease while paused.
+//! Fenced orders to engines, with holders whose lease expires while they are paused.
 
 use leadstage_lib::claim_writer::WriteResult;
 use leadstage_lib::fence::Fence;
@@ -13,7 +13,7 @@
     Order { engine: "engine-1".into(), action: format!("load:{n}") }
 }
 
-/// Two VMs that both think they lead, one engine, and the object API.
+/// Two VMs that both consider themselves the lead, one engine, and the object API.
 struct Env {
     checks_fences: bool,
     senders: Vec<OrderSender>,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Lets a sender make one step; its call may fail, or its answer be lost, or its
-    /// order be on its way for up to the longest delay.
+    /// Lets a sender take one step. Depending on `fault`, its call fails or the response to it is lost. Its
+    /// order takes effect after `delay` milliseconds.
     fn step(&mut self, sender_index: usize, wanted: usize, fault: u8, delay: u64) {
         let Some(action) = self.senders[sender_index].advance(Some(&order(wanted)), self.now) else {
             return;
@@ -88,8 +88,8 @@
     }
 }
 
-/// Mostly short, so that one VM acts while the other's order is on its way; at times
-/// long enough for a lease to lapse.
+/// Pauses in milliseconds. Most are short, so that one VM acts while the other's order is in flight; some are
+/// long enough for a lease to expire.
 fn pause() -> impl Strategy<Value = u64> {
     prop_oneof![4 => 0..200_u64, 1 => 0..15_000_u64]
 }
@@ -97,8 +97,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever pauses and faults, an engine never carries out an order of an older
-    /// epoch after one of a newer, whether it checks fences or not.
+    /// With arbitrary pauses and faults, an engine never executes an order of an older epoch after one of a
+    /// newer epoch, whether it checks fences or not.
     #[test]
     fn test_older_epoch_never_executes_after_newer(
         checks_fences: bool,
@@ -118,8 +118,8 @@
     }
 }
 
-/// A successor waits for the lease and the longest delay where engines do not check, and
-/// goes on at once where they do.
+/// A successor waits for the end of the lease and the maximum order delay if engines do not check fences, and
+/// sends at once if they do.
 #[test]
 fn test_successor_waits_only_without_fence_checks() {
     for checks_fences in [false, true] {
@@ -131,7 +131,7 @@
             (0..3).for_each(|_| env.step(1, 1, 0, 0));
             env.advance_time(100);
             waited += 100;
-            assert!(waited < 60_000, "it never goes on");
+            assert!(waited < 60_000, "the successor never sends an order");
         }
         assert_eq!(waited > safe_after, !checks_fences, "waited {waited} ms");
     }
--- a/lib/tests/test_pool.rs
+++ b/lib/tests/test_pool.rs
@@ -1,4 +1,4 @@
-//! Properties of a pool's lead over sequences of events.
+//! Properties of a pool's lead under sequences of events.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
     }
 }
 
-/// A pool with its engines up, and what it answered.
+/// A pool with its engines up, and a record of the actions that it returned.
 struct Env {
     pool: Pool,
     now: Duration,
@@ -88,7 +88,7 @@
                 }
                 PoolAction::Refuse { generation, code, retry_after } => {
                     assert!(self.answered.insert(*generation), "answered twice: {generation}");
-                    assert!(!retry_after.is_zero(), "no time to come back");
+                    assert!(!retry_after.is_zero(), "refused without a retry_after");
                     self.refused.push((*generation, *code, *retry_after));
                 }
                 PoolAction::SetPriority { .. } | PoolAction::Cancel { .. } => {}
@@ -98,8 +98,8 @@
         self.check_memory();
     }
 
-    /// By the tokens that the lead knows of, no engine is over its memory, unless it
-    /// runs a single generation.
+    /// Checks for each engine with more than one generation that the prompts fit its memory and that the batch
+    /// is within its maximum size.
     fn check_memory(&self) {
         for tracker in self.pool.engines().filter(|t| t.runs.len() > 1) {
             let memory = LIMITS.blocks * u64::from(LIMITS.block_tokens);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Ends the nth running generation by itself.
+    /// Finishes the nth running generation.
     fn end(&mut self, nth: usize, tokens: u32) {
         let running: Vec<u64> = self.granted.keys().copied().collect();
         if let Some(generation) = running.get(nth % running.len().max(1)) {
@@ -127,7 +127,7 @@
     }
 }
 
-/// A step of a random sequence.
+/// A step of a random sequence of events.
 #[derive(Clone, Debug)]
 enum Step {
     Place { organisation: u8, prompt: u32 },
@@ -201,7 +201,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Each request is answered exactly once, and none later than its bounded wait.
+    /// Each request is granted, refused or withdrawn exactly once, and none waits longer than `max_wait`.
     #[test]
     fn test_every_request_is_answered_once(steps in prop::collection::vec(step(), 1..120), seed: u64) {
         let env = run(&steps, seed);
@@ -210,13 +210,13 @@
         prop_assert_eq!(env.pool.status().waiting, 0);
     }
 
-    /// The same seed and events give the same actions.
+    /// The same seed and events produce the same actions.
     #[test]
     fn test_same_seed_same_actions(steps in prop::collection::vec(step(), 1..80), seed: u64) {
         prop_assert_eq!(run(&steps, seed).log, run(&steps, seed).log);
     }
 
-    /// A new lead that is told the entries' inventories has the old lead's books.
+    /// A new lead that receives the entries' full reports has the same state as the old lead.
     #[test]
     fn test_new_lead_converges(steps in prop::collection::vec(step(), 1..80), seed: u64) {
         let old = run(&steps, seed);
@@ -260,7 +260,7 @@
     assert_eq!(env.refused.iter().map(|r| r.1).collect::<Vec<_>>(), [Code::NoUpstream]);
 }
 
-/// A new lead that has no books yet does not fill engines that say they are full.
+/// A new lead without any placements does not fill engines that report a full memory.
 #[test]
 fn test_new_lead_applies_first_load_report_at_once() {
     let mut env = Env::new(1);
@@ -277,7 +277,8 @@
     assert_eq!(env.granted.len(), 1);
 }
 
-/// What a dead entry waits for is refused: it may only be cut off, and is told at once.
+/// The waiting requests of an entry that is considered dead are refused at once, as it may only be
+/// partitioned.
 #[test]
 fn test_requests_of_dead_entry_are_refused() {
     let mut env = Env::new(1);
@@ -289,7 +290,7 @@
     assert_eq!(env.refused.len() - before, waiting);
 }
 
-/// One organisation floods the queue; another one still gets in and is served.
+/// One organisation floods the queue; the requests of another one are still admitted and served.
 #[test]
 fn test_no_organisation_is_starved() {
     let mut env = Env::new(1);
@@ -312,12 +313,12 @@
     let quiet = served["quiet"];
     assert!(
         quiet >= 190,
-        "the quiet organisation was served {quiet} of 200, the other one {}",
+        "served {quiet} of 200 requests of the quiet organisation, {} of the flooding one",
         served["flood"]
     );
 }
 
-/// A generation that no entry speaks of any more is cancelled and its memory freed.
+/// A generation that no entry reports any more is cancelled and its memory is freed.
 #[test]
 fn test_abandoned_generation_is_cancelled() {
     let mut env = Env::new(1);
@@ -328,8 +329,7 @@
     assert_eq!(env.pool.status().running, 0);
 }
 
-/// A large prompt that fits nowhere does not hold back small ones that do, and is
-/// itself not overtaken for ever.
+/// A large prompt that fits nowhere does not block small ones that fit, and is not overtaken by them forever.
 #[test]
 fn test_large_prompt_neither_blocks_nor_starves() {
     let mut env = Env::new(1);
@@ -349,7 +349,7 @@
     env.event(PoolEvent::Place(request(101, "a", 10)));
     env.advance_time(Duration::from_millis(100));
     assert!(!env.granted.contains_key(&100));
-    assert!(env.granted.contains_key(&101), "a small request waits behind a large one");
+    assert!(env.granted.contains_key(&101), "the small request waits behind the large one");
     for round in 0..36 {
         env.advance_time(Duration::from_millis(100));
         (0..2).for_each(|n| env.event(PoolEvent::Place(request(200 + round * 2 + n, "a", 150))));
@@ -362,7 +362,7 @@
     assert!(env.granted.contains_key(&100), "the large request never started");
 }
 
-/// A generation that stood still is protected from being pushed off again.
+/// A generation that has stalled gets a higher priority once, so that it is not preempted again.
 #[test]
 fn test_stalled_generation_is_protected() {
     let mut env = Env::new(1);
