--- a/lib/tests/test_pool.rs
+++ b/lib/tests/test_pool.rs
@@ -98,8 +98,8 @@
         self.check_memory();
     }
 
-    /// Checks for each engine with more than one generation that the prompts fit its memory and that the batch
-    /// is within its maximum size.
+    /// Checks for each engine with more than one generation that the prompts fit its memory and that the
+    /// batch is within its maximum size.
     fn check_memory(&self) {
         for tracker in self.pool.engines().filter(|t| t.runs.len() > 1) {
             let memory = LIMITS.blocks * u64::from(LIMITS.block_tokens);
