--- a/lib/src/bundle_check.rs
+++ b/lib/src/bundle_check.rs
@@ -12,13 +12,13 @@
 use crate::checked_yaml::Problem;
 
 /// Characters of a SHA-256 in hex.
-const HASH_CHARS: usize = 64;
+const TOKEN_HASH_CHARS: usize = 64;
 /// Characters of an id at most.
 const MAX_ID_CHARS: usize = 64;
 /// Shards at most: with the commit interval they bound the write rate.
 const MAX_CLAIM_SHARDS: u32 = 64;
 /// Writes a second that claims may use of the object API's hundred.
-const MAX_CLAIM_WRITES: f64 = 60.0;
+const MAX_CLAIM_WRITES_PER_SECOND: f64 = 60.0;
 
 impl Bundle {
     /// Reads and checks a bundle; the error lists every mistake.
@@ -59,8 +59,8 @@
     let mut seen = BTreeSet::new();
     for (at, id) in ids.enumerate() {
         let path = format!("{list}[{at}].id");
-        let plain = id.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
-        if id.is_empty() || id.len() > MAX_ID_CHARS || !plain {
+        let is_plain = id.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
+        if id.is_empty() || id.len() > MAX_ID_CHARS || !is_plain {
             let allowed = "must be 1 to 64 of letters, digits, '-', '_' and '.'";
             problems.push(Problem::new(&*path, format!("{id:?} {allowed}")));
         } else if !seen.insert(id) {
@@ -78,8 +78,8 @@
         check_range(problems, &format!("{path}.max_open"), f64::from(organisation.max_open), 1.0, 1e6);
         for (nth, hash) in organisation.token_hashes.iter().enumerate() {
             let path = format!("{path}.token_hashes[{nth}]");
-            let hex = hash.chars().all(|c| c.is_ascii_digit() || ('a'..='f').contains(&c));
-            if hash.len() != HASH_CHARS || !hex {
+            let is_hex = hash.chars().all(|c| c.is_ascii_digit() || ('a'..='f').contains(&c));
+            if hash.len() != TOKEN_HASH_CHARS || !is_hex {
                 problems.push(Problem::new(path, "must be a SHA-256 as 64 lower-case hex digits"));
             } else if !hashes.insert(hash) {
                 problems.push(Problem::new(path, "stands twice in the bundle"));
@@ -134,8 +134,8 @@
 }
 
 fn check_bounds(problems: &mut Vec<Problem>, bounds: &Bounds) {
-    let mut range = |name: &str, value: f64, least: f64, most: f64| {
-        check_range(problems, &format!("bounds.{name}"), value, least, most);
+    let mut range = |name: &str, value: f64, min: f64, max: f64| {
+        check_range(problems, &format!("bounds.{name}"), value, min, max);
     };
     range("max_body_bytes", bounds.max_body_bytes as f64, 1_024.0, 64e6);
     range("max_open_per_node", f64::from(bounds.max_open_per_node), 1.0, 1e6);
@@ -143,10 +143,10 @@
     range("overflow_chance", bounds.overflow_chance, 0.0001, 0.5);
     range("retry_ratio", bounds.retry_ratio, 0.0, 1.0);
     range("claim_shards", f64::from(bounds.claim_shards), 1.0, f64::from(MAX_CLAIM_SHARDS));
-    let mut time = |name: &str, value: Duration, least_ms: u64, most_s: u64| {
-        let (least, most) = (Duration::from_millis(least_ms), Duration::from_secs(most_s));
-        if value < least || value > most {
-            let message = format!("{value:?} must be from {least:?} to {most:?}");
+    let mut time = |name: &str, value: Duration, min_ms: u64, max_s: u64| {
+        let (min, max) = (Duration::from_millis(min_ms), Duration::from_secs(max_s));
+        if value < min || value > max {
+            let message = format!("{value:?} must be from {min:?} to {max:?}");
             problems.push(Problem::new(format!("bounds.{name}"), message));
         }
     };
@@ -159,12 +159,12 @@
     time("alone_within", bounds.alone_within, 2_000, 600);
     time("claim_commit", bounds.claim_commit, 10, 10);
     time("claims_kept", bounds.claims_kept, 1_000, 86_400);
-    check_claim_writes(problems, bounds);
+    check_claim_write_rate(problems, bounds);
 }
 
-fn check_claim_writes(problems: &mut Vec<Problem>, bounds: &Bounds) {
+fn check_claim_write_rate(problems: &mut Vec<Problem>, bounds: &Bounds) {
     let writes = f64::from(bounds.claim_shards) / bounds.claim_commit.as_secs_f64().max(0.001);
-    if writes > MAX_CLAIM_WRITES {
+    if writes > MAX_CLAIM_WRITES_PER_SECOND {
         let message =
             format!("{writes:.0} claim writes a second; claim_shards / claim_commit must be 60 or less");
         problems.push(Problem::new("bounds.claim_shards", message));
@@ -175,8 +175,8 @@
     check_range(problems, &format!("service_levels.{name}.share"), level.share, 0.5, 0.99999);
 }
 
-fn check_range(problems: &mut Vec<Problem>, path: &str, value: f64, least: f64, most: f64) {
-    if !(least..=most).contains(&value) {
-        problems.push(Problem::new(path, format!("{value} must be from {least} to {most}")));
+fn check_range(problems: &mut Vec<Problem>, path: &str, value: f64, min: f64, max: f64) {
+    if !(min..=max).contains(&value) {
+        problems.push(Problem::new(path, format!("{value} must be from {min} to {max}")));
     }
 }
--- a/lib/src/burn.rs
+++ b/lib/src/burn.rs
@@ -10,9 +10,9 @@
 use crate::bundle::ServiceLevels;
 
 /// Minutes that are kept: the longest window.
-const KEPT_MINUTES: u64 = 360;
+const RETAINED_MINUTES: u64 = 360;
 /// Windows of the report.
-pub const WINDOWS: [Duration; 3] =
+pub const REPORT_WINDOWS: [Duration; 3] =
     [Duration::from_secs(300), Duration::from_secs(3_600), Duration::from_secs(21_600)];
 
 /// What is measured.
@@ -78,7 +78,7 @@
         let tally = &mut tallies[indicator as usize];
         tally.total += 1;
         tally.bad += u64::from(!good);
-        if self.minutes.len() as u64 > KEPT_MINUTES {
+        if self.minutes.len() as u64 > RETAINED_MINUTES {
             self.minutes.pop_first();
         }
     }
@@ -107,7 +107,7 @@
     pub fn report(&self, levels: &ServiceLevels, minute: u64) -> Vec<BurnLine> {
         let mut lines = Vec::new();
         for indicator in Indicator::ALL {
-            for window in WINDOWS {
+            for window in REPORT_WINDOWS {
                 let tally = self.sum(indicator, window, minute);
                 lines.push(BurnLine::new(indicator, window, tally, indicator.level(levels)));
             }
@@ -138,8 +138,8 @@
 
 impl BurnLine {
     fn new(indicator: Indicator, window: Duration, tally: Tally, level: &ServiceLevel) -> Self {
-        let allowed = 1.0 - level.share;
-        let bad = if tally.total == 0 { 0.0 } else { tally.bad as f64 / tally.total as f64 };
+        let allowed_share = 1.0 - level.share;
+        let bad_share = if tally.total == 0 { 0.0 } else { tally.bad as f64 / tally.total as f64 };
         BurnLine {
             indicator,
             window_s: window.as_secs(),
@@ -147,7 +147,7 @@
             bad: tally.bad,
             within_ms: level.within.as_millis() as u64,
             share: level.share,
-            burn: bad / allowed,
+            burn: bad_share / allowed_share,
         }
     }
 }
--- a/lib/src/checked_yaml.rs
+++ b/lib/src/checked_yaml.rs
@@ -40,7 +40,7 @@
     };
     loop {
         let err = match serde_path_to_error::deserialize::<_, T>(tree.clone()) {
-            Ok(read) => return (Some(read), problems),
+            Ok(settings) => return (Some(settings), problems),
             Err(err) => err,
         };
         let path = err.path().to_string();
@@ -55,15 +55,15 @@
 
 fn lookup<'a>(tree: &'a Value, path: &serde_path_to_error::Path) -> Option<&'a Value> {
     use serde_path_to_error::Segment;
-    let mut at = tree;
+    let mut value = tree;
     for segment in path.iter() {
-        at = match segment {
-            Segment::Seq { index } => at.get(index)?,
-            Segment::Map { key } => at.get(key)?,
-            _ => at,
+        value = match segment {
+            Segment::Seq { index } => value.get(index)?,
+            Segment::Map { key } => value.get(key)?,
+            _ => value,
         };
     }
-    at.is_string().then_some(at).or_else(|| at.is_number().then_some(at))
+    value.is_string().then_some(value).or_else(|| value.is_number().then_some(value))
 }
 
 fn remove(tree: &mut Value, path: &serde_path_to_error::Path) -> bool {
@@ -72,17 +72,17 @@
     let Some((last, parents)) = segments.split_last() else {
         return false;
     };
-    let mut at = tree;
+    let mut value = tree;
     for segment in parents {
         let next = match segment {
-            Segment::Seq { index } => at.get_mut(index),
-            Segment::Map { key } => at.get_mut(key),
-            _ => Some(at),
+            Segment::Seq { index } => value.get_mut(index),
+            Segment::Map { key } => value.get_mut(key),
+            _ => Some(value),
         };
         let Some(next) = next else { return false };
-        at = next;
+        value = next;
     }
-    match (last, at) {
+    match (last, value) {
         (Segment::Map { key }, Value::Object(map)) => map.remove(key).is_some(),
         (Segment::Seq { index }, Value::Array(list)) if *index < list.len() => {
             list.remove(*index);
--- a/lib/src/claim_writer.rs
+++ b/lib/src/claim_writer.rs
@@ -48,11 +48,11 @@
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRequest {
     ticket: Ticket,
     key: String,
     request: ClaimRequest,
-    since: Timestamp,
+    submitted_at: Timestamp,
 }
 
 #[derive(Debug, PartialEq)]
@@ -63,7 +63,7 @@
 }
 
 /// A shard, and whether it was read just now.
-struct Known {
+struct ShardSnapshot {
     version: u64,
     shard: ClaimShard,
     fresh: bool,
@@ -75,48 +75,48 @@
     state: State,
     shard: Option<(u64, ClaimShard)>,
     proposed: ClaimShard,
-    asked: VecDeque<Asked>,
+    queue: VecDeque<PendingRequest>,
     answers: Vec<(Ticket, ClaimVerdict)>,
-    in_read: usize,
-    in_write: usize,
+    queued_at_read: usize,
+    queued_at_write: usize,
     last_write: Option<Timestamp>,
     commit_interval: Duration,
-    kept: Duration,
-    patience: Duration,
+    retention: Duration,
+    timeout: Duration,
 }
 
 impl ClaimWriter {
     /// A writer that commits at most once in `commit_interval`, keeps claims for
-    /// `kept`, and gives up on a request after `patience`.
-    pub fn new(commit_interval: Duration, kept: Duration, patience: Duration) -> Self {
+    /// `retention`, and gives up on a request after `timeout`.
+    pub fn new(commit_interval: Duration, retention: Duration, timeout: Duration) -> Self {
         ClaimWriter {
             state: State::Idle,
             shard: None,
             proposed: ClaimShard::default(),
-            asked: VecDeque::new(),
+            queue: VecDeque::new(),
             answers: Vec::new(),
-            in_read: 0,
-            in_write: 0,
+            queued_at_read: 0,
+            queued_at_write: 0,
             last_write: None,
             commit_interval,
-            kept,
-            patience,
+            retention,
+            timeout,
         }
     }
 
     /// Something is wanted of `key`.
     pub fn ask(&mut self, ticket: Ticket, key: String, request: ClaimRequest, now: Timestamp) {
-        self.asked.push_back(Asked { ticket, key, request, since: now });
+        self.queue.push_back(PendingRequest { ticket, key, request, submitted_at: now });
     }
 
     /// Time has passed, or something was asked; `unix_now` stamps new claims.
     pub fn advance(&mut self, now: Timestamp, unix_now: UnixMillis) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         if self.state == State::Idle {
-            self.give_up_requests(now, &mut actions);
+            self.expire_requests(now, &mut actions);
         }
         let due = self.last_write.is_none_or(|at| now.saturating_sub(at) >= self.commit_interval);
-        if self.state != State::Idle || self.asked.is_empty() || !due {
+        if self.state != State::Idle || self.queue.is_empty() || !due {
             return actions;
         }
         match self.shard.take() {
@@ -124,7 +124,7 @@
                 self.read(&mut actions);
             }
             Some((version, shard)) => {
-                self.commit(Known { version, shard, fresh: false }, now, unix_now, &mut actions)
+                self.commit(ShardSnapshot { version, shard, fresh: false }, now, unix_now, &mut actions)
             }
         }
         actions
@@ -132,14 +132,14 @@
 
     /// What is not answered in time is answered "unreachable": the arrival must not
     /// dispatch, so "not run" stays true even if a lost write took effect.
-    fn give_up_requests(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
-        let patience = self.patience;
-        while let Some(asked) = self.asked.front() {
-            if now.saturating_sub(asked.since) < patience {
+    fn expire_requests(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
+        let timeout = self.timeout;
+        while let Some(pending) = self.queue.front() {
+            if now.saturating_sub(pending.submitted_at) < timeout {
                 return;
             }
-            actions.push(ClaimAction::Answer { ticket: asked.ticket, verdict: ClaimVerdict::Unreachable });
-            self.asked.pop_front();
+            actions.push(ClaimAction::Answer { ticket: pending.ticket, verdict: ClaimVerdict::Unreachable });
+            self.queue.pop_front();
         }
     }
 
@@ -159,7 +159,7 @@
         let parsed = read.and_then(|(version, value)| Some((version, ClaimShard::from_bytes(&value)?)));
         match parsed {
             Some((version, shard)) => {
-                self.commit(Known { version, shard, fresh: true }, now, unix_now, &mut actions)
+                self.commit(ShardSnapshot { version, shard, fresh: true }, now, unix_now, &mut actions)
             }
             None => self.answer_unreachable(&mut actions),
         }
@@ -168,35 +168,41 @@
 
     fn read(&mut self, actions: &mut Vec<ClaimAction>) {
         self.state = State::Reading;
-        self.in_read = self.asked.len();
+        self.queued_at_read = self.queue.len();
         actions.push(ClaimAction::Read);
     }
 
     /// The object API cannot be read: answer at once instead of waiting on. What was asked
     /// since the read began is not answered by it: the object API may be back by then.
     fn answer_unreachable(&mut self, actions: &mut Vec<ClaimAction>) {
-        for asked in self.asked.drain(..self.in_read) {
-            actions.push(ClaimAction::Answer { ticket: asked.ticket, verdict: ClaimVerdict::Unreachable });
+        for pending in self.queue.drain(..self.queued_at_read) {
+            actions.push(ClaimAction::Answer { ticket: pending.ticket, verdict: ClaimVerdict::Unreachable });
         }
     }
 
     /// Applies what was asked and writes the result if it differs. What another writer
     /// may have settled since the shard was read is never answered from memory: the
     /// shard is read again first.
-    fn commit(&mut self, known: Known, now: Timestamp, unix_now: UnixMillis, actions: &mut Vec<ClaimAction>) {
-        let Known { version, shard, fresh } = known;
+    fn commit(
+        &mut self,
+        snapshot: ShardSnapshot,
+        now: Timestamp,
+        unix_now: UnixMillis,
+        actions: &mut Vec<ClaimAction>,
+    ) {
+        let ShardSnapshot { version, shard, fresh } = snapshot;
         let mut proposed = shard.clone();
-        proposed.drop_old(unix_now, self.kept);
+        proposed.remove_expired(unix_now, self.retention);
         let mut bytes = proposed.to_bytes().len();
         self.answers.clear();
-        for asked in &self.asked {
-            let verdict = proposed.apply(&asked.key, &asked.request, unix_now, &mut bytes);
-            self.answers.push((asked.ticket, verdict));
+        for pending in &self.queue {
+            let verdict = proposed.apply(&pending.key, &pending.request, unix_now, &mut bytes);
+            self.answers.push((pending.ticket, verdict));
         }
         if !fresh && self.answers.iter().any(|(_, verdict)| verdict.may_be_outdated()) {
             return self.read(actions);
         }
-        self.in_write = self.asked.len();
+        self.queued_at_write = self.queue.len();
         if proposed == shard {
             self.shard = Some((version, shard));
             return self.answer(actions);
@@ -209,8 +215,8 @@
     }
 
     fn answer(&mut self, actions: &mut Vec<ClaimAction>) {
-        self.asked.drain(..self.in_write.min(self.asked.len()));
-        self.in_write = 0;
+        self.queue.drain(..self.queued_at_write.min(self.queue.len()));
+        self.queued_at_write = 0;
         let answers = std::mem::take(&mut self.answers);
         actions.extend(answers.into_iter().map(|(ticket, verdict)| ClaimAction::Answer { ticket, verdict }));
     }
@@ -237,6 +243,6 @@
 
     /// Requests that wait for an answer.
     pub fn waiting(&self) -> usize {
-        self.asked.len()
+        self.queue.len()
     }
 }
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -15,9 +15,9 @@
 use crate::rendezvous;
 
 /// Bytes of a shard at which no more keys are taken; the object API holds 1 MB.
-pub const FULL_BYTES: usize = 900_000;
+pub const FULL_SHARD_BYTES: usize = 900_000;
 /// Bytes of a recorded answer's body at most; a longer one is not kept.
-pub const MAX_KEPT_BODY: usize = 2_048;
+pub const MAX_RECORDED_BODY_BYTES: usize = 2_048;
 
 /// Names an arrival: the same for its retries, different for any other.
 pub type Nonce = u64;
@@ -59,7 +59,7 @@
     }
 
     /// Whether it says that the request did not run, so that the key may be claimed again.
-    pub fn says_not_run(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         Code::from_number(self.code).is_some_and(|code| code.ran() == Ran::No)
     }
 }
@@ -157,10 +157,10 @@
         serde_json::to_vec(self).expect("plain data serialises")
     }
 
-    /// Forgets claims older than `kept`.
-    pub fn drop_old(&mut self, unix_now: UnixMillis, kept: Duration) {
-        let kept = kept.as_millis() as u64;
-        self.claims.retain(|_, claim| unix_now.saturating_sub(claim.at) < kept);
+    /// Forgets claims older than `retention`.
+    pub fn remove_expired(&mut self, unix_now: UnixMillis, retention: Duration) {
+        let retention = retention.as_millis() as u64;
+        self.claims.retain(|_, claim| unix_now.saturating_sub(claim.at) < retention);
     }
 
     /// Applies a request; `bytes` is the shard's size and is kept up to date.
@@ -187,20 +187,20 @@
     }
 
     fn claim(&mut self, key: &str, claim: Claim, bytes: &mut usize) -> ClaimVerdict {
-        if let Some(known) = self.claims.get(key) {
-            if known.nonce == claim.nonce {
+        if let Some(existing) = self.claims.get(key) {
+            if existing.nonce == claim.nonce {
                 return ClaimVerdict::Claimed;
             }
-            if known.digest != claim.digest {
+            if existing.digest != claim.digest {
                 return ClaimVerdict::KeyReused;
             }
-            let released = known.outcome.as_ref().is_some_and(ClaimOutcome::says_not_run);
+            let released = existing.outcome.as_ref().is_some_and(ClaimOutcome::is_not_run);
             if !released {
-                return ClaimVerdict::Known { by: known.by.clone(), outcome: known.outcome.clone() };
+                return ClaimVerdict::Known { by: existing.by.clone(), outcome: existing.outcome.clone() };
             }
         }
         let added = key.len() + claim.digest.len() + claim.by.len() + 96;
-        if *bytes + added > FULL_BYTES {
+        if *bytes + added > FULL_SHARD_BYTES {
             return ClaimVerdict::Full;
         }
         *bytes += added;
@@ -219,8 +219,8 @@
         }
         let mut outcome = outcome.clone();
         let added = outcome.body.as_ref().map_or(0, |body| body.len() * 2) + 96;
-        let fits = *bytes + added <= FULL_BYTES;
-        outcome.body = outcome.body.filter(|body| fits && body.len() <= MAX_KEPT_BODY);
+        let fits = *bytes + added <= FULL_SHARD_BYTES;
+        outcome.body = outcome.body.filter(|body| fits && body.len() <= MAX_RECORDED_BODY_BYTES);
         *bytes += added;
         claim.outcome = Some(outcome);
         ClaimVerdict::Recorded
--- a/lib/src/code.rs
+++ b/lib/src/code.rs
@@ -34,7 +34,7 @@
 }
 
 macro_rules! codes {
-    ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $status:literal, $ran:ident, $again:ident;)+) => {
+    ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $status:literal, $ran:ident, $advice:ident;)+) => {
         /// A result code. The number is stable; docs/CODES.md has the table.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Code { $($(#[doc = $doc])+ $name,)+ }
@@ -60,7 +60,7 @@
 
             /// Whether to ask again.
             pub const fn ask_again(self) -> AskAgain {
-                match self { $(Code::$name => AskAgain::$again,)+ }
+                match self { $(Code::$name => AskAgain::$advice,)+ }
             }
 
             /// The name in snake case, as in the error's `type`.
--- a/lib/src/signing.rs
+++ b/lib/src/signing.rs
@@ -63,7 +63,7 @@
     },
     /// Fewer trusted operators signed than are needed.
     #[display("{found} valid sign-offs of trusted operators, {needed} needed")]
-    SignOffsMissing {
+    MissingSignOffs {
         /// Valid ones by different trusted keys.
         found: usize,
         /// Needed.
@@ -71,7 +71,7 @@
     },
     /// The text has another number than the envelope.
     #[display("the envelope says number {envelope}, the bundle {bundle}")]
-    NumberDiffers {
+    NumberMismatch {
         /// The envelope's.
         envelope: BundleNumber,
         /// The bundle's.
@@ -79,7 +79,7 @@
     },
     /// The bundle itself is wrong.
     #[display("{} mistakes in the bundle, first: {}", problems.len(), problems[0])]
-    BundleWrong {
+    InvalidBundle {
         /// Every mistake; at least one.
         problems: Vec<Problem>,
     },
@@ -145,12 +145,12 @@
     pub fn open(&self, trusted: &[VerifyingKey], needed: usize) -> Result<Bundle, EnvelopeError> {
         let found = self.valid_sign_offs(trusted);
         if found < needed.max(1) {
-            return Err(EnvelopeError::SignOffsMissing { found, needed: needed.max(1) });
+            return Err(EnvelopeError::MissingSignOffs { found, needed: needed.max(1) });
         }
         let bundle =
-            Bundle::from_yaml(&self.yaml).map_err(|problems| EnvelopeError::BundleWrong { problems })?;
+            Bundle::from_yaml(&self.yaml).map_err(|problems| EnvelopeError::InvalidBundle { problems })?;
         if bundle.number != self.number {
-            return Err(EnvelopeError::NumberDiffers { envelope: self.number, bundle: bundle.number });
+            return Err(EnvelopeError::NumberMismatch { envelope: self.number, bundle: bundle.number });
         }
         Ok(bundle)
     }
@@ -162,9 +162,10 @@
     }
 
     fn is_signed_by(&self, key: &VerifyingKey, message: &[u8]) -> bool {
-        let name = encode_key(key);
-        let own = self.signatures.iter().filter(|s| s.key == name);
-        own.filter_map(|s| BASE64.decode(&s.signature).ok())
+        let encoded_key = encode_key(key);
+        let matching = self.signatures.iter().filter(|s| s.key == encoded_key);
+        matching
+            .filter_map(|s| BASE64.decode(&s.signature).ok())
             .filter_map(|bytes| Signature::from_slice(&bytes).ok())
             .any(|signature| key.verify_strict(message, &signature).is_ok())
     }
--- a/lib/tests/test_bundle.rs
+++ b/lib/tests/test_bundle.rs
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn test_text_that_is_no_yaml() {
+fn test_invalid_yaml_is_one_problem() {
     assert_eq!(Bundle::from_yaml("a: [").expect_err("broken").len(), 1);
 }
 
 #[test]
-fn test_examples_are_right() {
+fn test_examples_are_valid() {
     for name in ["najem", "bahla"] {
         let path = format!("{}/../examples/{name}.yaml", env!("CARGO_MANIFEST_DIR"));
         let bundle = Bundle::from_yaml(&std::fs::read_to_string(path).expect("readable"));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn test_longest_prefix_counts() {
+fn test_longest_matching_prefix_wins() {
     let yaml = "
 number: 1
 services: [{id: a}, {id: b}]
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -10,12 +10,12 @@
 use leadstage_lib::claims::ClaimRequest;
 use leadstage_lib::claims::ClaimShard;
 use leadstage_lib::claims::ClaimVerdict;
-use leadstage_lib::claims::FULL_BYTES;
+use leadstage_lib::claims::FULL_SHARD_BYTES;
 use leadstage_lib::code::Code;
 use proptest::prelude::*;
 
-const KEPT: Duration = Duration::from_secs(600);
-const PATIENCE: Duration = Duration::from_secs(2);
+const RETENTION: Duration = Duration::from_secs(600);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The object API as one writer sees it, with a fault for each call.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,18 +47,18 @@
 struct Env {
     store: Store,
     writers: Vec<ClaimWriter>,
-    delayed: Vec<(usize, u64, Vec<u8>)>,
+    paused_writes: Vec<(usize, u64, Vec<u8>)>,
     answers: BTreeMap<u64, ClaimVerdict>,
     now: Duration,
 }
 
 impl Env {
     fn new(writers: usize) -> Env {
-        let writer = || ClaimWriter::new(Duration::from_millis(100), KEPT, PATIENCE);
+        let writer = || ClaimWriter::new(Duration::from_millis(100), RETENTION, REQUEST_TIMEOUT);
         Env {
             store: Store::default(),
             writers: (0..writers).map(|_| writer()).collect(),
-            delayed: Vec::new(),
+            paused_writes: Vec::new(),
             answers: BTreeMap::new(),
             now: Duration::from_secs(1),
         }
@@ -73,7 +73,7 @@
         self.writers[writer].ask(ticket, key.to_owned(), ClaimRequest::Record { nonce, outcome }, self.now);
     }
 
-    fn unix(&self) -> u64 {
+    fn unix_now(&self) -> u64 {
         self.now.as_millis() as u64
     }
 
@@ -81,8 +81,8 @@
     fn advance(&mut self, writer: usize, faults: &[Fault]) {
         self.now += Duration::from_millis(150);
         let mut faults = faults.iter().copied().chain(std::iter::repeat(Fault::None));
-        let unix = self.unix();
-        let mut actions = self.writers[writer].advance(self.now, unix);
+        let unix_now = self.unix_now();
+        let mut actions = self.writers[writer].advance(self.now, unix_now);
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in actions {
@@ -98,7 +98,7 @@
         action: ClaimAction,
         faults: &mut impl Iterator<Item = Fault>,
     ) -> Vec<ClaimAction> {
-        let unix = self.unix();
+        let unix_now = self.unix_now();
         match action {
             ClaimAction::Answer { ticket, verdict } => {
                 assert!(self.answers.insert(ticket, verdict).is_none(), "answered twice");
@@ -109,7 +109,7 @@
                     Some(Fault::Down) => None,
                     _ => Some((self.store.version, self.store.value.clone())),
                 };
-                self.writers[writer].on_read(found, self.now, unix)
+                self.writers[writer].on_read(found, self.now, unix_now)
             }
             ClaimAction::Write { expected, value } => match faults.next() {
                 Some(Fault::Down) => self.writers[writer].on_write(WriteResult::Unknown),
@@ -118,7 +118,7 @@
                     self.writers[writer].on_write(WriteResult::Unknown)
                 }
                 Some(Fault::Paused) => {
-                    self.delayed.push((writer, expected, value));
+                    self.paused_writes.push((writer, expected, value));
                     Vec::new()
                 }
                 _ => {
@@ -130,8 +130,8 @@
     }
 
     /// Writers that were paused wake: their writes reach the store now.
-    fn wake(&mut self) {
-        for (writer, expected, value) in std::mem::take(&mut self.delayed) {
+    fn resume_paused(&mut self) {
+        for (writer, expected, value) in std::mem::take(&mut self.paused_writes) {
             let result = self.store.write(expected, value);
             let actions = self.writers[writer].on_write(result);
             for action in actions {
@@ -143,7 +143,7 @@
         }
     }
 
-    fn owners(&self) -> usize {
+    fn owner_count(&self) -> usize {
         self.answers.values().filter(|v| **v == ClaimVerdict::Claimed).count()
     }
 }
@@ -166,14 +166,14 @@
             env.claim(*writer, ticket as u64 + 1, "key", "digest");
             env.advance(*writer, faults);
             if ticket % 3 == 2 {
-                env.wake();
+                env.resume_paused();
             }
         }
-        env.wake();
+        env.resume_paused();
         for writer in 0..3 {
             (0..20).for_each(|_| env.advance(writer, &[]));
         }
-        prop_assert!(env.owners() <= 1, "{:?}", env.answers);
+        prop_assert!(env.owner_count() <= 1, "{:?}", env.answers);
         prop_assert_eq!(env.answers.len(), arrivals.len());
     }
 }
@@ -210,7 +210,7 @@
 /// A writer whose memory of the shard is old neither drops an outcome nor tells that a
 /// settled key is still in progress.
 #[test]
-fn test_writer_with_an_old_shard_reads_again() {
+fn test_writer_rereads_a_stale_shard() {
     let mut env = Env::new(2);
     env.claim(1, 1, "other", "digest");
     env.advance(1, &[]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn test_object_api_down_answers_at_once() {
+fn test_unreachable_object_api_is_answered_at_once() {
     let mut env = Env::new(1);
     env.claim(0, 1, "key", "digest");
     env.advance(0, &[Fault::Down]);
@@ -244,7 +244,7 @@
 
 /// What is asked while a read is under way is not answered by that read's failure.
 #[test]
-fn test_failed_read_answers_only_what_was_asked_before_it() {
+fn test_failed_read_answers_only_earlier_requests() {
     let mut env = Env::new(1);
     env.claim(0, 1, "one", "digest");
     assert_eq!(env.writers[0].advance(env.now, 0), [ClaimAction::Read]);
@@ -276,8 +276,8 @@
     (1..=count).for_each(|n| env.claim(0, n, &format!("{n:032}"), &digest));
     env.advance(0, &[]);
     let full = env.answers.values().filter(|v| **v == ClaimVerdict::Full).count();
-    assert!(full > 0 && env.owners() > 4_000, "{} owners, {full} refused", env.owners());
-    assert!(env.store.value.len() <= FULL_BYTES);
+    assert!(full > 0 && env.owner_count() > 4_000, "{} owners, {full} refused", env.owner_count());
+    assert!(env.store.value.len() <= FULL_SHARD_BYTES);
     let body = ClaimOutcome { body: Some("b".repeat(2_000)), ..done() };
     for n in 1..=200 {
         env.record(0, count + n, &format!("{n:032}"), n, body.clone());
@@ -293,5 +293,5 @@
     let mut env = Env::new(1);
     (1..=500).for_each(|n| env.claim(0, n, &format!("key-{n}"), "digest"));
     env.advance(0, &[]);
-    assert_eq!((env.store.version, env.owners()), (1, 500));
+    assert_eq!((env.store.version, env.owner_count()), (1, 500));
 }
--- a/lib/tests/test_rollout.rs
+++ b/lib/tests/test_rollout.rs
@@ -68,7 +68,7 @@
                     (false, false) => self.rollout.on_conflict(),
                 }
             }
-            over => over,
+            last => last,
         };
     }
 }
@@ -89,9 +89,9 @@
             .enumerate()
             .map(|(at, number)| Operator::new(envelope(*number, &format!("operator-{at}"))))
             .collect();
-        for (who, down, lost) in calls {
-            let who = who % operators.len();
-            operators[who].call(&mut store, down, lost == 0);
+        for (index, down, lost) in calls {
+            let index = index % operators.len();
+            operators[index].call(&mut store, down, lost == 0);
         }
         let numbers: Vec<u64> = store.accepted.iter().map(|(number, _)| *number).collect();
         prop_assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{:?}", store.accepted);
--- a/lib/tests/test_signing.rs
+++ b/lib/tests/test_signing.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn test_bytes_that_are_no_envelope() {
+fn test_malformed_and_oversized_envelopes_are_refused() {
     assert!(consider(b"{}", None, &trust()).is_err());
     assert!(consider(&vec![b'x'; 2_000_000], None, &trust()).is_err());
     assert_eq!(decode_key("AAAA"), None);
