--- a/lib/src/bundle.rs
+++ b/lib/src/bundle.rs
@@ -1,7 +1,6 @@
 //! The bundle: the versioned configuration that operators roll out.
 //!
-//! docs/CONFIG.md describes each field for operators. It is read and checked in
-//! [`crate::bundle_check`].
+//! docs/CONFIG.md describes each field for operators. [`crate::bundle_check`] parses and validates it.
 
 use std::time::Duration;
 
@@ -14,54 +13,54 @@
 use crate::ids::OrganisationId;
 use crate::ids::UpstreamId;
 
-/// What the policy puts first.
+/// The measure that the placement policy optimises first.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// Tail time between tokens.
+    /// Tail of the time between two tokens of a stream.
     #[default]
     TokenGap,
-    /// Stall time and preemptions.
+    /// Time that streams are stalled, and preemptions.
     Stall,
 }
 
-/// A whole bundle.
+/// The contents of a bundle.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bundle {
-    /// Rises with each roll-out; from 1.
+    /// Version number, 1 or more; each roll-out must have a higher one.
     pub number: BundleNumber,
-    /// Name of the fleet, for status only.
+    /// Name of the fleet; used in status output only.
     pub fleet: String,
-    /// What the placement policy puts first.
+    /// The measure that the placement policy optimises first.
     pub objective: Objective,
-    /// Who may call.
+    /// Organisations that may send requests.
     pub organisations: Vec<Organisation>,
-    /// Which models are served.
+    /// Models that are served.
     pub models: Vec<Model>,
-    /// Which plain services are routed to.
+    /// Plain services that requests are routed to.
     pub services: Vec<Service>,
-    /// Which paths lead to which service.
+    /// Path prefixes and the services that serve them.
     pub routes: Vec<Route>,
-    /// Bounds on sizes, waits and retries.
+    /// Limits on sizes, times and retries.
     pub bounds: Bounds,
-    /// What the burn report measures against.
+    /// Service-level objectives of the burn report.
     pub service_levels: ServiceLevels,
 }
 
-/// An organisation that may call.
+/// An organisation that may send requests.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Organisation {
-    /// Its id, for limits, logs and metrics.
+    /// Its id in limits, logs and metrics.
     pub id: OrganisationId,
-    /// Its part of crowded engines relative to the others.
+    /// Its weight relative to the other organisations when engines are short of capacity.
     pub share: f64,
-    /// SHA-256 of each bearer token, in hex; never the token.
+    /// SHA-256 hash of each bearer token in hex; the tokens themselves are not stored.
     pub token_hashes: Vec<String>,
-    /// Requests open at once on one node.
+    /// Maximum number of requests open at once on one node.
     pub max_open: u32,
-    /// Higher starts first within the organisation's own queue, -100 to 100.
+    /// Requests with a higher priority start first within the organisation's own queue; -100 to 100.
     pub priority: i32,
 }
 
@@ -71,23 +70,23 @@
     }
 }
 
-/// A model and how its engines behave.
+/// A model and the properties of its engines.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Model {
-    /// Its id, as callers name it.
+    /// Its id, as callers give it in requests.
     pub id: ModelId,
-    /// Prompt tokens at most.
+    /// Maximum number of prompt tokens.
     pub max_prompt_tokens: u32,
-    /// Output tokens at most.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
-    /// Whether its engines refuse orders with an old fence.
+    /// Whether its engines reject orders with an outdated fence.
     pub checks_fences: bool,
-    /// Adapters that each of its engines is to have loaded.
+    /// Adapters that each of its engines must have loaded.
     pub adapters: Vec<String>,
-    /// Halls that may serve it; empty for all.
+    /// Halls that may serve it; all halls if empty.
     pub halls: Vec<HallId>,
-    /// Upstreams that get no new work, whatever the VM list says.
+    /// Upstreams that get no new work even if the VM list says that they are available.
     pub drained: Vec<UpstreamId>,
 }
 
@@ -105,68 +104,68 @@
     }
 }
 
-/// A plain service.
+/// A service that is called with plain requests instead of generations.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Service {
-    /// Its id, as the VM list's `serves` names it.
+    /// Its id, as given by `serves` in the VM list.
     pub id: ModelId,
 }
 
-/// A path prefix that leads to a plain service.
+/// A path prefix whose requests are routed to a plain service.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Route {
-    /// Paths that start with this; the longest that matches counts.
+    /// The prefix of the path; the longest matching prefix wins.
     pub prefix: String,
-    /// The service's id.
+    /// The id of the service.
     pub service: ModelId,
-    /// Methods whose requests may be sent again; all others run at most once.
+    /// Methods whose requests may be retried; requests with any other method run at most once.
     pub repeatable: Vec<String>,
 }
 
-/// Bounds on sizes, waits and retries.
+/// Limits on sizes, times and retries.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Time for a request's body to arrive.
+    /// Timeout for the arrival of a request body.
     #[serde(with = "humantime_serde")]
     pub body_within: Duration,
-    /// Requests open at once on a node.
+    /// Maximum number of requests open at once on a node.
     pub max_open_per_node: u32,
-    /// Requests that wait in a pool's queue.
+    /// Maximum number of requests that wait in the queue of a pool.
     pub max_queue: u32,
-    /// Time a request waits for an engine.
+    /// Maximum time that a request waits for an engine.
     #[serde(with = "humantime_serde")]
     pub max_wait: Duration,
-    /// Accepted chance that an engine's memory overflows within 1,024 steps if nothing
-    /// more is placed there, 0.0001 to 0.5.
+    /// Accepted probability, 0.0001 to 0.5, that the KV cache memory of an engine overflows within 1,024
+    /// steps if no further generation is placed there.
     pub overflow_chance: f64,
-    /// A leaving upstream gets no new work after this.
+    /// Time after which a leaving upstream gets no new work.
     #[serde(with = "humantime_serde")]
     pub leaving_within: Duration,
-    /// A stream without progress for this long is resumed at its engine.
+    /// Time without progress after which a stream is resumed at its engine.
     #[serde(with = "humantime_serde")]
     pub stall_within: Duration,
-    /// Time for a plain service's answer.
+    /// Timeout for the response of a plain service.
     #[serde(with = "humantime_serde")]
     pub call_within: Duration,
-    /// Retries as a part of requests, 0 to 1.
+    /// Maximum ratio of retries to requests, 0 to 1.
     pub retry_ratio: f64,
-    /// Time for streams to end in a planned stop.
+    /// Time that open streams have to end in a planned stop of the node.
     #[serde(with = "humantime_serde")]
     pub stop_within: Duration,
-    /// A node that reaches neither the object API nor a peer for this long is not ready.
+    /// Time after which a node that reaches neither the object API nor a peer reports that it is not ready.
     #[serde(with = "humantime_serde")]
     pub alone_within: Duration,
-    /// Claim objects that `Idempotency-Key`s are spread over, 1 to 64.
+    /// Number of claim shards that `Idempotency-Key`s are distributed over, 1 to 64.
     pub claim_shards: u32,
-    /// Least time between two writes of a claim shard by one writer.
+    /// Minimum time between two writes of a claim shard by one writer.
     #[serde(with = "humantime_serde")]
     pub claim_commit: Duration,
-    /// How long a key's outcome is kept.
+    /// Retention time of the claim of a key and its outcome.
     #[serde(with = "humantime_serde")]
     pub claims_kept: Duration,
 }
@@ -193,14 +192,14 @@
     }
 }
 
-/// One objective of the burn report: a part of events within a time.
+/// A service-level objective of the burn report: the share of events that must end within a time.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceLevel {
-    /// An event that takes no longer is good.
+    /// Time limit of a good event, inclusive.
     #[serde(with = "humantime_serde")]
     pub within: Duration,
-    /// Part of the events that must be good, 0 to 1.
+    /// Share of the events that must be good, 0 to 1.
     pub share: f64,
 }
 
@@ -210,17 +209,17 @@
     }
 }
 
-/// What the burn report measures against.
+/// Service-level objectives of the burn report.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceLevels {
-    /// From the request to its first token.
+    /// Time from the request to its first token.
     pub first_token: ServiceLevel,
-    /// Between two tokens of a stream.
+    /// Time between two tokens of a stream.
     pub token_gap: ServiceLevel,
-    /// Time a stream sits without progress, for each stream.
+    /// Total time that a stream is stalled; one event per stream.
     pub stall: ServiceLevel,
-    /// A plain service's answer.
+    /// Time from a request to the response of a plain service.
     pub calls: ServiceLevel,
 }
 
@@ -236,17 +235,17 @@
 }
 
 impl Bundle {
-    /// A model by id.
+    /// Returns the model with this id.
     pub fn model(&self, id: &str) -> Option<&Model> {
         self.models.iter().find(|m| &*m.id == id)
     }
 
-    /// An organisation by id.
+    /// Returns the organisation with this id.
     pub fn organisation(&self, id: &str) -> Option<&Organisation> {
         self.organisations.iter().find(|o| &*o.id == id)
     }
 
-    /// The route with the longest prefix of `path`.
+    /// Returns the route with the longest prefix of `path`.
     pub fn route(&self, path: &str) -> Option<&Route> {
         let matching = self.routes.iter().filter(|r| path.starts_with(&r.prefix));
         matching.max_by_key(|r| r.prefix.len())
@@ -254,7 +253,7 @@
 }
 
 impl Route {
-    /// Whether a request with this method may be sent again.
+    /// Whether a request with this method may be retried.
     pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable.iter().any(|m| m == method)
     }
--- a/lib/src/bundle_check.rs
+++ b/lib/src/bundle_check.rs
@@ -1,4 +1,4 @@
-//! Reads a bundle and checks it: ranges, references and uniqueness.
+//! Parses and validates bundles: value ranges, references and uniqueness.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,17 +11,16 @@
 use crate::checked_yaml;
 use crate::checked_yaml::Problem;
 
-/// Characters of a SHA-256 in hex.
+/// Length of a SHA-256 hash in hex digits.
 const TOKEN_HASH_CHARS: usize = 64;
-/// Characters of an id at most.
 const MAX_ID_CHARS: usize = 64;
-/// Shards at most: with the commit interval they bound the write rate.
+/// Maximum of `claim_shards`; together with `claim_commit` it limits the write rate.
 const MAX_CLAIM_SHARDS: u32 = 64;
-/// Writes a second that claims may use of the object API's hundred.
+/// Write rate that claims may use; the object API supports 100 writes per second in total.
 const MAX_CLAIM_WRITES_PER_SECOND: f64 = 60.0;
 
 impl Bundle {
-    /// Reads and checks a bundle; the error lists every mistake.
+    /// Parses and validates a bundle; the error lists every mistake.
     pub fn from_yaml(yaml: &str) -> Result<Bundle, Vec<Problem>> {
         let (bundle, mut problems) = checked_yaml::read::<Bundle>(yaml);
         if let Some(bundle) = &bundle {
@@ -34,7 +33,7 @@
     }
 }
 
-/// All that is wrong with `bundle`.
+/// Returns every mistake in the values of `bundle`.
 fn check(bundle: &Bundle) -> Vec<Problem> {
     let mut problems = Vec::new();
     if bundle.number == 0 {
@@ -97,7 +96,7 @@
         check_range(problems, &format!("{path}.max_output_tokens"), output, 1.0, 1e7);
         check_ids(problems, &format!("{path}.adapters"), model.adapters.iter().map(String::as_str));
         if bundle.services.iter().any(|s| s.id == model.id) {
-            problems.push(Problem::new(format!("{path}.id"), "is a service's id too"));
+            problems.push(Problem::new(format!("{path}.id"), "is also the id of a service"));
         }
     }
 }
--- a/lib/src/burn.rs
+++ b/lib/src/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: how fast the error budget of each objective is used up.
+//! Burn rate of service levels: how fast the error budget of each objective is used up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 use crate::bundle::ServiceLevel;
 use crate::bundle::ServiceLevels;
 
-/// Minutes that are kept: the longest window.
+/// Number of minutes that are retained; covers the longest of [`REPORT_WINDOWS`].
 const RETAINED_MINUTES: u64 = 360;
-/// Windows of the report.
+/// Time windows of the burn report.
 pub const REPORT_WINDOWS: [Duration; 3] =
     [Duration::from_secs(300), Duration::from_secs(3_600), Duration::from_secs(21_600)];
 
-/// What is measured.
+/// A service-level indicator.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Indicator {
-    /// From the request to its first token.
+    /// Time from the request to its first token.
     FirstToken,
-    /// Between two tokens of a stream.
+    /// Time between two tokens of a stream.
     TokenGap,
-    /// Time a stream sat without progress, once for each stream.
+    /// Total time that a stream is stalled; one event per stream.
     Stall,
-    /// A plain service's answer.
+    /// Time from a request to the response of a plain service.
     Calls,
 }
 
 impl Indicator {
-    /// All of them, in the order of the report.
+    /// All indicators in the order of the report.
     pub const ALL: [Indicator; 4] =
         [Indicator::FirstToken, Indicator::TokenGap, Indicator::Stall, Indicator::Calls];
 
-    /// Its objective in the bundle.
+    /// Returns the objective of the indicator in the bundle.
     pub fn level(self, levels: &ServiceLevels) -> &ServiceLevel {
         match self {
             Indicator::FirstToken => &levels.first_token,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Its name as in the bundle.
+    /// Returns the name of the indicator in the bundle.
     pub fn name(self) -> &'static str {
         match self {
             Indicator::FirstToken => "first_token",
@@ -58,21 +58,21 @@
 /// Events of one indicator in one minute.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Tally {
-    /// All events.
+    /// Number of events.
     pub total: u64,
-    /// Those over the objective's time.
+    /// Number of events that took longer than the time of the objective.
     pub bad: u64,
 }
 
-/// Tallies by minute since the Unix epoch and indicator.
+/// Tallies of the events of one or more nodes, by minute since the Unix epoch and by indicator.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct BurnCounts {
-    /// The tallies; nodes' counts can be added up.
+    /// The tallies of each minute, indexed by [`Indicator`].
     pub minutes: BTreeMap<u64, [Tally; 4]>,
 }
 
 impl BurnCounts {
-    /// Counts an event.
+    /// Counts an event and drops the oldest minute if too many are retained.
     pub fn observe(&mut self, indicator: Indicator, good: bool, minute: u64) {
         let tallies = self.minutes.entry(minute).or_default();
         let tally = &mut tallies[indicator as usize];
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds another node's counts.
+    /// Adds the counts of another node.
     pub fn add(&mut self, other: &BurnCounts) {
         for (minute, tallies) in &other.minutes {
             let own = self.minutes.entry(*minute).or_default();
@@ -103,7 +103,7 @@
         })
     }
 
-    /// The report at `minute`.
+    /// Returns the report of the windows that end with `minute`.
     pub fn report(&self, levels: &ServiceLevels, minute: u64) -> Vec<BurnLine> {
         let mut lines = Vec::new();
         for indicator in Indicator::ALL {
@@ -119,20 +119,20 @@
 /// One line of the burn report.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct BurnLine {
-    /// What is measured.
+    /// The indicator that is measured.
     pub indicator: Indicator,
-    /// Seconds of the window.
+    /// Length of the window in seconds.
     pub window_s: u64,
-    /// Events in the window.
+    /// Number of events in the window.
     pub total: u64,
-    /// Those over the objective's time.
+    /// Number of events that took longer than the time of the objective.
     pub bad: u64,
-    /// The objective's time in milliseconds.
+    /// Time of the objective in milliseconds.
     pub within_ms: u64,
-    /// Part that must be good.
+    /// Share of events that must be good.
     pub share: f64,
-    /// Part that was bad, relative to the part that may be: above 1 the budget is
-    /// used up faster than it comes in.
+    /// Share of bad events divided by the share that may be bad; above 1 the error budget is used up faster
+    /// than it is replenished.
     pub burn: f64,
 }
 
--- a/lib/src/checked_yaml.rs
+++ b/lib/src/checked_yaml.rs
@@ -1,34 +1,34 @@
-//! Reads YAML settings and lists every mistake with its path in the file.
+//! Parses YAML settings and reports every mistake with its path in the file.
 
 use derive_more::Display;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Mistakes listed at most.
+/// Maximum number of mistakes that are reported.
 const MAX_PROBLEMS: usize = 100;
 
-/// One mistake in a settings file.
+/// A mistake in a settings file.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{path}: {message}")]
 pub struct Problem {
-    /// Where, as in `organisations[2].share`.
+    /// Path of the value, for example `organisations[2].share`.
     pub path: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong with the value and what is allowed.
     pub message: String,
 }
 
 impl Problem {
-    /// A problem at `path`.
+    /// Creates a problem at `path`.
     pub fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
         Problem { path: path.into(), message: message.into() }
     }
 }
 
-/// Reads `yaml` into `T`, whose fields must all have defaults.
+/// Parses `yaml` into `T`, whose fields must all have defaults.
 ///
-/// Collects every unknown field and every value of a wrong type: the offending
-/// value is noted, taken out, and reading starts again. The result is there
-/// unless the text is not YAML at all.
+/// Reports every unknown field and every value of a wrong type: after each mistake the offending value is
+/// removed and the rest is deserialized again. Returns no value if the text is not valid YAML, if an
+/// offending value cannot be removed, or after `MAX_PROBLEMS` mistakes.
 pub fn read<T: DeserializeOwned>(yaml: &str) -> (Option<T>, Vec<Problem>) {
     let mut problems = Vec::new();
     let mut tree: Value = match serde_saphyr::from_str(yaml) {
--- a/lib/src/claim_writer.rs
+++ b/lib/src/claim_writer.rs
@@ -1,5 +1,6 @@
-//! Writes one shard of claims for this VM: many requests in one conditional update.
-//! Sans-I/O; one [`ClaimWriter`] for a shard.
+//! Writes the claim shards of this VM: many requests are committed in one conditional update.
+//!
+//! Sans-I/O; there is one [`ClaimWriter`] per shard.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,39 +12,39 @@
 use crate::ids::Timestamp;
 use crate::ids::UnixMillis;
 
-/// What the driver is to do. It bounds the time of each read and write itself and
-/// reports each exactly once.
+/// An action for the driver, which applies a timeout to each read and write and reports the result of each
+/// exactly once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimAction {
-    /// Read the shard's object and report with [`ClaimWriter::on_read`].
+    /// Read the object of the shard and report the result to [`ClaimWriter::on_read`].
     Read,
-    /// Write it if it still has this version, and report with [`ClaimWriter::on_write`].
+    /// Write the object if its version is `expected`, and report the result to [`ClaimWriter::on_write`].
     Write {
-        /// The version that it must have; 0 for absent.
+        /// The version that the object must have; 0 if it must not exist.
         expected: u64,
         /// The new value.
         value: Vec<u8>,
     },
-    /// Answer a question.
+    /// Answer a request.
     Answer {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// The answer.
+        /// The result of the request.
         verdict: ClaimVerdict,
     },
 }
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect and the object has this version.
+    /// The write took effect.
     Done {
-        /// The new version.
+        /// The new version of the object.
         version: u64,
     },
-    /// The object had another version.
+    /// The object had another version; the write did not take effect.
     Conflict,
-    /// No answer, or a failure: it may have taken effect.
+    /// The write failed or timed out; it may have taken effect.
     Unknown,
 }
 
@@ -62,14 +63,14 @@
     Writing,
 }
 
-/// A shard, and whether it was read just now.
+/// A version of the shard, and whether it was read for the current commit.
 struct ShardSnapshot {
     version: u64,
     shard: ClaimShard,
     fresh: bool,
 }
 
-/// Writes one shard for this VM: many requests in one conditional update.
+/// Commits the requests of this VM to one shard, many of them in one conditional update.
 #[derive(Debug)]
 pub struct ClaimWriter {
     state: State,
@@ -86,8 +87,8 @@
 }
 
 impl ClaimWriter {
-    /// A writer that commits at most once in `commit_interval`, keeps claims for
-    /// `retention`, and gives up on a request after `timeout`.
+    /// Creates a writer that starts a commit no earlier than `commit_interval` after its last write, retains
+    /// claims for `retention`, and abandons a request after `timeout`.
     pub fn new(commit_interval: Duration, retention: Duration, timeout: Duration) -> Self {
         ClaimWriter {
             state: State::Idle,
@@ -104,12 +105,12 @@
         }
     }
 
-    /// Something is wanted of `key`.
+    /// Queues a request for `key`; the result is a [`ClaimAction::Answer`] with the same ticket.
     pub fn ask(&mut self, ticket: Ticket, key: String, request: ClaimRequest, now: Timestamp) {
         self.queue.push_back(PendingRequest { ticket, key, request, submitted_at: now });
     }
 
-    /// Time has passed, or something was asked; `unix_now` stamps new claims.
+    /// Starts a commit if one is due, and expires old requests; `unix_now` is the time of new claims.
     pub fn advance(&mut self, now: Timestamp, unix_now: UnixMillis) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         if self.state == State::Idle {
@@ -130,8 +131,8 @@
         actions
     }
 
-    /// What is not answered in time is answered "unreachable": the arrival must not
-    /// dispatch, so "not run" stays true even if a lost write took effect.
+    /// Answers requests that have timed out with [`ClaimVerdict::Unreachable`]. The arrival must then not be
+    /// dispatched, so that "not run" is true even if a write whose result was lost took effect.
     fn expire_requests(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
         let timeout = self.timeout;
         while let Some(pending) = self.queue.front() {
@@ -143,8 +144,8 @@
         }
     }
 
-    /// The read is over: the object's version and value, (0, empty) when it is absent,
-    /// or `None` when it failed.
+    /// Handles the result of a read: the version and value of the object, (0, empty) if the object does not
+    /// exist, or `None` if the read failed.
     pub fn on_read(
         &mut self,
         read: Option<(u64, Vec<u8>)>,
@@ -172,17 +173,17 @@
         actions.push(ClaimAction::Read);
     }
 
-    /// The object API cannot be read: answer at once instead of waiting on. What was asked
-    /// since the read began is not answered by it: the object API may be back by then.
+    /// Answers requests at once after a failed read, instead of letting them time out. Requests that were
+    /// submitted after the read began stay queued: the object API may be reachable again by then.
     fn answer_unreachable(&mut self, actions: &mut Vec<ClaimAction>) {
         for pending in self.queue.drain(..self.queued_at_read) {
             actions.push(ClaimAction::Answer { ticket: pending.ticket, verdict: ClaimVerdict::Unreachable });
         }
     }
 
-    /// Applies what was asked and writes the result if it differs. What another writer
-    /// may have settled since the shard was read is never answered from memory: the
-    /// shard is read again first.
+    /// Applies the queued requests and writes the shard if they change it. A result that another writer may
+    /// have changed since the shard was read is not answered from the cached shard: the shard is read again
+    /// first.
     fn commit(
         &mut self,
         snapshot: ShardSnapshot,
@@ -221,8 +222,8 @@
         actions.extend(answers.into_iter().map(|(ticket, verdict)| ClaimAction::Answer { ticket, verdict }));
     }
 
-    /// The write is over. After a conflict or a lost answer the shard is read again:
-    /// what took effect is found by its nonce, the rest is tried again.
+    /// Handles the result of a write. After a conflict or an unknown result the shard is read again: requests
+    /// that took effect are recognised by their nonce, the others are applied again.
     pub fn on_write(&mut self, result: WriteResult) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         if self.state != State::Writing {
@@ -241,7 +242,7 @@
         actions
     }
 
-    /// Requests that wait for an answer.
+    /// Returns the number of requests that wait for an answer.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -1,6 +1,7 @@
-//! Claims of `Idempotency-Key`s in shards of the object API: a key is claimed by
-//! conditional update before the request may be dispatched, so it runs at most once
-//! whoever else writes the shard. [`crate::claim_writer`] commits them.
+//! Claims of `Idempotency-Key`s, stored in shards in the object API.
+//!
+//! A key is claimed by a conditional update before its request may be dispatched, so that the request runs
+//! at most once even if other VMs write the same shard. [`crate::claim_writer`] commits the claims.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,41 +15,41 @@
 use crate::ids::VmId;
 use crate::rendezvous;
 
-/// Bytes of a shard at which no more keys are taken; the object API holds 1 MB.
+/// Size of a shard in bytes above which no new key is claimed; the object API stores values of up to 1 MB.
 pub const FULL_SHARD_BYTES: usize = 900_000;
-/// Bytes of a recorded answer's body at most; a longer one is not kept.
+/// Maximum size of a recorded response body; a longer body is not recorded.
 pub const MAX_RECORDED_BODY_BYTES: usize = 2_048;
 
-/// Names an arrival: the same for its retries, different for any other.
+/// Identifies an arrival of a request: the same when its claim is retried, unique among arrivals.
 pub type Nonce = u64;
-/// Names a question to the writer, to match the answer.
+/// Identifies a request to the writer and its answer.
 pub type Ticket = u64;
 
-/// The shard of a key.
+/// Returns the shard of a key.
 pub fn shard_of(key: &str, shards: u32) -> u32 {
     (rendezvous::weight("claim", key) % u64::from(shards.max(1))) as u32
 }
 
-/// The object that holds a shard.
+/// Returns the key of the object that stores a shard.
 pub fn object_key(shard: u32) -> String {
     format!("claims/{shard}")
 }
 
-/// A recorded answer.
+/// The recorded response to a request.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct ClaimOutcome {
-    /// Number of the result code.
+    /// Number of the result [`Code`].
     pub code: u16,
-    /// HTTP status that the caller got.
+    /// HTTP status that was sent to the caller.
     pub status: u16,
     /// `Content-Type` of the body.
     pub content_type: String,
-    /// The body, if it was short enough to keep and is text.
+    /// The body, if it is text and short enough to be recorded.
     pub body: Option<String>,
 }
 
 impl ClaimOutcome {
-    /// The outcome of a request that did not run.
+    /// Returns the outcome of a request that did not run.
     pub fn not_run(code: Code) -> Self {
         ClaimOutcome {
             code: code.number(),
@@ -58,82 +59,82 @@
         }
     }
 
-    /// Whether it says that the request did not run, so that the key may be claimed again.
+    /// Whether the request did not run, so that its key may be claimed again.
     pub fn is_not_run(&self) -> bool {
         Code::from_number(self.code).is_some_and(|code| code.ran() == Ran::No)
     }
 }
 
-/// A claimed key.
+/// A claim of a key.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Claim {
-    /// The arrival that owns it.
+    /// The arrival that owns the key.
     pub nonce: Nonce,
-    /// The VM where it arrived.
+    /// The VM where the request arrived.
     pub by: VmId,
-    /// Hash of the request, to tell a reused key.
+    /// Hash of the request, to detect that a key is reused for another request.
     pub digest: String,
-    /// When it was claimed.
+    /// Time of the claim.
     pub at: UnixMillis,
-    /// The answer, once there is one.
+    /// The outcome, once it is recorded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<ClaimOutcome>,
 }
 
-/// A shard as it is stored.
+/// A shard in its stored form.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct ClaimShard {
-    /// Claims by hashed key.
+    /// Claims by the hash of the key.
     pub claims: BTreeMap<String, Claim>,
 }
 
-/// What is wanted of the shard.
+/// A request to change a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimRequest {
-    /// Own this key.
+    /// Claim a key for an arrival.
     Claim {
-        /// The arrival.
+        /// The arrival that claims the key.
         nonce: Nonce,
-        /// Where it arrived.
+        /// The VM where it arrived.
         by: VmId,
         /// Hash of the request.
         digest: String,
     },
     /// Record the outcome of an owned key.
     Record {
-        /// The arrival that owns it.
+        /// The arrival that owns the key.
         nonce: Nonce,
-        /// The answer.
+        /// The outcome of its request.
         outcome: ClaimOutcome,
     },
 }
 
-/// The answer to a [`ClaimRequest`].
+/// The result of a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimVerdict {
-    /// The arrival owns the key: it may dispatch, once.
+    /// The arrival owns the key and may be dispatched once.
     Claimed,
     /// The outcome is recorded.
     Recorded,
     /// Another arrival owns the key.
     Known {
-        /// Where that one arrived.
+        /// The VM where the owner arrived.
         by: VmId,
-        /// Its answer, once there is one.
+        /// Its outcome, once it is recorded.
         outcome: Option<ClaimOutcome>,
     },
-    /// The outcome is not recorded: the arrival does not own the key (any more).
+    /// The outcome is not recorded because the arrival does not own the key, or no longer does.
     NotOwned,
-    /// The key was used with another request.
+    /// The key was claimed by a different request.
     KeyReused,
-    /// The shard holds as many keys as fit.
+    /// The shard has no room for another key.
     Full,
-    /// The object API did not take the write; the arrival does not own the key.
+    /// The object API could not be reached; the arrival must be treated as not owning the key.
     Unreachable,
 }
 
 impl ClaimVerdict {
-    /// Whether another writer may have changed what this says.
+    /// Whether another writer may have changed this result since the shard was read.
     pub fn may_be_outdated(&self) -> bool {
         match self {
             ClaimVerdict::Known { outcome, .. } => outcome.is_none(),
@@ -144,7 +145,7 @@
 }
 
 impl ClaimShard {
-    /// Reads a stored shard; empty bytes are an empty one.
+    /// Parses a stored shard; empty bytes are an empty shard.
     pub fn from_bytes(value: &[u8]) -> Option<ClaimShard> {
         if value.is_empty() {
             return Some(ClaimShard::default());
@@ -152,18 +153,18 @@
         serde_json::from_slice(value).ok()
     }
 
-    /// The bytes to store.
+    /// Serializes the shard for storage.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("plain data serialises")
+        serde_json::to_vec(self).expect("a claim shard is serializable")
     }
 
-    /// Forgets claims older than `retention`.
+    /// Removes claims older than `retention`.
     pub fn remove_expired(&mut self, unix_now: UnixMillis, retention: Duration) {
         let retention = retention.as_millis() as u64;
         self.claims.retain(|_, claim| unix_now.saturating_sub(claim.at) < retention);
     }
 
-    /// Applies a request; `bytes` is the shard's size and is kept up to date.
+    /// Applies a request; `bytes` is the size of the shard, to which an estimate of the addition is added.
     pub fn apply(
         &mut self,
         key: &str,
@@ -208,8 +209,8 @@
         ClaimVerdict::Claimed
     }
 
-    /// Records an outcome; one that is there already stands. A body that does not fit
-    /// is left out, so that the outcome itself can always be kept.
+    /// Records an outcome unless one is already recorded. A body that does not fit is left out, so that the
+    /// outcome itself can always be recorded.
     fn record(&mut self, key: &str, nonce: Nonce, outcome: &ClaimOutcome, bytes: &mut usize) -> ClaimVerdict {
         let Some(claim) = self.claims.get_mut(key).filter(|c| c.nonce == nonce) else {
             return ClaimVerdict::NotOwned;
--- a/lib/src/code.rs
+++ b/lib/src/code.rs
@@ -1,54 +1,54 @@
-//! The numbered result codes: whether a request ran, and whether to ask again.
+//! Numbered result codes: whether a request ran, and whether the caller should retry it.
 
 use derive_more::Display;
 
-/// Whether the request has run, as far as leadstage can know.
+/// Whether a request ran, as far as leadstage can know.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Ran {
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     #[display("not run")]
     No,
-    /// It ran, wholly or in part.
+    /// The request ran, completely or in part.
     #[display("ran")]
     Yes,
-    /// It may have run.
+    /// The request may have run.
     #[display("unknown")]
     Unknown,
 }
 
-/// Whether asking again helps.
+/// Whether a caller should retry a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum AskAgain {
-    /// The same request would get the same answer.
+    /// No: the same request would get the same response.
     #[display("no")]
     No,
-    /// Yes, after the time in `Retry-After`.
+    /// Yes, after the delay in `Retry-After`.
     #[display("after `Retry-After`")]
     Later,
-    /// Yes with the same `Idempotency-Key`, to learn the outcome; it will not run twice.
+    /// Yes, with the same `Idempotency-Key` to get the outcome; the request does not run twice.
     #[display("with the same key, for the outcome")]
     SameKey,
-    /// Only if the caller accepts that it may run twice.
+    /// Only if the caller accepts that the request may run twice.
     #[display("only if running twice does no harm")]
     IfRepeatable,
 }
 
 macro_rules! codes {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $status:literal, $ran:ident, $advice:ident;)+) => {
-        /// A result code. The number is stable; docs/CODES.md has the table.
+        /// A result code. Numbers are stable; docs/CODES.md lists all codes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Code { $($(#[doc = $doc])+ $name,)+ }
 
         impl Code {
-            /// All codes, by number.
+            /// All codes in the order of their numbers.
             pub const ALL: &[Code] = &[$(Code::$name),+];
 
-            /// The stable number.
+            /// Returns the stable number.
             pub const fn number(self) -> u16 {
                 match self { $(Code::$name => $number,)+ }
             }
 
-            /// The HTTP status it is sent with.
+            /// Returns the HTTP status that the code is sent with.
             pub const fn http_status(self) -> u16 {
                 match self { $(Code::$name => $status,)+ }
             }
@@ -58,17 +58,17 @@
                 match self { $(Code::$name => Ran::$ran,)+ }
             }
 
-            /// Whether to ask again.
+            /// Whether the caller should retry the request.
             pub const fn ask_again(self) -> AskAgain {
                 match self { $(Code::$name => AskAgain::$advice,)+ }
             }
 
-            /// The name in snake case, as in the error's `type`.
+            /// Returns the name of the variant, as sent in the `type` of an error.
             pub const fn name(self) -> &'static str {
                 match self { $(Code::$name => stringify!($name),)+ }
             }
 
-            /// What it means, in a sentence.
+            /// Returns the meaning in a sentence; the default `message` of an error.
             pub fn meaning(self) -> &'static str {
                 match self { $(Code::$name => concat!($($doc),+).trim(),)+ }
             }
@@ -142,7 +142,7 @@
 }
 
 impl Code {
-    /// The code with this number, if there is one.
+    /// Returns the code with this number, if it exists.
     pub fn from_number(number: u16) -> Option<Code> {
         Code::ALL.iter().copied().find(|code| code.number() == number)
     }
@@ -154,7 +154,7 @@
     }
 }
 
-/// The table of docs/CODES.md, in Markdown.
+/// Returns the Markdown table of docs/CODES.md.
 pub fn markdown_table() -> String {
     let mut out =
         String::from("| number | name | HTTP | ran | ask again | meaning |\n|---|---|---|---|---|---|\n");
--- a/lib/src/rollout.rs
+++ b/lib/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Which bundle is in force on a node, and how an operator's roll-out is settled.
+//! Selects the bundle in force on a node, and carries out the roll-out of a bundle by an operator.
 
 use std::sync::Arc;
 
@@ -11,31 +11,31 @@
 use crate::signing::Envelope;
 use crate::signing::EnvelopeError;
 
-/// The object that holds the accepted bundle.
+/// Key of the object that stores the accepted bundle.
 pub const BUNDLE_OBJECT: &str = "bundle";
 
-/// The keys that a node trusts.
+/// The operators that a node trusts, and how many of them must sign a bundle.
 #[derive(Clone, Debug)]
 pub struct Trust {
-    /// The operators' public keys.
+    /// Public keys of the operators.
     pub keys: Vec<VerifyingKey>,
-    /// Sign-offs that a bundle needs.
+    /// Number of sign-offs that a bundle needs.
     pub sign_offs: usize,
 }
 
-/// A bundle that was accepted and is in force here.
+/// A verified bundle that is in force on this node.
 #[derive(Clone, Debug)]
 pub struct InForce {
     /// The bundle.
     pub bundle: Arc<Bundle>,
-    /// Its envelope's bytes, to hand to peers.
+    /// The bytes of its envelope, to serve to peers.
     pub envelope: Arc<Vec<u8>>,
-    /// Hash of its text.
+    /// SHA-256 hash of its text in hex.
     pub hash: String,
 }
 
-/// Decides whether an offered envelope replaces what is in force: only a valid one
-/// with a higher number does. `Ok(None)` means that it is not newer.
+/// Verifies and opens an offered envelope if its number is above `current`. Returns `Ok(None)` if it is not,
+/// so that only a valid bundle with a higher number can replace the one in force.
 pub fn consider(
     bytes: &[u8],
     current: Option<BundleNumber>,
@@ -50,50 +50,50 @@
     Ok(Some(InForce { bundle: Arc::new(bundle), envelope: Arc::new(bytes.to_vec()), hash }))
 }
 
-/// Why a roll-out did not take place.
+/// Why a roll-out failed or its outcome is unknown.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum RolloutError {
-    /// Another bundle with this or a higher number is accepted.
+    /// Another bundle with the same or a higher number is already accepted.
     #[display("number {accepted} is accepted already, rolled out by {operator}")]
     Overtaken {
-        /// The accepted number.
+        /// Number of the accepted bundle.
         accepted: BundleNumber,
-        /// Who rolled it out.
+        /// The operator who rolled it out.
         operator: String,
     },
-    /// The object API failed throughout; whether it took effect is not known.
+    /// All attempts failed; it is not known whether the roll-out took effect.
     #[display("the object API does not answer; whether the bundle was accepted is not known")]
     Unsettled,
-    /// What the object API holds is not an envelope.
+    /// The stored object is not an envelope.
     #[display("the accepted bundle cannot be read: {reason}")]
     Unreadable {
-        /// What the reader said.
+        /// Error of the parser.
         reason: String,
     },
 }
 
-/// What the operator's command is to do next.
+/// The next step of the operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutStep {
-    /// Read the accepted bundle and report with [`Rollout::on_read`].
+    /// Read the accepted bundle and report the result to [`Rollout::on_read`].
     Read,
-    /// Write the envelope if the object still has this version, and report with
-    /// [`Rollout::on_written`].
+    /// Write the envelope if the version of the object is `expected`, and report the result to
+    /// [`Rollout::on_written`], [`Rollout::on_conflict`] or [`Rollout::on_failure`].
     Write {
-        /// The version; 0 for absent.
+        /// The version that the object must have; 0 if it must not exist.
         expected: u64,
     },
-    /// It is accepted.
+    /// The bundle is accepted.
     Accepted,
-    /// It is not, or that is not known.
+    /// The bundle is not accepted, or its state is unknown.
     Failed(RolloutError),
 }
 
-/// Attempts before the outcome is given up as unsettled.
+/// Number of failures and conflicts after which the roll-out ends as [`RolloutError::Unsettled`].
 const MAX_FAILURES: u32 = 8;
 
-/// Settles one roll-out: a single conditional update, and after a lost answer a read
-/// that compares hashes; never a second blind write.
+/// Carries out one roll-out as a conditional update. After a lost response the object is read again and the
+/// hashes are compared, so that a write is never repeated blindly.
 #[derive(Debug)]
 pub struct Rollout {
     number: BundleNumber,
@@ -102,12 +102,12 @@
 }
 
 impl Rollout {
-    /// A roll-out of this envelope; start by reading.
+    /// Creates the roll-out of `envelope`; the first step is [`RolloutStep::Read`].
     pub fn new(envelope: &Envelope) -> Self {
         Rollout { number: envelope.number, hash: envelope.hash(), failures: 0 }
     }
 
-    /// The read is over: version and bytes, or `None` when the object is absent.
+    /// Handles a successful read: the version and bytes of the object, or `None` if it does not exist.
     pub fn on_read(&mut self, found: Option<(u64, &[u8])>) -> RolloutStep {
         let Some((version, bytes)) = found else {
             return RolloutStep::Write { expected: 0 };
@@ -127,17 +127,17 @@
         RolloutStep::Write { expected: version }
     }
 
-    /// The write took effect.
+    /// Handles a write that took effect.
     pub fn on_written(&mut self) -> RolloutStep {
         RolloutStep::Accepted
     }
 
-    /// The object had another version: see whose.
+    /// Handles a version conflict: the object is read again to see which bundle was accepted.
     pub fn on_conflict(&mut self) -> RolloutStep {
         self.on_failure()
     }
 
-    /// A read or a write had no answer; a write may have taken effect.
+    /// Handles a read or a write without a response; a write may have taken effect.
     pub fn on_failure(&mut self) -> RolloutStep {
         self.failures += 1;
         if self.failures >= MAX_FAILURES {
--- a/lib/src/signing.rs
+++ b/lib/src/signing.rs
@@ -1,4 +1,4 @@
-//! Signed bundles: the envelope that the object API and the peers carry.
+//! Signed bundles: the envelope in which a bundle is stored in the object API and sent to peers.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -17,67 +17,67 @@
 use crate::checked_yaml::Problem;
 use crate::ids::BundleNumber;
 
-/// Separates bundle signatures from any other use of the same keys.
+/// Prefix of the signed bytes that separates bundle signatures from any other use of the same keys.
 const SIGNING_CONTEXT: &[u8] = b"leadstage bundle v1\n";
-/// Bytes of an envelope at most; the object API holds values of 1 MB.
+/// Maximum size of an envelope; the object API stores values of up to 1 MB.
 pub const MAX_ENVELOPE_BYTES: usize = 1_000_000;
 
-/// A bundle's text with its sign-offs.
+/// The text of a bundle with its sign-offs.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
-    /// The bundle's number, which the text must have too.
+    /// Number of the bundle; must equal the number in `yaml`.
     pub number: BundleNumber,
-    /// The operator who rolled it out, for the others to see.
+    /// The operator who rolled the bundle out, as shown to other operators.
     pub operator: String,
-    /// The bundle, as written.
+    /// The text of the bundle as the operator wrote it.
     pub yaml: String,
     /// Sign-offs of `yaml`.
     pub signatures: Vec<SignOff>,
 }
 
-/// One operator's signature.
+/// The signature of one operator.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SignOff {
-    /// The operator's public key, base64.
+    /// The public key of the operator in base64.
     pub key: String,
-    /// The signature, base64.
+    /// The signature in base64.
     pub signature: String,
 }
 
-/// Why an envelope was not accepted.
+/// Why an envelope was rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum EnvelopeError {
-    /// It is not an envelope.
+    /// The bytes are not an envelope.
     #[display("not an envelope: {reason}")]
     Malformed {
-        /// What the reader said.
+        /// Error of the parser.
         reason: String,
     },
-    /// It is over the size limit.
+    /// The envelope is larger than [`MAX_ENVELOPE_BYTES`].
     #[display("{bytes} bytes are more than {MAX_ENVELOPE_BYTES}")]
     TooLarge {
-        /// Its size.
+        /// Size of the envelope.
         bytes: usize,
     },
-    /// Fewer trusted operators signed than are needed.
+    /// Too few trusted operators signed the bundle.
     #[display("{found} valid sign-offs of trusted operators, {needed} needed")]
     MissingSignOffs {
-        /// Valid ones by different trusted keys.
+        /// Number of trusted keys with a valid signature.
         found: usize,
-        /// Needed.
+        /// Number of sign-offs that are needed.
         needed: usize,
     },
-    /// The text has another number than the envelope.
+    /// The number in the text differs from the number of the envelope.
     #[display("the envelope says number {envelope}, the bundle {bundle}")]
     NumberMismatch {
-        /// The envelope's.
+        /// Number of the envelope.
         envelope: BundleNumber,
-        /// The bundle's.
+        /// Number in the text of the bundle.
         bundle: BundleNumber,
     },
-    /// The bundle itself is wrong.
+    /// The bundle has mistakes.
     #[display("{} mistakes in the bundle, first: {}", problems.len(), problems[0])]
     InvalidBundle {
         /// Every mistake; at least one.
@@ -85,28 +85,28 @@
     },
 }
 
-/// SHA-256 of `bytes` in hex.
+/// Returns the SHA-256 hash of `bytes` in hex.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A key in base64, as settings and envelopes carry it.
+/// Encodes a public key in base64, as in settings and envelopes.
 pub fn encode_key(key: &VerifyingKey) -> String {
     BASE64.encode(key.as_bytes())
 }
 
-/// Reads a public key from base64.
+/// Decodes a public key from base64.
 pub fn decode_key(text: &str) -> Option<VerifyingKey> {
     let bytes = BASE64.decode(text.trim()).ok()?;
     VerifyingKey::from_bytes(&bytes.try_into().ok()?).ok()
 }
 
-/// A signing key in base64, as `leadstage keys new` writes it.
+/// Encodes a signing key in base64, as `leadstage keys new` writes it.
 pub fn encode_signing_key(key: &SigningKey) -> String {
     BASE64.encode(key.as_bytes())
 }
 
-/// Reads a signing key from base64.
+/// Decodes a signing key from base64.
 pub fn decode_signing_key(text: &str) -> Option<SigningKey> {
     let bytes = BASE64.decode(text.trim()).ok()?;
     Some(SigningKey::from_bytes(&bytes.try_into().ok()?))
@@ -116,14 +116,14 @@
     [SIGNING_CONTEXT, yaml.as_bytes()].concat()
 }
 
-/// Signs a bundle's text.
+/// Signs the text of a bundle.
 pub fn sign(yaml: &str, key: &SigningKey) -> SignOff {
     let signature = key.sign(&signed_bytes(yaml));
     SignOff { key: encode_key(&key.verifying_key()), signature: BASE64.encode(signature.to_bytes()) }
 }
 
 impl Envelope {
-    /// Reads an envelope from the bytes that the object API or a peer gave.
+    /// Parses an envelope from the object API or a peer.
     pub fn from_bytes(bytes: &[u8]) -> Result<Envelope, EnvelopeError> {
         if bytes.len() > MAX_ENVELOPE_BYTES {
             return Err(EnvelopeError::TooLarge { bytes: bytes.len() });
@@ -131,17 +131,17 @@
         serde_json::from_slice(bytes).map_err(|err| EnvelopeError::Malformed { reason: err.to_string() })
     }
 
-    /// The bytes to store.
+    /// Serializes the envelope for storage.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("plain data serialises")
+        serde_json::to_vec(self).expect("an envelope is serializable")
     }
 
-    /// Hash of the bundle's text, which tells one roll-out from another.
+    /// Returns the hash of the bundle's text, which distinguishes roll-outs with the same number.
     pub fn hash(&self) -> String {
         sha256_hex(self.yaml.as_bytes())
     }
 
-    /// Checks the sign-offs and the bundle, and returns the bundle.
+    /// Verifies the sign-offs, validates the bundle and returns it.
     pub fn open(&self, trusted: &[VerifyingKey], needed: usize) -> Result<Bundle, EnvelopeError> {
         let found = self.valid_sign_offs(trusted);
         if found < needed.max(1) {
@@ -155,7 +155,7 @@
         Ok(bundle)
     }
 
-    /// How many different trusted keys signed the text.
+    /// Returns the number of trusted keys with a valid signature of the text.
     fn valid_sign_offs(&self, trusted: &[VerifyingKey]) -> usize {
         let message = signed_bytes(&self.yaml);
         trusted.iter().filter(|key| self.is_signed_by(key, &message)).count()
--- a/lib/tests/test_bundle.rs
+++ b/lib/tests/test_bundle.rs
@@ -1,9 +1,9 @@
-//! Reading and checking bundles.
+//! Parsing and validation of bundles.
 
 use leadstage_lib::bundle::Bundle;
 
 fn problems(yaml: &str) -> String {
-    let problems = Bundle::from_yaml(yaml).expect_err("it has mistakes");
+    let problems = Bundle::from_yaml(yaml).expect_err("the bundle has mistakes");
     problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
@@ -48,14 +48,14 @@
 
 #[test]
 fn test_invalid_yaml_is_one_problem() {
-    assert_eq!(Bundle::from_yaml("a: [").expect_err("broken").len(), 1);
+    assert_eq!(Bundle::from_yaml("a: [").expect_err("invalid YAML").len(), 1);
 }
 
 #[test]
 fn test_examples_are_valid() {
     for name in ["najem", "bahla"] {
         let path = format!("{}/../examples/{name}.yaml", env!("CARGO_MANIFEST_DIR"));
-        let bundle = Bundle::from_yaml(&std::fs::read_to_string(path).expect("readable"));
+        let bundle = Bundle::from_yaml(&std::fs::read_to_string(path).expect("the example is readable"));
         assert_eq!(bundle.map(|b| b.fleet), Ok(name.to_owned()));
     }
 }
@@ -69,7 +69,7 @@
   - {prefix: /x/, service: a, repeatable: [GET]}
   - {prefix: /x/y/, service: b}
 ";
-    let bundle = Bundle::from_yaml(yaml).expect("right");
+    let bundle = Bundle::from_yaml(yaml).expect("a valid bundle");
     let service = |path| bundle.route(path).map(|r| r.service.to_string());
     assert_eq!(service("/x/y/z"), Some("b".to_owned()));
     assert_eq!(service("/x/z"), Some("a".to_owned()));
--- a/lib/tests/test_burn.rs
+++ b/lib/tests/test_burn.rs
@@ -1,4 +1,4 @@
-//! The burn report.
+//! Burn report over its time windows.
 
 use leadstage_lib::bundle::ServiceLevels;
 use leadstage_lib::burn::BurnCounts;
@@ -12,7 +12,7 @@
         (0..95).for_each(|_| one.observe(Indicator::FirstToken, true, minute));
         (0..5).for_each(|_| other.observe(Indicator::FirstToken, minute < 390, minute));
     }
-    assert!(one.minutes.len() <= 360, "memory grows with time");
+    assert!(one.minutes.len() <= 360, "minutes are retained without limit");
     one.add(&other);
     let lines = one.report(&ServiceLevels::default(), 399);
     let text: Vec<String> = lines
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -1,4 +1,4 @@
-//! At most once, whatever the object API and the writers do.
+//! A key is claimed by at most one arrival under faults of the object API and races between writers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 const RETENTION: Duration = Duration::from_secs(600);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The object API as one writer sees it, with a fault for each call.
+/// A fault of one call of a writer to the object API.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
     Down,
     AnswerLost,
-    /// The writer is paused: its call is carried out only after the others' next ones.
+    /// The writer is paused during the write, which reaches the store after the next calls of other writers.
     Paused,
 }
 
@@ -77,7 +77,7 @@
         self.now.as_millis() as u64
     }
 
-    /// Lets a writer go on until it has nothing to do, with a fault on each call.
+    /// Runs a writer until it has no more actions; the n-th call has the n-th fault, later calls have none.
     fn advance(&mut self, writer: usize, faults: &[Fault]) {
         self.now += Duration::from_millis(150);
         let mut faults = faults.iter().copied().chain(std::iter::repeat(Fault::None));
@@ -101,7 +101,7 @@
         let unix_now = self.unix_now();
         match action {
             ClaimAction::Answer { ticket, verdict } => {
-                assert!(self.answers.insert(ticket, verdict).is_none(), "answered twice");
+                assert!(self.answers.insert(ticket, verdict).is_none(), "a request is answered twice");
                 Vec::new()
             }
             ClaimAction::Read => {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Writers that were paused wake: their writes reach the store now.
+    /// Resumes paused writers: their writes reach the store now.
     fn resume_paused(&mut self) {
         for (writer, expected, value) in std::mem::take(&mut self.paused_writes) {
             let result = self.store.write(expected, value);
@@ -155,8 +155,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However many arrivals of one key come through however many writers, under any
-    /// faults, at most one owns it; and every arrival gets an answer.
+    /// Of any number of arrivals of a key at several writers under any faults, at most one owns the key, and
+    /// every arrival gets an answer.
     #[test]
     fn test_at_most_one_owner(
         arrivals in prop::collection::vec((0..3_usize, prop::collection::vec(fault(), 0..4)), 1..12),
@@ -207,8 +207,8 @@
     "#);
 }
 
-/// A writer whose memory of the shard is old neither drops an outcome nor tells that a
-/// settled key is still in progress.
+/// A writer with an outdated copy of the shard reads it again: it must neither drop an outcome nor report a
+/// key as in progress whose outcome another writer has recorded.
 #[test]
 fn test_writer_rereads_a_stale_shard() {
     let mut env = Env::new(2);
@@ -231,7 +231,7 @@
     env.advance(0, &[Fault::None, Fault::AnswerLost]);
     (0..3).for_each(|_| env.advance(0, &[]));
     assert_eq!(env.answers[&1], ClaimVerdict::Claimed);
-    assert_eq!(env.store.version, 1, "no second blind write");
+    assert_eq!(env.store.version, 1, "the write is not repeated blindly");
 }
 
 #[test]
@@ -242,7 +242,7 @@
     assert_eq!(env.answers[&1], ClaimVerdict::Unreachable);
 }
 
-/// What is asked while a read is under way is not answered by that read's failure.
+/// A failed read answers only requests that were submitted before the read began; later ones are retried.
 #[test]
 fn test_failed_read_answers_only_earlier_requests() {
     let mut env = Env::new(1);
@@ -267,7 +267,7 @@
     assert_eq!(env.answers[&3], ClaimVerdict::Claimed);
 }
 
-/// At the size limit no new key is taken, and outcomes of the known ones still are.
+/// A full shard rejects new keys but still records the outcomes of claimed ones.
 #[test]
 fn test_full_shard_takes_no_key_but_every_outcome() {
     let mut env = Env::new(1);
--- a/lib/tests/test_codes.rs
+++ b/lib/tests/test_codes.rs
@@ -1,4 +1,4 @@
-//! The table of result codes.
+//! Result codes and their table in docs/CODES.md.
 
 use std::collections::BTreeSet;
 
@@ -13,9 +13,9 @@
     let head = "# Result codes\n\nMade from `lib/src/code.rs`; a test fails when the two differ.\nFamilies: 1000 done; 2000 not run for the caller's reason, 2100 not run for ours; 3000 outcome unknown;\n4000 streams that had begun. \"Not run\" is said only where not a byte can have reached an upstream.\n\n";
     let expected = format!("{head}{}", markdown_table());
     if std::env::var_os("UPDATE_DOCS").is_some() {
-        std::fs::write(&path, &expected).expect("writable");
+        std::fs::write(&path, &expected).expect("docs/CODES.md is writable");
     }
-    assert_eq!(std::fs::read_to_string(path).expect("readable"), expected);
+    assert_eq!(std::fs::read_to_string(path).expect("docs/CODES.md is readable"), expected);
 }
 
 #[test]
--- a/lib/tests/test_rollout.rs
+++ b/lib/tests/test_rollout.rs
@@ -1,5 +1,5 @@
-//! Bundles: a number only rises, one of two racing operators wins, and a lost answer is
-//! settled by reading back.
+//! Roll-outs of bundles: the number in force only rises, one of several racing operators wins, and a lost
+//! response is resolved by reading the object again.
 
 use ed25519_dalek::SigningKey;
 use leadstage_lib::rollout::Rollout;
@@ -40,7 +40,7 @@
     }
 }
 
-/// An operator with her roll-out, one call at a time.
+/// An operator's roll-out, carried out one call at a time.
 struct Operator {
     envelope: Envelope,
     rollout: Rollout,
@@ -76,8 +76,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Operators race under outages and lost answers: of each number at most one bundle
-    /// is accepted, accepted numbers rise, and who is told "accepted" was.
+    /// Operators race under outages and lost responses: of each number at most one bundle is accepted,
+    /// accepted numbers rise, and a roll-out reports "accepted" only if its bundle was accepted.
     #[test]
     fn test_racing_operators(
         numbers in prop::collection::vec(1..4_u64, 2..5),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A node's number only rises, in whatever order it is offered bundles.
+    /// The number in force on a node only rises, in whatever order bundles are offered.
     #[test]
     fn test_number_only_rises(offers in prop::collection::vec(1..9_u64, 1..30)) {
         let trust = Trust { keys: vec![key().verifying_key()], sign_offs: 1 };
@@ -130,7 +130,7 @@
         second.call(&mut store, false, false);
     }
     assert_eq!(first.step, RolloutStep::Accepted);
-    let RolloutStep::Failed(err) = second.step else { panic!("both won") };
+    let RolloutStep::Failed(err) = second.step else { panic!("both roll-outs were accepted") };
     assert_eq!(err.to_string(), "number 5 is accepted already, rolled out by amina");
 }
 
@@ -142,7 +142,7 @@
     operator.call(&mut store, false, true);
     operator.call(&mut store, false, false);
     assert_eq!(operator.step, RolloutStep::Accepted);
-    assert_eq!(store.version, 1, "a second write");
+    assert_eq!(store.version, 1, "the write is not repeated");
 }
 
 #[test]
--- a/lib/tests/test_signing.rs
+++ b/lib/tests/test_signing.rs
@@ -1,4 +1,4 @@
-//! A forged, unsigned or half-signed bundle is refused.
+//! Forged bundles and bundles with too few sign-offs are rejected.
 
 use ed25519_dalek::SigningKey;
 use leadstage_lib::rollout::Trust;
