--- a/lib/src/claim_writer.rs
+++ b/lib/src/claim_writer.rs
@@ -106,7 +106,7 @@
     }
 
     /// Queues a request for `key`; the result is a [`ClaimAction::Answer`] with the same ticket.
-    pub fn ask(&mut self, ticket: Ticket, key: String, request: ClaimRequest, now: Timestamp) {
+    pub fn submit(&mut self, ticket: Ticket, key: String, request: ClaimRequest, now: Timestamp) {
         self.queue.push_back(PendingRequest { ticket, key, request, submitted_at: now });
     }
 
--- a/lib/src/code.rs
+++ b/lib/src/code.rs
@@ -18,7 +18,7 @@
 
 /// Whether a caller should retry a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum AskAgain {
+pub enum RetryAdvice {
     /// No: the same request would get the same response.
     #[display("no")]
     No,
@@ -59,8 +59,8 @@
             }
 
             /// Whether the caller should retry the request.
-            pub const fn ask_again(self) -> AskAgain {
-                match self { $(Code::$name => AskAgain::$advice,)+ }
+            pub const fn retry_advice(self) -> RetryAdvice {
+                match self { $(Code::$name => RetryAdvice::$advice,)+ }
             }
 
             /// Returns the name of the variant, as sent in the `type` of an error.
@@ -165,7 +165,7 @@
             code.name(),
             code.http_status(),
             code.ran(),
-            code.ask_again(),
+            code.retry_advice(),
             code.meaning(),
         ));
     }
--- a/lib/src/rollout.rs
+++ b/lib/src/rollout.rs
@@ -25,7 +25,7 @@
 
 /// A verified bundle that is in force on this node.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct BundleInForce {
     /// The bundle.
     pub bundle: Arc<Bundle>,
     /// The bytes of its envelope, to serve to peers.
@@ -36,18 +36,18 @@
 
 /// Verifies and opens an offered envelope if its number is above `current`. Returns `Ok(None)` if it is not,
 /// so that only a valid bundle with a higher number can replace the one in force.
-pub fn consider(
+pub fn open_if_newer(
     bytes: &[u8],
     current: Option<BundleNumber>,
     trust: &Trust,
-) -> Result<Option<InForce>, EnvelopeError> {
+) -> Result<Option<BundleInForce>, EnvelopeError> {
     let envelope = Envelope::from_bytes(bytes)?;
     if current.is_some_and(|number| envelope.number <= number) {
         return Ok(None);
     }
     let bundle = envelope.open(&trust.keys, trust.sign_offs)?;
     let hash = envelope.hash();
-    Ok(Some(InForce { bundle: Arc::new(bundle), envelope: Arc::new(bytes.to_vec()), hash }))
+    Ok(Some(BundleInForce { bundle: Arc::new(bundle), envelope: Arc::new(bytes.to_vec()), hash }))
 }
 
 /// Why a roll-out failed or its outcome is unknown.
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -66,11 +66,16 @@
 
     fn claim(&mut self, writer: usize, ticket: u64, key: &str, digest: &str) {
         let request = ClaimRequest::Claim { nonce: ticket, by: "entry-1".into(), digest: digest.to_owned() };
-        self.writers[writer].ask(ticket, key.to_owned(), request, self.now);
+        self.writers[writer].submit(ticket, key.to_owned(), request, self.now);
     }
 
     fn record(&mut self, writer: usize, ticket: u64, key: &str, nonce: u64, outcome: ClaimOutcome) {
-        self.writers[writer].ask(ticket, key.to_owned(), ClaimRequest::Record { nonce, outcome }, self.now);
+        self.writers[writer].submit(
+            ticket,
+            key.to_owned(),
+            ClaimRequest::Record { nonce, outcome },
+            self.now,
+        );
     }
 
     fn unix_now(&self) -> u64 {
--- a/lib/tests/test_rollout.rs
+++ b/lib/tests/test_rollout.rs
@@ -6,7 +6,7 @@
 use leadstage_lib::rollout::RolloutError;
 use leadstage_lib::rollout::RolloutStep;
 use leadstage_lib::rollout::Trust;
-use leadstage_lib::rollout::consider;
+use leadstage_lib::rollout::open_if_newer;
 use leadstage_lib::signing::Envelope;
 use leadstage_lib::signing::sign;
 use proptest::prelude::*;
@@ -112,7 +112,7 @@
         let mut current = None;
         for number in offers {
             let bytes = envelope(number, "operator").to_bytes();
-            if let Some(new) = consider(&bytes, current, &trust).expect("valid") {
+            if let Some(new) = open_if_newer(&bytes, current, &trust).expect("valid") {
                 prop_assert!(current.is_none_or(|old| old < new.bundle.number));
                 current = Some(new.bundle.number);
             }
--- a/lib/tests/test_signing.rs
+++ b/lib/tests/test_signing.rs
@@ -2,7 +2,7 @@
 
 use ed25519_dalek::SigningKey;
 use leadstage_lib::rollout::Trust;
-use leadstage_lib::rollout::consider;
+use leadstage_lib::rollout::open_if_newer;
 use leadstage_lib::signing::Envelope;
 use leadstage_lib::signing::decode_key;
 use leadstage_lib::signing::encode_key;
@@ -24,7 +24,7 @@
 }
 
 fn verdict(envelope: &Envelope) -> String {
-    match consider(&envelope.to_bytes(), None, &trust()) {
+    match open_if_newer(&envelope.to_bytes(), None, &trust()) {
         Ok(Some(new)) => format!("bundle {} in force", new.bundle.number),
         Ok(None) => "not newer".to_owned(),
         Err(err) => err.to_string(),
@@ -65,7 +65,7 @@
 
 #[test]
 fn test_malformed_and_oversized_envelopes_are_refused() {
-    assert!(consider(b"{}", None, &trust()).is_err());
-    assert!(consider(&vec![b'x'; 2_000_000], None, &trust()).is_err());
+    assert!(open_if_newer(b"{}", None, &trust()).is_err());
+    assert!(open_if_newer(&vec![b'x'; 2_000_000], None, &trust()).is_err());
     assert_eq!(decode_key("AAAA"), None);
 }
--- a/node/src/bundle_watch.rs
+++ b/node/src/bundle_watch.rs
@@ -50,7 +50,7 @@
 pub fn consider(control: &ControlRef, bytes: &[u8], from: &str) {
     let mut control = control.borrow_mut();
     let current = control.shared.bundle().map(|b| b.number);
-    match rollout::consider(bytes, current, &control.settings.trust) {
+    match rollout::open_if_newer(bytes, current, &control.settings.trust) {
         Ok(Some(new)) => control.put_in_force(new),
         Ok(None) => {}
         Err(err) => warn!(event = "bundle_refused", from = from, reason:% = err; "bundle refused"),
--- a/node/src/claim_driver.rs
+++ b/node/src/claim_driver.rs
@@ -162,7 +162,7 @@
         let ticket = control.claims.tickets;
         let shard = control.claims.shard(shard);
         shard.replies.insert(ticket, reply);
-        shard.writer.ask(ticket, key, request, now);
+        shard.writer.submit(ticket, key, request, now);
     }
     pump(control, shard);
     rx.await.unwrap_or(ClaimVerdict::Unreachable)
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -12,7 +12,7 @@
 use leadstage_lib::membership::MembershipAction;
 use leadstage_lib::membership::PAUSE;
 use leadstage_lib::pool_event::PoolEvent;
-use leadstage_lib::rollout::InForce;
+use leadstage_lib::rollout::BundleInForce;
 use leadstage_lib::upstreams::Directory;
 use log::info;
 use rand::RngExt;
@@ -123,7 +123,7 @@
     }
 
     /// Puts a bundle in force if it is newer.
-    pub fn put_in_force(&mut self, new: InForce) {
+    pub fn put_in_force(&mut self, new: BundleInForce) {
         let bundle = new.bundle.clone();
         let hash = new.hash.clone();
         if !self.shared.set_in_force(new) {
--- a/node/src/gateway/reply.rs
+++ b/node/src/gateway/reply.rs
@@ -42,7 +42,7 @@
         let headers = res.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert("leadstage-code", HeaderValue::from(self.code.number()));
-        if self.code.ask_again() == leadstage_lib::code::AskAgain::Later {
+        if self.code.retry_advice() == leadstage_lib::code::RetryAdvice::Later {
             let after = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER).as_secs_f64();
             let after = HeaderValue::from_str(&format!("{after:.2}")).expect("a number is a valid value");
             headers.insert(header::RETRY_AFTER, after);
--- a/node/src/refusal.rs
+++ b/node/src/refusal.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use leadstage_lib::code::AskAgain;
 use leadstage_lib::code::Code;
+use leadstage_lib::code::RetryAdvice;
 use serde_json::json;
 use xitca_web::body::ResponseBody;
 use xitca_web::http::HeaderValue;
@@ -44,7 +44,7 @@
     }
 
     fn tells_retry(&self) -> bool {
-        self.code.ask_again() != AskAgain::No
+        self.code.retry_advice() != RetryAdvice::No
     }
 
     /// The JSON body.
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -20,7 +20,7 @@
 use leadstage_lib::ids::UpstreamId;
 use leadstage_lib::ids::VmId;
 use leadstage_lib::retry::RetryBudget;
-use leadstage_lib::rollout::InForce;
+use leadstage_lib::rollout::BundleInForce;
 use leadstage_lib::status::NodeStatus;
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -77,7 +77,7 @@
     pub stop_now: AtomicBool,
     /// Nothing new is taken.
     closed: AtomicBool,
-    in_force: RwLock<Option<InForce>>,
+    in_force: RwLock<Option<BundleInForce>>,
     readiness: RwLock<Readiness>,
     upstreams: RwLock<Arc<UpstreamTable>>,
     status: RwLock<NodeStatus>,
@@ -119,7 +119,7 @@
     }
 
     /// The bundle in force with its envelope.
-    pub fn in_force(&self) -> Option<InForce> {
+    pub fn in_force(&self) -> Option<BundleInForce> {
         self.in_force.read().expect("no holder panics").clone()
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Puts a bundle in force; a lower or equal number is not taken.
-    pub fn set_in_force(&self, new: InForce) -> bool {
+    pub fn set_in_force(&self, new: BundleInForce) -> bool {
         let mut current = self.in_force.write().expect("no holder panics");
         let newer = current.as_ref().is_none_or(|f| f.bundle.number < new.bundle.number);
         if newer {
