--- a/lib/src/bundle_check.rs
+++ b/lib/src/bundle_check.rs
@@ -1,4 +1,4 @@
-//! Reads a bundle and checks it: ranges, references and uniqueness.
+//! Parses and validates bundles: value ranges, references and uniqueness.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,17 +11,16 @@
 use crate::checked_yaml;
 use crate::checked_yaml::Problem;
 
-/// Characters of a SHA-256 in hex.
-const HASH_CHARS: usize = 64;
-/// Characters of an id at most.
+/// Length of a SHA-256 hash in hex digits.
+const TOKEN_HASH_CHARS: usize = 64;
 const MAX_ID_CHARS: usize = 64;
-/// Shards at most: with the commit interval they bound the write rate.
+/// Maximum of `claim_shards`; together with `claim_commit` it limits the write rate.
 const MAX_CLAIM_SHARDS: u32 = 64;
-/// Writes a second that claims may use of the object API's hundred.
-const MAX_CLAIM_WRITES: f64 = 60.0;
+/// Write rate that claims may use; the object API supports 100 writes per second in total.
+const MAX_CLAIM_WRITES_PER_SECOND: f64 = 60.0;
 
 impl Bundle {
-    /// Reads and checks a bundle; the error lists every mistake.
+    /// Parses and validates a bundle; the error lists every mistake.
     pub fn from_yaml(yaml: &str) -> Result<Bundle, Vec<Problem>> {
         let (bundle, mut problems) = checked_yaml::read::<Bundle>(yaml);
         if let Some(bundle) = &bundle {
@@ -34,7 +33,7 @@
     }
 }
 
-/// All that is wrong with `bundle`.
+/// Returns every mistake in the values of `bundle`.
 fn check(bundle: &Bundle) -> Vec<Problem> {
     let mut problems = Vec::new();
     if bundle.number == 0 {
@@ -59,8 +58,8 @@
     let mut seen = BTreeSet::new();
     for (at, id) in ids.enumerate() {
         let path = format!("{list}[{at}].id");
-        let plain = id.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
-        if id.is_empty() || id.len() > MAX_ID_CHARS || !plain {
+        let is_plain = id.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
+        if id.is_empty() || id.len() > MAX_ID_CHARS || !is_plain {
             let allowed = "must be 1 to 64 of letters, digits, '-', '_' and '.'";
             problems.push(Problem::new(&*path, format!("{id:?} {allowed}")));
         } else if !seen.insert(id) {
@@ -78,8 +77,8 @@
         check_range(problems, &format!("{path}.max_open"), f64::from(organisation.max_open), 1.0, 1e6);
         for (nth, hash) in organisation.token_hashes.iter().enumerate() {
             let path = format!("{path}.token_hashes[{nth}]");
-            let hex = hash.chars().all(|c| c.is_ascii_digit() || ('a'..='f').contains(&c));
-            if hash.len() != HASH_CHARS || !hex {
+            let is_hex = hash.chars().all(|c| c.is_ascii_digit() || ('a'..='f').contains(&c));
+            if hash.len() != TOKEN_HASH_CHARS || !is_hex {
                 problems.push(Problem::new(path, "must be a SHA-256 as 64 lower-case hex digits"));
             } else if !hashes.insert(hash) {
                 problems.push(Problem::new(path, "stands twice in the bundle"));
@@ -97,7 +96,7 @@
         check_range(problems, &format!("{path}.max_output_tokens"), output, 1.0, 1e7);
         check_ids(problems, &format!("{path}.adapters"), model.adapters.iter().map(String::as_str));
         if bundle.services.iter().any(|s| s.id == model.id) {
-            problems.push(Problem::new(format!("{path}.id"), "is a service's id too"));
+            problems.push(Problem::new(format!("{path}.id"), "is also the id of a service"));
         }
     }
 }
@@ -134,8 +133,8 @@
 }
 
 fn check_bounds(problems: &mut Vec<Problem>, bounds: &Bounds) {
-    let mut range = |name: &str, value: f64, least: f64, most: f64| {
-        check_range(problems, &format!("bounds.{name}"), value, least, most);
+    let mut range = |name: &str, value: f64, min: f64, max: f64| {
+        check_range(problems, &format!("bounds.{name}"), value, min, max);
     };
     range("max_body_bytes", bounds.max_body_bytes as f64, 1_024.0, 64e6);
     range("max_open_per_node", f64::from(bounds.max_open_per_node), 1.0, 1e6);
@@ -143,10 +142,10 @@
     range("overflow_chance", bounds.overflow_chance, 0.0001, 0.5);
     range("retry_ratio", bounds.retry_ratio, 0.0, 1.0);
     range("claim_shards", f64::from(bounds.claim_shards), 1.0, f64::from(MAX_CLAIM_SHARDS));
-    let mut time = |name: &str, value: Duration, least_ms: u64, most_s: u64| {
-        let (least, most) = (Duration::from_millis(least_ms), Duration::from_secs(most_s));
-        if value < least || value > most {
-            let message = format!("{value:?} must be from {least:?} to {most:?}");
+    let mut time = |name: &str, value: Duration, min_ms: u64, max_s: u64| {
+        let (min, max) = (Duration::from_millis(min_ms), Duration::from_secs(max_s));
+        if value < min || value > max {
+            let message = format!("{value:?} must be from {min:?} to {max:?}");
             problems.push(Problem::new(format!("bounds.{name}"), message));
         }
     };
@@ -159,12 +158,12 @@
     time("alone_within", bounds.alone_within, 2_000, 600);
     time("claim_commit", bounds.claim_commit, 10, 10);
     time("claims_kept", bounds.claims_kept, 1_000, 86_400);
-    check_claim_writes(problems, bounds);
+    check_claim_write_rate(problems, bounds);
 }
 
-fn check_claim_writes(problems: &mut Vec<Problem>, bounds: &Bounds) {
+fn check_claim_write_rate(problems: &mut Vec<Problem>, bounds: &Bounds) {
     let writes = f64::from(bounds.claim_shards) / bounds.claim_commit.as_secs_f64().max(0.001);
-    if writes > MAX_CLAIM_WRITES {
+    if writes > MAX_CLAIM_WRITES_PER_SECOND {
         let message =
             format!("{writes:.0} claim writes a second; claim_shards / claim_commit must be 60 or less");
         problems.push(Problem::new("bounds.claim_shards", message));
@@ -175,8 +174,8 @@
     check_range(problems, &format!("service_levels.{name}.share"), level.share, 0.5, 0.99999);
 }
 
-fn check_range(problems: &mut Vec<Problem>, path: &str, value: f64, least: f64, most: f64) {
-    if !(least..=most).contains(&value) {
-        problems.push(Problem::new(path, format!("{value} must be from {least} to {most}")));
+fn check_range(problems: &mut Vec<Problem>, path: &str, value: f64, min: f64, max: f64) {
+    if !(min..=max).contains(&value) {
+        problems.push(Problem::new(path, format!("{value} must be from {min} to {max}")));
     }
 }
--- a/lib/src/claim_writer.rs
+++ b/lib/src/claim_writer.rs
@@ -1,5 +1,6 @@
-//! Writes one shard of claims for this VM: many requests in one conditional update.
-//! Sans-I/O; one [`ClaimWriter`] for a shard.
+//! Writes the claim shards of this VM: many requests are committed in one conditional update.
+//!
+//! Sans-I/O; there is one [`ClaimWriter`] per shard.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,48 +12,48 @@
 use crate::ids::Timestamp;
 use crate::ids::UnixMillis;
 
-/// What the driver is to do. It bounds the time of each read and write itself and
-/// reports each exactly once.
+/// An action for the driver, which applies a timeout to each read and write and reports the result of each
+/// exactly once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimAction {
-    /// Read the shard's object and report with [`ClaimWriter::on_read`].
+    /// Read the object of the shard and report the result to [`ClaimWriter::on_read`].
     Read,
-    /// Write it if it still has this version, and report with [`ClaimWriter::on_write`].
+    /// Write the object if its version is `expected`, and report the result to [`ClaimWriter::on_write`].
     Write {
-        /// The version that it must have; 0 for absent.
+        /// The version that the object must have; 0 if it must not exist.
         expected: u64,
         /// The new value.
         value: Vec<u8>,
     },
-    /// Answer a question.
+    /// Answer a request.
     Answer {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// The answer.
+        /// The result of the request.
         verdict: ClaimVerdict,
     },
 }
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect and the object has this version.
+    /// The write took effect.
     Done {
-        /// The new version.
+        /// The new version of the object.
         version: u64,
     },
-    /// The object had another version.
+    /// The object had another version; the write did not take effect.
     Conflict,
-    /// No answer, or a failure: it may have taken effect.
+    /// The write failed or timed out; it may have taken effect.
     Unknown,
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRequest {
     ticket: Ticket,
     key: String,
     request: ClaimRequest,
-    since: Timestamp,
+    submitted_at: Timestamp,
 }
 
 #[derive(Debug, PartialEq)]
@@ -62,61 +63,61 @@
     Writing,
 }
 
-/// A shard, and whether it was read just now.
-struct Known {
+/// A version of the shard, and whether it was read for the current commit.
+struct ShardSnapshot {
     version: u64,
     shard: ClaimShard,
     fresh: bool,
 }
 
-/// Writes one shard for this VM: many requests in one conditional update.
+/// Commits the requests of this VM to one shard, many of them in one conditional update.
 #[derive(Debug)]
 pub struct ClaimWriter {
     state: State,
     shard: Option<(u64, ClaimShard)>,
     proposed: ClaimShard,
-    asked: VecDeque<Asked>,
+    queue: VecDeque<PendingRequest>,
     answers: Vec<(Ticket, ClaimVerdict)>,
-    in_read: usize,
-    in_write: usize,
+    queued_at_read: usize,
+    queued_at_write: usize,
     last_write: Option<Timestamp>,
     commit_interval: Duration,
-    kept: Duration,
-    patience: Duration,
+    retention: Duration,
+    timeout: Duration,
 }
 
 impl ClaimWriter {
-    /// A writer that commits at most once in `commit_interval`, keeps claims for
-    /// `kept`, and gives up on a request after `patience`.
-    pub fn new(commit_interval: Duration, kept: Duration, patience: Duration) -> Self {
+    /// Creates a writer that starts a commit no earlier than `commit_interval` after its last write, retains
+    /// claims for `retention`, and abandons a request after `timeout`.
+    pub fn new(commit_interval: Duration, retention: Duration, timeout: Duration) -> Self {
         ClaimWriter {
             state: State::Idle,
             shard: None,
             proposed: ClaimShard::default(),
-            asked: VecDeque::new(),
+            queue: VecDeque::new(),
             answers: Vec::new(),
-            in_read: 0,
-            in_write: 0,
+            queued_at_read: 0,
+            queued_at_write: 0,
             last_write: None,
             commit_interval,
-            kept,
-            patience,
+            retention,
+            timeout,
         }
     }
 
-    /// Something is wanted of `key`.
-    pub fn ask(&mut self, ticket: Ticket, key: String, request: ClaimRequest, now: Timestamp) {
-        self.asked.push_back(Asked { ticket, key, request, since: now });
+    /// Queues a request for `key`; the result is a [`ClaimAction::Answer`] with the same ticket.
+    pub fn submit(&mut self, ticket: Ticket, key: String, request: ClaimRequest, now: Timestamp) {
+        self.queue.push_back(PendingRequest { ticket, key, request, submitted_at: now });
     }
 
-    /// Time has passed, or something was asked; `unix_now` stamps new claims.
+    /// Starts a commit if one is due, and expires old requests; `unix_now` is the time of new claims.
     pub fn advance(&mut self, now: Timestamp, unix_now: UnixMillis) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         if self.state == State::Idle {
-            self.give_up_requests(now, &mut actions);
+            self.expire_requests(now, &mut actions);
         }
         let due = self.last_write.is_none_or(|at| now.saturating_sub(at) >= self.commit_interval);
-        if self.state != State::Idle || self.asked.is_empty() || !due {
+        if self.state != State::Idle || self.queue.is_empty() || !due {
             return actions;
         }
         match self.shard.take() {
@@ -124,27 +125,27 @@
                 self.read(&mut actions);
             }
             Some((version, shard)) => {
-                self.commit(Known { version, shard, fresh: false }, now, unix_now, &mut actions)
+                self.commit(ShardSnapshot { version, shard, fresh: false }, now, unix_now, &mut actions)
             }
         }
         actions
     }
 
-    /// What is not answered in time is answered "unreachable": the arrival must not
-    /// dispatch, so "not run" stays true even if a lost write took effect.
-    fn give_up_requests(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
-        let patience = self.patience;
-        while let Some(asked) = self.asked.front() {
-            if now.saturating_sub(asked.since) < patience {
+    /// Answers requests that have timed out with [`ClaimVerdict::Unreachable`]. The arrival must then not be
+    /// dispatched, so that "not run" is true even if a write whose result was lost took effect.
+    fn expire_requests(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
+        let timeout = self.timeout;
+        while let Some(pending) = self.queue.front() {
+            if now.saturating_sub(pending.submitted_at) < timeout {
                 return;
             }
-            actions.push(ClaimAction::Answer { ticket: asked.ticket, verdict: ClaimVerdict::Unreachable });
-            self.asked.pop_front();
+            actions.push(ClaimAction::Answer { ticket: pending.ticket, verdict: ClaimVerdict::Unreachable });
+            self.queue.pop_front();
         }
     }
 
-    /// The read is over: the object's version and value, (0, empty) when it is absent,
-    /// or `None` when it failed.
+    /// Handles the result of a read: the version and value of the object, (0, empty) if the object does not
+    /// exist, or `None` if the read failed.
     pub fn on_read(
         &mut self,
         read: Option<(u64, Vec<u8>)>,
@@ -159,7 +160,7 @@
         let parsed = read.and_then(|(version, value)| Some((version, ClaimShard::from_bytes(&value)?)));
         match parsed {
             Some((version, shard)) => {
-                self.commit(Known { version, shard, fresh: true }, now, unix_now, &mut actions)
+                self.commit(ShardSnapshot { version, shard, fresh: true }, now, unix_now, &mut actions)
             }
             None => self.answer_unreachable(&mut actions),
         }
@@ -168,35 +169,41 @@
 
     fn read(&mut self, actions: &mut Vec<ClaimAction>) {
         self.state = State::Reading;
-        self.in_read = self.asked.len();
+        self.queued_at_read = self.queue.len();
         actions.push(ClaimAction::Read);
     }
 
-    /// The object API cannot be read: answer at once instead of waiting on. What was asked
-    /// since the read began is not answered by it: the object API may be back by then.
+    /// Answers requests at once after a failed read, instead of letting them time out. Requests that were
+    /// submitted after the read began stay queued: the object API may be reachable again by then.
     fn answer_unreachable(&mut self, actions: &mut Vec<ClaimAction>) {
-        for asked in self.asked.drain(..self.in_read) {
-            actions.push(ClaimAction::Answer { ticket: asked.ticket, verdict: ClaimVerdict::Unreachable });
+        for pending in self.queue.drain(..self.queued_at_read) {
+            actions.push(ClaimAction::Answer { ticket: pending.ticket, verdict: ClaimVerdict::Unreachable });
         }
     }
 
-    /// Applies what was asked and writes the result if it differs. What another writer
-    /// may have settled since the shard was read is never answered from memory: the
-    /// shard is read again first.
-    fn commit(&mut self, known: Known, now: Timestamp, unix_now: UnixMillis, actions: &mut Vec<ClaimAction>) {
-        let Known { version, shard, fresh } = known;
+    /// Applies the queued requests and writes the shard if they change it. A result that another writer may
+    /// have changed since the shard was read is not answered from the cached shard: the shard is read again
+    /// first.
+    fn commit(
+        &mut self,
+        snapshot: ShardSnapshot,
+        now: Timestamp,
+        unix_now: UnixMillis,
+        actions: &mut Vec<ClaimAction>,
+    ) {
+        let ShardSnapshot { version, shard, fresh } = snapshot;
         let mut proposed = shard.clone();
-        proposed.drop_old(unix_now, self.kept);
+        proposed.remove_expired(unix_now, self.retention);
         let mut bytes = proposed.to_bytes().len();
         self.answers.clear();
-        for asked in &self.asked {
-            let verdict = proposed.apply(&asked.key, &asked.request, unix_now, &mut bytes);
-            self.answers.push((asked.ticket, verdict));
+        for pending in &self.queue {
+            let verdict = proposed.apply(&pending.key, &pending.request, unix_now, &mut bytes);
+            self.answers.push((pending.ticket, verdict));
         }
         if !fresh && self.answers.iter().any(|(_, verdict)| verdict.may_be_outdated()) {
             return self.read(actions);
         }
-        self.in_write = self.asked.len();
+        self.queued_at_write = self.queue.len();
         if proposed == shard {
             self.shard = Some((version, shard));
             return self.answer(actions);
@@ -209,14 +216,14 @@
     }
 
     fn answer(&mut self, actions: &mut Vec<ClaimAction>) {
-        self.asked.drain(..self.in_write.min(self.asked.len()));
-        self.in_write = 0;
+        self.queue.drain(..self.queued_at_write.min(self.queue.len()));
+        self.queued_at_write = 0;
         let answers = std::mem::take(&mut self.answers);
         actions.extend(answers.into_iter().map(|(ticket, verdict)| ClaimAction::Answer { ticket, verdict }));
     }
 
-    /// The write is over. After a conflict or a lost answer the shard is read again:
-    /// what took effect is found by its nonce, the rest is tried again.
+    /// Handles the result of a write. After a conflict or an unknown result the shard is read again: requests
+    /// that took effect are recognised by their nonce, the others are applied again.
     pub fn on_write(&mut self, result: WriteResult) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         if self.state != State::Writing {
@@ -235,8 +242,8 @@
         actions
     }
 
-    /// Requests that wait for an answer.
+    /// Returns the number of requests that wait for an answer.
     pub fn waiting(&self) -> usize {
-        self.asked.len()
+        self.queue.len()
     }
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,8 +1,7 @@
-//! Every decision of leadstage, sans-I/O: no sockets, threads, clocks or global
-//! randomness. Events and the time go in, typed actions come out, and a seed makes a
-//! run repeatable. A foreign bench drives the same interfaces as the node does.
+//! All decision logic of leadstage, sans-I/O: no sockets, threads, clocks or global randomness. Callers pass
+//! in events and the current time and get typed actions back; a seed makes a run reproducible. External
+//! simulations drive the same interfaces as the node does.
 
-pub mod blame;
 pub mod bundle;
 pub mod bundle_check;
 pub mod burn;
@@ -10,12 +9,13 @@
 pub mod claim_writer;
 pub mod claims;
 pub mod code;
-pub mod engine_book;
+pub mod engine_tracker;
 pub mod fair_queue;
 pub mod fence;
 pub mod gateway;
 pub mod ids;
 pub mod length_model;
+pub mod loss_limit;
 pub mod membership;
 pub mod overflow;
 pub mod placement;
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -1,4 +1,4 @@
-//! At most once, whatever the object API and the writers do.
+//! A key is claimed by at most one arrival under faults of the object API and races between writers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use leadstage_lib::claims::ClaimRequest;
 use leadstage_lib::claims::ClaimShard;
 use leadstage_lib::claims::ClaimVerdict;
-use leadstage_lib::claims::FULL_BYTES;
+use leadstage_lib::claims::FULL_SHARD_BYTES;
 use leadstage_lib::code::Code;
 use proptest::prelude::*;
 
-const KEPT: Duration = Duration::from_secs(600);
-const PATIENCE: Duration = Duration::from_secs(2);
+const RETENTION: Duration = Duration::from_secs(600);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The object API as one writer sees it, with a fault for each call.
+/// A fault of one call of a writer to the object API.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
     Down,
     AnswerLost,
-    /// The writer is paused: its call is carried out only after the others' next ones.
+    /// The writer is paused during the write, which reaches the store after the next calls of other writers.
     Paused,
 }
 
@@ -47,18 +47,18 @@
 struct Env {
     store: Store,
     writers: Vec<ClaimWriter>,
-    delayed: Vec<(usize, u64, Vec<u8>)>,
+    paused_writes: Vec<(usize, u64, Vec<u8>)>,
     answers: BTreeMap<u64, ClaimVerdict>,
     now: Duration,
 }
 
 impl Env {
     fn new(writers: usize) -> Env {
-        let writer = || ClaimWriter::new(Duration::from_millis(100), KEPT, PATIENCE);
+        let writer = || ClaimWriter::new(Duration::from_millis(100), RETENTION, REQUEST_TIMEOUT);
         Env {
             store: Store::default(),
             writers: (0..writers).map(|_| writer()).collect(),
-            delayed: Vec::new(),
+            paused_writes: Vec::new(),
             answers: BTreeMap::new(),
             now: Duration::from_secs(1),
         }
@@ -66,23 +66,28 @@
 
     fn claim(&mut self, writer: usize, ticket: u64, key: &str, digest: &str) {
         let request = ClaimRequest::Claim { nonce: ticket, by: "entry-1".into(), digest: digest.to_owned() };
-        self.writers[writer].ask(ticket, key.to_owned(), request, self.now);
+        self.writers[writer].submit(ticket, key.to_owned(), request, self.now);
     }
 
     fn record(&mut self, writer: usize, ticket: u64, key: &str, nonce: u64, outcome: ClaimOutcome) {
-        self.writers[writer].ask(ticket, key.to_owned(), ClaimRequest::Record { nonce, outcome }, self.now);
+        self.writers[writer].submit(
+            ticket,
+            key.to_owned(),
+            ClaimRequest::Record { nonce, outcome },
+            self.now,
+        );
     }
 
-    fn unix(&self) -> u64 {
+    fn unix_now(&self) -> u64 {
         self.now.as_millis() as u64
     }
 
-    /// Lets a writer go on until it has nothing to do, with a fault on each call.
+    /// Runs a writer until it has no more actions; the n-th call has the n-th fault, later calls have none.
     fn advance(&mut self, writer: usize, faults: &[Fault]) {
         self.now += Duration::from_millis(150);
         let mut faults = faults.iter().copied().chain(std::iter::repeat(Fault::None));
-        let unix = self.unix();
-        let mut actions = self.writers[writer].advance(self.now, unix);
+        let unix_now = self.unix_now();
+        let mut actions = self.writers[writer].advance(self.now, unix_now);
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in actions {
@@ -98,10 +103,10 @@
         action: ClaimAction,
         faults: &mut impl Iterator<Item = Fault>,
     ) -> Vec<ClaimAction> {
-        let unix = self.unix();
+        let unix_now = self.unix_now();
         match action {
             ClaimAction::Answer { ticket, verdict } => {
-                assert!(self.answers.insert(ticket, verdict).is_none(), "answered twice");
+                assert!(self.answers.insert(ticket, verdict).is_none(), "a request is answered twice");
                 Vec::new()
             }
             ClaimAction::Read => {
@@ -109,7 +114,7 @@
                     Some(Fault::Down) => None,
                     _ => Some((self.store.version, self.store.value.clone())),
                 };
-                self.writers[writer].on_read(found, self.now, unix)
+                self.writers[writer].on_read(found, self.now, unix_now)
             }
             ClaimAction::Write { expected, value } => match faults.next() {
                 Some(Fault::Down) => self.writers[writer].on_write(WriteResult::Unknown),
@@ -118,7 +123,7 @@
                     self.writers[writer].on_write(WriteResult::Unknown)
                 }
                 Some(Fault::Paused) => {
-                    self.delayed.push((writer, expected, value));
+                    self.paused_writes.push((writer, expected, value));
                     Vec::new()
                 }
                 _ => {
@@ -129,9 +134,9 @@
         }
     }
 
-    /// Writers that were paused wake: their writes reach the store now.
-    fn wake(&mut self) {
-        for (writer, expected, value) in std::mem::take(&mut self.delayed) {
+    /// Resumes paused writers: their writes reach the store now.
+    fn resume_paused(&mut self) {
+        for (writer, expected, value) in std::mem::take(&mut self.paused_writes) {
             let result = self.store.write(expected, value);
             let actions = self.writers[writer].on_write(result);
             for action in actions {
@@ -143,7 +148,7 @@
         }
     }
 
-    fn owners(&self) -> usize {
+    fn owner_count(&self) -> usize {
         self.answers.values().filter(|v| **v == ClaimVerdict::Claimed).count()
     }
 }
@@ -155,8 +160,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However many arrivals of one key come through however many writers, under any
-    /// faults, at most one owns it; and every arrival gets an answer.
+    /// Of any number of arrivals of a key at several writers under any faults, at most one owns the key, and
+    /// every arrival gets an answer.
     #[test]
     fn test_at_most_one_owner(
         arrivals in prop::collection::vec((0..3_usize, prop::collection::vec(fault(), 0..4)), 1..12),
@@ -166,14 +171,14 @@
             env.claim(*writer, ticket as u64 + 1, "key", "digest");
             env.advance(*writer, faults);
             if ticket % 3 == 2 {
-                env.wake();
+                env.resume_paused();
             }
         }
-        env.wake();
+        env.resume_paused();
         for writer in 0..3 {
             (0..20).for_each(|_| env.advance(writer, &[]));
         }
-        prop_assert!(env.owners() <= 1, "{:?}", env.answers);
+        prop_assert!(env.owner_count() <= 1, "{:?}", env.answers);
         prop_assert_eq!(env.answers.len(), arrivals.len());
     }
 }
@@ -207,10 +212,10 @@
     "#);
 }
 
-/// A writer whose memory of the shard is old neither drops an outcome nor tells that a
-/// settled key is still in progress.
+/// A writer with an outdated copy of the shard reads it again: it must neither drop an outcome nor report a
+/// key as in progress whose outcome another writer has recorded.
 #[test]
-fn test_writer_with_an_old_shard_reads_again() {
+fn test_writer_rereads_a_stale_shard() {
     let mut env = Env::new(2);
     env.claim(1, 1, "other", "digest");
     env.advance(1, &[]);
@@ -231,20 +236,20 @@
     env.advance(0, &[Fault::None, Fault::AnswerLost]);
     (0..3).for_each(|_| env.advance(0, &[]));
     assert_eq!(env.answers[&1], ClaimVerdict::Claimed);
-    assert_eq!(env.store.version, 1, "no second blind write");
+    assert_eq!(env.store.version, 1, "the write is not repeated blindly");
 }
 
 #[test]
-fn test_object_api_down_answers_at_once() {
+fn test_unreachable_object_api_is_answered_at_once() {
     let mut env = Env::new(1);
     env.claim(0, 1, "key", "digest");
     env.advance(0, &[Fault::Down]);
     assert_eq!(env.answers[&1], ClaimVerdict::Unreachable);
 }
 
-/// What is asked while a read is under way is not answered by that read's failure.
+/// A failed read answers only requests that were submitted before the read began; later ones are retried.
 #[test]
-fn test_failed_read_answers_only_what_was_asked_before_it() {
+fn test_failed_read_answers_only_earlier_requests() {
     let mut env = Env::new(1);
     env.claim(0, 1, "one", "digest");
     assert_eq!(env.writers[0].advance(env.now, 0), [ClaimAction::Read]);
@@ -267,7 +272,7 @@
     assert_eq!(env.answers[&3], ClaimVerdict::Claimed);
 }
 
-/// At the size limit no new key is taken, and outcomes of the known ones still are.
+/// A full shard rejects new keys but still records the outcomes of claimed ones.
 #[test]
 fn test_full_shard_takes_no_key_but_every_outcome() {
     let mut env = Env::new(1);
@@ -276,8 +281,8 @@
     (1..=count).for_each(|n| env.claim(0, n, &format!("{n:032}"), &digest));
     env.advance(0, &[]);
     let full = env.answers.values().filter(|v| **v == ClaimVerdict::Full).count();
-    assert!(full > 0 && env.owners() > 4_000, "{} owners, {full} refused", env.owners());
-    assert!(env.store.value.len() <= FULL_BYTES);
+    assert!(full > 0 && env.owner_count() > 4_000, "{} owners, {full} refused", env.owner_count());
+    assert!(env.store.value.len() <= FULL_SHARD_BYTES);
     let body = ClaimOutcome { body: Some("b".repeat(2_000)), ..done() };
     for n in 1..=200 {
         env.record(0, count + n, &format!("{n:032}"), n, body.clone());
@@ -293,5 +298,5 @@
     let mut env = Env::new(1);
     (1..=500).for_each(|n| env.claim(0, n, &format!("key-{n}"), "digest"));
     env.advance(0, &[]);
-    assert_eq!((env.store.version, env.owners()), (1, 500));
+    assert_eq!((env.store.version, env.owner_count()), (1, 500));
 }
--- a/lib/tests/test_rollout.rs
+++ b/lib/tests/test_rollout.rs
@@ -1,12 +1,12 @@
-//! Bundles: a number only rises, one of two racing operators wins, and a lost answer is
-//! settled by reading back.
+//! Roll-outs of bundles: the number in force only rises, one of several racing operators wins, and a lost
+//! response is resolved by reading the object again.
 
 use ed25519_dalek::SigningKey;
 use leadstage_lib::rollout::Rollout;
 use leadstage_lib::rollout::RolloutError;
 use leadstage_lib::rollout::RolloutStep;
 use leadstage_lib::rollout::Trust;
-use leadstage_lib::rollout::consider;
+use leadstage_lib::rollout::open_if_newer;
 use leadstage_lib::signing::Envelope;
 use leadstage_lib::signing::sign;
 use proptest::prelude::*;
@@ -40,7 +40,7 @@
     }
 }
 
-/// An operator with her roll-out, one call at a time.
+/// An operator's roll-out, carried out one call at a time.
 struct Operator {
     envelope: Envelope,
     rollout: Rollout,
@@ -68,7 +68,7 @@
                     (false, false) => self.rollout.on_conflict(),
                 }
             }
-            over => over,
+            last => last,
         };
     }
 }
@@ -76,8 +76,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Operators race under outages and lost answers: of each number at most one bundle
-    /// is accepted, accepted numbers rise, and who is told "accepted" was.
+    /// Operators race under outages and lost responses: of each number at most one bundle is accepted,
+    /// accepted numbers rise, and a roll-out reports "accepted" only if its bundle was accepted.
     #[test]
     fn test_racing_operators(
         numbers in prop::collection::vec(1..4_u64, 2..5),
@@ -89,9 +89,9 @@
             .enumerate()
             .map(|(at, number)| Operator::new(envelope(*number, &format!("operator-{at}"))))
             .collect();
-        for (who, down, lost) in calls {
-            let who = who % operators.len();
-            operators[who].call(&mut store, down, lost == 0);
+        for (index, down, lost) in calls {
+            let index = index % operators.len();
+            operators[index].call(&mut store, down, lost == 0);
         }
         let numbers: Vec<u64> = store.accepted.iter().map(|(number, _)| *number).collect();
         prop_assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{:?}", store.accepted);
@@ -105,14 +105,14 @@
         }
     }
 
-    /// A node's number only rises, in whatever order it is offered bundles.
+    /// The number in force on a node only rises, in whatever order bundles are offered.
     #[test]
     fn test_number_only_rises(offers in prop::collection::vec(1..9_u64, 1..30)) {
         let trust = Trust { keys: vec![key().verifying_key()], sign_offs: 1 };
         let mut current = None;
         for number in offers {
             let bytes = envelope(number, "operator").to_bytes();
-            if let Some(new) = consider(&bytes, current, &trust).expect("valid") {
+            if let Some(new) = open_if_newer(&bytes, current, &trust).expect("valid") {
                 prop_assert!(current.is_none_or(|old| old < new.bundle.number));
                 current = Some(new.bundle.number);
             }
@@ -130,7 +130,7 @@
         second.call(&mut store, false, false);
     }
     assert_eq!(first.step, RolloutStep::Accepted);
-    let RolloutStep::Failed(err) = second.step else { panic!("both won") };
+    let RolloutStep::Failed(err) = second.step else { panic!("both roll-outs were accepted") };
     assert_eq!(err.to_string(), "number 5 is accepted already, rolled out by amina");
 }
 
@@ -142,7 +142,7 @@
     operator.call(&mut store, false, true);
     operator.call(&mut store, false, false);
     assert_eq!(operator.step, RolloutStep::Accepted);
-    assert_eq!(store.version, 1, "a second write");
+    assert_eq!(store.version, 1, "the write is not repeated");
 }
 
 #[test]
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -10,9 +10,9 @@
 use leadstage_lib::membership::Liveness;
 use leadstage_lib::membership::Membership;
 use leadstage_lib::membership::MembershipAction;
-use leadstage_lib::membership::PAUSE;
+use leadstage_lib::membership::PAUSE_THRESHOLD;
 use leadstage_lib::pool_event::PoolEvent;
-use leadstage_lib::rollout::InForce;
+use leadstage_lib::rollout::BundleInForce;
 use leadstage_lib::upstreams::Directory;
 use log::info;
 use rand::RngExt;
@@ -123,7 +123,7 @@
     }
 
     /// Puts a bundle in force if it is newer.
-    pub fn put_in_force(&mut self, new: InForce) {
+    pub fn put_in_force(&mut self, new: BundleInForce) {
         let bundle = new.bundle.clone();
         let hash = new.hash.clone();
         if !self.shared.set_in_force(new) {
@@ -194,7 +194,7 @@
 fn notice_pause(control: &ControlRef) {
     let mut control = control.borrow_mut();
     let now = control.now();
-    let paused = now.saturating_sub(control.last_tick) > PAUSE;
+    let paused = now.saturating_sub(control.last_tick) > PAUSE_THRESHOLD;
     control.last_tick = now;
     if paused {
         info!(event = "pause"; "the process was paused");
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -296,7 +296,7 @@
         if from != self.own_address && self.list(from, now) {
             self.met += 1;
         }
-        let actions = self.membership.heard_from(&node_id(from), now);
+        let actions = self.membership.on_direct_contact(&node_id(from), now);
         self.act(actions, now)
     }
 
@@ -365,7 +365,7 @@
         for node in gossip.known {
             self.on_known(node, now);
         }
-        let actions = self.membership.on_news(&gossip.news, now);
+        let actions = self.membership.on_updates(&gossip.news, now);
         self.act(actions, now)
     }
 
@@ -394,7 +394,7 @@
             known: known.collect(),
             hall: Some(self.own_hall.clone()),
             has_wide_link: self.own_link_is_wide,
-            news: self.membership.news(),
+            news: self.membership.next_updates(),
             nodes: self.nodes() as u32,
             hears_watchers: self.hears_watchers,
         }
