--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -15,11 +15,11 @@
 use leadstage_lib::gateway::load::LoadTracker;
 use leadstage_lib::gateway::load::Run;
 use leadstage_lib::gateway::policy::Policy;
+use leadstage_lib::gateway::recent_successes::RecentSuccesses;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::gateway::replicas::ReplicaTable;
 use leadstage_lib::gateway::routing::EngineTraits;
 use leadstage_lib::gateway::run_key::RunKey;
-use leadstage_lib::gateway::sound_runs::SoundRuns;
 use leadstage_lib::ids::UpstreamId;
 use leadstage_lib::pool::Pool;
 use leadstage_lib::pool_event::EndKind;
@@ -113,12 +113,12 @@
         organisation: "org-1",
         body: &body,
     };
-    let sound = SoundRuns::default();
+    let sound = RecentSuccesses::default();
     let rounds = (1 << 26) / (body_bytes as u32 + 4_096);
     let micros = |began: Instant| began.elapsed().as_secs_f64() * 1e6 / f64::from(rounds);
     let began = Instant::now();
     for _ in 0..rounds {
-        black_box(sound.name(black_box(&parts)));
+        black_box(sound.hash(black_box(&parts)));
     }
     let quick = micros(began);
     let began = Instant::now();
--- a/lib/src/gateway/crash_ledger.rs
+++ b/lib/src/gateway/crash_ledger.rs
@@ -26,20 +26,20 @@
 /// none of 323,486 with three.
 pub const ENDS_TO_QUARANTINE: usize = 3;
 /// How long an end counts. An operator has that long to see to the request or to the replicas' software.
-pub const KEPT_FOR: Duration = Duration::from_secs(3_600);
+pub const END_RETENTION: Duration = Duration::from_secs(3_600);
 /// Requests that are kept at most; the least suspected and oldest go first.
-pub const MOST_SUSPECTS: usize = 1_024;
+pub const MAX_SUSPECTS: usize = 1_024;
 /// Ends that are kept of one request at most: more tell nothing new. Void ones give way.
-pub const MOST_ENDS: usize = 6;
-/// Requests that one message tells at most: each takes some 200 bytes with [`MOST_ENDS`], of 15 kB.
-pub const MOST_TOLD: usize = 64;
+pub const MAX_ENDS: usize = 6;
+/// Requests that one message tells at most: each takes some 200 bytes with [`MAX_ENDS`], of 15 kB.
+pub const MAX_SUSPECTS_PER_MESSAGE: usize = 64;
 /// Ends of a request from which on all nodes must know of it: one alone may be any request's fate,
 /// and is told once, by a message that may be lost.
-const ENDS_TO_AGREE_ON: usize = 2;
+const ENDS_TO_SYNC: usize = 2;
 
 /// A replica that ended while it ran a request.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
-pub struct End {
+pub struct ReplicaEnd {
     /// The replica.
     pub replica: Incarnation,
     /// When it was noticed.
@@ -54,26 +54,26 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// The ends, some or all.
-    pub ends: Vec<End>,
+    pub ends: Vec<ReplicaEnd>,
 }
 
 impl Suspect {
     /// Ends that speak against it.
-    pub fn standing(&self) -> usize {
+    pub fn valid_ends(&self) -> usize {
         self.ends.iter().filter(|end| !end.is_void).count()
     }
 }
 
 /// What speaks against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct SuspectStatus {
     /// Replicas that ended under it.
     pub ends: usize,
     /// When the first of these no longer counts.
     pub until: UnixMillis,
 }
 
-impl Standing {
+impl SuspectStatus {
     /// Whether it is sent to no replica.
     pub fn is_quarantined(&self) -> bool {
         self.ends >= ENDS_TO_QUARANTINE
@@ -81,18 +81,18 @@
 }
 
 /// The requests that anything speaks against.
-pub type CrashTable = HashMap<Fingerprint, Standing>;
+pub type CrashTable = HashMap<Fingerprint, SuspectStatus>;
 
 #[derive(Clone, Debug, Default)]
-struct Ends(BTreeMap<Incarnation, (UnixMillis, bool)>);
+struct SuspectEnds(BTreeMap<Incarnation, (UnixMillis, bool)>);
 
-impl Ends {
-    fn standing(&self) -> usize {
+impl SuspectEnds {
+    fn valid_ends(&self) -> usize {
         self.0.values().filter(|(_, is_void)| !is_void).count()
     }
 
-    fn are_agreed_on(&self) -> bool {
-        self.0.len() >= ENDS_TO_AGREE_ON
+    fn need_sync(&self) -> bool {
+        self.0.len() >= ENDS_TO_SYNC
     }
 
     fn newest(&self) -> UnixMillis {
@@ -100,11 +100,11 @@
     }
 
     /// Takes an end in; returns whether it told anything new.
-    fn take(&mut self, end: &End) -> bool {
+    fn merge(&mut self, end: &ReplicaEnd) -> bool {
         if let Some((_, is_void)) = self.0.get_mut(&end.replica) {
             return end.is_void && !std::mem::replace(is_void, true);
         }
-        let has_room = self.0.len() < MOST_ENDS || (!end.is_void && self.drop_oldest_void());
+        let has_room = self.0.len() < MAX_ENDS || (!end.is_void && self.drop_oldest_void());
         if has_room {
             self.0.insert(end.replica.clone(), (end.at, end.is_void));
         }
@@ -117,8 +117,8 @@
         oldest.is_some_and(|oldest| self.0.remove(&oldest).is_some())
     }
 
-    fn told(&self, fingerprint: Fingerprint) -> Suspect {
-        let ends = self.0.iter().map(|(replica, (at, is_void))| End {
+    fn to_suspect(&self, fingerprint: Fingerprint) -> Suspect {
+        let ends = self.0.iter().map(|(replica, (at, is_void))| ReplicaEnd {
             replica: replica.clone(),
             at: *at,
             is_void: *is_void,
@@ -130,7 +130,7 @@
 /// All that a node knows of requests under which replicas ended.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
-    suspects: BTreeMap<Fingerprint, Ends>,
+    suspects: BTreeMap<Fingerprint, SuspectEnds>,
 }
 
 impl CrashLedger {
@@ -141,35 +141,35 @@
         replica: Incarnation,
         now: UnixMillis,
     ) -> Vec<Suspect> {
-        let end = End { replica, at: now, is_void: false };
-        self.take(vec![Suspect { fingerprint, ends: vec![end] }], now)
+        let end = ReplicaEnd { replica, at: now, is_void: false };
+        self.merge(vec![Suspect { fingerprint, ends: vec![end] }], now)
     }
 
     /// Another node or the store told; returns what was news here.
-    pub fn take(&mut self, told: Vec<Suspect>, now: UnixMillis) -> Vec<Suspect> {
-        let mut news = Vec::new();
-        for Suspect { fingerprint, ends } in told {
+    pub fn merge(&mut self, received: Vec<Suspect>, now: UnixMillis) -> Vec<Suspect> {
+        let mut changes = Vec::new();
+        for Suspect { fingerprint, ends } in received {
             let known = self.suspects.entry(fingerprint).or_default();
-            let ends: Vec<End> =
-                ends.into_iter().filter(|end| counts(end.at, now) && known.take(end)).collect();
+            let ends: Vec<ReplicaEnd> =
+                ends.into_iter().filter(|end| counts(end.at, now) && known.merge(end)).collect();
             if !ends.is_empty() {
-                news.push(Suspect { fingerprint, ends });
+                changes.push(Suspect { fingerprint, ends });
             }
             if self.suspects.get(&fingerprint).is_some_and(|known| known.0.is_empty()) {
                 self.suspects.remove(&fingerprint);
             }
         }
         self.limit();
-        news
+        changes
     }
 
     /// A run of the request ended well, or an operator cleared it; returns what is to be told.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> Vec<Suspect> {
-        let Some(known) = self.suspects.get_mut(&fingerprint).filter(|known| known.standing() > 0) else {
+        let Some(known) = self.suspects.get_mut(&fingerprint).filter(|known| known.valid_ends() > 0) else {
             return Vec::new();
         };
         known.0.values_mut().for_each(|(_, is_void)| *is_void = true);
-        vec![known.told(fingerprint)]
+        vec![known.to_suspect(fingerprint)]
     }
 
     /// Forgets ends that no longer count; returns whether there were any.
@@ -183,47 +183,47 @@
 
     /// What is known of one request.
     pub fn get(&self, fingerprint: &Fingerprint) -> Option<Suspect> {
-        self.suspects.get(fingerprint).map(|ends| ends.told(*fingerprint))
+        self.suspects.get(fingerprint).map(|ends| ends.to_suspect(*fingerprint))
     }
 
     /// Whether anything is known of a request.
-    pub fn knows(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.suspects.contains_key(fingerprint)
     }
 
     /// The requests with so many ends that count, or more.
-    pub fn with_ends(&self, least: usize) -> impl Iterator<Item = &Fingerprint> {
-        let suspected = self.suspects.iter().filter(move |(_, ends)| ends.standing() >= least);
+    pub fn with_valid_ends(&self, min: usize) -> impl Iterator<Item = &Fingerprint> {
+        let suspected = self.suspects.iter().filter(move |(_, ends)| ends.valid_ends() >= min);
         suspected.map(|(fingerprint, _)| fingerprint)
     }
 
     /// Whether all nodes must know of a request.
-    pub fn is_agreed_on(&self, fingerprint: &Fingerprint) -> bool {
-        self.suspects.get(fingerprint).is_some_and(Ends::are_agreed_on)
+    pub fn needs_sync(&self, fingerprint: &Fingerprint) -> bool {
+        self.suspects.get(fingerprint).is_some_and(SuspectEnds::need_sync)
     }
 
     /// All requests that anything speaks against.
     pub fn table(&self) -> CrashTable {
-        let standing = self.suspects.iter().filter_map(|(fingerprint, ends)| {
+        let statuses = self.suspects.iter().filter_map(|(fingerprint, ends)| {
             let first = ends.0.values().filter(|(_, is_void)| !is_void).map(|(at, _)| *at).min()?;
-            let until = first + KEPT_FOR.as_millis() as UnixMillis;
-            Some((*fingerprint, Standing { ends: ends.standing(), until }))
+            let until = first + END_RETENTION.as_millis() as UnixMillis;
+            Some((*fingerprint, SuspectStatus { ends: ends.valid_ends(), until }))
         });
-        standing.collect()
+        statuses.collect()
     }
 
     /// What all nodes must know, the most suspected first: no more than one message holds.
-    pub fn agreed(&self) -> Vec<Suspect> {
-        let known = self.suspects.iter().filter(|(_, ends)| ends.are_agreed_on());
+    pub fn suspects_to_sync(&self) -> Vec<Suspect> {
+        let known = self.suspects.iter().filter(|(_, ends)| ends.need_sync());
         let mut known: Vec<_> = known.collect();
-        known.sort_by_key(|(_, ends)| std::cmp::Reverse((ends.standing(), ends.newest())));
-        known.truncate(MOST_TOLD);
-        known.into_iter().map(|(fingerprint, ends)| ends.told(*fingerprint)).collect()
+        known.sort_by_key(|(_, ends)| std::cmp::Reverse((ends.valid_ends(), ends.newest())));
+        known.truncate(MAX_SUSPECTS_PER_MESSAGE);
+        known.into_iter().map(|(fingerprint, ends)| ends.to_suspect(*fingerprint)).collect()
     }
 
-    /// Stands for [`Self::agreed`]: the same at nodes that know the same, 0 where there is nothing.
+    /// Stands for [`Self::suspects_to_sync`]: the same at nodes that know the same, 0 where there is nothing.
     pub fn digest(&self) -> u64 {
-        let ends = self.agreed().into_iter().flat_map(|suspect| {
+        let ends = self.suspects_to_sync().into_iter().flat_map(|suspect| {
             let fingerprint = suspect.fingerprint;
             suspect.ends.into_iter().map(move |end| (fingerprint, end.replica, end.is_void))
         });
@@ -231,8 +231,8 @@
     }
 
     fn limit(&mut self) {
-        while self.suspects.len() > MOST_SUSPECTS {
-            let least = self.suspects.iter().min_by_key(|(_, ends)| (ends.standing(), ends.newest()));
+        while self.suspects.len() > MAX_SUSPECTS {
+            let least = self.suspects.iter().min_by_key(|(_, ends)| (ends.valid_ends(), ends.newest()));
             let Some(least) = least.map(|(fingerprint, _)| *fingerprint) else {
                 return;
             };
@@ -244,6 +244,6 @@
 /// Whether an end that was noticed then still counts. One from a clock that is far ahead would never stop
 /// to.
 fn counts(at: UnixMillis, now: UnixMillis) -> bool {
-    let kept_for = KEPT_FOR.as_millis() as UnixMillis;
-    now < at + kept_for && at < now + kept_for
+    let retention = END_RETENTION.as_millis() as UnixMillis;
+    now < at + retention && at < now + retention
 }
--- a/lib/src/gateway/digest.rs
+++ b/lib/src/gateway/digest.rs
@@ -10,7 +10,7 @@
 use crate::ids::Timestamp;
 
 /// A node that knows less or more than another one tells that one all, no more often than this.
-const TELL_ALL_INTERVAL: Duration = Duration::from_secs(1);
+const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Stands for some items, whatever their order: the same at nodes that know the same, 0 for none.
 pub fn of<T: Hash>(items: impl Iterator<Item = T>) -> u64 {
@@ -20,14 +20,14 @@
 
 /// When a node tells another one all that it knows.
 #[derive(Debug, Default)]
-pub struct TellingAll {
+pub struct FullSyncLimiter {
     last: Option<Timestamp>,
 }
 
-impl TellingAll {
+impl FullSyncLimiter {
     /// Whether a node that has another digest is to be told all now; it counts as told.
     pub fn is_due(&mut self, own: u64, other: u64, now: Timestamp) -> bool {
-        let is_due = own != other && self.last.is_none_or(|last| now >= last + TELL_ALL_INTERVAL);
+        let is_due = own != other && self.last.is_none_or(|last| now >= last + FULL_SYNC_INTERVAL);
         if is_due {
             self.last = Some(now);
         }
--- a/lib/src/gateway/pending_ends.rs
+++ b/lib/src/gateway/pending_ends.rs
@@ -15,7 +15,7 @@
 /// When a replica is asked after a run broke there, each time from the break on. Most ended replicas
 /// refuse connections at once; two refusals count, as a full one may refuse one. Each question is a
 /// priced health check.
-const ASKS_AT: [Duration; 5] = [
+const CHECK_DELAYS: [Duration; 5] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_millis(500),
@@ -23,14 +23,14 @@
     Duration::from_millis(3_000),
 ];
 /// Refused connections that show that a replica ended.
-const REFUSALS: u32 = 2;
+const REFUSALS_TO_CONFIRM: u32 = 2;
 /// After this long nothing that is learnt of a replica says how its runs broke: three missed heartbeats
 /// take it off the list within some 4 s, and an outage of the store may last longer.
 const FORGET_AFTER: Duration = Duration::from_secs(12);
 
 /// What a replica showed when it was asked after a break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
+pub enum CheckResult {
     /// It answers: the connection broke for another reason.
     Lives,
     /// Nobody listens at its address.
@@ -46,7 +46,7 @@
 struct Broken {
     fingerprints: BTreeSet<Fingerprint>,
     since: Timestamp,
-    asked: usize,
+    checks: usize,
     refusals: u32,
 }
 
@@ -62,19 +62,19 @@
         let broken = self.replicas.entry(replica).or_insert_with(|| Broken {
             fingerprints: BTreeSet::new(),
             since: now,
-            asked: 0,
+            checks: 0,
             refusals: 0,
         });
         broken.fingerprints.insert(fingerprint);
     }
 
     /// The replicas that are to be asked now; they count as asked.
-    pub fn asks(&mut self, now: Timestamp) -> Vec<Incarnation> {
+    pub fn due_checks(&mut self, now: Timestamp) -> Vec<Incarnation> {
         self.replicas.retain(|_, broken| now < broken.since + FORGET_AFTER);
         let mut due = Vec::new();
         for (replica, broken) in &mut self.replicas {
-            if ASKS_AT.get(broken.asked).is_some_and(|at| broken.since + *at <= now) {
-                broken.asked += 1;
+            if CHECK_DELAYS.get(broken.checks).is_some_and(|delay| broken.since + *delay <= now) {
+                broken.checks += 1;
                 due.push(replica.clone());
             }
         }
@@ -82,26 +82,26 @@
     }
 
     /// A replica was asked; returns the requests that it ended under, once it is known to have ended.
-    pub fn on_shown(&mut self, replica: &Incarnation, shown: Shown) -> BTreeSet<Fingerprint> {
+    pub fn on_check_result(&mut self, replica: &Incarnation, result: CheckResult) -> BTreeSet<Fingerprint> {
         let Some(broken) = self.replicas.get_mut(replica) else {
             return BTreeSet::new();
         };
-        match shown {
-            Shown::Lives => self.on_lives(replica),
-            Shown::Replaced => return self.on_gone(replica),
-            Shown::PortClosed => {
+        match result {
+            CheckResult::Lives => self.on_alive(replica),
+            CheckResult::Replaced => return self.on_gone(replica),
+            CheckResult::PortClosed => {
                 broken.refusals += 1;
-                if broken.refusals >= REFUSALS {
+                if broken.refusals >= REFUSALS_TO_CONFIRM {
                     return self.on_gone(replica);
                 }
             }
-            Shown::Silent => {}
+            CheckResult::Silent => {}
         }
         BTreeSet::new()
     }
 
     /// A replica lives, or ends by plan: its runs broke for other reasons.
-    pub fn on_lives(&mut self, replica: &Incarnation) {
+    pub fn on_alive(&mut self, replica: &Incarnation) {
         self.replicas.remove(replica);
     }
 
--- a/lib/src/gateway/sound_runs.rs
+++ b/lib/src/gateway/recent_successes.rs
@@ -15,56 +15,56 @@
 
 /// How long a run that ended well speaks for its request. One that has turned bad since, as with a new
 /// version of the replicas' software, is blamed only after that.
-const SOUND_FOR: Duration = Duration::from_secs(10);
-/// Requests that are remembered at most. With more of them within [`SOUND_FOR`], some 400 a second, the
+const SUCCESS_VALIDITY: Duration = Duration::from_secs(10);
+/// Requests that are remembered at most. With more of them within [`SUCCESS_VALIDITY`], some 400 a second, the
 /// oldest go, and those that come often are soon among them again.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
 
 /// Names a request within this process: a keyed hash of it, which nobody else can aim at. It takes 2 us for a
 /// body of 8 kB and 0.26 ms for 1 MB, a third of a fingerprint (`cargo bench --bench decision`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct QuickName(u64);
+pub struct RequestHash(u64);
 
 /// The requests that ended well lately.
 #[derive(Debug, Default)]
-pub struct SoundRuns {
+pub struct RecentSuccesses {
     keys: RandomState,
-    ended_well: HashMap<QuickName, Timestamp>,
+    succeeded_at: HashMap<RequestHash, Timestamp>,
     /// In the order of their first end; one that ended well again since is put behind when its turn comes.
-    oldest: VecDeque<QuickName>,
+    queue: VecDeque<RequestHash>,
 }
 
-impl SoundRuns {
+impl RecentSuccesses {
     /// The name of a request.
-    pub fn name(&self, parts: &RequestParts) -> QuickName {
+    pub fn hash(&self, parts: &RequestParts) -> RequestHash {
         let RequestParts { method, host, path, organisation, body } = parts;
-        QuickName(self.keys.hash_one((method, host, path, organisation, body)))
+        RequestHash(self.keys.hash_one((method, host, path, organisation, body)))
     }
 
     /// A run of the request ended well.
-    pub fn on_sound(&mut self, name: QuickName, now: Timestamp) {
-        if self.ended_well.insert(name, now).is_none() {
-            self.oldest.push_back(name);
+    pub fn on_success(&mut self, request: RequestHash, now: Timestamp) {
+        if self.succeeded_at.insert(request, now).is_none() {
+            self.queue.push_back(request);
         }
         self.forget(now);
     }
 
     /// Whether a run of the request ended well lately.
-    pub fn was_sound(&self, name: QuickName, now: Timestamp) -> bool {
-        self.ended_well.get(&name).is_some_and(|at| now < *at + SOUND_FOR)
+    pub fn succeeded_recently(&self, request: RequestHash, now: Timestamp) -> bool {
+        self.succeeded_at.get(&request).is_some_and(|at| now < *at + SUCCESS_VALIDITY)
     }
 
     /// Looks at the two oldest, so that each addition has constant cost.
     fn forget(&mut self, now: Timestamp) {
         for _ in 0..2 {
-            let Some(name) = self.oldest.pop_front() else {
+            let Some(request) = self.queue.pop_front() else {
                 return;
             };
-            let is_full = self.oldest.len() >= MOST_REMEMBERED;
-            if !is_full && self.was_sound(name, now) {
-                self.oldest.push_back(name);
+            let is_full = self.queue.len() >= MAX_REMEMBERED;
+            if !is_full && self.succeeded_recently(request, now) {
+                self.queue.push_back(request);
             } else {
-                self.ended_well.remove(&name);
+                self.succeeded_at.remove(&request);
             }
         }
     }
--- a/lib/src/gateway/stored_suspects.rs
+++ b/lib/src/gateway/stored_suspects.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::gateway::crash_ledger::CrashLedger;
-use crate::gateway::crash_ledger::KEPT_FOR;
+use crate::gateway::crash_ledger::END_RETENTION;
 use crate::gateway::crash_ledger::Suspect;
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::replica_record::Incarnation;
@@ -23,15 +23,15 @@
 /// Ends of a request from which on it is written.
 const ENDS_TO_WRITE: usize = 2;
 /// Those who saw none of the ends write after this, if nobody has.
-const OTHERS_WRITE_AFTER: Duration = Duration::from_secs(1);
+const FALLBACK_WRITE_DELAY: Duration = Duration::from_secs(1);
 /// A write that failed is tried again after this.
-const TRY_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What a node has to do with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreRole {
     /// It follows the store.
-    pub follows: bool,
+    pub is_watcher: bool,
     /// It knows of no other node.
     pub is_alone: bool,
 }
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreWrite {
     /// These ends are to be held, with those that are.
-    Keep(Suspect),
+    Put(Suspect),
     /// Nothing is to be held of the request.
     Remove(Fingerprint),
 }
@@ -49,7 +49,7 @@
     /// The request that it concerns.
     pub fn fingerprint(&self) -> Fingerprint {
         match self {
-            StoreWrite::Keep(suspect) => suspect.fingerprint,
+            StoreWrite::Put(suspect) => suspect.fingerprint,
             StoreWrite::Remove(fingerprint) => *fingerprint,
         }
     }
@@ -57,17 +57,17 @@
 
 /// An object as it was last seen.
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredObject {
     replicas: BTreeSet<Incarnation>,
     newest: UnixMillis,
     at: Revision,
 }
 
-impl Kept {
-    fn new(suspect: &Suspect, at: Revision) -> Kept {
-        let standing = suspect.ends.iter().filter(|end| !end.is_void);
-        Kept {
-            replicas: standing.map(|end| end.replica.clone()).collect(),
+impl StoredObject {
+    fn new(suspect: &Suspect, at: Revision) -> StoredObject {
+        let valid = suspect.ends.iter().filter(|end| !end.is_void);
+        StoredObject {
+            replicas: valid.map(|end| end.replica.clone()).collect(),
             newest: suspect.ends.iter().map(|end| end.at).max().unwrap_or(0),
             at,
         }
@@ -81,9 +81,9 @@
 /// The store's objects as far as this node knows, and its writes.
 #[derive(Debug, Default)]
 pub struct StoredSuspects {
-    kept: HashMap<Fingerprint, Kept>,
+    stored: HashMap<Fingerprint, StoredObject>,
     /// Requests with an end that this node saw itself.
-    own: HashSet<Fingerprint>,
+    observed: HashSet<Fingerprint>,
     due: HashMap<Fingerprint, Timestamp>,
     writing: HashSet<Fingerprint>,
 }
@@ -91,34 +91,34 @@
 impl StoredSuspects {
     /// This node saw a replica end under a request.
     pub fn on_own_end(&mut self, fingerprint: Fingerprint) {
-        self.own.insert(fingerprint);
+        self.observed.insert(fingerprint);
     }
 
     /// The store held this at a revision.
-    pub fn on_kept(&mut self, suspect: &Suspect, at: Revision) {
-        let known = self.kept.get(&suspect.fingerprint);
+    pub fn on_put(&mut self, suspect: &Suspect, at: Revision) {
+        let known = self.stored.get(&suspect.fingerprint);
         if known.is_none_or(|known| known.at <= at) {
-            self.kept.insert(suspect.fingerprint, Kept::new(suspect, at));
+            self.stored.insert(suspect.fingerprint, StoredObject::new(suspect, at));
         }
     }
 
     /// The store held nothing of a request at a revision; returns whether it held something before.
     pub fn on_removed(&mut self, fingerprint: &Fingerprint, at: Revision) -> bool {
-        let is_older = self.kept.get(fingerprint).is_some_and(|known| known.at <= at);
-        is_older && self.kept.remove(fingerprint).is_some()
+        let is_older = self.stored.get(fingerprint).is_some_and(|known| known.at <= at);
+        is_older && self.stored.remove(fingerprint).is_some()
     }
 
     /// The store held these and no others at a revision; returns those that it held before and that were removed. What a
     /// copy lacks was lost and is written again.
     pub fn on_listed(&mut self, items: &[Suspect], at: Revision) -> Vec<Fingerprint> {
-        items.iter().for_each(|suspect| self.on_kept(suspect, at));
+        items.iter().for_each(|suspect| self.on_put(suspect, at));
         let listed: HashSet<Fingerprint> = items.iter().map(|suspect| suspect.fingerprint).collect();
         let missing: Vec<Fingerprint> =
-            self.kept.keys().filter(|fingerprint| !listed.contains(fingerprint)).copied().collect();
-        let is_lost = |kept: &Kept| revision::era(kept.at) < revision::era(at);
+            self.stored.keys().filter(|fingerprint| !listed.contains(fingerprint)).copied().collect();
+        let is_lost = |object: &StoredObject| revision::era(object.at) < revision::era(at);
         let (lost, removed): (Vec<Fingerprint>, Vec<Fingerprint>) =
-            missing.into_iter().partition(|fingerprint| self.kept.get(fingerprint).is_some_and(is_lost));
-        lost.iter().for_each(|fingerprint| drop(self.kept.remove(fingerprint)));
+            missing.into_iter().partition(|fingerprint| self.stored.get(fingerprint).is_some_and(is_lost));
+        lost.iter().for_each(|fingerprint| drop(self.stored.remove(fingerprint)));
         removed.into_iter().filter(|fingerprint| self.on_removed(fingerprint, at)).collect()
     }
 
@@ -128,20 +128,20 @@
         if is_done {
             self.due.remove(&fingerprint);
         } else {
-            self.due.insert(fingerprint, now + TRY_AGAIN_AFTER);
+            self.due.insert(fingerprint, now + RETRY_DELAY);
         }
     }
 
     /// The writes that are due; they count as begun.
-    pub fn writes(
+    pub fn due_writes(
         &mut self,
         ledger: &CrashLedger,
         role: StoreRole,
         now: Timestamp,
         unix_now: UnixMillis,
     ) -> Vec<StoreWrite> {
-        self.own.retain(|fingerprint| ledger.knows(fingerprint));
-        let mut writes = self.keeps(ledger, role);
+        self.observed.retain(|fingerprint| ledger.contains(fingerprint));
+        let mut writes = self.missing_writes(ledger, role);
         writes.extend(self.removals(ledger, unix_now));
         let wanted: HashSet<Fingerprint> = writes.iter().map(StoreWrite::fingerprint).collect();
         self.due.retain(|fingerprint, _| wanted.contains(fingerprint));
@@ -150,24 +150,25 @@
         writes
     }
 
-    fn keeps(&self, ledger: &CrashLedger, role: StoreRole) -> Vec<StoreWrite> {
-        let least = if role.is_alone { 1 } else { ENDS_TO_WRITE };
-        let suspected = ledger.with_ends(least);
-        let concerns_this_node = suspected.filter(|of| role.follows || self.own.contains(*of));
-        let suspects = concerns_this_node.filter_map(|fingerprint| ledger.get(fingerprint));
-        let is_missing =
-            |suspect: &Suspect| !self.kept.get(&suspect.fingerprint).is_some_and(|kept| kept.covers(suspect));
-        suspects.filter(is_missing).map(StoreWrite::Keep).collect()
+    fn missing_writes(&self, ledger: &CrashLedger, role: StoreRole) -> Vec<StoreWrite> {
+        let min = if role.is_alone { 1 } else { ENDS_TO_WRITE };
+        let suspected = ledger.with_valid_ends(min);
+        let writable = suspected.filter(|of| role.is_watcher || self.observed.contains(*of));
+        let suspects = writable.filter_map(|fingerprint| ledger.get(fingerprint));
+        let is_missing = |suspect: &Suspect| {
+            !self.stored.get(&suspect.fingerprint).is_some_and(|object| object.covers(suspect))
+        };
+        suspects.filter(is_missing).map(StoreWrite::Put).collect()
     }
 
     fn removals(&self, ledger: &CrashLedger, unix_now: UnixMillis) -> Vec<StoreWrite> {
-        let kept_for = KEPT_FOR.as_millis() as UnixMillis;
-        let is_over = |fingerprint: &Fingerprint, kept: &Kept| match ledger.get(fingerprint) {
-            Some(suspect) => suspect.standing() == 0,
-            None => kept.newest + kept_for <= unix_now,
+        let retention = END_RETENTION.as_millis() as UnixMillis;
+        let is_obsolete = |fingerprint: &Fingerprint, object: &StoredObject| match ledger.get(fingerprint) {
+            Some(suspect) => suspect.valid_ends() == 0,
+            None => object.newest + retention <= unix_now,
         };
-        let over = self.kept.iter().filter(|(fingerprint, kept)| is_over(fingerprint, kept));
-        over.map(|(fingerprint, _)| StoreWrite::Remove(*fingerprint)).collect()
+        let obsolete = self.stored.iter().filter(|(fingerprint, object)| is_obsolete(fingerprint, object));
+        obsolete.map(|(fingerprint, _)| StoreWrite::Remove(*fingerprint)).collect()
     }
 
     fn is_due(&mut self, write: &StoreWrite, now: Timestamp) -> bool {
@@ -175,8 +176,8 @@
         if self.writing.contains(&fingerprint) {
             return false;
         }
-        let is_others = matches!(write, StoreWrite::Keep(_)) && !self.own.contains(&fingerprint);
-        let pause = if is_others { OTHERS_WRITE_AFTER } else { Duration::ZERO };
-        *self.due.entry(fingerprint).or_insert(now + pause) <= now
+        let is_fallback = matches!(write, StoreWrite::Put(_)) && !self.observed.contains(&fingerprint);
+        let delay = if is_fallback { FALLBACK_WRITE_DELAY } else { Duration::ZERO };
+        *self.due.entry(fingerprint).or_insert(now + delay) <= now
     }
 }
--- a/lib/tests/test_gateway_crash_ledger.rs
+++ b/lib/tests/test_gateway_crash_ledger.rs
@@ -2,14 +2,14 @@
 //! who heard the same agree; ends count for their time, and are void after a run that ended well.
 
 use leadstage_lib::gateway::crash_ledger::CrashLedger;
+use leadstage_lib::gateway::crash_ledger::END_RETENTION;
 use leadstage_lib::gateway::crash_ledger::ENDS_TO_QUARANTINE;
-use leadstage_lib::gateway::crash_ledger::End;
-use leadstage_lib::gateway::crash_ledger::KEPT_FOR;
-use leadstage_lib::gateway::crash_ledger::MOST_ENDS;
-use leadstage_lib::gateway::crash_ledger::MOST_SUSPECTS;
-use leadstage_lib::gateway::crash_ledger::MOST_TOLD;
-use leadstage_lib::gateway::crash_ledger::Standing;
+use leadstage_lib::gateway::crash_ledger::MAX_ENDS;
+use leadstage_lib::gateway::crash_ledger::MAX_SUSPECTS;
+use leadstage_lib::gateway::crash_ledger::MAX_SUSPECTS_PER_MESSAGE;
+use leadstage_lib::gateway::crash_ledger::ReplicaEnd;
 use leadstage_lib::gateway::crash_ledger::Suspect;
+use leadstage_lib::gateway::crash_ledger::SuspectStatus;
 use leadstage_lib::gateway::fingerprint::Fingerprint;
 use leadstage_lib::gateway::fingerprint::RequestParts;
 use leadstage_lib::gateway::replica_record::Incarnation;
@@ -17,7 +17,7 @@
 use proptest::prelude::*;
 
 const NOW: UnixMillis = 1_800_000_000_000;
-const KEPT_MS: UnixMillis = KEPT_FOR.as_millis() as UnixMillis;
+const RETENTION_MS: UnixMillis = END_RETENTION.as_millis() as UnixMillis;
 
 pub fn fingerprint(n: usize) -> Fingerprint {
     let body = n.to_le_bytes();
@@ -28,29 +28,29 @@
     Incarnation { id: format!("i-{n:08x}").into(), born: 0 }
 }
 
-fn end(n: usize, is_void: bool) -> End {
-    End { replica: replica(n), at: NOW, is_void }
+fn end(n: usize, is_void: bool) -> ReplicaEnd {
+    ReplicaEnd { replica: replica(n), at: NOW, is_void }
 }
 
-fn suspect(n: usize, ends: Vec<End>) -> Suspect {
+fn suspect(n: usize, ends: Vec<ReplicaEnd>) -> Suspect {
     Suspect { fingerprint: fingerprint(n), ends }
 }
 
 fn ends(ledger: &CrashLedger, n: usize) -> usize {
-    ledger.table().get(&fingerprint(n)).map_or(0, |standing| standing.ends)
+    ledger.table().get(&fingerprint(n)).map_or(0, |status| status.ends)
 }
 
 fn is_quarantined(ledger: &CrashLedger, n: usize) -> bool {
-    ledger.table().get(&fingerprint(n)).is_some_and(Standing::is_quarantined)
+    ledger.table().get(&fingerprint(n)).is_some_and(SuspectStatus::is_quarantined)
 }
 
 #[test]
-fn test_three_replicas_are_enough_and_one_counts_once() {
+fn test_three_replicas_quarantine_and_each_counts_once() {
     let mut ledger = CrashLedger::default();
     for n in 0..ENDS_TO_QUARANTINE {
         assert!(!is_quarantined(&ledger, 1));
         assert!(!ledger.on_end(fingerprint(1), replica(n), NOW).is_empty());
-        assert!(ledger.on_end(fingerprint(1), replica(n), NOW + 5).is_empty(), "that one is known");
+        assert!(ledger.on_end(fingerprint(1), replica(n), NOW + 5).is_empty(), "the end is known already");
     }
     assert!(is_quarantined(&ledger, 1) && !is_quarantined(&ledger, 2));
     // A later start of a replica is another one.
@@ -60,59 +60,60 @@
 }
 
 #[test]
-fn test_a_run_that_ends_well_voids_what_was_before_it() {
+fn test_a_successful_run_voids_earlier_ends() {
     let mut ledger = CrashLedger::default();
-    assert!(ledger.clear(fingerprint(1)).is_empty(), "nothing is told of what nothing speaks against");
-    let told: Vec<Suspect> = (0..3).flat_map(|n| ledger.on_end(fingerprint(1), replica(n), NOW)).collect();
+    assert!(ledger.clear(fingerprint(1)).is_empty(), "nothing is announced for a request without ends");
+    let announced: Vec<Suspect> =
+        (0..3).flat_map(|n| ledger.on_end(fingerprint(1), replica(n), NOW)).collect();
     let cleared = ledger.clear(fingerprint(1));
     assert_eq!(ends(&ledger, 1), 0);
     // Older news, late, does not bring it back; news of another end counts.
-    assert!(ledger.take(told.clone(), NOW).is_empty());
+    assert!(ledger.merge(announced.clone(), NOW).is_empty());
     assert_eq!(ends(&ledger, 1), 0);
     ledger.on_end(fingerprint(1), replica(9), NOW);
     assert_eq!(ends(&ledger, 1), 1);
     // A node that hears of it in the other order agrees.
     let mut other = CrashLedger::default();
-    other.take(cleared, NOW);
-    other.take(told, NOW);
+    other.merge(cleared, NOW);
+    other.merge(announced, NOW);
     assert_eq!(ends(&other, 1), 0);
 }
 
 #[test]
-fn test_ends_count_for_their_time() {
+fn test_ends_expire() {
     let mut ledger = CrashLedger::default();
     (0..3).for_each(|n| drop(ledger.on_end(fingerprint(1), replica(n), NOW + n as u64)));
     let until = ledger.table()[&fingerprint(1)].until;
-    assert_eq!(until, NOW + KEPT_MS);
+    assert_eq!(until, NOW + RETENTION_MS);
     assert!(!ledger.forget(until - 1));
     assert!(ledger.forget(until) && !is_quarantined(&ledger, 1));
     // An end that is over is not taken from others, nor one of a clock that is far ahead.
-    assert!(ledger.take(vec![suspect(2, vec![end(0, false)])], NOW + KEPT_MS).is_empty());
-    assert!(ledger.take(vec![suspect(2, vec![end(0, false)])], NOW - KEPT_MS).is_empty());
+    assert!(ledger.merge(vec![suspect(2, vec![end(0, false)])], NOW + RETENTION_MS).is_empty());
+    assert!(ledger.merge(vec![suspect(2, vec![end(0, false)])], NOW - RETENTION_MS).is_empty());
     assert_eq!(ledger.get(&fingerprint(2)), None);
 }
 
 #[test]
-fn test_what_is_kept_is_bounded_and_the_quarantined_go_last() {
+fn test_the_ledger_is_bounded_and_quarantined_requests_are_evicted_last() {
     let mut ledger = CrashLedger::default();
     for n in 0..3 {
         ledger.on_end(fingerprint(0), replica(n), NOW);
     }
-    for n in 1..3 * MOST_SUSPECTS {
+    for n in 1..3 * MAX_SUSPECTS {
         ledger.on_end(fingerprint(n), replica(n), NOW + n as u64);
     }
-    assert_eq!(ledger.table().len(), MOST_SUSPECTS);
+    assert_eq!(ledger.table().len(), MAX_SUSPECTS);
     assert!(is_quarantined(&ledger, 0));
-    assert_eq!(ends(&ledger, 3 * MOST_SUSPECTS - 1), 1, "the newest of the others stay");
-    (0..3 * MOST_ENDS).for_each(|n| drop(ledger.on_end(fingerprint(0), replica(n), NOW)));
-    assert_eq!(ends(&ledger, 0), MOST_ENDS);
+    assert_eq!(ends(&ledger, 3 * MAX_SUSPECTS - 1), 1, "the newest of the other requests stay");
+    (0..3 * MAX_ENDS).for_each(|n| drop(ledger.on_end(fingerprint(0), replica(n), NOW)));
+    assert_eq!(ends(&ledger, 0), MAX_ENDS);
 }
 
 /// A request is cleared again and again, and turns bad in the end.
 #[test]
-fn test_void_ends_leave_room_for_new_ones() {
+fn test_void_ends_are_evicted_for_new_ones() {
     let mut ledger = CrashLedger::default();
-    for n in 0..3 * MOST_ENDS {
+    for n in 0..3 * MAX_ENDS {
         assert_eq!(ledger.on_end(fingerprint(1), replica(n), NOW + n as u64).len(), 1, "{n}");
         ledger.clear(fingerprint(1));
     }
@@ -121,26 +122,26 @@
 }
 
 #[test]
-fn test_what_is_told_fits_into_a_message() {
+fn test_synchronised_suspects_fit_into_a_message() {
     let mut ledger = CrashLedger::default();
-    for n in 0..3 * MOST_TOLD {
-        for r in 0..MOST_ENDS {
+    for n in 0..3 * MAX_SUSPECTS_PER_MESSAGE {
+        for r in 0..MAX_ENDS {
             let replica = Incarnation { id: format!("i-{r:010x}").into(), born: NOW };
             ledger.on_end(fingerprint(n), replica, NOW + n as u64);
         }
     }
-    let told = ledger.agreed();
-    assert_eq!(told.len(), MOST_TOLD);
-    let bytes = postcard::to_stdvec(&told).expect("it can be encoded").len();
+    let sent = ledger.suspects_to_sync();
+    assert_eq!(sent.len(), MAX_SUSPECTS_PER_MESSAGE);
+    let bytes = postcard::to_stdvec(&sent).expect("suspects can be encoded").len();
     assert!(bytes < 15 << 10, "{bytes}");
     let mut other = CrashLedger::default();
-    other.take(told, NOW);
+    other.merge(sent, NOW);
     assert_eq!(other.digest(), ledger.digest());
 }
 
 /// One end is any request's fate: it must not have all nodes tell each other all again and again.
 #[test]
-fn test_one_end_does_not_count_in_the_digest() {
+fn test_a_single_end_does_not_change_the_digest() {
     let mut ledger = CrashLedger::default();
     ledger.on_end(fingerprint(1), replica(0), NOW);
     assert_eq!(ledger.digest(), 0);
@@ -149,7 +150,7 @@
     assert_ne!(before, 0);
     ledger.clear(fingerprint(1));
     assert_ne!(ledger.digest(), before);
-    assert_ne!(ledger.digest(), 0, "that it is void must be known too");
+    assert_ne!(ledger.digest(), 0, "void ends are synchronised too");
 }
 
 fn any_suspect() -> impl Strategy<Value = Suspect> {
@@ -161,34 +162,34 @@
     /// Whatever order news come in, and how often, the same is known in the end.
     #[test]
     fn test_order_and_repeats_do_not_matter(
-        news in prop::collection::vec(any_suspect(), 1..12),
+        updates in prop::collection::vec(any_suspect(), 1..12),
         order in any::<prop::sample::Index>(),
         repeats in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
         let mut ledger = CrashLedger::default();
-        news.iter().for_each(|suspect| drop(ledger.take(vec![suspect.clone()], NOW)));
-        let mut shuffled = news.clone();
-        shuffled.rotate_left(order.index(news.len()));
+        updates.iter().for_each(|suspect| drop(ledger.merge(vec![suspect.clone()], NOW)));
+        let mut shuffled = updates.clone();
+        shuffled.rotate_left(order.index(updates.len()));
         shuffled.reverse();
-        shuffled.extend(repeats.iter().map(|index| news[index.index(news.len())].clone()));
+        shuffled.extend(repeats.iter().map(|index| updates[index.index(updates.len())].clone()));
         let mut other = CrashLedger::default();
-        shuffled.into_iter().for_each(|suspect| drop(other.take(vec![suspect], NOW)));
+        shuffled.into_iter().for_each(|suspect| drop(other.merge(vec![suspect], NOW)));
         prop_assert_eq!(ledger.table(), other.table());
         prop_assert_eq!(ledger.digest(), other.digest());
-        prop_assert_eq!(ledger.agreed(), other.agreed());
+        prop_assert_eq!(ledger.suspects_to_sync(), other.suspects_to_sync());
     }
 
     /// What was news to one node is all that another one lacks that knew the same.
     #[test]
-    fn test_news_are_what_others_lack(
+    fn test_returned_changes_are_what_equal_nodes_lack(
         known in prop::collection::vec(any_suspect(), 0..6),
-        told in prop::collection::vec(any_suspect(), 1..6),
+        received in prop::collection::vec(any_suspect(), 1..6),
     ) {
         let mut ledger = CrashLedger::default();
-        ledger.take(known, NOW);
+        ledger.merge(known, NOW);
         let mut other = ledger.clone();
-        let news = ledger.take(told, NOW);
-        other.take(news, NOW);
+        let changes = ledger.merge(received, NOW);
+        other.merge(changes, NOW);
         prop_assert_eq!(ledger.table(), other.table());
     }
 }
--- a/lib/tests/test_gateway_crash_spread.rs
+++ b/lib/tests/test_gateway_crash_spread.rs
@@ -27,12 +27,13 @@
 const FAN_OUT: usize = 4;
 const PROBE_INTERVAL_MS: u64 = 1_000;
 const TICK_MS: u64 = 100;
-const TELL_ALL_INTERVAL: Duration = Duration::from_secs(1);
+const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(1);
 const END_INTERVAL: Duration = Duration::from_millis(500);
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 /// One in so many nodes starts so long after the third end.
-const LATE_STARTERS: usize = 10;
-const STARTS_AFTER: Duration = Duration::from_millis(300);
+const LATE_START_STRIDE: usize = 10;
+/// Time from the third end until late nodes start.
+const LATE_START_DELAY: Duration = Duration::from_millis(300);
 const UNIX: u64 = 1_800_000_000_000;
 
 enum Message {
@@ -44,14 +45,14 @@
 enum Event {
     End(usize, usize),
     Start(usize),
-    Probes(usize),
-    Ticks(usize),
-    Arrives { from: usize, to: usize, digest: u64, message: Message },
+    Probe(usize),
+    Tick(usize),
+    Arrival { from: usize, to: usize, digest: u64, message: Message },
 }
 
 struct Node {
     ledger: CrashLedger,
-    told_all: Option<Timestamp>,
+    last_full_sync: Option<Timestamp>,
     rebroadcast: Rebroadcast<Fingerprint>,
     is_up: bool,
 }
@@ -61,10 +62,10 @@
     loss: f64,
     nodes: Vec<Node>,
     events: BTreeMap<(Timestamp, u64), Event>,
-    numbered: u64,
+    event_count: u64,
     now: Timestamp,
     suspect_messages: usize,
-    know: BTreeSet<usize>,
+    informed: BTreeSet<usize>,
 }
 
 impl Model {
@@ -74,40 +75,40 @@
             loss,
             nodes: Vec::new(),
             events: BTreeMap::new(),
-            numbered: 0,
+            event_count: 0,
             now: Timestamp::ZERO,
             suspect_messages: 0,
-            know: BTreeSet::new(),
+            informed: BTreeSet::new(),
         };
         let third = END_INTERVAL * (ENDS_TO_QUARANTINE as u32 - 1);
         for node in 0..nodes {
-            let is_late = node % LATE_STARTERS == LATE_STARTERS - 1;
+            let is_late = node % LATE_START_STRIDE == LATE_START_STRIDE - 1;
             model.nodes.push(Node {
                 ledger: CrashLedger::default(),
-                told_all: None,
+                last_full_sync: None,
                 rebroadcast: Rebroadcast::default(),
                 is_up: !is_late,
             });
             if is_late {
-                model.at(third + STARTS_AFTER, Event::Start(node));
+                model.schedule(third + LATE_START_DELAY, Event::Start(node));
             }
             let phase = model.rng.random_range(0..PROBE_INTERVAL_MS);
-            model.at(Duration::from_millis(phase), Event::Probes(node));
+            model.schedule(Duration::from_millis(phase), Event::Probe(node));
             let phase = model.rng.random_range(0..TICK_MS);
-            model.at(Duration::from_millis(phase), Event::Ticks(node));
+            model.schedule(Duration::from_millis(phase), Event::Tick(node));
         }
         for end in 0..ENDS_TO_QUARANTINE {
-            model.at(END_INTERVAL * end as u32, Event::End(end, end));
+            model.schedule(END_INTERVAL * end as u32, Event::End(end, end));
         }
         model
     }
 
-    fn at(&mut self, at: Timestamp, event: Event) {
-        self.numbered += 1;
-        self.events.insert((at, self.numbered), event);
+    fn schedule(&mut self, at: Timestamp, event: Event) {
+        self.event_count += 1;
+        self.events.insert((at, self.event_count), event);
     }
 
-    fn others(&mut self, node: usize, count: usize) -> Vec<usize> {
+    fn random_others(&mut self, node: usize, count: usize) -> Vec<usize> {
         let count = count.min(self.nodes.len() - 1);
         let mut others = Vec::new();
         while others.len() < count {
@@ -124,101 +125,101 @@
         if self.rng.random_bool(self.loss) {
             return;
         }
-        let takes = Duration::from_micros(self.rng.random_range(500..5_000));
+        let latency = Duration::from_micros(self.rng.random_range(500..5_000));
         let digest = self.nodes[from].ledger.digest();
-        self.at(self.now + takes, Event::Arrives { from, to, digest, message });
+        self.schedule(self.now + latency, Event::Arrival { from, to, digest, message });
     }
 
-    fn tell(&mut self, from: usize, count: usize, news: &[Suspect]) {
-        if news.is_empty() {
+    fn announce(&mut self, from: usize, count: usize, changes: &[Suspect]) {
+        if changes.is_empty() {
             return;
         }
-        for to in self.others(from, count) {
-            self.send(from, to, Message::Suspects(news.to_vec()));
+        for to in self.random_others(from, count) {
+            self.send(from, to, Message::Suspects(changes.to_vec()));
         }
     }
 
-    fn arrives(&mut self, from: usize, to: usize, digest: u64, message: Message) {
+    fn on_message(&mut self, from: usize, to: usize, digest: u64, message: Message) {
         if !self.nodes[to].is_up {
             return;
         }
         let node = &mut self.nodes[to];
-        let may_tell = node.told_all.is_none_or(|told| self.now >= told + TELL_ALL_INTERVAL);
-        if digest != node.ledger.digest() && may_tell {
-            node.told_all = Some(self.now);
-            let all = node.ledger.agreed();
+        let may_sync = node.last_full_sync.is_none_or(|last| self.now >= last + FULL_SYNC_INTERVAL);
+        if digest != node.ledger.digest() && may_sync {
+            node.last_full_sync = Some(self.now);
+            let all = node.ledger.suspects_to_sync();
             self.send(to, from, Message::Suspects(all));
         }
         match message {
-            Message::Suspects(told) => {
-                let news = self.nodes[to].ledger.take(told, UNIX);
-                self.on_update(to, &news);
-                self.tell(to, FAN_OUT, &news);
+            Message::Suspects(received) => {
+                let changes = self.nodes[to].ledger.merge(received, UNIX);
+                self.on_update(to, &changes);
+                self.announce(to, FAN_OUT, &changes);
             }
             Message::Probe => self.send(to, from, Message::Answer),
             Message::Answer => {}
         }
     }
 
-    fn ticks(&mut self, node: usize) {
+    fn on_tick(&mut self, node: usize) {
         let Node { ledger, rebroadcast, .. } = &mut self.nodes[node];
-        let told: Vec<Suspect> =
+        let due: Vec<Suspect> =
             rebroadcast.take_due(self.now).iter().filter_map(|fingerprint| ledger.get(fingerprint)).collect();
-        self.tell(node, FAN_OUT, &told);
+        self.announce(node, FAN_OUT, &due);
     }
 
-    fn on_update(&mut self, node: usize, news: &[Suspect]) {
+    fn on_update(&mut self, node: usize, changes: &[Suspect]) {
         let Node { ledger, rebroadcast, .. } = &mut self.nodes[node];
-        let agreed = news.iter().filter(|suspect| ledger.is_agreed_on(&suspect.fingerprint));
-        agreed.for_each(|suspect| rebroadcast.on_update(suspect.fingerprint));
+        let to_sync = changes.iter().filter(|suspect| ledger.needs_sync(&suspect.fingerprint));
+        to_sync.for_each(|suspect| rebroadcast.on_update(suspect.fingerprint));
         let known = self.nodes[node].ledger.get(&fingerprint(1));
-        if known.is_some_and(|known| known.standing() >= ENDS_TO_QUARANTINE) {
-            self.know.insert(node);
+        if known.is_some_and(|known| known.valid_ends() >= ENDS_TO_QUARANTINE) {
+            self.informed.insert(node);
         }
     }
 
     /// Plays until all know; returns how long after the third end that was, and the messages of suspects.
-    fn play(mut self) -> (Duration, usize) {
+    fn simulate(mut self) -> (Duration, usize) {
         let third = END_INTERVAL * (ENDS_TO_QUARANTINE as u32 - 1);
         while let Some(((at, _), event)) = self.events.pop_first() {
             self.now = at;
             match event {
                 Event::Start(node) => self.nodes[node].is_up = true,
                 Event::End(node, end) => {
-                    let news = self.nodes[node].ledger.on_end(fingerprint(1), replica(end), UNIX);
-                    self.on_update(node, &news);
-                    self.tell(node, FIRST_FAN_OUT, &news);
+                    let changes = self.nodes[node].ledger.on_end(fingerprint(1), replica(end), UNIX);
+                    self.on_update(node, &changes);
+                    self.announce(node, FIRST_FAN_OUT, &changes);
                 }
-                Event::Probes(node) => {
-                    self.at(at + Duration::from_millis(PROBE_INTERVAL_MS), Event::Probes(node));
-                    let to = self.others(node, 1)[0];
+                Event::Probe(node) => {
+                    self.schedule(at + Duration::from_millis(PROBE_INTERVAL_MS), Event::Probe(node));
+                    let to = self.random_others(node, 1)[0];
                     if self.nodes[node].is_up {
                         self.send(node, to, Message::Probe);
                     }
                 }
-                Event::Ticks(node) => {
-                    self.at(at + Duration::from_millis(TICK_MS), Event::Ticks(node));
-                    self.ticks(node);
+                Event::Tick(node) => {
+                    self.schedule(at + Duration::from_millis(TICK_MS), Event::Tick(node));
+                    self.on_tick(node);
                 }
-                Event::Arrives { from, to, digest, message } => self.arrives(from, to, digest, message),
+                Event::Arrival { from, to, digest, message } => self.on_message(from, to, digest, message),
             }
-            if self.know.len() == self.nodes.len() {
+            if self.informed.len() == self.nodes.len() {
                 return (self.now - third, self.suspect_messages);
             }
-            assert!(self.now < third + 4 * KNOWN_WITHIN, "not all know");
+            assert!(self.now < third + 4 * KNOWN_WITHIN, "some nodes don't know of the third end");
         }
-        unreachable!("nodes probe for ever");
+        unreachable!("nodes never stop probing");
     }
 }
 
 #[test]
-fn test_all_nodes_know_in_time() {
+fn test_all_nodes_learn_of_a_crashing_request_in_time() {
     let mut rows = Vec::new();
     for nodes in [6, 66, 300, 410] {
         for loss in [0.0, 0.1, 0.3] {
-            let plays: Vec<_> = (0..20).map(|seed| Model::new(nodes, loss, seed).play()).collect();
-            let slowest = plays.iter().map(|(took, _)| *took).max().expect("some");
-            let messages = plays.iter().map(|(_, messages)| messages).sum::<usize>() / plays.len();
+            let runs: Vec<_> = (0..20).map(|seed| Model::new(nodes, loss, seed).simulate()).collect();
+            let slowest = runs.iter().map(|(took, _)| *took).max().expect("there are runs");
+            let messages = runs.iter().map(|(_, messages)| messages).sum::<usize>() / runs.len();
 
             assert!(slowest <= KNOWN_WITHIN, "{nodes} nodes, {loss} lost: {slowest:?}");
             rows.push(format!(
--- a/lib/tests/test_gateway_fingerprint.rs
+++ b/lib/tests/test_gateway_fingerprint.rs
@@ -9,7 +9,7 @@
     RequestParts { method: "POST", host: "h.example", path: "/a/b", organisation: "org-a", body: b"xyz" };
 
 #[test]
-fn test_each_part_counts_and_none_runs_into_the_next() {
+fn test_each_part_counts_and_parts_have_boundaries() {
     let requests = [
         PARTS,
         RequestParts { method: "PUT", ..PARTS },
@@ -22,16 +22,16 @@
         RequestParts { path: "/a/borg-a", organisation: "", ..PARTS },
         RequestParts { organisation: "org-ax", body: b"yz", ..PARTS },
     ];
-    let prints: BTreeSet<Fingerprint> = requests.iter().map(Fingerprint::of).collect();
-    assert_eq!(prints.len(), requests.len());
+    let fingerprints: BTreeSet<Fingerprint> = requests.iter().map(Fingerprint::of).collect();
+    assert_eq!(fingerprints.len(), requests.len());
 }
 
 /// Nodes of different versions have to agree on it, and the store's objects are named by it.
 #[test]
-fn test_a_fingerprint_is_written_and_read_back() {
-    let print = Fingerprint::of(&PARTS);
-    insta::assert_snapshot!(print, @"224822027844eb9cc7b1eddd85db1324");
-    assert_eq!(Fingerprint::parse(&print.to_string()), Some(print));
+fn test_a_fingerprint_is_formatted_and_parsed() {
+    let fingerprint = Fingerprint::of(&PARTS);
+    insta::assert_snapshot!(fingerprint, @"224822027844eb9cc7b1eddd85db1324");
+    assert_eq!(Fingerprint::parse(&fingerprint.to_string()), Some(fingerprint));
     for wrong in ["", "00", "zz", &"é".repeat(16), &"0".repeat(31), &"g".repeat(32)] {
         assert_eq!(Fingerprint::parse(wrong), None, "{wrong}");
     }
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -8,12 +8,12 @@
 
 use leadstage_lib::gateway::crash_ledger::CrashLedger;
 use leadstage_lib::gateway::crash_ledger::CrashTable;
-use leadstage_lib::gateway::crash_ledger::Standing;
 use leadstage_lib::gateway::crash_ledger::Suspect;
-use leadstage_lib::gateway::digest::TellingAll;
+use leadstage_lib::gateway::crash_ledger::SuspectStatus;
+use leadstage_lib::gateway::digest::FullSyncLimiter;
 use leadstage_lib::gateway::fingerprint::Fingerprint;
+use leadstage_lib::gateway::pending_ends::CheckResult;
 use leadstage_lib::gateway::pending_ends::PendingEnds;
-use leadstage_lib::gateway::pending_ends::Shown;
 use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::gateway::replica::LeavingSign;
 use leadstage_lib::gateway::replica_record::Incarnation;
@@ -54,7 +54,7 @@
     pending: PendingEnds,
     stored: StoredSuspects,
     rebroadcast: Rebroadcast<Fingerprint>,
-    telling_all: TellingAll,
+    full_sync_limiter: FullSyncLimiter,
     forgot: Timestamp,
 }
 
@@ -67,7 +67,7 @@
             pending: PendingEnds::default(),
             stored: StoredSuspects::default(),
             rebroadcast: Rebroadcast::default(),
-            telling_all: TellingAll::default(),
+            full_sync_limiter: FullSyncLimiter::default(),
             forgot: Timestamp::ZERO,
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /// Asks replicas at which runs broke, tells news again and writes what is due.
-    pub fn tick(&mut self, placing: &Placing, fleet: &Fleet, follows: bool) {
+    pub fn tick(&mut self, placing: &Placing, fleet: &Fleet, is_watcher: bool) {
         self.look_at_list(placing, fleet);
         self.ask(placing);
         let now = self.shared.now();
@@ -95,8 +95,8 @@
             }
         }
         self.tell_again(fleet);
-        let role = StoreRole { follows, is_alone: fleet.nodes() == 1 };
-        for write in self.stored.writes(&self.ledger, role, now, unix_millis()) {
+        let role = StoreRole { is_watcher, is_alone: fleet.nodes() == 1 };
+        for write in self.stored.due_writes(&self.ledger, role, now, unix_millis()) {
             tokio::task::spawn_local(suspect_store::write(self.shared.clone(), write));
         }
     }
@@ -114,7 +114,7 @@
     }
 
     fn ask(&mut self, placing: &Placing) {
-        for of in self.pending.asks(self.shared.now()) {
+        for of in self.pending.due_checks(self.shared.now()) {
             match placing.knowledge.asked_for_health(&of.id) {
                 Some((replica, path)) => {
                     tokio::task::spawn_local(ask(self.shared.clone(), replica, path));
@@ -127,10 +127,10 @@
     }
 
     /// A replica answered after a run broke there, or did not.
-    pub fn on_asked(&mut self, placing: &Placing, fleet: &Fleet, of: &Incarnation, shown: Shown) {
+    pub fn on_asked(&mut self, placing: &Placing, fleet: &Fleet, of: &Incarnation, shown: CheckResult) {
         self.look_at_list(placing, fleet);
         info!(event = "asked_after_break", upstream = &*of.id, shown:? = shown; "a replica was asked as a run broke there");
-        let ended_under = self.pending.on_shown(of, shown);
+        let ended_under = self.pending.on_check_result(of, shown);
         self.on_ended(fleet, of, ended_under);
     }
 
@@ -146,8 +146,8 @@
             let is_planned = replica.leaving_since < since + PLANS_COME_WITHIN;
             match replica.leaving {
                 _ if is_later_start => self.on_gone(fleet, &of),
-                Some(LeavingSign::Listed | LeavingSign::Announced) => self.pending.on_lives(&of),
-                Some(_) if is_planned => self.pending.on_lives(&of),
+                Some(LeavingSign::Listed | LeavingSign::Announced) => self.pending.on_alive(&of),
+                Some(_) if is_planned => self.pending.on_alive(&of),
                 Some(LeavingSign::Unlisted | LeavingSign::Expired | LeavingSign::Replaced) => {
                     self.on_gone(fleet, &of)
                 }
@@ -193,7 +193,7 @@
 
     /// Another node told what it knows.
     pub fn on_told(&mut self, fleet: &Fleet, told: Vec<Suspect>) {
-        let news = self.ledger.take(told, unix_millis());
+        let news = self.ledger.merge(told, unix_millis());
         if !news.is_empty() {
             self.on_change(&news);
             fleet.pass_on(&PeerMessage::Suspects(news));
@@ -203,8 +203,8 @@
     /// Another node knows something else if its digest is another one: it is told all that is known here,
     /// and does the same.
     pub fn compare(&mut self, fleet: &Fleet, from: SocketAddr, digest: u64) {
-        if self.telling_all.is_due(self.shared.crash_digest(), digest, self.shared.now()) {
-            fleet.send(from, &PeerMessage::Suspects(self.ledger.agreed()));
+        if self.full_sync_limiter.is_due(self.shared.crash_digest(), digest, self.shared.now()) {
+            fleet.send(from, &PeerMessage::Suspects(self.ledger.suspects_to_sync()));
         }
     }
 
@@ -221,7 +221,7 @@
                 for event in changes.events {
                     match event {
                         Change::Put(suspect) => {
-                            self.stored.on_kept(&suspect, changes.at);
+                            self.stored.on_put(&suspect, changes.at);
                             told.push(suspect);
                         }
                         Change::Gone(name) => removed.extend(
@@ -232,7 +232,7 @@
                 }
             }
         }
-        let news = self.ledger.take(told, unix_millis());
+        let news = self.ledger.merge(told, unix_millis());
         self.tell_news(fleet, news);
         for fingerprint in removed {
             self.clear(fleet, fingerprint, "its object was removed");
@@ -244,7 +244,7 @@
         self.stored.on_write_ended(of, stored.is_some(), self.shared.now());
         match stored {
             Some(StoredSuspect::Kept(suspect, at)) => {
-                self.stored.on_kept(&suspect, at);
+                self.stored.on_put(&suspect, at);
                 self.on_told(fleet, vec![suspect]);
             }
             Some(StoredSuspect::Removed) => drop(self.stored.on_removed(&of, u64::MAX)),
@@ -257,7 +257,7 @@
         self.publish();
         let after = self.shared.crashes();
         for suspect in news {
-            if self.ledger.is_agreed_on(&suspect.fingerprint) {
+            if self.ledger.needs_sync(&suspect.fingerprint) {
                 self.rebroadcast.on_update(suspect.fingerprint);
             }
             log_change(suspect.fingerprint, &before, &after);
@@ -271,7 +271,8 @@
 
 /// One line for a suspicion and for the beginning and the end of a quarantine.
 fn log_change(fingerprint: Fingerprint, before: &CrashTable, after: &CrashTable) {
-    let is_quarantined = |table: &CrashTable| table.get(&fingerprint).is_some_and(Standing::is_quarantined);
+    let is_quarantined =
+        |table: &CrashTable| table.get(&fingerprint).is_some_and(SuspectStatus::is_quarantined);
     let ends = after.get(&fingerprint).map_or(0, |standing| standing.ends);
     match (is_quarantined(before), is_quarantined(after)) {
         (false, true) => {
@@ -289,10 +290,10 @@
 
 async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
     let shown = match health::ask(&replica, &path, ASK_LIMIT).await {
-        Health::Well { .. } | Health::Unwell | Health::Leaving => Shown::Lives,
-        Health::Other => Shown::Replaced,
-        Health::Closed => Shown::PortClosed,
-        Health::Silent => Shown::Silent,
+        Health::Well { .. } | Health::Unwell | Health::Leaving => CheckResult::Lives,
+        Health::Other => CheckResult::Replaced,
+        Health::Closed => CheckResult::PortClosed,
+        Health::Silent => CheckResult::Silent,
     };
     shared.tell(ToControl::AskedAfterBreak(replica.incarnation(), shown));
 }
--- a/node/src/gateway/control/limit_intake.rs
+++ b/node/src/gateway/control/limit_intake.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use leadstage_lib::gateway::digest::TellingAll;
+use leadstage_lib::gateway::digest::FullSyncLimiter;
 use leadstage_lib::gateway::replica_limits::AnnouncedLimit;
 use leadstage_lib::gateway::replica_limits::LimitReport;
 use leadstage_lib::gateway::replica_limits::ResponseTimes;
@@ -22,13 +22,13 @@
 /// The way of limits into this node, and on to others.
 pub struct LimitIntake {
     shared: Arc<Shared>,
-    telling_all: TellingAll,
+    full_sync_limiter: FullSyncLimiter,
 }
 
 impl LimitIntake {
     /// None has come yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        LimitIntake { shared, telling_all: TellingAll::default() }
+        LimitIntake { shared, full_sync_limiter: FullSyncLimiter::default() }
     }
 
     /// An answer of a replica came to this node.
@@ -67,7 +67,7 @@
     /// Another node knows other limits if its digest is another one: it is told all, and does the same.
     pub fn compare(&mut self, knowledge: &Knowledge, fleet: &Fleet, from: SocketAddr, digest: u64) {
         let now = self.shared.now();
-        if !self.telling_all.is_due(self.shared.limits_digest(), digest, now) {
+        if !self.full_sync_limiter.is_due(self.shared.limits_digest(), digest, now) {
             return;
         }
         let all = knowledge.limits.borrow().limits.all(now);
--- a/node/src/gateway/control/suspect_store.rs
+++ b/node/src/gateway/control/suspect_store.rs
@@ -27,7 +27,7 @@
     let fingerprint = write.fingerprint();
     let mut store = SuspectStore { store: Store::new(shared.settings.store), shared: &shared };
     let stored = match write {
-        StoreWrite::Keep(suspect) => store.keep(suspect).await,
+        StoreWrite::Put(suspect) => store.keep(suspect).await,
         StoreWrite::Remove(fingerprint) => store.remove(fingerprint).await.map(Some),
     };
     let stored = stored.unwrap_or_else(|err| {
@@ -80,8 +80,8 @@
     let now = unix_millis();
     let mut ledger = CrashLedger::default();
     let fingerprint = ours.fingerprint;
-    ledger.take(vec![held.clone()], now);
-    let is_held = ledger.take(vec![ours], now).is_empty();
+    ledger.merge(vec![held.clone()], now);
+    let is_held = ledger.merge(vec![ours], now).is_empty();
     let all = ledger.get(&fingerprint).unwrap_or(held);
     (all, is_held)
 }
--- a/node/src/gateway/messages.rs
+++ b/node/src/gateway/messages.rs
@@ -12,7 +12,7 @@
 use leadstage_lib::gateway::crash_ledger::Suspect;
 use leadstage_lib::gateway::fingerprint::Fingerprint;
 use leadstage_lib::gateway::limit_grants::GrantRequestId;
-use leadstage_lib::gateway::pending_ends::Shown;
+use leadstage_lib::gateway::pending_ends::CheckResult;
 use leadstage_lib::gateway::replica::LeavingSign;
 use leadstage_lib::gateway::replica_limits::LimitReport;
 use leadstage_lib::gateway::replica_limits::ResponseTimes;
@@ -64,7 +64,7 @@
     /// A run of a request ended well that something speaks against.
     RanWell(Fingerprint),
     /// A replica was asked after a run broke there.
-    AskedAfterBreak(Incarnation, Shown),
+    AskedAfterBreak(Incarnation, CheckResult),
     /// News of the requests under which replicas ended, from the store.
     Suspects(News<Suspect>),
     /// What the store holds of such a request after a write; `None` if it was not written.
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -7,7 +7,7 @@
 use leadstage_lib::blame;
 use leadstage_lib::code::Code;
 use leadstage_lib::gateway::crash_ledger::CrashTable;
-use leadstage_lib::gateway::crash_ledger::Standing;
+use leadstage_lib::gateway::crash_ledger::SuspectStatus;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_platform::health;
 use log::info;
@@ -34,7 +34,7 @@
         began: Option<Instant>,
         events: u64,
     ) {
-        let is_held = !self.was_sound(req);
+        let is_held = !self.succeeded_recently(req);
         let ran_ms = began.map_or(0, |began| began.elapsed().as_millis() as u64);
         info!(event = "run_broke", request = req.id(), fingerprint:% = req.fingerprint(), route = &*req.route.name, upstream = &*replica.id, born = replica.born, began = began.is_some(), ran_ms, events, held = is_held; "a run broke at its replica");
         self.shared.metrics.on_broken_run(is_held);
@@ -45,23 +45,23 @@
         }
     }
 
-    fn was_sound(&self, req: &CallerRequest) -> bool {
-        let sound = self.sound_runs.borrow();
-        sound.was_sound(sound.name(&req.parts()), self.shared.now())
+    fn succeeded_recently(&self, req: &CallerRequest) -> bool {
+        let sound = self.recent_successes.borrow();
+        sound.succeeded_recently(sound.hash(&req.parts()), self.shared.now())
     }
 
     /// A replica answered a request to the end.
     pub fn on_sound_run(&self, req: &CallerRequest) {
-        let mut sound = self.sound_runs.borrow_mut();
-        let name = sound.name(&req.parts());
-        sound.on_sound(name, self.shared.now());
+        let mut sound = self.recent_successes.borrow_mut();
+        let name = sound.hash(&req.parts());
+        sound.on_success(name, self.shared.now());
         if self.standing(req).is_some() {
             self.shared.tell(ToControl::RanWell(req.fingerprint()));
         }
     }
 
     /// What speaks against a request. Costs nothing where nothing speaks against any.
-    fn standing(&self, req: &CallerRequest) -> Option<Standing> {
+    fn standing(&self, req: &CallerRequest) -> Option<SuspectStatus> {
         let crashes = self.shared.crashes();
         if crashes.is_empty() { None } else { crashes.get(&req.fingerprint()).copied() }
     }
@@ -103,7 +103,7 @@
     /// Refuses a request that is sent to no replica. Its caller is told when that ends: until then each
     /// attempt would come to the same.
     pub fn refuse_quarantined(&self, req: &CallerRequest) -> Result<(), Refusal> {
-        let Some(standing) = self.standing(req).filter(Standing::is_quarantined) else {
+        let Some(standing) = self.standing(req).filter(SuspectStatus::is_quarantined) else {
             return Ok(());
         };
         let left = Duration::from_millis(standing.until.saturating_sub(unix_millis()));
@@ -114,7 +114,7 @@
     /// Waits until a request is quarantined.
     pub async fn until_quarantined(&self, req: &CallerRequest) {
         let is_quarantined = |table: &Arc<CrashTable>| {
-            !table.is_empty() && table.get(&req.fingerprint()).is_some_and(Standing::is_quarantined)
+            !table.is_empty() && table.get(&req.fingerprint()).is_some_and(SuspectStatus::is_quarantined)
         };
         // The sender lives as long as the process.
         let _ = self.shared.crash_changes().wait_for(is_quarantined).await;
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -8,11 +8,11 @@
 
 use http::HeaderName;
 use leadstage_lib::gateway::leaving_announcements::LeavingAnnouncements;
+use leadstage_lib::gateway::recent_successes::RecentSuccesses;
 use leadstage_lib::gateway::replica_backoffs::ReplicaBackoffs;
 use leadstage_lib::gateway::retry_window::RetryShare;
 use leadstage_lib::gateway::retry_window::RetryWindow;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::gateway::sound_runs::SoundRuns;
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::ids::UpstreamId;
 
@@ -38,7 +38,7 @@
     pub connections: Rc<Connections>,
     retries: Rc<RefCell<HashMap<ServiceId, RetryWindow>>>,
     /// Requests that replicas answered lately.
-    pub sound_runs: Rc<RefCell<SoundRuns>>,
+    pub recent_successes: Rc<RefCell<RecentSuccesses>>,
     /// Replicas that said in an answer to this node that they leave.
     pub leaving_announcements: Rc<RefCell<LeavingAnnouncements>>,
     /// Replicas that asked this node for rest.
@@ -54,7 +54,7 @@
             shared,
             connections: Rc::default(),
             retries: Rc::default(),
-            sound_runs: Rc::default(),
+            recent_successes: Rc::default(),
             leaving_announcements: Rc::default(),
             rests: Rc::default(),
             seen_headers: Rc::default(),
--- a/testutils/examples/fleet.rs
+++ b/testutils/examples/fleet.rs
@@ -7,10 +7,10 @@
 
 use leadstage_testutils::fleet_model;
 use leadstage_testutils::fleet_model::experiment::Experiment;
-use leadstage_testutils::fleet_model::tally;
+use leadstage_testutils::fleet_model::report;
 use lexopt::prelude::*;
 
-const SEEDS: u64 = 20;
+const DEFAULT_SEEDS: u64 = 20;
 
 fn main() -> ExitCode {
     match run() {
@@ -23,7 +23,7 @@
 }
 
 fn run() -> Result<(), Box<dyn std::error::Error>> {
-    let (mut paths, mut seeds, mut first, mut load) = (Vec::new(), SEEDS, 1, 1.0);
+    let (mut paths, mut seeds, mut first, mut load) = (Vec::new(), DEFAULT_SEEDS, 1, 1.0);
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
@@ -38,18 +38,21 @@
         let mut experiment = Experiment::parse(&std::fs::read_to_string(&path)?)?;
         experiment.kinds.iter_mut().for_each(|kind| kind.per_second *= load);
         let days = std::thread::scope(|scope| {
-            let plays: Vec<_> = (first..first + seeds)
+            let simulations: Vec<_> = (first..first + seeds)
                 .map(|seed| {
                     scope.spawn({
                         let experiment = &experiment;
-                        move || fleet_model::play(experiment, seed)
+                        move || fleet_model::simulate(experiment, seed)
                     })
                 })
                 .collect();
-            plays.into_iter().map(|play| play.join().expect("no play panics")).collect::<Vec<_>>()
+            simulations
+                .into_iter()
+                .map(|simulation| simulation.join().expect("no simulation panics"))
+                .collect::<Vec<_>>()
         });
         println!("{path}, {seeds} days, load {load}");
-        print!("{}", tally::table(&experiment, &days));
+        print!("{}", report::table(&experiment, &days));
     }
     Ok(())
 }
--- a/testutils/src/fleet_model.rs
+++ b/testutils/src/fleet_model.rs
@@ -10,7 +10,7 @@
 
 pub mod experiment;
 mod lead;
-mod play;
-pub mod tally;
+pub mod report;
+mod simulation;
 
-pub use play::play;
+pub use simulation::simulate;
--- a/testutils/src/fleet_model/experiment.rs
+++ b/testutils/src/fleet_model/experiment.rs
@@ -124,14 +124,14 @@
     /// By what the usual arrivals are multiplied at some time.
     pub fn rate_factor(&self, since_start: Duration) -> f64 {
         let Some(wave) = &self.wave else { return 1.0 };
-        let turns = since_start.as_secs_f64() / wave.period_s;
-        1.0 + wave.swing * (turns * std::f64::consts::TAU).sin()
+        let periods = since_start.as_secs_f64() / wave.period_s;
+        1.0 + wave.swing * (periods * std::f64::consts::TAU).sin()
     }
 }
 
 impl Engines {
     /// One engine of the fleet, by its place.
-    pub fn config(&self, at: usize) -> EngineConfig {
+    pub fn config(&self, place: usize) -> EngineConfig {
         EngineConfig {
             blocks: u64::from(self.memory_tokens / self.block_tokens),
             block_tokens: u64::from(self.block_tokens),
@@ -140,7 +140,7 @@
             batch_cost: self.step_ms_per_run * self.batch as f64 / self.step_ms,
             prefill_tokens_per_step: u64::from(self.chunk),
             prefill_cost: self.chunk_ms / self.step_ms,
-            slowdown: self.slowdowns[at % self.slowdowns.len()],
+            slowdown: self.slowdowns[place % self.slowdowns.len()],
         }
     }
 }
--- a/testutils/src/fleet_model/lead.rs
+++ b/testutils/src/fleet_model/lead.rs
@@ -37,7 +37,7 @@
 
 /// A generation that wants an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Names it.
     pub run: RunId,
     /// Its size.
@@ -45,27 +45,27 @@
     /// Its urgency; 0 goes first.
     pub priority: u8,
     /// Time until its first event is due.
-    pub patience: Duration,
+    pub first_event_due_in: Duration,
     /// Time until its caller leaves.
     pub leaves_after: Duration,
 }
 
 /// The lead's word.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum PlacementReply {
     /// It was given an engine.
     Placed(RunId, UpstreamId),
     /// Refused, with the time after which there should be room, if it is known.
     Refused(RunId, Option<Duration>),
     /// It is told later.
-    Waits,
+    Queued,
 }
 
 /// The lead of all engines.
 pub struct Lead {
     /// What it knows of the fleet.
     pub fleet: Fleet,
-    queue: LeadQueue<Ask>,
+    queue: LeadQueue<PlacementRequest>,
     rebalancer: Rebalancer,
 }
 
@@ -74,7 +74,7 @@
     /// The engines.
     pub table: ReplicaTable,
     /// The generations.
-    pub book: LoadTracker,
+    pub load: LoadTracker,
     traits: EngineTraits,
     forecast: RoomForecast,
     hall: HallId,
@@ -91,7 +91,7 @@
         Lead {
             fleet: Fleet {
                 table: ReplicaTable::new(policy),
-                book: LoadTracker::new(policy),
+                load: LoadTracker::new(policy),
                 traits: EngineTraits {
                     batch: engines.batch as u32,
                     memory_tokens: engines.memory_tokens,
@@ -110,32 +110,32 @@
     }
 
     /// Takes a question in.
-    pub fn ask(&mut self, ask: Ask, now: Timestamp, rng: &mut SmallRng) -> Answer {
-        let (run, terms) = (ask.run, self.fleet.terms(&ask));
+    pub fn place(&mut self, request: PlacementRequest, now: Timestamp, rng: &mut SmallRng) -> PlacementReply {
+        let (run, terms) = (request.run, self.fleet.terms(&request));
         let mut engines = EnginesAt { fleet: &mut self.fleet, now, rng };
-        match self.queue.ask(ask, &terms, &mut engines, now) {
-            QueueReply::Placed(_, engine) => Answer::Placed(run, engine),
-            QueueReply::Refused(_, expected) => Answer::Refused(run, expected),
-            QueueReply::Waits => Answer::Waits,
+        match self.queue.ask(request, &terms, &mut engines, now) {
+            QueueReply::Placed(_, engine) => PlacementReply::Placed(run, engine),
+            QueueReply::Refused(_, expected) => PlacementReply::Refused(run, expected),
+            QueueReply::Waits => PlacementReply::Queued,
         }
     }
 
     /// Answers those that can go on now, and those that can't be expected to begin in time.
-    pub fn settle(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<Answer> {
+    pub fn settle(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<PlacementReply> {
         let mut engines = EnginesAt { fleet: &mut self.fleet, now, rng };
         let settled = self.queue.settle(&mut engines, now);
-        let answer = |settled: Settled<Ask, UpstreamId>| match settled.outcome {
-            Ok(engine) => Answer::Placed(settled.item.run, engine),
-            Err(expected) => Answer::Refused(settled.item.run, expected),
+        let reply = |settled: Settled<PlacementRequest, UpstreamId>| match settled.outcome {
+            Ok(engine) => PlacementReply::Placed(settled.item.run, engine),
+            Err(expected) => PlacementReply::Refused(settled.item.run, expected),
         };
-        settled.into_iter().map(answer).collect()
+        settled.into_iter().map(reply).collect()
     }
 
     /// Generations that should move for balance.
     pub fn due_moves(&mut self, now: Timestamp) -> Vec<RebalanceMove> {
         let fleet = &self.fleet;
         let usable = fleet.table.of_service(SERVICE).into_iter().filter(|engine| engine.is_usable(now));
-        self.rebalancer.due_moves(&fleet.book, usable, &fleet.traits, now)
+        self.rebalancer.due_moves(&fleet.load, usable, &fleet.traits, now)
     }
 }
 
@@ -146,11 +146,11 @@
     rng: &'a mut SmallRng,
 }
 
-impl Engines<Ask> for EnginesAt<'_> {
+impl Engines<PlacementRequest> for EnginesAt<'_> {
     type Place = UpstreamId;
 
-    fn choose(&mut self, ask: &Ask) -> Result<UpstreamId, Shortage> {
-        self.fleet.choose(ask, self.now, self.rng)
+    fn choose(&mut self, request: &PlacementRequest) -> Result<UpstreamId, Shortage> {
+        self.fleet.choose(request, self.now, self.rng)
     }
 
     fn time_until(&self, tokens: f64) -> Option<Duration> {
@@ -175,30 +175,35 @@
         self.table.on_entry(record, now, &mut ListChange::default());
     }
 
-    fn terms(&self, ask: &Ask) -> QueueTerms {
-        let reading = self.book.prefill.usual_prefill_time(SERVICE, ask.size.prompt);
+    fn terms(&self, request: &PlacementRequest) -> QueueTerms {
+        let prefill_time = self.load.prefill.usual_prefill_time(SERVICE, request.size.prompt);
         QueueTerms {
-            priority: ask.priority,
-            in_time: ask.patience.saturating_sub(reading + MAX_QUEUED_PREFILL),
-            may_wait: ask.leaves_after.saturating_sub(reading),
-            tokens: self.book.memory_of(SERVICE, ask.size, 0),
+            priority: request.priority,
+            in_time: request.first_event_due_in.saturating_sub(prefill_time + MAX_QUEUED_PREFILL),
+            may_wait: request.leaves_after.saturating_sub(prefill_time),
+            tokens: self.load.memory_of(SERVICE, request.size, 0),
         }
     }
 
-    fn choose(&mut self, ask: &Ask, now: Timestamp, rng: &mut SmallRng) -> Result<UpstreamId, Shortage> {
-        let request = EngineRequest {
-            size: ask.size,
+    fn choose(
+        &mut self,
+        request: &PlacementRequest,
+        now: Timestamp,
+        rng: &mut SmallRng,
+    ) -> Result<UpstreamId, Shortage> {
+        let engine_request = EngineRequest {
+            size: request.size,
             engine: &self.traits,
             hall: &self.hall,
             produced: 0,
             moves: false,
         };
         let usable = self.table.of_service(SERVICE).into_iter().filter(|engine| engine.is_usable(now));
-        let (soon, later): (Vec<&Replica>, Vec<&Replica>) =
-            usable.partition(|engine| self.book.has_prefill_capacity(&engine.record.id, now));
-        let choice = self.book.choose_engine_or_shortage(soon, later, &request, now, rng)?;
+        let (available, backlogged): (Vec<&Replica>, Vec<&Replica>) =
+            usable.partition(|engine| self.load.has_prefill_capacity(&engine.record.id, now));
+        let choice = self.load.choose_engine_or_shortage(available, backlogged, &engine_request, now, rng)?;
         let engine = choice.replica.clone();
-        self.add(ask.run, ask.size, 0, None, &engine, now);
+        self.add(request.run, request.size, 0, None, &engine, now);
         Ok(engine.record.id.clone())
     }
 
@@ -210,15 +215,15 @@
         now: Timestamp,
         rng: &mut SmallRng,
     ) -> Option<UpstreamId> {
-        if self.book.copies_from(from) >= evacuation::MAX_CONCURRENT_COPIES {
+        if self.load.copies_from(from) >= evacuation::MAX_CONCURRENT_COPIES {
             return None;
         }
-        let known = self.book.get(&key(run))?.clone();
-        let (size, produced) = (known.size?, known.produced);
+        let current = self.load.get(&key(run))?.clone();
+        let (size, produced) = (current.size?, current.produced);
         let request = EngineRequest { size, engine: &self.traits, hall: &self.hall, produced, moves: true };
         let others = self.table.of_service(SERVICE).into_iter().filter(|engine| engine.record.id != *from);
         let usable = others.filter(|engine| engine.is_usable(now));
-        let engine = self.book.choose_engine(usable, &request, now, rng)?.replica.clone();
+        let engine = self.load.choose_engine(usable, &request, now, rng)?.replica.clone();
         self.add(run, size, produced, Some(from.clone()), &engine, now);
         Some(engine.record.id.clone())
     }
@@ -233,12 +238,12 @@
         now: Timestamp,
     ) {
         let replica = engine.record.id.clone();
-        self.book.add(key(run), Run { replica, size: Some(size), produced, copied_from }, engine, now);
+        self.load.add(key(run), Run { replica, size: Some(size), produced, copied_from }, engine, now);
     }
 
     /// A generation is no longer at its engine, which stays or not.
     pub fn on_ended(&mut self, run: RunId, now: Timestamp) {
-        let Some(run) = self.book.remove(&key(run)) else { return };
+        let Some(run) = self.load.remove(&key(run)) else { return };
         let stays = self.table.get(&run.replica).is_some_and(|replica| replica.leaving.is_none());
         if let Some(size) = run.size.filter(|_| stays) {
             self.forecast.on_freed(f64::from(size.prompt + run.produced), now);
--- a/testutils/src/fleet_model/tally.rs
+++ b/testutils/src/fleet_model/report.rs
@@ -25,7 +25,7 @@
 
 /// What became of the requests of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct KindReport {
     /// In time and whole.
     pub in_time: usize,
     /// First event late.
@@ -41,14 +41,14 @@
     /// Times from the first attempt to the first event.
     pub first_events: Vec<Duration>,
     /// Time between events, and how many pauses that is.
-    pub pauses: (Duration, u32),
+    pub gaps: (Duration, u32),
 }
 
 /// A day's outcome.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct DayReport {
     /// By kind, in the experiment's order.
-    pub kinds: Vec<Got>,
+    pub kinds: Vec<KindReport>,
     /// Generations that an engine preempted.
     pub preempted: usize,
     /// Generations that were copied to another engine.
@@ -56,10 +56,10 @@
     /// Refusals, of first and second attempts.
     pub refusals: usize,
     /// Sum and count of the fills of memory that were looked at, one for each engine and tick.
-    pub fills: (f64, usize),
+    pub memory_use: (f64, usize),
 }
 
-impl Got {
+impl KindReport {
     /// Counts one.
     pub fn add(&mut self, outcome: Outcome) {
         *match outcome {
@@ -78,30 +78,30 @@
     }
 
     /// The time within which a part of those that had an event had their first.
-    pub fn first_event_within(&self, part: f64) -> Duration {
+    pub fn first_event_quantile(&self, quantile: f64) -> Duration {
         let mut times = self.first_events.clone();
         times.sort_unstable();
-        let at = (times.len() as f64 * part) as usize;
+        let at = (times.len() as f64 * quantile) as usize;
         times.get(at).or(times.last()).copied().unwrap_or_default()
     }
 
-    fn earned(&self, kind: &Kind) -> f64 {
+    fn value(&self, kind: &Kind) -> f64 {
         self.in_time as f64 * kind.worth + (self.late + self.paused) as f64 * kind.late_worth
     }
 }
 
-impl Tally {
+impl DayReport {
     /// What was earned of what could be, 0 to 1.
-    pub fn earned(&self, experiment: &Experiment) -> f64 {
+    pub fn earned_share(&self, experiment: &Experiment) -> f64 {
         let pairs = || self.kinds.iter().zip(&experiment.kinds);
-        let earned: f64 = pairs().map(|(got, kind)| got.earned(kind)).sum();
-        let owed: f64 = pairs().map(|(got, kind)| got.all() as f64 * kind.worth).sum();
-        earned / owed
+        let earned: f64 = pairs().map(|(report, kind)| report.value(kind)).sum();
+        let possible: f64 = pairs().map(|(report, kind)| report.all() as f64 * kind.worth).sum();
+        earned / possible
     }
 
     /// The part of the engines' memory in use, over the day.
-    pub fn mean_fill(&self) -> f64 {
-        self.fills.0 / self.fills.1.max(1) as f64
+    pub fn mean_memory_use(&self) -> f64 {
+        self.memory_use.0 / self.memory_use.1.max(1) as f64
     }
 }
 
@@ -114,43 +114,45 @@
 }
 
 /// A table of some days of an experiment.
-pub fn table(experiment: &Experiment, days: &[Tally]) -> String {
+pub fn table(experiment: &Experiment, days: &[DayReport]) -> String {
     let mut text = String::new();
-    let (mean, error) = mean_and_error(&days.iter().map(|day| day.earned(experiment)).collect::<Vec<f64>>());
-    let each = |of: fn(&Tally) -> f64| days.iter().map(of).sum::<f64>() / days.len() as f64;
+    let (mean, error) =
+        mean_and_error(&days.iter().map(|day| day.earned_share(experiment)).collect::<Vec<f64>>());
+    let mean_of = |value: fn(&DayReport) -> f64| days.iter().map(value).sum::<f64>() / days.len() as f64;
     writeln!(
         text,
         "earned {mean:.3} +- {error:.3}; fill {:.2}; preempted {:.0}, moved {:.0}, refusals {:.0} a day",
-        each(Tally::mean_fill),
-        each(|day| day.preempted as f64),
-        each(|day| day.moved as f64),
-        each(|day| day.refusals as f64),
+        mean_of(DayReport::mean_memory_use),
+        mean_of(|day| day.preempted as f64),
+        mean_of(|day| day.moved as f64),
+        mean_of(|day| day.refusals as f64),
     )
-    .expect("a string takes all");
-    for (at, kind) in experiment.kinds.iter().enumerate() {
-        let sum = |of: fn(&Got) -> usize| days.iter().map(|day| of(&day.kinds[at])).sum::<usize>();
-        let all = Got {
-            first_events: days.iter().flat_map(|day| day.kinds[at].first_events.iter().copied()).collect(),
-            ..Got::default()
+    .expect("writing to a string cannot fail");
+    for (index, kind) in experiment.kinds.iter().enumerate() {
+        let sum =
+            |count: fn(&KindReport) -> usize| days.iter().map(|day| count(&day.kinds[index])).sum::<usize>();
+        let all = KindReport {
+            first_events: days.iter().flat_map(|day| day.kinds[index].first_events.iter().copied()).collect(),
+            ..KindReport::default()
         };
-        let pauses = days.iter().map(|day| day.kinds[at].pauses);
-        let (time, count) = pauses.fold((Duration::ZERO, 0), |(time, count), (t, c)| (time + t, count + c));
+        let gaps = days.iter().map(|day| day.kinds[index].gaps);
+        let (time, count) = gaps.fold((Duration::ZERO, 0), |(time, count), (t, c)| (time + t, count + c));
         writeln!(
             text,
             "{}: {} in time, {} late, {} paused, {} refused, {} left, {} broken of {}; first event {} ms, 99 % {} ms; {:.1} ms between events",
             kind.name,
-            sum(|got| got.in_time),
-            sum(|got| got.late),
-            sum(|got| got.paused),
-            sum(|got| got.refused),
-            sum(|got| got.left),
-            sum(|got| got.broken),
-            sum(Got::all),
-            all.first_event_within(0.5).as_millis(),
-            all.first_event_within(0.99).as_millis(),
+            sum(|report| report.in_time),
+            sum(|report| report.late),
+            sum(|report| report.paused),
+            sum(|report| report.refused),
+            sum(|report| report.left),
+            sum(|report| report.broken),
+            sum(KindReport::all),
+            all.first_event_quantile(0.5).as_millis(),
+            all.first_event_quantile(0.99).as_millis(),
             (time / count.max(1)).as_secs_f64() * 1_000.0,
         )
-        .expect("a string takes all");
+        .expect("writing to a string cannot fail");
     }
     text
 }
--- a/testutils/src/fleet_model/play.rs
+++ b/testutils/src/fleet_model/simulation.rs
@@ -21,26 +21,26 @@
 use crate::fleet_model::experiment::Experiment;
 use crate::fleet_model::lead::Lead;
 use crate::fleet_model::lead::key;
-use crate::fleet_model::tally::Got;
-use crate::fleet_model::tally::Tally;
+use crate::fleet_model::report::DayReport;
+use crate::fleet_model::report::KindReport;
 
 /// When the day begins: clocks of a fleet don't start at 0.
 const START: Duration = Duration::from_secs(100);
 /// Time between two looks of the lead.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// The lead hears how far generations are once in so many ticks.
 const TICKS_PER_INVENTORY: u64 = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// Callers of a kind.
-    Arrives(usize),
+    Arrival(usize),
     /// A caller that was refused.
-    Returns(RunId),
+    Retry(RunId),
     /// A caller that has had no event goes.
-    Leaves(RunId),
+    Departure(RunId),
     /// A step of an engine is over.
-    Stepped(usize),
+    StepDone(usize),
     /// A generation's memory is at another engine.
     Copied {
         run: RunId,
@@ -49,9 +49,9 @@
     /// Engines are told that they end.
     Notice,
     /// An engine ends.
-    Ends(usize),
+    EngineEnd(usize),
     /// A new engine takes a place.
-    Starts {
+    EngineStart {
         place: usize,
     },
     Tick,
@@ -63,15 +63,15 @@
     kind: usize,
     size: GenerationSize,
     output: u32,
-    came: Timestamp,
+    arrived: Timestamp,
     attempts_left: u32,
     /// Where it runs.
     engine: Option<usize>,
-    is_copied: bool,
+    is_copying: bool,
     produced: u32,
     last_event: Option<Timestamp>,
     is_late: bool,
-    has_paused: bool,
+    has_exceeded_gap: bool,
 }
 
 struct Engine {
@@ -79,61 +79,64 @@
     place: usize,
     model: EngineModel,
     /// What the step brings that is under way.
-    stepping: Option<Vec<EngineEvent>>,
+    current_step: Option<Vec<EngineEvent>>,
     is_leaving: bool,
     is_gone: bool,
     link_free_at: Timestamp,
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     experiment: &'a Experiment,
     lead: Lead,
     engines: Vec<Engine>,
     callers: BTreeMap<RunId, Caller>,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
-    count: u64,
+    event_count: u64,
     now: Timestamp,
     ticks: u64,
     last_run: RunId,
-    tally: Tally,
+    report: DayReport,
     rng: SmallRng,
 }
 
 /// Plays one day with a seed.
-pub fn play(experiment: &Experiment, seed: u64) -> Tally {
-    let mut play = Play {
+pub fn simulate(experiment: &Experiment, seed: u64) -> DayReport {
+    let mut simulation = Simulation {
         experiment,
         lead: Lead::new(&experiment.engines, experiment.policy),
         engines: Vec::new(),
         callers: BTreeMap::new(),
         events: BinaryHeap::new(),
-        count: 0,
+        event_count: 0,
         now: START,
         ticks: 0,
         last_run: 0,
-        tally: Tally { kinds: vec![Got::default(); experiment.kinds.len()], ..Tally::default() },
+        report: DayReport {
+            kinds: vec![KindReport::default(); experiment.kinds.len()],
+            ..DayReport::default()
+        },
         rng: SmallRng::seed_from_u64(seed),
     };
-    play.begin();
-    while let Some(Reverse((at, _, event))) = play.events.pop() {
-        play.now = at;
-        play.handle(event);
+    simulation.start();
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
+        simulation.now = at;
+        simulation.handle(event);
     }
-    play.tally
+    simulation.report
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     fn push(&mut self, at: Timestamp, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((at, self.count, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         for place in 0..self.experiment.engines.count {
             self.start_engine(place);
         }
         for kind in 0..self.experiment.kinds.len() {
-            self.push(START, Event::Arrives(kind));
+            self.push(START, Event::Arrival(kind));
         }
         if let Some(reclaims) = &self.experiment.reclaims {
             self.push(START + Duration::from_secs_f64(reclaims.first_s), Event::Notice);
@@ -147,52 +150,52 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrives(kind) => self.arrives(kind),
-            Event::Returns(run) => self.ask(run),
-            Event::Leaves(run) => self.leaves(run),
-            Event::Stepped(engine) => self.stepped(engine),
-            Event::Copied { run, to } => self.copied(run, to),
-            Event::Notice => self.notice(),
-            Event::Ends(engine) => self.ends(engine),
-            Event::Starts { place } => self.start_engine(place),
-            Event::Tick => self.tick(),
+            Event::Arrival(kind) => self.on_arrival(kind),
+            Event::Retry(run) => self.place(run),
+            Event::Departure(run) => self.on_departure(run),
+            Event::StepDone(engine) => self.on_step_done(engine),
+            Event::Copied { run, to } => self.on_copied(run, to),
+            Event::Notice => self.on_notice(),
+            Event::EngineEnd(engine) => self.on_engine_end(engine),
+            Event::EngineStart { place } => self.start_engine(place),
+            Event::Tick => self.on_tick(),
         }
     }
 
     fn settle(&mut self) {
-        for answer in self.lead.settle(self.now, &mut self.rng) {
-            self.answered(answer);
+        for reply in self.lead.settle(self.now, &mut self.rng) {
+            self.on_reply(reply);
         }
     }
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         self.ticks += 1;
         if self.ticks.is_multiple_of(TICKS_PER_INVENTORY) {
             for (run, caller) in &self.callers {
-                self.lead.fleet.book.on_progress(&key(*run), caller.produced, self.now);
+                self.lead.fleet.load.on_progress(&key(*run), caller.produced, self.now);
             }
         }
         for engine in 0..self.engines.len() {
             if self.engines[engine].is_leaving && !self.engines[engine].is_gone {
-                self.empty(engine);
+                self.evacuate(engine);
             }
         }
         self.settle();
-        for relief in self.lead.due_moves(self.now) {
-            let from = self.engine_at(&relief.from);
-            self.copy(relief.key.run, from);
+        for rebalance in self.lead.due_moves(self.now) {
+            let from = self.engine_index(&rebalance.from);
+            self.start_copy(rebalance.key.run, from);
         }
-        self.note_fills();
+        self.record_memory_use();
         if !self.is_over() || !self.callers.is_empty() {
-            self.push(self.now + TICK, Event::Tick);
+            self.push(self.now + TICK_INTERVAL, Event::Tick);
         }
     }
 
-    fn note_fills(&mut self) {
+    fn record_memory_use(&mut self) {
         for engine in self.engines.iter().filter(|engine| !engine.is_leaving) {
             let load = engine.model.load();
-            self.tally.fills.0 += load.used_blocks as f64 / load.total_blocks as f64;
-            self.tally.fills.1 += 1;
+            self.report.memory_use.0 += load.used_blocks as f64 / load.total_blocks as f64;
+            self.report.memory_use.1 += 1;
         }
     }
 }
--- a/testutils/src/fleet_model/play/engines.rs
+++ b/testutils/src/fleet_model/simulation/engines.rs
@@ -7,33 +7,36 @@
 use crate::engine_model::EngineModel;
 use crate::engine_model::Submission;
 use crate::fleet_model::lead::key;
-use crate::fleet_model::play::Caller;
-use crate::fleet_model::play::Engine;
-use crate::fleet_model::play::Event;
-use crate::fleet_model::play::Play;
-use crate::fleet_model::tally::Outcome;
+use crate::fleet_model::report::Outcome;
+use crate::fleet_model::simulation::Caller;
+use crate::fleet_model::simulation::Engine;
+use crate::fleet_model::simulation::Event;
+use crate::fleet_model::simulation::Simulation;
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn start_engine(&mut self, place: usize) {
-        let at = self.engines.len();
-        let id: UpstreamId = format!("engine-{at:05}").into();
+        let index = self.engines.len();
+        let id: UpstreamId = format!("engine-{index:05}").into();
         self.lead.fleet.on_entry(&id, false, self.now);
         self.engines.push(Engine {
             id,
             place,
             model: EngineModel::new(self.experiment.engines.config(place)),
-            stepping: None,
+            current_step: None,
             is_leaving: false,
             is_gone: false,
             link_free_at: self.now,
         });
     }
 
-    pub(super) fn engine_at(&self, id: &UpstreamId) -> usize {
-        self.engines.iter().position(|engine| engine.id == *id).expect("the lead knows no others")
+    pub(super) fn engine_index(&self, id: &UpstreamId) -> usize {
+        self.engines
+            .iter()
+            .position(|engine| engine.id == *id)
+            .expect("the lead knows only engines of the fleet")
     }
 
-    pub(super) fn run_at(&mut self, run: RunId, engine: usize, is_copied: bool) {
+    pub(super) fn start_run(&mut self, run: RunId, engine: usize, is_copied: bool) {
         let Some(caller) = self.callers.get_mut(&run) else { return };
         caller.engine = Some(engine);
         let submission = Submission {
@@ -50,38 +53,38 @@
         } else {
             model.submit(submission);
         }
-        self.step(engine);
+        self.start_step(engine);
     }
 
-    pub(super) fn step(&mut self, engine: usize) {
-        let it = &mut self.engines[engine];
-        if it.stepping.is_some() || it.is_gone || it.model.is_idle() {
+    pub(super) fn start_step(&mut self, index: usize) {
+        let engine = &mut self.engines[index];
+        if engine.current_step.is_some() || engine.is_gone || engine.model.is_idle() {
             return;
         }
-        let outcome = it.model.step();
-        it.stepping = Some(outcome.events);
-        self.push(self.now + outcome.duration, Event::Stepped(engine));
+        let outcome = engine.model.step();
+        engine.current_step = Some(outcome.events);
+        self.push(self.now + outcome.duration, Event::StepDone(index));
     }
 
-    pub(super) fn stepped(&mut self, engine: usize) {
+    pub(super) fn on_step_done(&mut self, engine: usize) {
         if self.engines[engine].is_gone {
             return;
         }
         let mut has_room = false;
-        for event in self.engines[engine].stepping.take().unwrap_or_default() {
+        for event in self.engines[engine].current_step.take().unwrap_or_default() {
             match event {
                 EngineEvent::Token { generation, index } => {
                     has_room |= self.on_token(generation, engine, index as u32 + 1);
                 }
                 EngineEvent::Finished { generation, .. } => {
                     has_room = true;
-                    self.finished(generation);
+                    self.on_finished(generation);
                 }
-                EngineEvent::Preempted { .. } => self.tally.preempted += 1,
+                EngineEvent::Preempted { .. } => self.report.preempted += 1,
                 EngineEvent::PrefixStored { .. } | EngineEvent::PrefixEvicted { .. } => {}
             }
         }
-        self.step(engine);
+        self.start_step(engine);
         if has_room {
             self.settle();
         }
@@ -99,31 +102,31 @@
         }
         let kind = &self.experiment.kinds[caller.kind];
         let is_first = caller.last_event.is_none();
-        let got = &mut self.tally.kinds[caller.kind];
+        let report = &mut self.report.kinds[caller.kind];
         match caller.last_event {
             None => {
-                got.first_events.push(self.now - caller.came);
-                caller.is_late = self.now - caller.came > kind.objective();
+                report.first_events.push(self.now - caller.arrived);
+                caller.is_late = self.now - caller.arrived > kind.objective();
             }
             Some(last) => {
-                got.pauses = (got.pauses.0 + (self.now - last), got.pauses.1 + 1);
-                caller.has_paused |= self.now - last > kind.gap();
+                report.gaps = (report.gaps.0 + (self.now - last), report.gaps.1 + 1);
+                caller.has_exceeded_gap |= self.now - last > kind.gap();
             }
         }
         caller.last_event = Some(self.now);
         if is_first {
-            self.lead.fleet.book.on_first_event(&key(run), self.now);
+            self.lead.fleet.load.on_first_event(&key(run), self.now);
         }
         is_first
     }
 
-    pub(super) fn finished(&mut self, run: RunId) {
+    pub(super) fn on_finished(&mut self, run: RunId) {
         let Some(caller) = self.callers.get(&run) else { return };
         let outcome = match caller {
             Caller { is_late: true, .. } => Outcome::Late,
-            Caller { has_paused: true, .. } => Outcome::Paused,
+            Caller { has_exceeded_gap: true, .. } => Outcome::Paused,
             _ => Outcome::InTime,
         };
-        self.over(run, outcome);
+        self.finish(run, outcome);
     }
 }
--- a/testutils/src/fleet_model/play/moves.rs
+++ b/testutils/src/fleet_model/simulation/moves.rs
@@ -8,15 +8,15 @@
 
 use crate::fleet_model::experiment::Reclaims;
 use crate::fleet_model::lead::key;
-use crate::fleet_model::play::Event;
-use crate::fleet_model::play::Play;
-use crate::fleet_model::tally::Outcome;
+use crate::fleet_model::report::Outcome;
+use crate::fleet_model::simulation::Event;
+use crate::fleet_model::simulation::Simulation;
 
 /// What a stream pauses for when it goes on at another engine.
-const SWITCH: Duration = Duration::from_millis(20);
+const SWITCH_PAUSE: Duration = Duration::from_millis(20);
 
-impl Play<'_> {
-    pub(super) fn notice(&mut self) {
+impl Simulation<'_> {
+    pub(super) fn on_notice(&mut self) {
         let Some(reclaims) = &self.experiment.reclaims else { return };
         let Reclaims { every_s, share, notice_s, replaced_after_s, .. } = reclaims.clone();
         if self.is_over() {
@@ -31,73 +31,73 @@
             self.engines[engine].is_leaving = true;
             let (id, place) = (self.engines[engine].id.clone(), self.engines[engine].place);
             self.lead.fleet.on_entry(&id, true, self.now);
-            self.push(self.now + Duration::from_secs_f64(notice_s), Event::Ends(engine));
-            self.push(self.now + Duration::from_secs_f64(replaced_after_s), Event::Starts { place });
-            self.empty(engine);
+            self.push(self.now + Duration::from_secs_f64(notice_s), Event::EngineEnd(engine));
+            self.push(self.now + Duration::from_secs_f64(replaced_after_s), Event::EngineStart { place });
+            self.evacuate(engine);
         }
     }
 
     /// Has generations of an engine that leaves go, the worth-most first.
-    pub(super) fn empty(&mut self, engine: usize) {
-        let mut there: Vec<(u8, RunId)> = self
+    pub(super) fn evacuate(&mut self, engine: usize) {
+        let mut runs: Vec<(u8, RunId)> = self
             .callers
             .iter()
-            .filter(|(_, caller)| caller.engine == Some(engine) && caller.produced > 0 && !caller.is_copied)
+            .filter(|(_, caller)| caller.engine == Some(engine) && caller.produced > 0 && !caller.is_copying)
             .map(|(run, caller)| (evacuation::rank(caller.size, caller.produced), *run))
             .collect();
-        there.sort_unstable();
-        for (_, run) in there {
-            if !self.copy(run, engine) {
+        runs.sort_unstable();
+        for (_, run) in runs {
+            if !self.start_copy(run, engine) {
                 return;
             }
         }
     }
 
     /// Begins to copy a generation away; returns whether it does.
-    pub(super) fn copy(&mut self, run: RunId, from: usize) -> bool {
+    pub(super) fn start_copy(&mut self, run: RunId, from: usize) -> bool {
         let Some(caller) = self.callers.get(&run) else { return false };
         let (produced, tokens) = (caller.produced, caller.size.prompt + caller.produced);
-        self.lead.fleet.book.on_progress(&key(run), produced, self.now);
+        self.lead.fleet.load.on_progress(&key(run), produced, self.now);
         let id = self.engines[from].id.clone();
         let Some(target) = self.lead.fleet.choose_target(run, &id, self.now, &mut self.rng) else {
             return false;
         };
-        self.callers.entry(run).and_modify(|caller| caller.is_copied = true);
-        let to = self.engine_at(&target);
-        let takes = self.lead.fleet.copy_time(tokens);
-        let begins = self.now.max(self.engines[from].link_free_at).max(self.engines[to].link_free_at);
-        let done = begins + takes;
+        self.callers.entry(run).and_modify(|caller| caller.is_copying = true);
+        let to = self.engine_index(&target);
+        let duration = self.lead.fleet.copy_time(tokens);
+        let start = self.now.max(self.engines[from].link_free_at).max(self.engines[to].link_free_at);
+        let done = start + duration;
         self.engines[from].link_free_at = done;
         self.engines[to].link_free_at = done;
-        self.push(done + SWITCH, Event::Copied { run, to });
+        self.push(done + SWITCH_PAUSE, Event::Copied { run, to });
         true
     }
 
-    pub(super) fn copied(&mut self, run: RunId, to: usize) {
+    pub(super) fn on_copied(&mut self, run: RunId, to: usize) {
         let Some(caller) = self.callers.get_mut(&run) else { return };
-        caller.is_copied = false;
+        caller.is_copying = false;
         let Some(from) = caller.engine else { return };
-        self.lead.fleet.book.on_copied(&key(run));
+        self.lead.fleet.load.on_copied(&key(run));
         if self.engines[to].is_gone {
-            return self.over(run, Outcome::Broken);
+            return self.finish(run, Outcome::Broken);
         }
-        self.tally.moved += 1;
+        self.report.moved += 1;
         self.engines[from].model.cancel(run);
-        self.run_at(run, to, true);
+        self.start_run(run, to, true);
         if self.engines[from].is_leaving {
-            self.empty(from);
+            self.evacuate(from);
         }
         if self.engines[to].is_leaving {
-            self.empty(to);
+            self.evacuate(to);
         }
     }
 
-    pub(super) fn ends(&mut self, engine: usize) {
+    pub(super) fn on_engine_end(&mut self, engine: usize) {
         self.engines[engine].is_gone = true;
-        let there = self.callers.iter().filter(|(_, caller)| caller.engine == Some(engine));
-        let there: Vec<RunId> = there.map(|(run, _)| *run).collect();
-        for run in there {
-            self.over(run, Outcome::Broken);
+        let running = self.callers.iter().filter(|(_, caller)| caller.engine == Some(engine));
+        let runs: Vec<RunId> = running.map(|(run, _)| *run).collect();
+        for run in runs {
+            self.finish(run, Outcome::Broken);
         }
     }
 }
--- a/testutils/tests/test_fleet_model.rs
+++ b/testutils/tests/test_fleet_model.rs
@@ -4,8 +4,8 @@
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_testutils::fleet_model;
 use leadstage_testutils::fleet_model::experiment::Experiment;
-use leadstage_testutils::fleet_model::tally;
-use leadstage_testutils::fleet_model::tally::Tally;
+use leadstage_testutils::fleet_model::report;
+use leadstage_testutils::fleet_model::report::DayReport;
 
 const SHAPES: [(&str, &str); 3] = [
     ("memory-bound", include_str!("../../experiments/fleet/memory-bound.yaml")),
@@ -15,8 +15,8 @@
 const SEEDS: std::ops::Range<u64> = 1..4;
 
 /// A part of a fleet for some seconds, so that all tests of it take little time.
-fn short(yaml: &str, share: f64) -> Experiment {
-    let mut experiment = Experiment::parse(yaml).expect("it is an experiment");
+fn shortened(yaml: &str, share: f64) -> Experiment {
+    let mut experiment = Experiment::parse(yaml).expect("the experiment file is valid");
     experiment.seconds = 16.0;
     experiment.engines.count = (experiment.engines.count as f64 * share) as usize;
     for kind in &mut experiment.kinds {
@@ -25,13 +25,13 @@
     experiment
 }
 
-fn play(experiment: &Experiment) -> Vec<Tally> {
-    SEEDS.map(|seed| fleet_model::play(experiment, seed)).collect()
+fn simulate_days(experiment: &Experiment) -> Vec<DayReport> {
+    SEEDS.map(|seed| fleet_model::simulate(experiment, seed)).collect()
 }
 
 /// Half of the fleet whose memory binds, at so many times its usual load.
 fn overloaded(load: f64) -> Experiment {
-    let mut experiment = short(SHAPES[0].1, 0.5);
+    let mut experiment = shortened(SHAPES[0].1, 0.5);
     experiment.seconds = 34.0;
     experiment.kinds.iter_mut().for_each(|kind| kind.per_second *= load);
     experiment
@@ -41,32 +41,32 @@
 fn with_and_without(
     mut experiment: Experiment,
     switch_off: impl Fn(&mut Policy),
-) -> (Experiment, Vec<Tally>, Vec<Tally>) {
-    let with = play(&experiment);
+) -> (Experiment, Vec<DayReport>, Vec<DayReport>) {
+    let with = simulate_days(&experiment);
     switch_off(&mut experiment.policy);
-    let without = play(&experiment);
+    let without = simulate_days(&experiment);
     (experiment, with, without)
 }
 
 /// Part of what could be earned on some days.
-fn earned(experiment: &Experiment, days: &[Tally]) -> f64 {
-    days.iter().map(|day| day.earned(experiment)).sum::<f64>() / days.len() as f64
+fn earned_share(experiment: &Experiment, days: &[DayReport]) -> f64 {
+    days.iter().map(|day| day.earned_share(experiment)).sum::<f64>() / days.len() as f64
 }
 
 #[test]
 fn test_a_short_day_of_each_shape() {
     let tables = SHAPES.map(|(name, yaml)| {
-        let experiment = short(yaml, 0.25);
-        format!("{name}\n{}", tally::table(&experiment, &play(&experiment)))
+        let experiment = shortened(yaml, 0.25);
+        format!("{name}\n{}", report::table(&experiment, &simulate_days(&experiment)))
     });
     insta::assert_snapshot!(tables.join("\n"));
 }
 
 #[test]
-fn test_the_same_seed_plays_the_same_day() {
-    let experiment = short(SHAPES[0].1, 0.25);
-    assert_eq!(fleet_model::play(&experiment, 7), fleet_model::play(&experiment, 7));
-    assert_ne!(fleet_model::play(&experiment, 7), fleet_model::play(&experiment, 8));
+fn test_the_same_seed_gives_the_same_day() {
+    let experiment = shortened(SHAPES[0].1, 0.25);
+    assert_eq!(fleet_model::simulate(&experiment, 7), fleet_model::simulate(&experiment, 7));
+    assert_ne!(fleet_model::simulate(&experiment, 7), fleet_model::simulate(&experiment, 8));
 }
 
 /// Six long streams fill an engine's memory while they end one after the other, and overflow it while all are
@@ -77,10 +77,12 @@
 fn test_admission_by_the_expected_peak_serves_more() {
     let (experiment, by_peak, by_growth) =
         with_and_without(overloaded(1.14), |policy| policy.admit_by_peak = false);
-    let [earned_by_peak, earned_by_growth] = [&by_peak, &by_growth].map(|days| earned(&experiment, days));
+    let [earned_by_peak, earned_by_growth] =
+        [&by_peak, &by_growth].map(|days| earned_share(&experiment, days));
     assert!(earned_by_peak > earned_by_growth + 0.02, "{earned_by_peak} {earned_by_growth}");
-    let in_time =
-        |days: &[Tally]| days.iter().flat_map(|day| &day.kinds).map(|got| got.in_time).sum::<usize>();
+    let in_time = |days: &[DayReport]| {
+        days.iter().flat_map(|day| &day.kinds).map(|report| report.in_time).sum::<usize>()
+    };
     assert!(in_time(&by_peak) > in_time(&by_growth));
     let preempted: usize = by_peak.iter().map(|day| day.preempted).sum();
     assert!(preempted < 10 * by_peak.len(), "{preempted}");
@@ -90,43 +92,43 @@
 /// and 1.3 times the usual load earn 0.840 and 0.723 of what could be so, 0.864 and 0.736 where up to four are passed
 /// over. Three days of half the fleet here.
 #[test]
-fn test_passing_over_long_prompts_serves_more() {
+fn test_skipping_long_prompts_serves_more() {
     let (experiment, with, without) = with_and_without(overloaded(1.3), |policy| policy.pass_over = false);
-    let table = format!("{}\n{}", tally::table(&experiment, &with), tally::table(&experiment, &without));
-    assert!(earned(&experiment, &with) > earned(&experiment, &without), "{table}");
+    let table = format!("{}\n{}", report::table(&experiment, &with), report::table(&experiment, &without));
+    assert!(earned_share(&experiment, &with) > earned_share(&experiment, &without), "{table}");
 }
 
 /// A tenth of the usual callers, and no engine that ends: nobody waits.
 #[test]
 fn test_an_idle_fleet_serves_all_in_time() {
-    let mut experiment = short(SHAPES[0].1, 0.25);
+    let mut experiment = shortened(SHAPES[0].1, 0.25);
     experiment.reclaims = None;
     for kind in &mut experiment.kinds {
         kind.per_second /= 10.0;
     }
-    for day in play(&experiment) {
-        assert!(day.kinds.iter().all(|got| got.in_time == got.all() && got.all() > 0), "{day:?}");
+    for day in simulate_days(&experiment) {
+        assert!(day.kinds.iter().all(|report| report.in_time == report.all() && report.all() > 0), "{day:?}");
         assert_eq!((day.preempted, day.refusals), (0, 0));
     }
 }
 
 /// Engines that read 112 tokens in 15 ms at best take 7.5 a ms; twice as many prompt tokens come.
 #[test]
-fn test_a_fleet_serves_no_more_than_it_reads() {
-    let mut experiment = short(SHAPES[0].1, 0.25);
+fn test_a_fleet_serves_no_more_than_it_can_prefill() {
+    let mut experiment = shortened(SHAPES[0].1, 0.25);
     experiment.reclaims = None;
     experiment.wave = None;
     experiment.kinds.retain(|kind| kind.name == "short");
-    let reads_per_second = experiment.engines.count as f64 * 7_500.0;
+    let prefill_rate = experiment.engines.count as f64 * 7_500.0;
     let kind = &mut experiment.kinds[0];
-    kind.per_second = 2.0 * reads_per_second / 2_500.0;
-    for day in play(&experiment) {
-        let got = &day.kinds[0];
-        let served = got.in_time + got.late + got.paused;
-        let tokens_read = served as f64 * 2_500.0;
+    kind.per_second = 2.0 * prefill_rate / 2_500.0;
+    for day in simulate_days(&experiment) {
+        let report = &day.kinds[0];
+        let served = report.in_time + report.late + report.paused;
+        let prefilled_tokens = served as f64 * 2_500.0;
         let seconds = experiment.seconds + 6.0;
-        assert!(tokens_read < 1.1 * reads_per_second * seconds, "{day:?}");
-        assert!(got.left + got.refused > got.all() / 5, "{day:?}");
+        assert!(prefilled_tokens < 1.1 * prefill_rate * seconds, "{day:?}");
+        assert!(report.left + report.refused > report.all() / 5, "{day:?}");
     }
 }
 
@@ -134,11 +136,11 @@
 /// of the 1.8 s of a notice.
 #[test]
 fn test_generations_move_off_engines_that_end() {
-    let mut experiment = short(SHAPES[0].1, 0.25);
+    let mut experiment = shortened(SHAPES[0].1, 0.25);
     for kind in &mut experiment.kinds {
         kind.per_second /= 4.0;
     }
-    let days = play(&experiment);
-    assert_eq!(days.iter().flat_map(|day| &day.kinds).map(|got| got.broken).sum::<usize>(), 0);
+    let days = simulate_days(&experiment);
+    assert_eq!(days.iter().flat_map(|day| &day.kinds).map(|report| report.broken).sum::<usize>(), 0);
     assert!(days.iter().all(|day| day.moved > 0), "{days:?}");
 }
