--- a/lib/src/gateway/crash_ledger.rs
+++ b/lib/src/gateway/crash_ledger.rs
@@ -1,13 +1,15 @@
-//! Requests under which replicas have ended, and which of them are quarantined: sent to no further one.
+//! Ledger of requests during which replicas ended without a plan, and which of them are quarantined, that
+//! is, no longer sent to any replica.
 //!
-//! A request that ends each replica that begins to run it comes back under another id, at any node, and
-//! takes all that runs beside it along: one ended 13 of a service's 12 replicas within 14 s. No node
-//! sees more than its own part of that, so all nodes keep one ledger: for each request the replicas that
-//! ended under it. Ends are only added, and become void, never the reverse: news may come twice, late, in
-//! any order and by any way, and all who have heard the same agree.
+//! A request that crashes each replica that runs it is retried under another id, at any node, and takes
+//! down all other runs of the replica: one such request ended 13 replicas within 14 s in a service that
+//! runs 12. As each node sees only a part of that, all nodes replicate one ledger, which holds for each
+//! request the replicas that ended while they ran it. Ends are only added, and only change from valid to
+//! void: updates may arrive twice, late, in any order and by any path, and nodes with the same updates
+//! agree.
 //!
-//! Evidence against blame voids the ends: a run that ended well. Only what is deterministic is caught:
-//! a request that ends one replica in two is cleared by each run that ends well.
+//! A successful run of the request voids its ends. Hence only deterministic crashes are caught: a request
+//! that ends every second replica is cleared by each successful run.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -21,20 +23,23 @@
 use crate::gateway::replica_record::Incarnation;
 use crate::ids::UnixMillis;
 
-/// Replicas that end under a request until it is quarantined. On a model of a fleet whose replicas also end
-/// by themselves, alone and by the half, 8,911 of 323,471 sound requests were quarantined with two, and
-/// none of 323,486 with three.
+/// Number of replica ends at which a request is quarantined. In a model of a fleet whose replicas also end
+/// for other reasons, singly and half of them at once, 8,911 of 323,471 harmless requests were quarantined
+/// with two ends, and none of 323,486 with three.
 pub const ENDS_TO_QUARANTINE: usize = 3;
-/// How long an end counts. An operator has that long to see to the request or to the replicas' software.
+/// Time for which an end counts. An operator has that long to handle the request or fix the replicas'
+/// software.
 pub const END_RETENTION: Duration = Duration::from_secs(3_600);
-/// Requests that are kept at most; the least suspected and oldest go first.
+/// Maximum number of requests in the ledger; those with the fewest valid ends, then the oldest, are evicted
+/// first.
 pub const MAX_SUSPECTS: usize = 1_024;
-/// Ends that are kept of one request at most: more tell nothing new. Void ones give way.
+/// Maximum number of ends kept per request: more add no information. Void ends are evicted for valid ones.
 pub const MAX_ENDS: usize = 6;
-/// Requests that one message tells at most: each takes some 200 bytes with [`MAX_ENDS`], of 15 kB.
+/// Maximum number of requests in one message: each takes some 200 bytes with [`MAX_ENDS`] ends, and a message
+/// holds 15 kB.
 pub const MAX_SUSPECTS_PER_MESSAGE: usize = 64;
-/// Ends of a request from which on all nodes must know of it: one alone may be any request's fate,
-/// and is told once, by a message that may be lost.
+/// Number of ends from which on a request is synchronised between all nodes. A single end may happen to any
+/// request, and is only announced once, by a message that may be lost.
 const ENDS_TO_SYNC: usize = 2;
 
 /// A replica that ended while it ran a request.
@@ -42,45 +47,45 @@
 pub struct ReplicaEnd {
     /// The replica.
     pub replica: Incarnation,
-    /// When it was noticed.
+    /// When the end was noticed.
     pub at: UnixMillis,
-    /// A run of the request ended well afterwards, or an operator cleared it.
+    /// Whether a later run of the request succeeded, or an operator cleared the request.
     pub is_void: bool,
 }
 
-/// A request with the replicas that ended under it, as nodes tell it and the store keeps it.
+/// A request with the replicas that ended while they ran it, as nodes announce it and the store holds it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Suspect {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The ends, some or all.
+    /// Some or all of its ends.
     pub ends: Vec<ReplicaEnd>,
 }
 
 impl Suspect {
-    /// Ends that speak against it.
+    /// Returns the number of ends that are not void.
     pub fn valid_ends(&self) -> usize {
         self.ends.iter().filter(|end| !end.is_void).count()
     }
 }
 
-/// What speaks against a request.
+/// What counts against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspectStatus {
-    /// Replicas that ended under it.
+    /// Number of its valid ends.
     pub ends: usize,
-    /// When the first of these no longer counts.
+    /// When the first of these expires.
     pub until: UnixMillis,
 }
 
 impl SuspectStatus {
-    /// Whether it is sent to no replica.
+    /// Whether the request is quarantined, that is, sent to no replica.
     pub fn is_quarantined(&self) -> bool {
         self.ends >= ENDS_TO_QUARANTINE
     }
 }
 
-/// The requests that anything speaks against.
+/// The requests with valid ends.
 pub type CrashTable = HashMap<Fingerprint, SuspectStatus>;
 
 #[derive(Clone, Debug, Default)]
@@ -99,7 +104,7 @@
         self.0.values().map(|(at, _)| *at).max().unwrap_or(0)
     }
 
-    /// Takes an end in; returns whether it told anything new.
+    /// Adds an end, or marks a known one void; returns whether that changed anything.
     fn merge(&mut self, end: &ReplicaEnd) -> bool {
         if let Some((_, is_void)) = self.0.get_mut(&end.replica) {
             return end.is_void && !std::mem::replace(is_void, true);
@@ -127,14 +132,14 @@
     }
 }
 
-/// All that a node knows of requests under which replicas ended.
+/// The requests during which replicas ended, as far as a node knows.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     suspects: BTreeMap<Fingerprint, SuspectEnds>,
 }
 
 impl CrashLedger {
-    /// A replica ended under a request; returns what is to be told, if it is news.
+    /// Handles the end of a replica that ran a request; returns what is to be announced, if the end is new.
     pub fn on_end(
         &mut self,
         fingerprint: Fingerprint,
@@ -145,7 +150,7 @@
         self.merge(vec![Suspect { fingerprint, ends: vec![end] }], now)
     }
 
-    /// Another node or the store told; returns what was news here.
+    /// Merges what another node or the store holds; returns what was new.
     pub fn merge(&mut self, received: Vec<Suspect>, now: UnixMillis) -> Vec<Suspect> {
         let mut changes = Vec::new();
         for Suspect { fingerprint, ends } in received {
@@ -163,7 +168,7 @@
         changes
     }
 
-    /// A run of the request ended well, or an operator cleared it; returns what is to be told.
+    /// Voids all ends of a request after a successful run or by an operator; returns what is to be announced.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> Vec<Suspect> {
         let Some(known) = self.suspects.get_mut(&fingerprint).filter(|known| known.valid_ends() > 0) else {
             return Vec::new();
@@ -172,7 +177,7 @@
         vec![known.to_suspect(fingerprint)]
     }
 
-    /// Forgets ends that no longer count; returns whether there were any.
+    /// Removes ends that have expired; returns whether there were any.
     pub fn forget(&mut self, now: UnixMillis) -> bool {
         let ends = |ledger: &Self| ledger.suspects.values().map(|ends| ends.0.len()).sum::<usize>();
         let before = ends(self);
@@ -181,28 +186,28 @@
         ends(self) < before
     }
 
-    /// What is known of one request.
+    /// Returns a request with its ends.
     pub fn get(&self, fingerprint: &Fingerprint) -> Option<Suspect> {
         self.suspects.get(fingerprint).map(|ends| ends.to_suspect(*fingerprint))
     }
 
-    /// Whether anything is known of a request.
+    /// Whether the ledger holds a request.
     pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.suspects.contains_key(fingerprint)
     }
 
-    /// The requests with so many ends that count, or more.
+    /// Returns the requests with at least this many valid ends.
     pub fn with_valid_ends(&self, min: usize) -> impl Iterator<Item = &Fingerprint> {
         let suspected = self.suspects.iter().filter(move |(_, ends)| ends.valid_ends() >= min);
         suspected.map(|(fingerprint, _)| fingerprint)
     }
 
-    /// Whether all nodes must know of a request.
+    /// Whether a request is synchronised between all nodes.
     pub fn needs_sync(&self, fingerprint: &Fingerprint) -> bool {
         self.suspects.get(fingerprint).is_some_and(SuspectEnds::need_sync)
     }
 
-    /// All requests that anything speaks against.
+    /// Returns all requests with valid ends.
     pub fn table(&self) -> CrashTable {
         let statuses = self.suspects.iter().filter_map(|(fingerprint, ends)| {
             let first = ends.0.values().filter(|(_, is_void)| !is_void).map(|(at, _)| *at).min()?;
@@ -212,7 +217,8 @@
         statuses.collect()
     }
 
-    /// What all nodes must know, the most suspected first: no more than one message holds.
+    /// Returns the requests that are synchronised between all nodes, those with the most valid ends first and
+    /// no more than fit into one message.
     pub fn suspects_to_sync(&self) -> Vec<Suspect> {
         let known = self.suspects.iter().filter(|(_, ends)| ends.need_sync());
         let mut known: Vec<_> = known.collect();
@@ -221,7 +227,7 @@
         known.into_iter().map(|(fingerprint, ends)| ends.to_suspect(*fingerprint)).collect()
     }
 
-    /// Stands for [`Self::suspects_to_sync`]: the same at nodes that know the same, 0 where there is nothing.
+    /// Returns a digest of [`Self::suspects_to_sync`]: the same at nodes that know the same, 0 for none.
     pub fn digest(&self) -> u64 {
         let ends = self.suspects_to_sync().into_iter().flat_map(|suspect| {
             let fingerprint = suspect.fingerprint;
@@ -241,8 +247,8 @@
     }
 }
 
-/// Whether an end that was noticed then still counts. One from a clock that is far ahead would never stop
-/// to.
+/// Whether an end that was noticed at `at` counts. An end from a clock that is far ahead doesn't, as it would
+/// not expire.
 fn counts(at: UnixMillis, now: UnixMillis) -> bool {
     let retention = END_RETENTION.as_millis() as UnixMillis;
     now < at + retention && at < now + retention
--- a/lib/src/gateway/digest.rs
+++ b/lib/src/gateway/digest.rs
@@ -1,5 +1,5 @@
-//! Digests of what all nodes must know: each message carries them, so that nodes which know different
-//! things notice and tell each other.
+//! Digests of the state that is replicated to all nodes. Each message carries them, so that two nodes whose
+//! state differs notice it and send each other theirs.
 
 use std::hash::BuildHasher;
 use std::hash::BuildHasherDefault;
@@ -9,23 +9,23 @@
 
 use crate::ids::Timestamp;
 
-/// A node that knows less or more than another one tells that one all, no more often than this.
+/// Minimum time between two full syncs that a node sends because of a different digest.
 const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Stands for some items, whatever their order: the same at nodes that know the same, 0 for none.
+/// Returns a digest of some items that does not depend on their order; 0 for none.
 pub fn of<T: Hash>(items: impl Iterator<Item = T>) -> u64 {
     let hashes = items.map(|item| BuildHasherDefault::<Fnv>::default().hash_one(item));
     hashes.fold(0, |sum, hash| sum ^ hash)
 }
 
-/// When a node tells another one all that it knows.
+/// Limits how often a node sends its whole state to nodes with another digest.
 #[derive(Debug, Default)]
 pub struct FullSyncLimiter {
     last: Option<Timestamp>,
 }
 
 impl FullSyncLimiter {
-    /// Whether a node that has another digest is to be told all now; it counts as told.
+    /// Whether the whole state is to be sent now to a node with the digest `other`; it then counts as sent.
     pub fn is_due(&mut self, own: u64, other: u64, now: Timestamp) -> bool {
         let is_due = own != other && self.last.is_none_or(|last| now >= last + FULL_SYNC_INTERVAL);
         if is_due {
@@ -35,7 +35,7 @@
     }
 }
 
-/// A hash that is the same at all nodes, and in all versions of the standard library.
+/// FNV-1a: the same at all nodes and in all versions of the standard library.
 struct Fnv(u64);
 
 impl Fnv {
--- a/lib/src/gateway/fingerprint.rs
+++ b/lib/src/gateway/fingerprint.rs
@@ -1,7 +1,7 @@
-//! Names a request by what its caller sends again when it comes back.
+//! Identifies a request by those parts that its caller repeats in a retry.
 //!
-//! A caller that tries again has another request id, deadline, trace and `Last-Event-ID`. What stays is
-//! whom it asks, what for, in whose name, and the body.
+//! A retry has another request id, deadline, trace and `Last-Event-ID`. Method, host, path, organisation and
+//! body stay the same.
 
 use std::fmt;
 
@@ -10,34 +10,34 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Bytes of a fingerprint: a second request with the same one takes 2^128 tries on purpose.
+/// Bytes of a fingerprint: finding a second request with a given fingerprint takes 2^128 tries.
 const BYTES: usize = 16;
 
-/// What a request is made of.
+/// The parts of a request that make up its fingerprint.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host, as the caller names it.
+    /// The host, as the caller sent it.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// In whose name it comes; empty where there are no organisations.
+    /// The organisation that sends it; empty where there are no organisations.
     pub organisation: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// The name of a request and of all that are like it: the first half of a SHA-256 of its parts.
+/// Identifies a request and its retries: the first half of a SHA-256 of its parts.
 #[derive(Clone, Copy, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(parts: &RequestParts) -> Fingerprint {
         let mut hash = Sha256::new();
         for part in [parts.method, parts.host, parts.path, parts.organisation] {
-            // With its length before it, no part can be taken for a piece of the next.
+            // The length prefix keeps bytes from moving between parts without changing the hash.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
@@ -47,7 +47,7 @@
         Fingerprint(bytes)
     }
 
-    /// The fingerprint that is written so, in 32 hexadecimal digits.
+    /// Parses a fingerprint from its 32 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Fingerprint> {
         if text.len() != 2 * BYTES || !text.is_ascii() {
             return None;
--- a/lib/src/gateway/pending_ends.rs
+++ b/lib/src/gateway/pending_ends.rs
@@ -1,8 +1,8 @@
-//! Runs that broke at replicas of which it is not yet known whether they ended.
+//! Replicas at which runs broke and that are not yet known to have ended.
 //!
-//! A connection also breaks where a link is reset or cut, and at a replica that lives. What shows that
-//! one ended comes after the break: its port is closed, another one answers there, or it is no longer
-//! listed. A replica that was to leave before the break ends by plan, whatever it ran.
+//! A connection also breaks when a link is reset or cut while the replica is alive. Evidence that the
+//! replica ended comes after the break: its port is closed, another replica answers at its address, or it is
+//! no longer listed. A replica that was leaving before the break ends by plan, whatever it ran.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -12,9 +12,8 @@
 use crate::gateway::replica_record::Incarnation;
 use crate::ids::Timestamp;
 
-/// When a replica is asked after a run broke there, each time from the break on. Most ended replicas
-/// refuse connections at once; two refusals count, as a full one may refuse one. Each question is a
-/// priced health check.
+/// When a replica is checked after a run broke there, as times since the break. Most ended replicas refuse
+/// connections at once. Each check is a health check, which is billed.
 const CHECK_DELAYS: [Duration; 5] = [
     Duration::ZERO,
     Duration::from_millis(100),
@@ -22,22 +21,22 @@
     Duration::from_millis(1_500),
     Duration::from_millis(3_000),
 ];
-/// Refused connections that show that a replica ended.
+/// Refused connections after which a replica is known to have ended; a full replica may refuse one.
 const REFUSALS_TO_CONFIRM: u32 = 2;
-/// After this long nothing that is learnt of a replica says how its runs broke: three missed heartbeats
-/// take it off the list within some 4 s, and an outage of the store may last longer.
+/// Time after a break from which on the state of the replica says nothing about the break. Three missed
+/// heartbeats remove a replica from the list within some 4 s, and an outage of the store may last longer.
 const FORGET_AFTER: Duration = Duration::from_secs(12);
 
-/// What a replica showed when it was asked after a break.
+/// Result of a check of a replica after a run broke there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckResult {
-    /// It answers: the connection broke for another reason.
+    /// The replica answers: the connection broke for another reason.
     Lives,
-    /// Nobody listens at its address.
+    /// Connections to its address are refused.
     PortClosed,
-    /// Another replica answers there.
+    /// Another replica answers at its address.
     Replaced,
-    /// Nothing came back.
+    /// There was no answer.
     Silent,
 }
 
@@ -50,14 +49,14 @@
     refusals: u32,
 }
 
-/// The replicas at which runs broke lately.
+/// The replicas at which runs broke lately and that are not yet known to have ended.
 #[derive(Debug, Default)]
 pub struct PendingEnds {
     replicas: HashMap<Incarnation, Broken>,
 }
 
 impl PendingEnds {
-    /// A request's run broke at a replica.
+    /// Records that a request's run broke at a replica.
     pub fn on_break(&mut self, replica: Incarnation, fingerprint: Fingerprint, now: Timestamp) {
         let broken = self.replicas.entry(replica).or_insert_with(|| Broken {
             fingerprints: BTreeSet::new(),
@@ -68,7 +67,7 @@
         broken.fingerprints.insert(fingerprint);
     }
 
-    /// The replicas that are to be asked now; they count as asked.
+    /// Returns the replicas that are to be checked now; they count as checked.
     pub fn due_checks(&mut self, now: Timestamp) -> Vec<Incarnation> {
         self.replicas.retain(|_, broken| now < broken.since + FORGET_AFTER);
         let mut due = Vec::new();
@@ -81,7 +80,8 @@
         due
     }
 
-    /// A replica was asked; returns the requests that it ended under, once it is known to have ended.
+    /// Handles the result of a check; once the replica is known to have ended, returns the requests whose
+    /// runs broke there.
     pub fn on_check_result(&mut self, replica: &Incarnation, result: CheckResult) -> BTreeSet<Fingerprint> {
         let Some(broken) = self.replicas.get_mut(replica) else {
             return BTreeSet::new();
@@ -100,17 +100,17 @@
         BTreeSet::new()
     }
 
-    /// A replica lives, or ends by plan: its runs broke for other reasons.
+    /// Handles a replica that is alive or ends by plan: its runs broke for other reasons.
     pub fn on_alive(&mut self, replica: &Incarnation) {
         self.replicas.remove(replica);
     }
 
-    /// A replica is known to have ended; returns the requests that it ended under.
+    /// Handles a replica that is known to have ended; returns the requests whose runs broke there.
     pub fn on_gone(&mut self, replica: &Incarnation) -> BTreeSet<Fingerprint> {
         self.replicas.remove(replica).map(|broken| broken.fingerprints).unwrap_or_default()
     }
 
-    /// The replicas in question, each with the time of the first break there.
+    /// Returns the replicas that are not yet known to have ended, with the time of the first break at each.
     pub fn replicas(&self) -> impl Iterator<Item = (&Incarnation, Timestamp)> {
         self.replicas.iter().map(|(replica, broken)| (replica, broken.since))
     }
--- a/lib/src/gateway/recent_successes.rs
+++ b/lib/src/gateway/recent_successes.rs
@@ -1,8 +1,9 @@
-//! Requests that ended well lately, at this node.
+//! Requests of this node that succeeded lately.
 //!
-//! A popular call, say one with an empty body, runs at all replicas at once: whatever ends some of them, it
-//! was there. One that also ended well a moment ago is not to blame: without this, 10,745 of 323,296 sound requests
-//! were refused on a model of a fleet whose replicas also end by themselves, and none with it.
+//! A popular request, for example one with an empty body, runs at all replicas at once, and so at any that
+//! ends for another reason. A request that also succeeded a moment ago is not the cause: without this rule
+//! 10,745 of 323,296 harmless requests were refused in a model of a fleet whose replicas also end for other
+//! reasons, and none with it.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -13,35 +14,37 @@
 use crate::gateway::fingerprint::RequestParts;
 use crate::ids::Timestamp;
 
-/// How long a run that ended well speaks for its request. One that has turned bad since, as with a new
-/// version of the replicas' software, is blamed only after that.
+/// Time after a success in which the request is not held responsible for the end of a replica. A request that
+/// has become harmful since, as with a new version of the replicas' software, is suspected only after that.
 const SUCCESS_VALIDITY: Duration = Duration::from_secs(10);
-/// Requests that are remembered at most. With more of them within [`SUCCESS_VALIDITY`], some 400 a second, the
-/// oldest go, and those that come often are soon among them again.
+/// Maximum number of requests that are remembered. With more of them within [`SUCCESS_VALIDITY`], some 400
+/// per second, the oldest are evicted; frequent ones are soon added again.
 const MAX_REMEMBERED: usize = 4_096;
 
-/// Names a request within this process: a keyed hash of it, which nobody else can aim at. It takes 2 us for a
-/// body of 8 kB and 0.26 ms for 1 MB, a third of a fingerprint (`cargo bench --bench decision`).
+/// Identifies a request within this process: a hash with a random key, for which callers can't construct
+/// collisions. It takes 2 us for a body of 8 kB and 0.26 ms for 1 MB, a third of the time of a fingerprint
+/// (`cargo bench --bench decision`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestHash(u64);
 
-/// The requests that ended well lately.
+/// The requests that succeeded lately.
 #[derive(Debug, Default)]
 pub struct RecentSuccesses {
     keys: RandomState,
     succeeded_at: HashMap<RequestHash, Timestamp>,
-    /// In the order of their first end; one that ended well again since is put behind when its turn comes.
+    /// In the order of their first success; a request that succeeded again since is moved to the back when it
+    /// gets to the front.
     queue: VecDeque<RequestHash>,
 }
 
 impl RecentSuccesses {
-    /// The name of a request.
+    /// Returns the hash of a request.
     pub fn hash(&self, parts: &RequestParts) -> RequestHash {
         let RequestParts { method, host, path, organisation, body } = parts;
         RequestHash(self.keys.hash_one((method, host, path, organisation, body)))
     }
 
-    /// A run of the request ended well.
+    /// Records that a run of the request succeeded.
     pub fn on_success(&mut self, request: RequestHash, now: Timestamp) {
         if self.succeeded_at.insert(request, now).is_none() {
             self.queue.push_back(request);
@@ -49,12 +52,13 @@
         self.forget(now);
     }
 
-    /// Whether a run of the request ended well lately.
+    /// Whether a run of the request succeeded lately.
     pub fn succeeded_recently(&self, request: RequestHash, now: Timestamp) -> bool {
         self.succeeded_at.get(&request).is_some_and(|at| now < *at + SUCCESS_VALIDITY)
     }
 
-    /// Looks at the two oldest, so that each addition has constant cost.
+    /// Removes expired or surplus requests. Checks only the two oldest, so that each addition has constant
+    /// cost.
     fn forget(&mut self, now: Timestamp) {
         for _ in 0..2 {
             let Some(request) = self.queue.pop_front() else {
--- a/lib/src/gateway/stored_suspects.rs
+++ b/lib/src/gateway/stored_suspects.rs
@@ -1,9 +1,10 @@
-//! What the store is to hold of requests under which replicas ended, and who writes it.
+//! Which suspects of the crash ledger are written to the store, and by which node.
 //!
-//! Nodes tell each other; the store is for those that start later, for a fleet that starts anew, and for
-//! nodes that reach it and no other node. Each call is priced, so one end alone, which may be any
-//! request's fate, is written only by a node that is on its own. Whoever saw one of the ends writes; should it be
-//! gone, those who follow the store do. An operator clears a request by removing its object.
+//! Nodes synchronise the ledger directly. The store serves nodes that start later, a fleet that restarts as
+//! a whole, and nodes that reach the store but no other node. As each store call is billed, and a single end
+//! may happen to any request, only a node that knows no other node writes a single end. Nodes that observed
+//! an end themselves write; if they are gone, the watchers of the store do. An operator clears a request by
+//! removing its object.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -20,33 +21,33 @@
 use crate::ids::Timestamp;
 use crate::ids::UnixMillis;
 
-/// Ends of a request from which on it is written.
+/// Number of valid ends from which on a request is written.
 const ENDS_TO_WRITE: usize = 2;
-/// Those who saw none of the ends write after this, if nobody has.
+/// Delay after which nodes that observed none of the ends write, if no other node has.
 const FALLBACK_WRITE_DELAY: Duration = Duration::from_secs(1);
-/// A write that failed is tried again after this.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a node has to do with the store.
+/// How a node takes part in writing to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreRole {
-    /// It follows the store.
+    /// Whether the node watches the store.
     pub is_watcher: bool,
-    /// It knows of no other node.
+    /// Whether the node knows no other node.
     pub is_alone: bool,
 }
 
 /// A write that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreWrite {
-    /// These ends are to be held, with those that are.
+    /// Adds these ends to those in the store.
     Put(Suspect),
-    /// Nothing is to be held of the request.
+    /// Removes the object of the request.
     Remove(Fingerprint),
 }
 
 impl StoreWrite {
-    /// The request that it concerns.
+    /// Returns the request that is written or removed.
     pub fn fingerprint(&self) -> Fingerprint {
         match self {
             StoreWrite::Put(suspect) => suspect.fingerprint,
@@ -55,7 +56,7 @@
     }
 }
 
-/// An object as it was last seen.
+/// An object of the store as it was last read.
 #[derive(Clone, Debug)]
 struct StoredObject {
     replicas: BTreeSet<Incarnation>,
@@ -78,23 +79,23 @@
     }
 }
 
-/// The store's objects as far as this node knows, and its writes.
+/// The store's objects as far as this node knows, and the writes of this node.
 #[derive(Debug, Default)]
 pub struct StoredSuspects {
     stored: HashMap<Fingerprint, StoredObject>,
-    /// Requests with an end that this node saw itself.
+    /// Requests with an end that this node observed itself.
     observed: HashSet<Fingerprint>,
     due: HashMap<Fingerprint, Timestamp>,
     writing: HashSet<Fingerprint>,
 }
 
 impl StoredSuspects {
-    /// This node saw a replica end under a request.
+    /// Records that this node observed the end of a replica that ran a request.
     pub fn on_own_end(&mut self, fingerprint: Fingerprint) {
         self.observed.insert(fingerprint);
     }
 
-    /// The store held this at a revision.
+    /// Handles an object that the store held at a revision.
     pub fn on_put(&mut self, suspect: &Suspect, at: Revision) {
         let known = self.stored.get(&suspect.fingerprint);
         if known.is_none_or(|known| known.at <= at) {
@@ -102,14 +103,15 @@
         }
     }
 
-    /// The store held nothing of a request at a revision; returns whether it held something before.
+    /// Handles the absence of a request's object at a revision; returns whether the store held one before.
     pub fn on_removed(&mut self, fingerprint: &Fingerprint, at: Revision) -> bool {
         let is_older = self.stored.get(fingerprint).is_some_and(|known| known.at <= at);
         is_older && self.stored.remove(fingerprint).is_some()
     }
 
-    /// The store held these and no others at a revision; returns those that it held before and that were removed. What a
-    /// copy lacks was lost and is written again.
+    /// Handles the list of all objects that the store held at a revision; returns the requests whose objects
+    /// were removed. Objects of an earlier era that are missing were lost when the store was restored from a
+    /// copy, and are written again.
     pub fn on_listed(&mut self, items: &[Suspect], at: Revision) -> Vec<Fingerprint> {
         items.iter().for_each(|suspect| self.on_put(suspect, at));
         let listed: HashSet<Fingerprint> = items.iter().map(|suspect| suspect.fingerprint).collect();
@@ -122,7 +124,7 @@
         removed.into_iter().filter(|fingerprint| self.on_removed(fingerprint, at)).collect()
     }
 
-    /// A write ended, well or not.
+    /// Handles the end of a write, successful or not.
     pub fn on_write_ended(&mut self, fingerprint: Fingerprint, is_done: bool, now: Timestamp) {
         self.writing.remove(&fingerprint);
         if is_done {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// The writes that are due; they count as begun.
+    /// Returns the writes that are due; they count as started.
     pub fn due_writes(
         &mut self,
         ledger: &CrashLedger,
--- a/lib/tests/test_gateway_crash_blame.rs
+++ b/lib/tests/test_gateway_crash_blame.rs
@@ -1,10 +1,11 @@
-//! Who is blamed when replicas end: a model of a fleet that draws requests which end their replicas,
-//! and sound ones beside them while replicas also end by themselves, alone and by the half.
+//! Which requests are quarantined when replicas end: a model of a fleet with requests that crash their
+//! replicas and harmless ones beside them, while replicas also end for other reasons, singly and half of
+//! them at once.
 //!
-//! Refusing a sound request is worse for its caller than one more end, so both errors are counted: sound
-//! requests that are refused, and sends of a request that ends replicas later than 3 s after the third end.
-//! The sound ones are streams that come once and go on elsewhere when their replica ends, long and
-//! short, and one popular call that runs everywhere at once.
+//! Refusing a harmless request is worse for its caller than one more replica end, so both errors are counted:
+//! harmless requests that are refused, and crashing requests that are sent more than 3 s after the third end.
+//! The harmless requests are long and short streams that are sent once and resumed at another replica when
+//! theirs ends, and one popular call that runs at all replicas at once.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -28,24 +29,24 @@
 const TICK: Duration = Duration::from_millis(20);
 const DURATION: Duration = Duration::from_secs(60);
 const SEEDS: u64 = 200;
-/// Until a node knows that a replica ended, and until others have heard of it.
+/// Time until a node has confirmed that a replica ended.
 const CONFIRMED_AFTER: Duration = Duration::from_millis(200);
 /// Maximum time until other nodes have received an update.
 const MAX_UPDATE_DELAY_MS: u64 = 400;
-/// A replica is back after this.
+/// Time until a replica has restarted.
 const RESTART_AFTER: Duration = Duration::from_secs(4);
-/// Everyone in touch knows after this.
+/// Time until all connected nodes know of an end.
 const KNOWN_AFTER: Duration = Duration::from_secs(3);
-/// The bodies of requests that end their replicas; they come at up to three nodes at once.
+/// The bodies of requests that crash their replicas; they arrive at up to three nodes at once.
 const CRASHING_BODIES: [u64; 2] = [2, 3];
-/// Attempts of one caller's stream.
+/// Maximum attempts of one stream.
 const MAX_ATTEMPTS: u32 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Harmless,
     Popular,
-    /// It ends its replica soon after it has begun.
+    /// Crashes its replica soon after it has started.
     Crashing,
 }
 
@@ -93,7 +94,7 @@
     replicas: Vec<Replica>,
     updates: Vec<(Timestamp, Update)>,
     next_body: u64,
-    /// Requests that end their replicas, and when these ended.
+    /// Requests that crash their replicas.
     crashing: BTreeSet<Fingerprint>,
     /// When replicas ended, by the body of the request that crashed them.
     ends_of: HashMap<u64, Vec<Timestamp>>,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Replicas that end by themselves: one each 6 s, and half of all each 30 s.
+    /// Ends replicas for other reasons: one every 6 s and half of all every 30 s on average.
     fn end_replicas(&mut self) {
         if self.occurs(1.0 / 6.0) {
             let n = self.rng.random_range(0..REPLICAS);
--- a/lib/tests/test_gateway_crash_ledger.rs
+++ b/lib/tests/test_gateway_crash_ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of requests under which replicas ended: news may come twice, late and in any order, and all
-//! who heard the same agree; ends count for their time, and are void after a run that ended well.
+//! The crash ledger: updates may arrive twice, late and in any order, and nodes that received the same ones
+//! agree; ends expire, and are void after a successful run.
 
 use leadstage_lib::gateway::crash_ledger::CrashLedger;
 use leadstage_lib::gateway::crash_ledger::END_RETENTION;
@@ -53,7 +53,7 @@
         assert!(ledger.on_end(fingerprint(1), replica(n), NOW + 5).is_empty(), "the end is known already");
     }
     assert!(is_quarantined(&ledger, 1) && !is_quarantined(&ledger, 2));
-    // A later start of a replica is another one.
+    // A restarted replica is another incarnation.
     let later = Incarnation { born: 7, ..replica(0) };
     ledger.on_end(fingerprint(1), later, NOW);
     assert_eq!(ends(&ledger, 1), ENDS_TO_QUARANTINE + 1);
@@ -67,12 +67,12 @@
         (0..3).flat_map(|n| ledger.on_end(fingerprint(1), replica(n), NOW)).collect();
     let cleared = ledger.clear(fingerprint(1));
     assert_eq!(ends(&ledger, 1), 0);
-    // Older news, late, does not bring it back; news of another end counts.
+    // Older updates that arrive late don't make the ends valid again; another end counts.
     assert!(ledger.merge(announced.clone(), NOW).is_empty());
     assert_eq!(ends(&ledger, 1), 0);
     ledger.on_end(fingerprint(1), replica(9), NOW);
     assert_eq!(ends(&ledger, 1), 1);
-    // A node that hears of it in the other order agrees.
+    // A node that receives the updates in the opposite order agrees.
     let mut other = CrashLedger::default();
     other.merge(cleared, NOW);
     other.merge(announced, NOW);
@@ -87,7 +87,7 @@
     assert_eq!(until, NOW + RETENTION_MS);
     assert!(!ledger.forget(until - 1));
     assert!(ledger.forget(until) && !is_quarantined(&ledger, 1));
-    // An end that is over is not taken from others, nor one of a clock that is far ahead.
+    // Expired ends and ends from a clock that is far ahead are not merged.
     assert!(ledger.merge(vec![suspect(2, vec![end(0, false)])], NOW + RETENTION_MS).is_empty());
     assert!(ledger.merge(vec![suspect(2, vec![end(0, false)])], NOW - RETENTION_MS).is_empty());
     assert_eq!(ledger.get(&fingerprint(2)), None);
@@ -109,7 +109,7 @@
     assert_eq!(ends(&ledger, 0), MAX_ENDS);
 }
 
-/// A request is cleared again and again, and turns bad in the end.
+/// A request that was cleared many times can still be quarantined.
 #[test]
 fn test_void_ends_are_evicted_for_new_ones() {
     let mut ledger = CrashLedger::default();
@@ -139,7 +139,7 @@
     assert_eq!(other.digest(), ledger.digest());
 }
 
-/// One end is any request's fate: it must not have all nodes tell each other all again and again.
+/// A single end may happen to any request: it must not make all nodes exchange full syncs again and again.
 #[test]
 fn test_a_single_end_does_not_change_the_digest() {
     let mut ledger = CrashLedger::default();
@@ -159,7 +159,7 @@
 }
 
 proptest! {
-    /// Whatever order news come in, and how often, the same is known in the end.
+    /// The order and repetition of updates don't affect the final state.
     #[test]
     fn test_order_and_repeats_do_not_matter(
         updates in prop::collection::vec(any_suspect(), 1..12),
@@ -179,7 +179,7 @@
         prop_assert_eq!(ledger.suspects_to_sync(), other.suspects_to_sync());
     }
 
-    /// What was news to one node is all that another one lacks that knew the same.
+    /// The changes that a merge returns bring another node with the same earlier state up to date.
     #[test]
     fn test_returned_changes_are_what_equal_nodes_lack(
         known in prop::collection::vec(any_suspect(), 0..6),
--- a/lib/tests/test_gateway_crash_spread.rs
+++ b/lib/tests/test_gateway_crash_spread.rs
@@ -1,10 +1,10 @@
-//! How fast all nodes know that a request ends replicas, on a modelled network.
+//! Time until all nodes know that a request crashes replicas, on a modelled network.
 //!
-//! Three nodes see one end each, half a second apart. News go to eight nodes, which tell four each; whoever
-//! hears from a node whose digest differs tells it all it knows, once a second at most; who has news of two
-//! ends or more tells them to four others again, four times. Probes, one a second
-//! from each node to a random one and their answers, carry digests. Some nodes start after the third end
-//! and know nothing. All must know within 3 s.
+//! Three nodes observe one end each, half a second apart. A change is sent to eight nodes, each of which
+//! forwards it to four. A node that receives a message with another digest sends its whole state to the
+//! sender, at most once per second. A node with a change to a request of two ends or more sends it to four
+//! nodes again, four times. Probes, one per second from each node to a random one, and their answers carry
+//! digests. Some nodes start after the third end and know nothing. All must know within 3 s.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,7 +30,7 @@
 const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(1);
 const END_INTERVAL: Duration = Duration::from_millis(500);
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// One in so many nodes starts so long after the third end.
+/// One in this many nodes starts late.
 const LATE_START_STRIDE: usize = 10;
 /// Time from the third end until late nodes start.
 const LATE_START_DELAY: Duration = Duration::from_millis(300);
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Plays until all know; returns how long after the third end that was, and the messages of suspects.
+    /// Runs until all nodes know; returns the time since the third end, and the number of messages with
+    /// suspects.
     fn simulate(mut self) -> (Duration, usize) {
         let third = END_INTERVAL * (ENDS_TO_QUARANTINE as u32 - 1);
         while let Some(((at, _), event)) = self.events.pop_first() {
--- a/lib/tests/test_gateway_fingerprint.rs
+++ b/lib/tests/test_gateway_fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests one: all that a caller sends again, and nothing else.
+//! A fingerprint depends on all parts of a request that a retry repeats, and on nothing else.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
     assert_eq!(fingerprints.len(), requests.len());
 }
 
-/// Nodes of different versions have to agree on it, and the store's objects are named by it.
+/// Nodes of different versions must compute the same fingerprint, and the store's objects are named by it.
 #[test]
 fn test_a_fingerprint_is_formatted_and_parsed() {
     let fingerprint = Fingerprint::of(&PARTS);
--- a/lib/tests/test_gateway_pending_ends.rs
+++ b/lib/tests/test_gateway_pending_ends.rs
@@ -1,4 +1,4 @@
-//! What shows that a replica ended at which a run broke, and what does not.
+//! Which observations confirm that a replica ended after a run broke there, and which do not.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const START: Timestamp = Duration::from_secs(100);
 
-/// Two requests' runs broke at a replica.
+/// Creates a table with one replica at which the runs of two requests broke.
 fn two_broken_runs() -> PendingEnds {
     let mut pending = PendingEnds::default();
     pending.on_break(replica(1), fingerprint(1), START);
@@ -56,7 +56,7 @@
     assert!(pending.on_gone(&replica(2)).is_empty());
 }
 
-/// Health checks are priced: five, and none for a replica that is known to have ended.
+/// Health checks are billed: a replica gets at most five, and none once it is known to have ended.
 #[test]
 fn test_a_replica_is_checked_five_times_at_most() {
     let mut pending = two_broken_runs();
--- a/lib/tests/test_gateway_recent_successes.rs
+++ b/lib/tests/test_gateway_recent_successes.rs
@@ -1,4 +1,4 @@
-//! Requests that ended well lately are remembered, for their time and as many as fit.
+//! Requests that succeeded lately are remembered for a limited time and up to a maximum number.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     assert!(successes.succeeded_recently(one, at(21.9)));
 }
 
-/// A popular request comes among many that come once.
+/// A frequent request is rarely missing although many requests that are sent once are added.
 #[test]
 fn test_a_popular_request_is_remembered_among_many() {
     let mut successes = RecentSuccesses::default();
--- a/lib/tests/test_gateway_stored_suspects.rs
+++ b/lib/tests/test_gateway_stored_suspects.rs
@@ -1,4 +1,4 @@
-//! Who writes to the store under which requests replicas ended, and when.
+//! Which nodes write suspects to the store, and when.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 const WATCHER: StoreRole = StoreRole { is_watcher: true, is_alone: false };
 const ALONE: StoreRole = StoreRole { is_watcher: true, is_alone: true };
 
-/// A node's view, driven by hand.
+/// The state of one node.
 #[derive(Default)]
 struct Node {
     ledger: CrashLedger,
@@ -81,7 +81,7 @@
     assert_eq!(node.due_writes(NODE, 1_500).len(), 1);
 }
 
-/// The node that saw the ends may be gone: those who follow the store write then. Others leave it to them.
+/// The node that observed the ends may be gone: then the watchers of the store write, and other nodes don't.
 #[test]
 fn test_watchers_write_what_no_other_node_has_written() {
     let mut node = Node::with_ends(3);
@@ -90,7 +90,7 @@
     assert_eq!(node.due_writes(WATCHER, 1_000).len(), 1);
     let mut node = Node::with_ends(3);
     assert!((0..50).all(|tick| node.due_writes(NODE, tick * 100).is_empty()));
-    // Once somebody has, they need not.
+    // Once another node has written, the watchers don't.
     let mut node = Node::with_ends(3);
     assert!(node.due_writes(WATCHER, 0).is_empty());
     let known = node.known();
@@ -117,8 +117,8 @@
     assert_eq!(node.due_writes(WATCHER, expiry), [StoreWrite::Remove(fingerprint(1))]);
 }
 
-/// An operator clears a request by removing its object. A list that is some seconds old lacks it as well,
-/// and says nothing.
+/// An operator clears a request by removing its object. A list from before the object was written lacks it as
+/// well, and must not clear the request.
 #[test]
 fn test_only_a_newer_revision_shows_that_an_object_was_removed() {
     let known = Node::with_ends(2).known();
@@ -132,7 +132,7 @@
     assert!(stored.on_removed(&fingerprint(1), 54));
 }
 
-/// A node that saw a request's ends an hour ago is like any other if it ends replicas again.
+/// A node that observed a request's ends an hour ago is like any other node when replicas end again.
 #[test]
 fn test_observed_ends_are_removed_with_the_request() {
     let mut node = Node::with_ends(2);
@@ -148,7 +148,8 @@
     assert!(node.due_writes(NODE, later + 10_000).is_empty());
 }
 
-/// What a copy of the store lacks nobody removed: it is written again, and no quarantine is lifted.
+/// Objects that are missing after the store was restored from a copy were not removed by an operator: they
+/// are written again, and no quarantine is lifted.
 #[test]
 fn test_objects_missing_from_a_copy_of_the_store_are_written_again() {
     let mut node = Node::with_ends(2);
--- a/testutils/examples/fleet.rs
+++ b/testutils/examples/fleet.rs
@@ -1,7 +1,8 @@
-//! Plays modelled days of a fleet of engines.
+//! Simulates days of a fleet of engines.
 //!
-//! `fleet EXPERIMENT.yaml [--seeds N] [--first N] [--load FACTOR]`. Prints what callers got: the mean of the days with its
-//! standard error, and the sums for each kind. `--load` multiplies the requests a second.
+//! Usage: `fleet EXPERIMENT.yaml [--seeds N] [--first N] [--load FACTOR]`. Prints the share of the possible
+//! value that was earned, as the mean of the days with its standard error, and the outcomes of the requests
+//! of each kind. `--load` multiplies the requests per second.
 
 use std::process::ExitCode;
 
--- a/testutils/src/fleet_model/experiment.rs
+++ b/testutils/src/fleet_model/experiment.rs
@@ -1,4 +1,4 @@
-//! What a modelled day is made of, as an experiment file tells it.
+//! Parameters of a modelled day, read from an experiment file.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Seconds during which callers come.
+    /// Seconds during which requests arrive.
     pub seconds: f64,
     /// The engines.
     pub engines: Engines,
     /// The kinds of requests, the most urgent first.
     pub kinds: Vec<Kind>,
-    /// Engines that are taken away, wave after wave.
+    /// Reclaims of engines, in waves.
     #[serde(default)]
     pub reclaims: Option<Reclaims>,
-    /// How arrivals swing.
+    /// Variation of the arrival rate.
     #[serde(default)]
     pub wave: Option<Wave>,
-    /// What the lead decides by.
+    /// The lead's policy.
     #[serde(default)]
     pub policy: Policy,
 }
@@ -33,29 +33,29 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
-    /// How many.
+    /// Number of engines.
     pub count: usize,
-    /// Requests in a batch.
+    /// Maximum requests in a batch.
     pub batch: usize,
-    /// Tokens that fit into the memory.
+    /// Tokens that fit into the KV cache.
     pub memory_tokens: u32,
-    /// Tokens in a block of memory.
+    /// Tokens per block of the KV cache.
     pub block_tokens: u32,
-    /// Milliseconds of a step with nothing but one token.
+    /// Milliseconds of a step that decodes a single token.
     pub step_ms: f64,
     /// Milliseconds that each further request adds to a step.
     pub step_ms_per_run: f64,
-    /// Prompt tokens that are read in one step at most.
+    /// Maximum prompt tokens that are prefilled in one step.
     pub chunk: u32,
-    /// Milliseconds that so many add to it.
+    /// Milliseconds that a full chunk of prompt tokens adds to a step.
     pub chunk_ms: f64,
-    /// Tokens in one event of a stream.
+    /// Tokens per event of a stream.
     pub tokens_per_event: u32,
-    /// Bytes of memory for one token.
+    /// Bytes of KV cache per token.
     pub bytes_per_token: u64,
     /// Bandwidth of an engine's link, Mbit/s.
     pub link_mbps: f64,
-    /// Times that the engines' steps take, in turn.
+    /// Factors on the engines' step times, assigned in turn.
     pub slowdowns: Vec<f64>,
 }
 
@@ -65,31 +65,31 @@
 pub struct Kind {
     /// Its name.
     pub name: String,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Milliseconds to the first event, from the caller's first attempt on.
+    /// Objective for the first event, in milliseconds since the caller's first attempt.
     pub objective_ms: u64,
-    /// Milliseconds after which the caller leaves that has had no event.
+    /// Milliseconds after which a caller that has received no event leaves.
     pub leaves_after_ms: u64,
-    /// The longest pause between two events, in milliseconds.
+    /// Longest acceptable gap between two events, in milliseconds.
     pub gap_ms: u64,
     /// Tokens of the prompt.
     pub prompt: Lengths,
-    /// The most of them.
+    /// Maximum tokens of the prompt.
     pub most_prompt: u64,
-    /// Tokens out.
+    /// Tokens of the output.
     pub output: Lengths,
-    /// The most of them.
+    /// Maximum tokens of the output.
     pub most_output: u64,
-    /// How far the hint is off, as the standard deviation of its logarithm.
+    /// Error of the length hint, as the standard deviation of its logarithm.
     pub hint_spread: f64,
-    /// What a request is worth that is served in time.
+    /// Value of a request that is served in time.
     pub worth: f64,
-    /// What one is worth that is served late.
+    /// Value of a request that is served late.
     pub late_worth: f64,
 }
 
-/// Engines that are taken away, and come back as others.
+/// Engines that are reclaimed in waves, and replaced by new ones.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reclaims {
@@ -97,31 +97,31 @@
     pub first_s: f64,
     /// Seconds between two waves.
     pub every_s: f64,
-    /// Part of the engines.
+    /// Share of the engines in a wave.
     pub share: f64,
-    /// Seconds between the notice and the end.
+    /// Seconds from the notice until the engine ends.
     pub notice_s: f64,
-    /// Seconds from the notice until a new engine takes the place.
+    /// Seconds from the notice until a new engine replaces it.
     pub replaced_after_s: f64,
 }
 
-/// Arrivals swing as a sine.
+/// Sinusoidal variation of the arrival rate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Wave {
-    /// Part by which they rise and fall.
+    /// Amplitude, as a share of the mean rate.
     pub swing: f64,
-    /// Seconds.
+    /// Period in seconds.
     pub period_s: f64,
 }
 
 impl Experiment {
-    /// Reads an experiment file.
+    /// Parses an experiment file.
     pub fn parse(yaml: &str) -> Result<Experiment, serde_saphyr::Error> {
         serde_saphyr::from_str(yaml)
     }
 
-    /// By what the usual arrivals are multiplied at some time.
+    /// Returns the factor on the mean arrival rate at a time.
     pub fn rate_factor(&self, since_start: Duration) -> f64 {
         let Some(wave) = &self.wave else { return 1.0 };
         let periods = since_start.as_secs_f64() / wave.period_s;
@@ -130,7 +130,7 @@
 }
 
 impl Engines {
-    /// One engine of the fleet, by its place.
+    /// Returns the configuration of the engine at a place in the fleet.
     pub fn config(&self, place: usize) -> EngineConfig {
         EngineConfig {
             blocks: u64::from(self.memory_tokens / self.block_tokens),
@@ -146,17 +146,17 @@
 }
 
 impl Kind {
-    /// Time to the first event.
+    /// Returns the objective for the time to the first event.
     pub fn objective(&self) -> Duration {
         Duration::from_millis(self.objective_ms)
     }
 
-    /// When the caller leaves that has had no event.
+    /// Returns the time after which a caller that has received no event leaves.
     pub fn leaves_after(&self) -> Duration {
         Duration::from_millis(self.leaves_after_ms)
     }
 
-    /// The longest pause between two events.
+    /// Returns the longest acceptable gap between two events.
     pub fn gap(&self) -> Duration {
         Duration::from_millis(self.gap_ms)
     }
--- a/testutils/src/fleet_model/lead.rs
+++ b/testutils/src/fleet_model/lead.rs
@@ -1,5 +1,5 @@
-//! The lead of a modelled fleet: the book, the choice of engines, the queue and the forecasts of
-//! `leadstage-lib`, put together as a node does.
+//! The lead of a modelled fleet: the load tracker, choice of engines, queue and forecasts of `leadstage-lib`,
+//! combined as in a node.
 
 use std::time::Duration;
 
@@ -35,14 +35,14 @@
 
 const SERVICE: &str = "model";
 
-/// A generation that wants an engine.
+/// A request to place a generation.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest {
-    /// Names it.
+    /// Id of the generation.
     pub run: RunId,
     /// Its size.
     pub size: GenerationSize,
-    /// Its urgency; 0 goes first.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
     /// Time until its first event is due.
     pub first_event_due_in: Duration,
@@ -50,43 +50,43 @@
     pub leaves_after: Duration,
 }
 
-/// The lead's word.
+/// The lead's reply to a placement request.
 #[derive(Clone, Debug)]
 pub enum PlacementReply {
-    /// It was given an engine.
+    /// The generation was placed on an engine.
     Placed(RunId, UpstreamId),
-    /// Refused, with the time after which there should be room, if it is known.
+    /// Refused, with the time until capacity is expected, if known.
     Refused(RunId, Option<Duration>),
-    /// It is told later.
+    /// Queued; a reply follows later.
     Queued,
 }
 
 /// The lead of all engines.
 pub struct Lead {
-    /// What it knows of the fleet.
+    /// Its view of the fleet.
     pub fleet: Fleet,
     queue: LeadQueue<PlacementRequest>,
     rebalancer: Rebalancer,
 }
 
-/// What a lead knows of its engines and of what runs there.
+/// What a lead knows of its engines and their generations.
 pub struct Fleet {
     /// The engines.
     pub table: ReplicaTable,
-    /// The generations.
+    /// The load of the engines.
     pub load: LoadTracker,
     traits: EngineTraits,
     forecast: RoomForecast,
     hall: HallId,
 }
 
-/// Names a generation.
+/// Returns the key of a generation.
 pub fn key(run: RunId) -> RunKey {
     RunKey { entry: "node".into(), run }
 }
 
 impl Lead {
-    /// A lead of engines like these, none of which it knows yet.
+    /// Creates a lead for engines of this kind that knows none of them yet.
     pub fn new(engines: &ModelledEngines, policy: Policy) -> Self {
         Lead {
             fleet: Fleet {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes a question in.
+    /// Places, queues or refuses a generation.
     pub fn place(&mut self, request: PlacementRequest, now: Timestamp, rng: &mut SmallRng) -> PlacementReply {
         let (run, terms) = (request.run, self.fleet.terms(&request));
         let mut engines = EnginesAt { fleet: &mut self.fleet, now, rng };
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Answers those that can go on now, and those that can't be expected to begin in time.
+    /// Replies to queued requests that can be placed now, and to requests that are not expected to start in
+    /// time.
     pub fn settle(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<PlacementReply> {
         let mut engines = EnginesAt { fleet: &mut self.fleet, now, rng };
         let settled = self.queue.settle(&mut engines, now);
@@ -131,7 +132,7 @@
         settled.into_iter().map(reply).collect()
     }
 
-    /// Generations that should move for balance.
+    /// Returns the generations that should move to balance the load.
     pub fn due_moves(&mut self, now: Timestamp) -> Vec<RebalanceMove> {
         let fleet = &self.fleet;
         let usable = fleet.table.of_service(SERVICE).into_iter().filter(|engine| engine.is_usable(now));
@@ -139,7 +140,7 @@
     }
 }
 
-/// The engines, for those that wait at a moment.
+/// The engines at a point in time, as the queue uses them.
 struct EnginesAt<'a> {
     fleet: &'a mut Fleet,
     now: Timestamp,
@@ -159,7 +160,7 @@
 }
 
 impl Fleet {
-    /// An engine is listed, or listed as leaving.
+    /// Handles an engine's entry in the list, which may be listed as leaving.
     pub fn on_entry(&mut self, id: &UpstreamId, leaving: bool, now: Timestamp) {
         let record = ReplicaRecord {
             id: id.clone(),
@@ -207,7 +208,7 @@
         Ok(engine.record.id.clone())
     }
 
-    /// Finds an engine for a generation that leaves another one.
+    /// Chooses the engine to which a generation is moved, and records its run there.
     pub fn choose_target(
         &mut self,
         run: RunId,
@@ -241,7 +242,7 @@
         self.load.add(key(run), Run { replica, size: Some(size), produced, copied_from }, engine, now);
     }
 
-    /// A generation is no longer at its engine, which stays or not.
+    /// Handles the end of a generation; if its engine stays, the freed memory is recorded for the forecast.
     pub fn on_ended(&mut self, run: RunId, now: Timestamp) {
         let Some(run) = self.load.remove(&key(run)) else { return };
         let stays = self.table.get(&run.replica).is_some_and(|replica| replica.leaving.is_none());
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Time to copy so many tokens of memory.
+    /// Returns the time to copy the KV cache memory of this many tokens.
     pub fn copy_time(&self, tokens: u32) -> Duration {
         self.traits.copy_time(tokens)
     }
--- a/testutils/src/fleet_model/report.rs
+++ b/testutils/src/fleet_model/report.rs
@@ -1,4 +1,4 @@
-//! What callers got on a modelled day.
+//! Results of a modelled day from the callers' point of view.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -6,61 +6,61 @@
 use crate::fleet_model::experiment::Experiment;
 use crate::fleet_model::experiment::Kind;
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its first event was in time, no pause was too long, and it came whole.
+    /// Completed, with the first event in time and no gap too long.
     InTime,
-    /// It came whole: its first event was late.
+    /// Completed, with a late first event.
     Late,
-    /// It came whole, in time but for a pause between two events.
+    /// Completed, with the first event in time but too long a gap between two events.
     Paused,
-    /// It was refused, and again when its caller came back.
+    /// Refused in both attempts.
     Refused,
-    /// Its caller left before the first event.
+    /// The caller left before the first event.
     Left,
-    /// Its engine ended under it.
+    /// The engine ended during the run.
     Broken,
 }
 
-/// What became of the requests of one kind.
+/// The results of the requests of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KindReport {
-    /// In time and whole.
+    /// Number of requests with [`Outcome::InTime`].
     pub in_time: usize,
-    /// First event late.
+    /// Number of requests with [`Outcome::Late`].
     pub late: usize,
-    /// A pause was too long.
+    /// Number of requests with [`Outcome::Paused`].
     pub paused: usize,
-    /// Refused for good.
+    /// Number of requests with [`Outcome::Refused`].
     pub refused: usize,
-    /// Given up by the caller.
+    /// Number of requests with [`Outcome::Left`].
     pub left: usize,
-    /// Broken off.
+    /// Number of requests with [`Outcome::Broken`].
     pub broken: usize,
     /// Times from the first attempt to the first event.
     pub first_events: Vec<Duration>,
-    /// Time between events, and how many pauses that is.
+    /// Sum and number of the gaps between events.
     pub gaps: (Duration, u32),
 }
 
-/// A day's outcome.
+/// The results of a day.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DayReport {
-    /// By kind, in the experiment's order.
+    /// Results by kind, in the experiment's order.
     pub kinds: Vec<KindReport>,
-    /// Generations that an engine preempted.
+    /// Preemptions by engines.
     pub preempted: usize,
-    /// Generations that were copied to another engine.
+    /// Generations that were moved to another engine.
     pub moved: usize,
-    /// Refusals, of first and second attempts.
+    /// Refusals of first and second attempts.
     pub refusals: usize,
-    /// Sum and count of the fills of memory that were looked at, one for each engine and tick.
+    /// Sum and number of samples of the used share of KV cache memory, one for each engine and tick.
     pub memory_use: (f64, usize),
 }
 
 impl KindReport {
-    /// Counts one.
+    /// Counts a request.
     pub fn add(&mut self, outcome: Outcome) {
         *match outcome {
             Outcome::InTime => &mut self.in_time,
@@ -72,12 +72,12 @@
         } += 1;
     }
 
-    /// All of them.
+    /// Returns the number of requests.
     pub fn all(&self) -> usize {
         self.in_time + self.late + self.paused + self.refused + self.left + self.broken
     }
 
-    /// The time within which a part of those that had an event had their first.
+    /// Returns a quantile of the time to the first event, over requests that received one.
     pub fn first_event_quantile(&self, quantile: f64) -> Duration {
         let mut times = self.first_events.clone();
         times.sort_unstable();
@@ -91,7 +91,7 @@
 }
 
 impl DayReport {
-    /// What was earned of what could be, 0 to 1.
+    /// Returns the value of the served requests as a share of the value if all were served in time, 0 to 1.
     pub fn earned_share(&self, experiment: &Experiment) -> f64 {
         let pairs = || self.kinds.iter().zip(&experiment.kinds);
         let earned: f64 = pairs().map(|(report, kind)| report.value(kind)).sum();
@@ -99,13 +99,13 @@
         earned / possible
     }
 
-    /// The part of the engines' memory in use, over the day.
+    /// Returns the mean used share of the engines' KV cache memory.
     pub fn mean_memory_use(&self) -> f64 {
         self.memory_use.0 / self.memory_use.1.max(1) as f64
     }
 }
 
-/// A mean and its standard error.
+/// Returns the mean of some values and its standard error.
 pub fn mean_and_error(values: &[f64]) -> (f64, f64) {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -113,7 +113,7 @@
     (mean, (variance / count).sqrt())
 }
 
-/// A table of some days of an experiment.
+/// Formats the results of several days of an experiment.
 pub fn table(experiment: &Experiment, days: &[DayReport]) -> String {
     let mut text = String::new();
     let (mean, error) =
--- a/testutils/src/fleet_model/simulation.rs
+++ b/testutils/src/fleet_model/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a modelled day.
+//! Simulates a modelled day.
 
 mod callers;
 mod engines;
@@ -24,33 +24,33 @@
 use crate::fleet_model::report::DayReport;
 use crate::fleet_model::report::KindReport;
 
-/// When the day begins: clocks of a fleet don't start at 0.
+/// Time at which the day starts: clocks of a fleet don't start at 0.
 const START: Duration = Duration::from_secs(100);
-/// Time between two looks of the lead.
+/// Time between two passes of the lead.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// The lead hears how far generations are once in so many ticks.
+/// Ticks between two inventories, by which the lead is notified of the progress of generations.
 const TICKS_PER_INVENTORY: u64 = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// Callers of a kind.
+    /// A request of a kind arrives.
     Arrival(usize),
-    /// A caller that was refused.
+    /// A caller that was refused retries.
     Retry(RunId),
-    /// A caller that has had no event goes.
+    /// A caller leaves if it has received no event.
     Departure(RunId),
-    /// A step of an engine is over.
+    /// A step of an engine is complete.
     StepDone(usize),
-    /// A generation's memory is at another engine.
+    /// The KV cache memory of a generation has been copied to another engine.
     Copied {
         run: RunId,
         to: usize,
     },
-    /// Engines are told that they end.
+    /// Engines receive notice that they are reclaimed.
     Notice,
     /// An engine ends.
     EngineEnd(usize),
-    /// A new engine takes a place.
+    /// A new engine starts at a place.
     EngineStart {
         place: usize,
     },
@@ -65,7 +65,7 @@
     output: u32,
     arrived: Timestamp,
     attempts_left: u32,
-    /// Where it runs.
+    /// The engine that it runs at.
     engine: Option<usize>,
     is_copying: bool,
     produced: u32,
@@ -78,7 +78,7 @@
     id: UpstreamId,
     place: usize,
     model: EngineModel,
-    /// What the step brings that is under way.
+    /// Events of the current step.
     current_step: Option<Vec<EngineEvent>>,
     is_leaving: bool,
     is_gone: bool,
@@ -99,7 +99,7 @@
     rng: SmallRng,
 }
 
-/// Plays one day with a seed.
+/// Simulates one day with a seed.
 pub fn simulate(experiment: &Experiment, seed: u64) -> DayReport {
     let mut simulation = Simulation {
         experiment,
--- a/testutils/src/fleet_model/simulation/callers.rs
+++ b/testutils/src/fleet_model/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they come, are let in, wait or are refused, come back once, and leave.
+//! Callers: arrival, placement, refusal with one retry, and departure.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::fleet_model::simulation::Simulation;
 use crate::lengths;
 
-/// Attempts of a caller: it comes back once after a refusal.
+/// Maximum attempts of a caller, which retries once after a refusal.
 const MAX_ATTEMPTS: u32 = 2;
 
 impl Simulation<'_> {
@@ -100,7 +100,7 @@
         self.finish(run, Outcome::Left);
     }
 
-    /// A request is over, whatever became of it.
+    /// Ends a request and records its outcome.
     pub(super) fn finish(&mut self, run: RunId, outcome: Outcome) {
         if let Some(caller) = self.callers.remove(&run) {
             self.report.kinds[caller.kind].add(outcome);
--- a/testutils/src/fleet_model/simulation/engines.rs
+++ b/testutils/src/fleet_model/simulation/engines.rs
@@ -1,4 +1,4 @@
-//! Engines at work: what their steps bring to the streams of callers.
+//! Engines: their steps, and the stream events that these produce for callers.
 
 use leadstage_lib::gateway::run_key::RunId;
 use leadstage_lib::ids::UpstreamId;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A token was made; returns whether it was the first event's last one.
+    /// Handles a token; returns whether it completed the first event of its stream.
     pub(super) fn on_token(&mut self, run: RunId, engine: usize, produced: u32) -> bool {
         let per_event = self.experiment.engines.tokens_per_event;
         let Some(caller) = self.callers.get_mut(&run).filter(|caller| caller.engine == Some(engine)) else {
--- a/testutils/src/fleet_model/simulation/moves.rs
+++ b/testutils/src/fleet_model/simulation/moves.rs
@@ -1,4 +1,4 @@
-//! Engines that are taken away, and generations that are copied off them.
+//! Reclaims of engines, and the copies of their generations to other engines.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::fleet_model::simulation::Event;
 use crate::fleet_model::simulation::Simulation;
 
-/// What a stream pauses for when it goes on at another engine.
+/// Time for which a stream pauses when it is resumed at another engine.
 const SWITCH_PAUSE: Duration = Duration::from_millis(20);
 
 impl Simulation<'_> {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Has generations of an engine that leaves go, the worth-most first.
+    /// Starts to copy generations off a leaving engine, the most valuable first.
     pub(super) fn evacuate(&mut self, engine: usize) {
         let mut runs: Vec<(u8, RunId)> = self
             .callers
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Begins to copy a generation away; returns whether it does.
+    /// Starts to copy a generation to another engine; returns whether there is one for it.
     pub(super) fn start_copy(&mut self, run: RunId, from: usize) -> bool {
         let Some(caller) = self.callers.get(&run) else { return false };
         let (produced, tokens) = (caller.produced, caller.size.prompt + caller.produced);
--- a/testutils/tests/test_fleet_model.rs
+++ b/testutils/tests/test_fleet_model.rs
@@ -1,5 +1,5 @@
-//! The model of a fleet: what callers get follows from loads that can be reckoned by hand, and a short day of
-//! each shape stays as it is.
+//! The model of a fleet: results match loads that can be calculated by hand, and the results of a short day
+//! of each shape don't change.
 
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_testutils::fleet_model;
@@ -14,7 +14,7 @@
 ];
 const SEEDS: std::ops::Range<u64> = 1..4;
 
-/// A part of a fleet for some seconds, so that all tests of it take little time.
+/// Returns an experiment with a share of the fleet for a short time, to keep the tests fast.
 fn shortened(yaml: &str, share: f64) -> Experiment {
     let mut experiment = Experiment::parse(yaml).expect("the experiment file is valid");
     experiment.seconds = 16.0;
@@ -29,7 +29,7 @@
     SEEDS.map(|seed| fleet_model::simulate(experiment, seed)).collect()
 }
 
-/// Half of the fleet whose memory binds, at so many times its usual load.
+/// Returns half of the memory-bound fleet at a multiple of its usual load.
 fn overloaded(load: f64) -> Experiment {
     let mut experiment = shortened(SHAPES[0].1, 0.5);
     experiment.seconds = 34.0;
@@ -37,7 +37,7 @@
     experiment
 }
 
-/// The days of an experiment, and the same with something switched off.
+/// Simulates an experiment as it is, and with a part of the policy switched off.
 fn with_and_without(
     mut experiment: Experiment,
     switch_off: impl Fn(&mut Policy),
@@ -48,7 +48,7 @@
     (experiment, with, without)
 }
 
-/// Part of what could be earned on some days.
+/// Returns the mean share of the possible value that was earned.
 fn earned_share(experiment: &Experiment, days: &[DayReport]) -> f64 {
     days.iter().map(|day| day.earned_share(experiment)).sum::<f64>() / days.len() as f64
 }
@@ -69,10 +69,10 @@
     assert_ne!(fleet_model::simulate(&experiment, 7), fleet_model::simulate(&experiment, 8));
 }
 
-/// Six long streams fill an engine's memory while they end one after the other, and overflow it while all are
-/// young: admission by what is in use and three seconds' growth lets five in. At the usual load, 1.14 and 1.3 times
-/// it, 20 days each, 0.938, 0.761 and 0.666 of what could be was earned so, 0.990, 0.842 and 0.720 by the expected
-/// peak. Three days of half the fleet here.
+/// An engine's memory holds six long streams if they end one after the other, but overflows if all started
+/// recently. Admission by the memory in use plus three seconds' growth admits five. Over 20 days each at 1,
+/// 1.14 and 1.3 times the usual load, that earned 0.938, 0.761 and 0.666 of the possible value, and admission
+/// by the expected peak 0.990, 0.842 and 0.720. This test simulates three days of half the fleet.
 #[test]
 fn test_admission_by_the_expected_peak_serves_more() {
     let (experiment, by_peak, by_growth) =
@@ -88,9 +88,9 @@
     assert!(preempted < 10 * by_peak.len(), "{preempted}");
 }
 
-/// A long prompt that no engine has memory for keeps shorter ones from memory that would do for them: 20 days at 1.14
-/// and 1.3 times the usual load earn 0.840 and 0.723 of what could be so, 0.864 and 0.736 where up to four are passed
-/// over. Three days of half the fleet here.
+/// A long prompt that no engine has memory for blocks shorter prompts that would fit. Over 20 days each at
+/// 1.14 and 1.3 times the usual load, 0.840 and 0.723 of the possible value were earned that way, and 0.864
+/// and 0.736 where up to four queued requests are skipped. This test simulates three days of half the fleet.
 #[test]
 fn test_skipping_long_prompts_serves_more() {
     let (experiment, with, without) = with_and_without(overloaded(1.3), |policy| policy.pass_over = false);
@@ -98,7 +98,7 @@
     assert!(earned_share(&experiment, &with) > earned_share(&experiment, &without), "{table}");
 }
 
-/// A tenth of the usual callers, and no engine that ends: nobody waits.
+/// At a tenth of the usual load and without reclaims, all requests are served in time.
 #[test]
 fn test_an_idle_fleet_serves_all_in_time() {
     let mut experiment = shortened(SHAPES[0].1, 0.25);
@@ -112,7 +112,8 @@
     }
 }
 
-/// Engines that read 112 tokens in 15 ms at best take 7.5 a ms; twice as many prompt tokens come.
+/// Engines that prefill at most 112 tokens in 15 ms process 7.5 tokens per ms; twice as many prompt tokens
+/// arrive.
 #[test]
 fn test_a_fleet_serves_no_more_than_it_can_prefill() {
     let mut experiment = shortened(SHAPES[0].1, 0.25);
@@ -132,8 +133,8 @@
     }
 }
 
-/// Waves of reclaims at a quarter of the load: each engine has a generation or two, whose copies take 0.2 s
-/// of the 1.8 s of a notice.
+/// Waves of reclaims at a quarter of the usual load: each engine has one or two generations, whose copies
+/// take 0.2 s of the 1.8 s between notice and end.
 #[test]
 fn test_generations_move_off_engines_that_end() {
     let mut experiment = shortened(SHAPES[0].1, 0.25);
