--- a/node/src/gateway/control/config_intake.rs
+++ b/node/src/gateway/control/config_intake.rs
@@ -23,8 +23,8 @@
 use crate::gateway::control::config_transfers;
 use crate::gateway::control::config_transfers::Transfers;
 use crate::gateway::control::follow;
-use crate::gateway::messages::HandedConfig;
-use crate::gateway::messages::News;
+use crate::gateway::messages::FetchedConfig;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::fetching;
 use crate::gateway::peers::fleet::Fleet;
@@ -78,10 +78,10 @@
     }
 
     /// The store told of its configuration.
-    pub fn on_store_news(&mut self, fleet: &Fleet, news: News<Bytes>) {
+    pub fn on_store_update(&mut self, fleet: &Fleet, news: StoreUpdate<Bytes>) {
         let texts: Vec<Bytes> = match news {
-            News::Listed { list, .. } => list.items,
-            News::Changed(changes) => changes
+            StoreUpdate::Listed { list, .. } => list.items,
+            StoreUpdate::Changed(changes) => changes
                 .events
                 .into_iter()
                 .filter_map(|event| match event {
@@ -114,20 +114,20 @@
     }
 
     /// Another node answered, or did not.
-    pub fn on_fetched(&mut self, fleet: &Fleet, from: SocketAddr, handed: HandedConfig) {
+    pub fn on_fetched(&mut self, fleet: &Fleet, from: SocketAddr, handed: FetchedConfig) {
         self.transfers.end(from);
         let now = self.shared.now();
         match handed {
-            HandedConfig::Text(version, text) => self.on_text(fleet, from, version, &text),
-            HandedConfig::Busy(after, part) => {
+            FetchedConfig::Text(version, text) => self.on_text(fleet, from, version, &text),
+            FetchedConfig::Busy(after, part) => {
                 self.keep(part);
                 self.sources.on_busy(from, after, now);
             }
-            HandedConfig::Failed(part) => {
+            FetchedConfig::Failed(part) => {
                 self.keep(part);
                 self.sources.on_failed(from, now);
             }
-            HandedConfig::Unreadable => {
+            FetchedConfig::Unreadable => {
                 self.wants_whole = true;
                 self.sources.on_failed(from, now);
             }
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -109,37 +109,39 @@
             ToControl::FirstEvent(run) => self.placing.on_own_first_event(&self.fleet, run),
             ToControl::Copied(run) => self.placing.on_own_copied(&self.fleet, run),
             ToControl::Ended(run, outcome) => self.placing.on_ended(&self.fleet, run, outcome),
-            ToControl::Sign(of, sign) => self.replicas.on_sign(&mut self.placing, &self.fleet, &of, sign),
+            ToControl::LeavingSign(of, sign) => {
+                self.replicas.on_sign(&mut self.placing, &self.fleet, &of, sign)
+            }
             ToControl::Health(of, health) => {
                 self.replicas.on_health(&mut self.placing, &self.fleet, of, health)
             }
-            ToControl::TellPart => self.replicas.tell_part(&self.fleet),
-            ToControl::TellReplicas => self.replicas.tell_gathered(&self.placing, &self.fleet),
-            ToControl::Replicas(news) => self.replicas.on_store_news(&mut self.placing, &self.fleet, news),
-            ToControl::ClosedHalls(news) => self.halls.on_store_news(&mut self.placing, &self.fleet, news),
-            ToControl::Upgrades(news) => self.upgrades.on_store_news(&mut self.placing, &self.fleet, news),
+            ToControl::SendNextUpdatePart => self.replicas.tell_part(&self.fleet),
+            ToControl::SendReplicaUpdates => self.replicas.tell_gathered(&self.placing, &self.fleet),
+            ToControl::Replicas(news) => self.replicas.on_store_update(&mut self.placing, &self.fleet, news),
+            ToControl::ClosedHalls(news) => self.halls.on_store_update(&mut self.placing, &self.fleet, news),
+            ToControl::Upgrades(news) => self.upgrades.on_store_update(&mut self.placing, &self.fleet, news),
             ToControl::UpgradeWritten(written) => {
                 self.upgrades.on_written(&mut self.placing, &self.fleet, written)
             }
             ToControl::Sampled(sample) => self.upgrades.on_sample(sample),
             ToControl::LimitReport(of, word, times) => {
-                self.limits.on_answer(&mut self.placing.knowledge, &self.fleet, &of, word, times)
+                self.limits.on_answer(&mut self.placing.state, &self.fleet, &of, word, times)
             }
             ToControl::GrantSilent(question) => self.placing.on_grant_silent(&self.fleet, question),
             ToControl::RunBroke(run) => self.crashes.on_break(&self.placing, run),
-            ToControl::RanWell(fingerprint) => self.crashes.on_ran_well(&self.fleet, fingerprint),
-            ToControl::AskedAfterBreak(of, shown) => {
+            ToControl::RunSucceeded(fingerprint) => self.crashes.on_ran_well(&self.fleet, fingerprint),
+            ToControl::CheckedAfterBreak(of, shown) => {
                 self.crashes.on_asked(&self.placing, &self.fleet, &of, shown)
             }
-            ToControl::Suspects(news) => self.crashes.on_store_news(&self.fleet, news),
+            ToControl::Suspects(news) => self.crashes.on_store_update(&self.fleet, news),
             ToControl::SuspectStored(of, stored) => self.crashes.on_stored(&self.fleet, of, stored),
-            ToControl::Configuration(news) => self.configs.on_store_news(&self.fleet, news),
+            ToControl::Configuration(news) => self.configs.on_store_update(&self.fleet, news),
             ToControl::Fetched(from, Fetched::Configuration(handed)) => {
                 self.configs.on_fetched(&self.fleet, from, handed)
             }
             ToControl::ConfigurationRead(answered) => self.configs.on_read(answered),
             ToControl::ConfigurationDue => self.configs.on_due(),
-            ToControl::HandOut(known, reply) => self.replicas.hand_out(&self.placing, known, reply),
+            ToControl::ServeReplicas(known, reply) => self.replicas.hand_out(&self.placing, known, reply),
             ToControl::Fetched(from, Fetched::Replicas(list)) => {
                 self.replicas.on_fetched(&mut self.placing, &self.fleet, from, list)
             }
@@ -190,8 +192,8 @@
         }
         self.last_status = now;
         self.log_store_calls();
-        self.placing.knowledge.forget_gone();
-        self.limits.publish(&self.placing.knowledge);
+        self.placing.state.forget_gone();
+        self.limits.publish(&self.placing.state);
         self.placing.publish_paces();
         self.shared.set_status(self.placing.status(&self.fleet));
         let crashes = self.shared.crashes();
@@ -245,10 +247,10 @@
         };
         self.configs.compare(&self.fleet, from, datagram.config, how);
         self.replicas.compare(&self.placing, &self.fleet, from, datagram.replicas_at);
-        self.halls.on_told(&mut self.placing, &self.fleet, datagram.closed_halls);
-        self.upgrades.on_told(&mut self.placing, &self.fleet, datagram.upgrades);
+        self.halls.on_announced(&mut self.placing, &self.fleet, datagram.closed_halls);
+        self.upgrades.on_announced(&mut self.placing, &self.fleet, datagram.upgrades);
         self.crashes.compare(&self.fleet, from, datagram.crash_digest);
-        self.limits.compare(&self.placing.knowledge, &self.fleet, from, datagram.limits_digest);
+        self.limits.compare(&self.placing.state, &self.fleet, from, datagram.limits_digest);
         match datagram.message {
             PeerMessage::Probe(id, gossip) => {
                 self.on_gossip(from, &gossip, now);
@@ -271,10 +273,10 @@
             PeerMessage::Inventory(inventory) => self.placing.on_inventory(from, inventory),
             PeerMessage::Replicas(news) => self.replicas.on_news(&mut self.placing, &self.fleet, from, news),
             PeerMessage::Pulse(pulse) => self.on_pulse(pulse),
-            PeerMessage::Suspects(told) => self.crashes.on_told(&self.fleet, told),
-            PeerMessage::Limits(told) => self.limits.on_told(&mut self.placing.knowledge, &self.fleet, told),
+            PeerMessage::Suspects(told) => self.crashes.on_announced(&self.fleet, told),
+            PeerMessage::Limits(told) => self.limits.on_announced(&mut self.placing.state, &self.fleet, told),
             PeerMessage::AskGrant(ask) => {
-                self.limits.on_told(&mut self.placing.knowledge, &self.fleet, vec![ask.limit.clone()]);
+                self.limits.on_announced(&mut self.placing.state, &self.fleet, vec![ask.limit.clone()]);
                 self.placing.on_ask_grant(&self.fleet, from, ask)
             }
             PeerMessage::Granted(question, grant) => self.placing.on_granted(&self.fleet, question, grant),
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -30,7 +30,7 @@
 use crate::gateway::control::placing::Placing;
 use crate::gateway::control::suspect_store;
 use crate::gateway::messages::BrokenRun;
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::StoredSuspect;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::fleet::Fleet;
@@ -74,7 +74,7 @@
 
     /// A run of this node broke at its replica.
     pub fn on_break(&mut self, placing: &Placing, run: BrokenRun) {
-        let replica = placing.knowledge.replicas.get(&run.replica.id);
+        let replica = placing.state.replicas.get(&run.replica.id);
         // It was to end, whatever it ran.
         if replica.is_some_and(|replica| replica.leaving.is_some()) {
             return;
@@ -115,7 +115,7 @@
 
     fn ask(&mut self, placing: &Placing) {
         for of in self.pending.asks(self.shared.now()) {
-            match placing.knowledge.asked_for_health(&of.id) {
+            match placing.state.health_check_target(&of.id) {
                 Some((replica, path)) => {
                     tokio::task::spawn_local(ask(self.shared.clone(), replica, path));
                 }
@@ -139,7 +139,7 @@
         let pending: Vec<(Incarnation, Timestamp)> =
             self.pending.replicas().map(|(replica, since)| (replica.clone(), since)).collect();
         for (of, since) in pending {
-            let Some(replica) = placing.knowledge.replicas.get(&of.id) else {
+            let Some(replica) = placing.state.replicas.get(&of.id) else {
                 continue;
             };
             let is_later_start = replica.record.born > of.born && of.born > 0;
@@ -192,7 +192,7 @@
     }
 
     /// Another node told what it knows.
-    pub fn on_told(&mut self, fleet: &Fleet, told: Vec<Suspect>) {
+    pub fn on_announced(&mut self, fleet: &Fleet, told: Vec<Suspect>) {
         let news = self.ledger.take(told, unix_millis());
         if !news.is_empty() {
             self.on_change(&news);
@@ -209,15 +209,15 @@
     }
 
     /// The store told what it holds.
-    pub fn on_store_news(&mut self, fleet: &Fleet, news: News<Suspect>) {
+    pub fn on_store_update(&mut self, fleet: &Fleet, news: StoreUpdate<Suspect>) {
         let mut removed = Vec::new();
         let mut told = Vec::new();
         match news {
-            News::Listed { list, .. } => {
+            StoreUpdate::Listed { list, .. } => {
                 removed = self.stored.on_listed(&list.items, list.at);
                 told = list.items;
             }
-            News::Changed(changes) => {
+            StoreUpdate::Changed(changes) => {
                 for event in changes.events {
                     match event {
                         Change::Put(suspect) => {
@@ -245,7 +245,7 @@
         match stored {
             Some(StoredSuspect::Kept(suspect, at)) => {
                 self.stored.on_kept(&suspect, at);
-                self.on_told(fleet, vec![suspect]);
+                self.on_announced(fleet, vec![suspect]);
             }
             Some(StoredSuspect::Removed) => drop(self.stored.on_removed(&of, u64::MAX)),
             None => {}
@@ -294,5 +294,5 @@
         Health::Closed => Shown::PortClosed,
         Health::Silent => Shown::Silent,
     };
-    shared.tell(ToControl::AskedAfterBreak(replica.incarnation(), shown));
+    shared.tell(ToControl::CheckedAfterBreak(replica.incarnation(), shown));
 }
--- a/node/src/gateway/control/first_read.rs
+++ b/node/src/gateway/control/first_read.rs
@@ -11,7 +11,7 @@
 use leadstage_platform::store_kinds::Upgrades;
 
 use crate::gateway::control::follow;
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::ToControl;
 use crate::gateway::shared::Shared;
 
@@ -39,7 +39,7 @@
     read_kind::<Replicas>(shared, ToControl::Replicas).await;
 }
 
-async fn read_kind<K: Kind>(shared: &Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl) {
+async fn read_kind<K: Kind>(shared: &Arc<Shared>, wrap: fn(StoreUpdate<K::Item>) -> ToControl) {
     // A failure is logged, and what is missing comes from nodes that follow the store.
     follow::read_once::<K>(shared.clone(), wrap, Age::SomeSeconds).await;
 }
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -18,7 +18,7 @@
 use log::info;
 use log::warn;
 
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::shared::Shared;
@@ -61,7 +61,11 @@
 
 /// Reads a kind once; returns whether the store answered. For a starting node what may be some
 /// seconds old is enough, as other nodes tell what is newer, and costs a tenth.
-pub async fn read_once<K: Kind>(shared: Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl, age: Age) -> bool {
+pub async fn read_once<K: Kind>(
+    shared: Arc<Shared>,
+    wrap: fn(StoreUpdate<K::Item>) -> ToControl,
+    age: Age,
+) -> bool {
     let mut store = Store::new(shared.settings.store);
     let purpose = match age {
         Age::SomeSeconds => StoreCall::Start,
@@ -70,7 +74,7 @@
     match store.list::<K>(age, note_unreadable::<K>).await {
         Ok(list) => {
             shared.metrics.on_store_call(purpose, true);
-            shared.tell(wrap(News::Listed { list, after_outage: true }));
+            shared.tell(wrap(StoreUpdate::Listed { list, after_outage: true }));
             true
         }
         Err(err) => {
@@ -82,7 +86,7 @@
 }
 
 /// Follows the kind `K` until the process ends, and tells the control loop what it learns.
-pub async fn follow<K: Kind>(shared: Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl, pace: Pace) {
+pub async fn follow<K: Kind>(shared: Arc<Shared>, wrap: fn(StoreUpdate<K::Item>) -> ToControl, pace: Pace) {
     let store = Store::new(shared.settings.store);
     let backoff = Backoff::new(LEAST_PAUSE, LONGEST_PAUSE);
     let mut follower = Follower::<K> {
@@ -108,7 +112,7 @@
 struct Follower<K: Kind> {
     store: Store,
     shared: Arc<Shared>,
-    wrap: fn(News<K::Item>) -> ToControl,
+    wrap: fn(StoreUpdate<K::Item>) -> ToControl,
     pace: Pace,
     /// How old the next list may be.
     age: Age,
@@ -142,7 +146,7 @@
         self.age = Age::Newest;
         self.is_new = true;
         let after_outage = self.on_answer(list.at);
-        self.shared.tell((self.wrap)(News::Listed { list, after_outage }));
+        self.shared.tell((self.wrap)(StoreUpdate::Listed { list, after_outage }));
         Ok(())
     }
 
@@ -154,7 +158,7 @@
         self.note_undecided(&changes.undecided);
         self.is_new = false;
         self.on_answer(changes.at);
-        self.shared.tell((self.wrap)(News::Changed(changes)));
+        self.shared.tell((self.wrap)(StoreUpdate::Changed(changes)));
         let pause = self.pace.batch_delay();
         if !pause.is_zero() {
             tokio::time::sleep(pause).await;
--- a/node/src/gateway/control/grant_questions.rs
+++ b/node/src/gateway/control/grant_requests.rs
@@ -12,7 +12,7 @@
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::ids::VmId;
 
-use crate::gateway::control::lead_desk::Ask;
+use crate::gateway::control::lead_scheduler::Ask;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::outbox::Outbox;
 use crate::gateway::peers::peer_message::AskGrant;
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -17,7 +17,7 @@
 use log::warn;
 
 use crate::gateway::control::placing::Placing;
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
@@ -45,12 +45,12 @@
     }
 
     /// The store told of the closed halls.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<HallId>) {
+    pub fn on_store_update(&mut self, placing: &mut Placing, fleet: &Fleet, news: StoreUpdate<HallId>) {
         let told = match news {
-            News::Listed { list: Listed { items, at, .. }, .. } => {
+            StoreUpdate::Listed { list: Listed { items, at, .. }, .. } => {
                 ClosedHalls { at, halls: items.into_iter().collect() }
             }
-            News::Changed(changes) => {
+            StoreUpdate::Changed(changes) => {
                 let halls = changes.events.into_iter().filter_map(|event| match event {
                     Change::Put(hall) => Some(HallChange::Closed(hall)),
                     Change::Gone(name) => {
@@ -69,7 +69,7 @@
     }
 
     /// Another node told of them.
-    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: ClosedHalls) {
+    pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, told: ClosedHalls) {
         if self.take(placing, told, Source::Node) {
             fleet.pass_on(&PeerMessage::HallsChanged);
         }
@@ -116,7 +116,7 @@
                 }
                 HallChange::Opened(hall) => {
                     info!(event = "hall_opened", hall = &**hall, at, by:% = source; "a hall's replicas may get requests again");
-                    placing.knowledge.on_hall_opened(hall);
+                    placing.state.on_hall_opened(hall);
                 }
             }
         }
--- a/node/src/gateway/control/inventories.rs
+++ b/node/src/gateway/control/inventories.rs
@@ -12,7 +12,7 @@
 use leadstage_lib::ids::Timestamp;
 use leadstage_lib::ids::VmId;
 
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::placement_state::PlacementState;
 
 /// Time between two inventories for a lead. Ends are told at once, and in a second a
 /// generation makes some 115 tokens: 3 in 100 of its memory.
@@ -41,12 +41,12 @@
     /// unknown in each of 30 looks at the lead's status within 3 s.
     pub fn take(
         &mut self,
-        knowledge: &Knowledge,
+        state: &PlacementState,
         own: &VmId,
         now: Timestamp,
         lead_of: impl Fn(&ServiceId) -> Option<SocketAddr>,
     ) -> HashMap<SocketAddr, Vec<(RunId, Run)>> {
-        let busy: HashSet<ServiceId> = services(knowledge, own).collect();
+        let busy: HashSet<ServiceId> = services(state, own).collect();
         // A lead is picked by a hash over all nodes: once for each service, not each generation.
         let known = busy.iter().chain(self.told.keys());
         let leads: HashMap<ServiceId, SocketAddr> =
@@ -54,8 +54,8 @@
         let due = leads.iter().filter(|(service, lead)| self.is_due(service, **lead, now));
         let mut told: HashMap<SocketAddr, Vec<(RunId, Run)>> =
             due.map(|(_, lead)| (*lead, Vec::new())).collect();
-        for (run, it) in knowledge.book.runs_of_entry(own) {
-            let service = knowledge.replicas.get(&it.replica).map(|replica| &replica.record.service);
+        for (run, it) in state.load.runs_of_entry(own) {
+            let service = state.replicas.get(&it.replica).map(|replica| &replica.record.service);
             let lead = service.and_then(|service| leads.get(service));
             if let Some(runs) = lead.and_then(|lead| told.get_mut(lead)) {
                 runs.push((run, it.clone()));
@@ -77,7 +77,7 @@
 }
 
 /// The services of a node's generations.
-fn services<'a>(knowledge: &'a Knowledge, own: &'a VmId) -> impl Iterator<Item = ServiceId> + 'a {
-    let generations = knowledge.book.runs_of_entry(own).filter(|(_, run)| run.size.is_some());
-    generations.filter_map(|(_, run)| Some(knowledge.replicas.get(&run.replica)?.record.service.clone()))
+fn services<'a>(state: &'a PlacementState, own: &'a VmId) -> impl Iterator<Item = ServiceId> + 'a {
+    let generations = state.load.runs_of_entry(own).filter(|(_, run)| run.size.is_some());
+    generations.filter_map(|(_, run)| Some(state.replicas.get(&run.replica)?.record.service.clone()))
 }
--- a/node/src/gateway/control/lead_questions.rs
+++ b/node/src/gateway/control/lead_requests.rs
@@ -11,7 +11,7 @@
 use leadstage_lib::gateway::run_key::RunId;
 use leadstage_lib::ids::VmId;
 
-use crate::gateway::control::lead_desk::Ask;
+use crate::gateway::control::lead_scheduler::Ask;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::outbox::Outbox;
 use crate::gateway::peers::peer_message::PeerMessage;
--- a/node/src/gateway/control/lead_desk.rs
+++ b/node/src/gateway/control/lead_scheduler.rs
@@ -26,7 +26,7 @@
 use leadstage_lib::ids::UpstreamId;
 use log::info;
 
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::messages::PlaceReply;
 use crate::gateway::messages::StreamHandle;
 use crate::gateway::peers::peer_message::Wanted;
@@ -91,35 +91,35 @@
 
 /// The services that this node leads.
 #[derive(Default)]
-pub struct LeadDesk {
+pub struct LeadScheduler {
     policy: Policy,
     queues: HashMap<Room, LeadQueue<Ask>>,
     rebalancers: HashMap<ServiceId, Rebalancer>,
 }
 
-impl LeadDesk {
+impl LeadScheduler {
     /// Leads no services yet.
     pub fn new(policy: Policy) -> Self {
-        LeadDesk { policy, ..LeadDesk::default() }
+        LeadScheduler { policy, ..LeadScheduler::default() }
     }
 
     /// Takes a question in.
-    pub fn ask(&mut self, knowledge: &mut Knowledge, ask: Ask, now: Timestamp) -> Outcome {
+    pub fn ask(&mut self, state: &mut PlacementState, ask: Ask, now: Timestamp) -> Outcome {
         let waits =
             if ask.wanted.from.is_some() { self.policy.copy_turns } else { self.policy.wait_for_room };
         if ask.patience.is_zero() || !waits {
-            let chosen = choose(knowledge, &ask, MayWait::No);
-            let chosen = chosen.map_err(|_| knowledge.no_room(&ask.wanted));
+            let chosen = choose(state, &ask, MayWait::No);
+            let chosen = chosen.map_err(|_| state.no_room(&ask.wanted));
             return Outcome::Decided(Box::new(Decision { ask, chosen }));
         }
-        let (room, terms) = (room_of(&ask), terms(knowledge, &ask));
+        let (room, terms) = (room_of(&ask), terms(state, &ask));
         let key = ask.key.clone();
         let there = match &ask.asker {
             Asker::There(address) => Some(*address),
             Asker::Here { .. } => None,
         };
         let queue = self.queues.entry(room.clone()).or_insert_with(|| LeadQueue::new(self.policy));
-        match queue.ask(ask, &terms, &mut EnginesOf { knowledge, room, now }, now) {
+        match queue.ask(ask, &terms, &mut EnginesOf { state, room, now }, now) {
             QueueReply::Placed(ask, replica) => {
                 Outcome::Decided(Box::new(Decision { ask, chosen: Ok(replica) }))
             }
@@ -129,10 +129,10 @@
     }
 
     /// Answers those that can go on now, and those that can't be expected to begin in time.
-    pub fn settle(&mut self, knowledge: &mut Knowledge, now: Timestamp) -> Vec<Decision> {
+    pub fn settle(&mut self, state: &mut PlacementState, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for (room, queue) in &mut self.queues {
-            let mut engines = EnginesOf { knowledge: &mut *knowledge, room: room.clone(), now };
+            let mut engines = EnginesOf { state: &mut *state, room: room.clone(), now };
             for Settled { item: ask, outcome, waited } in queue.settle(&mut engines, now) {
                 log_wait(&ask, &waited, outcome.is_ok());
                 decisions.push(match outcome {
@@ -153,22 +153,22 @@
     /// Generations of a service that should move for balance.
     pub fn due_moves(
         &mut self,
-        knowledge: &Knowledge,
+        state: &PlacementState,
         service: &ServiceId,
         now: Timestamp,
     ) -> Vec<RebalanceMove> {
-        let Some(traits) = knowledge.engine_traits(service).filter(|_| self.policy.balance) else {
+        let Some(traits) = state.engine_traits(service).filter(|_| self.policy.balance) else {
             return Vec::new();
         };
         let rebalancer = self.rebalancers.entry(service.clone()).or_default();
-        let engines = knowledge.balanced(service).filter(|replica| replica.is_usable(now));
-        rebalancer.due_moves(&knowledge.book, engines, &traits, now)
+        let engines = state.balanced(service).filter(|replica| replica.is_usable(now));
+        rebalancer.due_moves(&state.load, engines, &traits, now)
     }
 }
 
 /// The engines, for those that wait in one place.
 struct EnginesOf<'a> {
-    knowledge: &'a mut Knowledge,
+    state: &'a mut PlacementState,
     room: Room,
     now: Timestamp,
 }
@@ -177,32 +177,32 @@
     type Place = Arc<ReplicaRecord>;
 
     fn choose(&mut self, ask: &Ask) -> Result<Arc<ReplicaRecord>, Shortage> {
-        choose(self.knowledge, ask, MayWait::Yes)
+        choose(self.state, ask, MayWait::Yes)
     }
 
     /// Unknown for a turn on a link.
     fn time_until(&self, tokens: f64) -> Option<Duration> {
         match &self.room {
-            Room::New(service, regions) if self.knowledge.is_closed(service, regions) => Some(Duration::MAX),
-            Room::New(service, _) => self.knowledge.forecast(service).time_until(tokens, self.now),
+            Room::New(service, regions) if self.state.is_closed(service, regions) => Some(Duration::MAX),
+            Room::New(service, _) => self.state.forecast(service).time_until(tokens, self.now),
             Room::From(_) => None,
         }
     }
 }
 
 /// What holds for a generation that may wait.
-fn terms(knowledge: &Knowledge, ask: &Ask) -> QueueTerms {
+fn terms(state: &PlacementState, ask: &Ask) -> QueueTerms {
     let Ask { priority, patience, leaves_after, .. } = *ask;
     if ask.wanted.from.is_some() {
         return QueueTerms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
     }
     let (service, size) = (&ask.wanted.service, ask.wanted.size.unwrap_or_default());
-    let reading = knowledge.book.prefill.usual_prefill_time(service, size.prompt);
+    let reading = state.load.prefill.usual_prefill_time(service, size.prompt);
     QueueTerms {
         priority,
         in_time: patience.saturating_sub(reading + MAX_QUEUED_PREFILL),
         may_wait: leaves_after.saturating_sub(reading),
-        tokens: knowledge.book.memory_of(service, size, 0),
+        tokens: state.load.memory_of(service, size, 0),
     }
 }
 
@@ -226,13 +226,13 @@
 
 /// Finds a replica and puts the request into the books there. One that moves waits for its turn on its
 /// engine's link like for an engine.
-fn choose(knowledge: &mut Knowledge, ask: &Ask, may_wait: MayWait) -> Result<Arc<ReplicaRecord>, Shortage> {
-    if !knowledge.copy_may_start(&ask.wanted) {
+fn choose(state: &mut PlacementState, ask: &Ask, may_wait: MayWait) -> Result<Arc<ReplicaRecord>, Shortage> {
+    if !state.copy_may_start(&ask.wanted) {
         return Err(Shortage::Engines);
     }
     let reads_soon = may_wait == MayWait::Yes && ask.wanted.from.is_none();
-    let replica = knowledge.choose(&ask.key, &ask.wanted, reads_soon)?;
-    knowledge.add(ask.key.clone(), &ask.wanted, &replica.id);
+    let replica = state.choose(&ask.key, &ask.wanted, reads_soon)?;
+    state.add(ask.key.clone(), &ask.wanted, &replica.id);
     Ok(replica)
 }
 
--- a/node/src/gateway/control/knowledge.rs
+++ b/node/src/gateway/control/placement_state.rs
@@ -32,12 +32,12 @@
 use crate::gateway::shared::Shared;
 
 /// The replicas, and the requests at them.
-pub struct Knowledge {
+pub struct PlacementState {
     shared: Arc<Shared>,
     /// The replicas.
     pub replicas: ReplicaTable,
     /// The requests; those of other nodes as far as this node leads.
-    pub book: LoadTracker,
+    pub load: LoadTracker,
     forecasts: HashMap<ServiceId, RoomForecast>,
     cold: RefCell<ColdStartLimiter>,
     /// The limits that replicas name.
@@ -49,14 +49,14 @@
     pub judged: JudgedServices,
 }
 
-impl Knowledge {
+impl PlacementState {
     /// Knows nothing yet.
     pub fn new(shared: Arc<Shared>, own: VmId) -> Self {
         let policy = shared.settings.policy;
-        Knowledge {
+        PlacementState {
             shared,
             replicas: ReplicaTable::new(policy),
-            book: LoadTracker::new(policy),
+            load: LoadTracker::new(policy),
             forecasts: HashMap::new(),
             cold: RefCell::new(ColdStartLimiter::new(own)),
             limits: RefCell::default(),
@@ -85,7 +85,7 @@
             _ => {
                 let candidates = self.candidates(key, wanted, |_| true).into_iter();
                 let now = self.shared.now();
-                let chosen = self.book.choose_plain(candidates, &wanted.hall, now, &mut rand::rng());
+                let chosen = self.load.choose_plain(candidates, &wanted.hall, now, &mut rand::rng());
                 chosen.map(|replica| replica.record.clone()).ok_or(Shortage::Engines)
             }
         }
@@ -110,14 +110,14 @@
         // Engines that read later are only asked whether they would have had memory.
         let mut later = Vec::new();
         let soon = self.candidates(key, wanted, |replica| {
-            let is_soon = !may_wait || self.book.has_prefill_capacity(&replica.record.id, now);
+            let is_soon = !may_wait || self.load.has_prefill_capacity(&replica.record.id, now);
             if !is_soon && later.len() < eligible::MOST_CONSIDERED {
                 later.push(replica);
             }
             is_soon
         });
         let engines = soon.len() + later.len();
-        let choice = self.book.choose_engine_or_shortage(soon, later, &request, now, &mut rand::rng())?;
+        let choice = self.load.choose_engine_or_shortage(soon, later, &request, now, &mut rand::rng())?;
         info!(event = "engine_chosen", run = key.run, entry = &*key.entry, upstream = &*choice.replica.record.id, service = &*wanted.service, prompt = size.prompt, expected = size.expected, produced = wanted.produced, engines, runs = choice.runs, fill:% = format_args!("{:.2}", choice.fill), wait_ms = choice.wait.as_millis() as u64, cost_ms:% = format_args!("{:.0}", choice.cost); "engine chosen");
         Ok(choice.replica.record.clone())
     }
@@ -125,7 +125,7 @@
     /// Whether the engine that a generation moves away from can start another copy; a new
     /// generation needs none.
     pub fn copy_may_start(&self, wanted: &Wanted) -> bool {
-        let copies = wanted.from.as_ref().map_or(0, |engine| self.book.copies_from(engine));
+        let copies = wanted.from.as_ref().map_or(0, |engine| self.load.copies_from(engine));
         copies < evacuation::MAX_CONCURRENT_COPIES || !self.shared.settings.policy.copy_turns
     }
 
@@ -186,7 +186,7 @@
         if let Some(replica) = self.replicas.get(id) {
             self.cold.get_mut().on_assigned(id, now);
             self.limits.get_mut().on_assigned(id, giver, now, &mut rand::rng());
-            self.book.add(key, wanted.at(&replica.record.id), replica, now);
+            self.load.add(key, wanted.at(&replica.record.id), replica, now);
         }
     }
 
@@ -194,7 +194,7 @@
     /// replica stays.
     pub fn remove(&mut self, key: &RunKey) -> Option<Run> {
         let now = self.shared.now();
-        let run = self.book.remove(key)?;
+        let run = self.load.remove(key)?;
         let halls = self.shared.closed_halls();
         let replica =
             self.replicas.get(&run.replica).filter(|replica| eligible::takes_requests(replica, &halls));
@@ -211,7 +211,7 @@
     }
 
     /// A replica, and the path where it tells its health.
-    pub fn asked_for_health(&self, id: &str) -> Option<(Arc<ReplicaRecord>, String)> {
+    pub fn health_check_target(&self, id: &str) -> Option<(Arc<ReplicaRecord>, String)> {
         let record = self.replicas.get(id)?.record.clone();
         let path = self.shared.table()?.service(&record.service)?.health_path.clone();
         Some((record, path))
@@ -220,7 +220,7 @@
     /// Forgets what was learnt of replicas that are no longer known.
     pub fn forget_gone(&mut self) {
         let replicas = &self.replicas;
-        self.book.retain_replicas(|id| replicas.get(id).is_some());
+        self.load.retain_replicas(|id| replicas.get(id).is_some());
         let now = self.shared.now();
         self.cold.get_mut().retain(|id| replicas.get(id).is_some_and(|replica| replica.is_cold(now)));
         self.limits.get_mut().retain(|id| replicas.get(id).is_some(), now);
--- a/node/src/gateway/control/knowledge/eligible.rs
+++ b/node/src/gateway/control/placement_state/eligible.rs
@@ -20,7 +20,7 @@
 use leadstage_lib::ids::UpstreamId;
 use rand::seq::IndexedRandom;
 
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::peers::peer_message::Wanted;
 
 /// Replicas that are weighed for one request at most: the best of these is close to the best of all.
@@ -34,7 +34,7 @@
     leaves_to_others: bool,
 }
 
-impl Knowledge {
+impl PlacementState {
     /// The replicas of a service that are not known to leave.
     pub fn staying<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         self.replicas.staying(service)
--- a/node/src/gateway/control/placing.rs
+++ b/node/src/gateway/control/placing.rs
@@ -22,21 +22,21 @@
 use leadstage_lib::status::NodeStatus;
 use log::info;
 
-use crate::gateway::control::grant_questions::GrantQuestions;
+use crate::gateway::control::grant_requests::GrantQuestions;
 use crate::gateway::control::inventories::Inventories;
-use crate::gateway::control::knowledge::Knowledge;
-use crate::gateway::control::lead_desk;
-use crate::gateway::control::lead_desk::Ask;
-use crate::gateway::control::lead_desk::Asker;
-use crate::gateway::control::lead_desk::Decision;
-use crate::gateway::control::lead_desk::LeadDesk;
-use crate::gateway::control::lead_questions::LeadQuestions;
-use crate::gateway::control::lead_questions::Question;
-use crate::gateway::messages::Order;
+use crate::gateway::control::lead_requests::LeadQuestions;
+use crate::gateway::control::lead_requests::Question;
+use crate::gateway::control::lead_scheduler;
+use crate::gateway::control::lead_scheduler::Ask;
+use crate::gateway::control::lead_scheduler::Asker;
+use crate::gateway::control::lead_scheduler::Decision;
+use crate::gateway::control::lead_scheduler::LeadScheduler;
+use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::messages::Outcome;
 use crate::gateway::messages::PlaceReply;
 use crate::gateway::messages::PlaceRequest;
 use crate::gateway::messages::Placed;
+use crate::gateway::messages::StreamCommand;
 use crate::gateway::messages::StreamHandle;
 use crate::gateway::observability::status;
 use crate::gateway::peers::fleet::Fleet;
@@ -57,8 +57,8 @@
     shared: Arc<Shared>,
     outbox: Outbox,
     /// The replicas, and the requests at them.
-    pub knowledge: Knowledge,
-    desk: LeadDesk,
+    pub state: PlacementState,
+    desk: LeadScheduler,
     leads: Leads,
     /// Who grants for replicas that name limits; one that is slow with a grant may still lead.
     granters: Leads,
@@ -76,8 +76,8 @@
     /// Knows nothing yet.
     pub fn new(shared: Arc<Shared>, outbox: Outbox, own: VmId) -> Self {
         Placing {
-            knowledge: Knowledge::new(shared.clone(), own.clone()),
-            desk: LeadDesk::new(shared.settings.policy),
+            state: PlacementState::new(shared.clone(), own.clone()),
+            desk: LeadScheduler::new(shared.settings.policy),
             leads: Leads::default(),
             granters: Leads::default(),
             questions: LeadQuestions::new(shared.clone(), outbox.clone()),
@@ -103,8 +103,8 @@
             leaves_after: request.leaves_after,
             asker: Asker::Here { request: request.request, stream: request.stream, reply },
         };
-        if self.knowledge.is_kept_from_all(&ask.wanted) {
-            let chosen = Err(self.knowledge.no_room(&ask.wanted));
+        if self.state.is_kept_from_all(&ask.wanted) {
+            let chosen = Err(self.state.no_room(&ask.wanted));
             return self.answer(Decision { ask, chosen });
         }
         match self.lead_for(fleet, &ask) {
@@ -133,12 +133,12 @@
 
     fn decide_here(&mut self, ask: Ask) {
         self.update_progress();
-        match self.desk.ask(&mut self.knowledge, ask, self.shared.now()) {
-            lead_desk::Outcome::Decided(decision) => self.answer(*decision),
-            lead_desk::Outcome::Waits(key, Some(there)) => {
+        match self.desk.ask(&mut self.state, ask, self.shared.now()) {
+            lead_scheduler::Outcome::Decided(decision) => self.answer(*decision),
+            lead_scheduler::Outcome::Waits(key, Some(there)) => {
                 self.outbox.send(there, &PeerMessage::Waits(key.run))
             }
-            lead_desk::Outcome::Waits(_, None) => {}
+            lead_scheduler::Outcome::Waits(_, None) => {}
         }
     }
 
@@ -157,7 +157,7 @@
                         self.streams.insert(run, stream);
                     }
                     (Err(no_room), _) => {
-                        let replicas = self.knowledge.count_open(&ask.wanted.service);
+                        let replicas = self.state.count_open(&ask.wanted.service);
                         info!(event = "no_room", request = request, run, service = &*ask.wanted.service, replicas, excluded = ask.wanted.exclude.len(), patience_ms = ask.patience.as_millis() as u64, expected_ms = no_room.expected.map_or(0, |expected| expected.as_millis() as u64); "no replica has room");
                     }
                     _ => {}
@@ -180,16 +180,16 @@
             Ok(record) => record,
             Err(no_room) => return self.answer(Decision { ask, chosen: Err(no_room) }),
         };
-        let known = self.knowledge.replicas.get(&record.id);
+        let known = self.state.replicas.get(&record.id);
         let is_open = self.shared.closed_halls().is_open(&record.hall);
         if !is_open || known.is_some_and(|replica| replica.leaving.is_some()) {
             return self.decide_here(ask);
         }
         let now = self.shared.now();
         if known.is_none() {
-            self.knowledge.replicas.on_entry(record.clone(), now, &mut ListChange::default());
+            self.state.replicas.on_entry(record.clone(), now, &mut ListChange::default());
         }
-        self.knowledge.add(ask.key.clone(), &ask.wanted, &record.id);
+        self.state.add(ask.key.clone(), &ask.wanted, &record.id);
         self.answer(Decision { ask, chosen: Ok(Arc::new(record)) });
     }
 
@@ -226,12 +226,12 @@
     /// Another node tells what it runs.
     pub fn on_inventory(&mut self, from: SocketAddr, inventory: Inventory) {
         let now = self.shared.now();
-        self.knowledge.book.on_inventory(&node_id(from), inventory.ids, inventory.runs, now);
+        self.state.load.on_inventory(&node_id(from), inventory.ids, inventory.runs, now);
     }
 
     /// Another node is gone.
     pub fn on_node_gone(&mut self, node: &VmId) {
-        self.knowledge.book.on_entry_gone(node);
+        self.state.load.on_entry_gone(node);
         for Question { ask, lead, .. } in self.questions.of_lost_lead(node) {
             info!(event = "lead_lost", lead = &*lead, run = ask.key.run; "the lead is gone with what waited there: places alone");
             self.decide_here(ask);
@@ -242,7 +242,7 @@
     pub fn on_move_away(&self, run: RunId, engine: UpstreamId) {
         if let Some(stream) = self.streams.get(&run) {
             // A stream that has just ended needs no order.
-            let _ = stream.orders.send(Order::Relieve(engine));
+            let _ = stream.commands.send(StreamCommand::Rebalance(engine));
         }
     }
 
@@ -250,11 +250,11 @@
     /// lets the next one start.
     pub fn on_own_copied(&mut self, fleet: &Fleet, run: RunId) {
         let key = self.own_key(run);
-        let Some(run) = self.knowledge.book.get(&key).filter(|run| run.copied_from.is_some()) else {
+        let Some(run) = self.state.load.get(&key).filter(|run| run.copied_from.is_some()) else {
             return;
         };
         let replica = run.replica.clone();
-        self.knowledge.book.on_copied(&key);
+        self.state.load.on_copied(&key);
         match self.other_lead_at(fleet, &replica) {
             Some(address) => self.outbox.send(address, &PeerMessage::Copied(key.run)),
             None => self.settle(),
@@ -263,14 +263,14 @@
 
     /// Where the lead of a replica's service is, unless it is this node.
     fn other_lead_at(&self, fleet: &Fleet, replica: &str) -> Option<SocketAddr> {
-        let service = &self.knowledge.replicas.get(replica)?.record.service;
+        let service = &self.state.replicas.get(replica)?.record.service;
         self.other_lead(fleet, service).map(|(_, address)| address)
     }
 
     /// The first event of a generation of this node came.
     pub fn on_own_first_event(&mut self, fleet: &Fleet, run: RunId) {
         let key = self.own_key(run);
-        let Some(replica) = self.knowledge.book.get(&key).map(|run| run.replica.clone()) else {
+        let Some(replica) = self.state.load.get(&key).map(|run| run.replica.clone()) else {
             return;
         };
         self.note_first_event(&key);
@@ -287,16 +287,16 @@
     /// An engine that begins to answer does not fail, and may be given another prompt to read.
     fn note_first_event(&mut self, key: &RunKey) {
         let now = self.shared.now();
-        self.knowledge.book.on_first_event(key, now);
-        if let Some(run) = self.knowledge.book.get(key) {
-            self.knowledge.replicas.on_answer(&run.replica, false, now);
+        self.state.load.on_first_event(key, now);
+        if let Some(run) = self.state.load.get(key) {
+            self.state.replicas.on_answer(&run.replica, false, now);
         }
         self.settle();
     }
 
     /// A copy for a generation of another node is complete, or is not made after all.
     pub fn on_copied(&mut self, from: SocketAddr, run: RunId) {
-        self.knowledge.book.on_copied(&RunKey { entry: node_id(from), run });
+        self.state.load.on_copied(&RunKey { entry: node_id(from), run });
         self.settle();
     }
 
@@ -309,8 +309,8 @@
 
     /// Tells the lead that a generation of this node ended, and whether its engine failed it.
     fn tell_end(&self, fleet: &Fleet, run: RunId, outcome: Outcome) {
-        let generation = self.knowledge.book.get(&self.own_key(run)).filter(|run| run.size.is_some());
-        let engine = generation.and_then(|run| self.knowledge.replicas.get(&run.replica));
+        let generation = self.state.load.get(&self.own_key(run)).filter(|run| run.size.is_some());
+        let engine = generation.and_then(|run| self.state.replicas.get(&run.replica));
         let Some(engine) = engine.map(|engine| engine.record.incarnation()) else {
             return;
         };
@@ -325,39 +325,39 @@
 
     /// A generation of another node ended: its room may let one that waits go on.
     pub fn on_other_ended(&mut self, from: SocketAddr, run: RunId) {
-        self.knowledge.remove(&RunKey { entry: node_id(from), run });
+        self.state.remove(&RunKey { entry: node_id(from), run });
         self.settle();
     }
 
     /// An engine failed a generation of another node.
     pub fn on_engine_failed(&mut self, engine: &Incarnation) {
         info!(event = "engine_failed", upstream = &*engine.id; "an engine failed another node's generation");
-        self.knowledge.replicas.on_incarnation_failure(engine, self.shared.now());
+        self.state.replicas.on_incarnation_failure(engine, self.shared.now());
     }
 
     /// A replica has started again under its id: what ran there is lost.
     pub fn on_restarted(&mut self, id: &UpstreamId) {
         let streams = self.streams_at(id);
-        let Some(replica) = self.knowledge.replicas.get(id) else {
+        let Some(replica) = self.state.replicas.get(id) else {
             return;
         };
         let of = replica.record.incarnation();
         info!(event = "replica_restarted", upstream = &**id, born = of.born, streams = streams.len(); "a replica has started again under its id");
-        self.knowledge.book.on_restarted(id);
-        self.knowledge.limits.get_mut().limits.forget(id);
+        self.state.load.on_restarted(id);
+        self.state.limits.get_mut().limits.forget(id);
         for stream in streams {
             // A stream that has just ended needs no order.
-            let _ = stream.orders.send(Order::Lost(of.clone()));
+            let _ = stream.commands.send(StreamCommand::Lost(of.clone()));
         }
     }
 
     fn end(&mut self, run: RunId, outcome: Outcome) {
         self.streams.remove(&run);
         let key = self.own_key(run);
-        let Some(run) = self.knowledge.remove(&key) else {
+        let Some(run) = self.state.remove(&key) else {
             return;
         };
-        let replicas = &mut self.knowledge.replicas;
+        let replicas = &mut self.state.replicas;
         match outcome {
             Outcome::Answered => replicas.on_answer(&run.replica, false, self.shared.now()),
             Outcome::Errored => replicas.on_answer(&run.replica, true, self.shared.now()),
@@ -368,7 +368,7 @@
 
     /// This node's streams at a replica.
     pub fn streams_at(&self, replica: &str) -> Vec<StreamHandle> {
-        let own = self.knowledge.book.runs_at(replica).filter(|(key, _)| key.entry == self.own);
+        let own = self.state.load.runs_at(replica).filter(|(key, _)| key.entry == self.own);
         own.filter_map(|(key, _)| self.streams.get(&key.run).cloned()).collect()
     }
 
@@ -379,9 +379,9 @@
         let led = self.led(fleet);
         if self.fleet_version != Some(fleet.version()) {
             self.fleet_version = Some(fleet.version());
-            self.knowledge.on_fleet(fleet.alive().cloned());
+            self.state.on_fleet(fleet.alive().cloned());
         }
-        self.knowledge.on_tick(fleet.nodes(), led.clone());
+        self.state.on_tick(fleet.nodes(), led.clone());
         for service in led {
             self.rebalance(&service);
         }
@@ -389,7 +389,7 @@
 
     /// Answers who waits here and can go on.
     pub fn settle(&mut self) {
-        for decision in self.desk.settle(&mut self.knowledge, self.shared.now()) {
+        for decision in self.desk.settle(&mut self.state, self.shared.now()) {
             self.answer(decision);
         }
     }
@@ -406,13 +406,13 @@
 
     /// Publishes how fast generations make tokens, for the traffic thread.
     pub fn publish_paces(&self) {
-        let paces = self.knowledge.book.paces().all();
+        let paces = self.state.load.paces().all();
         self.shared.set_paces(paces.map(|(service, pace)| (service.clone(), pace)).collect());
     }
 
     /// The node's status as it is now.
     pub fn status(&self, fleet: &Fleet) -> NodeStatus {
-        status::status(&self.shared, fleet, &self.knowledge, &self.led(fleet), self.desk.waiting())
+        status::status(&self.shared, fleet, &self.state, &self.led(fleet), self.desk.waiting())
     }
 
     /// Generations that wait here.
@@ -425,17 +425,17 @@
     pub fn engines_in_use(&self, fleet: &Fleet) -> Vec<(Arc<ReplicaRecord>, String)> {
         let mut engines = Vec::new();
         for service in self.led(fleet) {
-            let in_use = self.knowledge.book.busy_replicas().filter(|id| {
-                let replica = self.knowledge.replicas.get(id);
+            let in_use = self.state.load.busy_replicas().filter(|id| {
+                let replica = self.state.replicas.get(id);
                 replica.is_some_and(|replica| replica.leaving.is_none() && replica.record.service == service)
             });
-            engines.extend(in_use.filter_map(|id| self.knowledge.asked_for_health(id)));
+            engines.extend(in_use.filter_map(|id| self.state.health_check_target(id)));
         }
         engines
     }
 
     fn rebalance(&mut self, service: &ServiceId) {
-        for relief in self.desk.due_moves(&self.knowledge, service, self.shared.now()) {
+        for relief in self.desk.due_moves(&self.state, service, self.shared.now()) {
             info!(event = "relief", upstream = &*relief.from, entry = &*relief.key.entry, run = relief.key.run; "a generation should move for balance");
             if relief.key.entry == self.own {
                 self.on_move_away(relief.key.run, relief.from);
@@ -451,7 +451,7 @@
         let (now, last) = (self.shared.now(), self.newest_settled());
         let mut inventories = std::mem::take(&mut self.inventories);
         let lead_of = |service: &ServiceId| self.other_lead(fleet, service).map(|(_, address)| address);
-        for (lead, runs) in inventories.take(&self.knowledge, &self.own, now, lead_of) {
+        for (lead, runs) in inventories.take(&self.state, &self.own, now, lead_of) {
             for part in Inventory::parts(runs, last, MAX_INVENTORY) {
                 self.outbox.send(lead, &PeerMessage::Inventory(part));
             }
@@ -468,7 +468,7 @@
         let now = self.shared.now();
         for (run, stream) in &self.streams {
             let key = RunKey { entry: self.own.clone(), run: *run };
-            self.knowledge.book.on_progress(&key, stream.produced.load(Ordering::Relaxed), now);
+            self.state.load.on_progress(&key, stream.produced.load(Ordering::Relaxed), now);
         }
     }
 
--- a/node/src/gateway/control/placing/plain_calls.rs
+++ b/node/src/gateway/control/placing/plain_calls.rs
@@ -14,10 +14,10 @@
 use leadstage_lib::rendezvous;
 use log::info;
 
-use crate::gateway::control::grant_questions;
-use crate::gateway::control::grant_questions::GrantQuestion;
-use crate::gateway::control::lead_desk::Ask;
-use crate::gateway::control::lead_desk::Decision;
+use crate::gateway::control::grant_requests;
+use crate::gateway::control::grant_requests::GrantQuestion;
+use crate::gateway::control::lead_scheduler::Ask;
+use crate::gateway::control::lead_scheduler::Decision;
 use crate::gateway::control::placing::Placing;
 use crate::gateway::observability::metrics::GrantOutcome;
 use crate::gateway::peers::fleet::Fleet;
@@ -35,11 +35,11 @@
 impl Placing {
     /// Places a plain call that has asked for `tries` replicas which name limits.
     pub(super) fn place_plain(&mut self, fleet: &Fleet, ask: Ask, tries: u32) {
-        let Some(replica) = self.knowledge.limited_to_ask(&ask.key, &ask.wanted) else {
+        let Some(replica) = self.state.limited_to_ask(&ask.key, &ask.wanted) else {
             return self.decide_here(ask);
         };
         let now = self.shared.now();
-        let limits = self.knowledge.limits.get_mut();
+        let limits = self.state.limits.get_mut();
         limits.on_requested(&replica.id, now);
         let limit = limits.limits.announced(&replica.id, now);
         let hashed = self.hashed_for(&replica.id);
@@ -49,7 +49,7 @@
         match (address, limit) {
             (Some(address), Some(limit)) => self.grants.ask(question, limit, address),
             _ => {
-                let urgency = grant_questions::urgency(&question.ask);
+                let urgency = grant_requests::urgency(&question.ask);
                 let grant = self.grant(fleet, &self.own.clone(), &question.replica.id, urgency);
                 self.on_grant(fleet, question, grant);
             }
@@ -66,8 +66,8 @@
     /// What the node that grants for a replica is the first for: an engine's service, whose lead it is, or the
     /// replica itself.
     fn hashed_for(&self, replica: &UpstreamId) -> UpstreamId {
-        let service = self.knowledge.replicas.get(replica).map(|known| &known.record.service);
-        let of_model = service.filter(|service| self.knowledge.engine_traits(service).is_some());
+        let service = self.state.replicas.get(replica).map(|known| &known.record.service);
+        let of_model = service.filter(|service| self.state.engine_traits(service).is_some());
         of_model.unwrap_or(replica).clone()
     }
 
@@ -80,7 +80,7 @@
         let is_first = first.is_none_or(|first| *first == self.own);
         let role = if is_first { GranterRole::Primary } else { GranterRole::Substitute };
         let now = self.shared.now();
-        let grant = self.knowledge.limits.get_mut().grant(replica, role, urgency, now);
+        let grant = self.state.limits.get_mut().grant(replica, role, urgency, now);
         if grant.granted {
             info!(event = "limit_grant", upstream = &**replica, to = &**asker, urgency, is_first, pause_ms = grant.ask_again_after.as_millis() as u64; "a request to a replica that names a limit is granted");
         }
@@ -108,22 +108,22 @@
 
     fn on_grant(&mut self, fleet: &Fleet, question: GrantQuestion, grant: Grant) {
         let replica = question.replica.clone();
-        let limits = self.knowledge.limits.get_mut();
+        let limits = self.state.limits.get_mut();
         limits.on_answer(&replica.id, grant.ask_again_after, self.shared.now());
         self.shared.metrics.on_grant(GrantOutcome::of(&grant));
-        let stays = self.knowledge.is_open(&replica.id);
+        let stays = self.state.is_open(&replica.id);
         if !grant.granted || !stays {
             return self.place_without(fleet, question);
         }
         let ask = question.ask;
-        self.knowledge.add(ask.key.clone(), &ask.wanted, &replica.id);
+        self.state.add(ask.key.clone(), &ask.wanted, &replica.id);
         self.answer(Decision { ask, chosen: Ok(replica) });
     }
 
     /// Places a call that got no grant.
     fn place_without(&mut self, fleet: &Fleet, question: GrantQuestion) {
         let GrantQuestion { ask, tries, .. } = question;
-        if tries >= MOST_TRIES || self.knowledge.has_unlimited(&ask.wanted) {
+        if tries >= MOST_TRIES || self.state.has_unlimited(&ask.wanted) {
             return self.decide_here(ask);
         }
         self.place_plain(fleet, ask, tries);
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -36,9 +36,9 @@
 use crate::gateway::control::lookout::Lookout;
 use crate::gateway::control::placing::Placing;
 use crate::gateway::messages::Fetched;
-use crate::gateway::messages::HandedReplicas;
-use crate::gateway::messages::News;
-use crate::gateway::messages::Order;
+use crate::gateway::messages::FetchedReplicas;
+use crate::gateway::messages::StoreUpdate;
+use crate::gateway::messages::StreamCommand;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::fetching;
 use crate::gateway::peers::fleet::Fleet;
@@ -106,7 +106,7 @@
 
     /// Takes replicas that stayed missing for gone. Who follows the store tells the others, whose revision is the same.
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet, follows: bool) {
-        let replicas = &mut placing.knowledge.replicas;
+        let replicas = &mut placing.state.replicas;
         if std::mem::replace(&mut self.follows, follows) && !follows {
             replicas.forget_missing();
         }
@@ -125,7 +125,7 @@
     fn tell_departures(&self, placing: &Placing, fleet: &Fleet, leaving: Vec<Incarnation>) {
         let count = leaving.len();
         let news = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
-        match news.into_parts(placing.knowledge.replicas.len()) {
+        match news.into_parts(placing.state.replicas.len()) {
             Some(parts) => parts.iter().for_each(|part| self.tell(fleet, part)),
             None => {
                 info!(event = "news_not_told", added = 0, leaving = count, at = 0; "more has changed than is told")
@@ -143,7 +143,7 @@
             let _ = reply.send(packed.clone());
             return;
         }
-        let list = placing.knowledge.replicas.since(self.progress.at(), known);
+        let list = placing.state.replicas.since(self.progress.at(), known);
         match list.pack() {
             Ok(packed) => {
                 if known == 0 {
@@ -171,7 +171,7 @@
 
     /// A replica showed this node that it leaves: in an answer, or when it was asked for its health.
     pub fn on_sign(&mut self, placing: &mut Placing, fleet: &Fleet, of: &Incarnation, sign: LeavingSign) {
-        let replicas = &mut placing.knowledge.replicas;
+        let replicas = &mut placing.state.replicas;
         let was_leaving = replicas.get(&of.id).is_some_and(|replica| replica.leaving.is_some());
         // A stronger sign of what is known holds against more, and is no news to others.
         if !replicas.on_sign(of, sign, self.shared.now()) || was_leaving {
@@ -187,42 +187,47 @@
         let now = self.shared.now();
         self.lookout.on_health(&of.id, now);
         let sign = match health {
-            Health::Well { cold } => return placing.knowledge.replicas.on_cold(&of.id, cold, now),
+            Health::Well { cold } => return placing.state.replicas.on_cold(&of.id, cold, now),
             Health::Unwell => LeavingSign::Unhealthy,
             Health::Leaving => LeavingSign::Announced,
             Health::Other => LeavingSign::Replaced,
             Health::Silent | Health::Closed => {
-                return placing.knowledge.replicas.on_incarnation_failure(&of, now);
+                return placing.state.replicas.on_incarnation_failure(&of, now);
             }
         };
         self.on_sign(placing, fleet, &of, sign);
     }
 
     /// The store told of its replicas.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<ReplicaRecord>) {
+    pub fn on_store_update(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        news: StoreUpdate<ReplicaRecord>,
+    ) {
         let (before, now) = (self.progress.at(), self.shared.now());
         let at = match &news {
-            News::Listed { list, .. } => list.at,
-            News::Changed(changes) => changes.at,
+            StoreUpdate::Listed { list, .. } => list.at,
+            StoreUpdate::Changed(changes) => changes.at,
         };
         if revision::era(at) < revision::era(before) {
             info!(event = "store_era_old", era = revision::era(at), known = revision::era(before); "an answer of the store is older than its return from a copy");
             return;
         }
         let change = match news {
-            News::Listed { list, after_outage } => {
+            StoreUpdate::Listed { list, after_outage } => {
                 self.note_era(at);
                 let lapses = after_outage || self.lapses.missing_since(now).is_some();
-                placing.knowledge.replicas.on_store_list(list.items, at, lapses, now)
+                placing.state.replicas.on_store_list(list.items, at, lapses, now)
             }
-            News::Changed(changes) => self.on_changes(placing, changes),
+            StoreUpdate::Changed(changes) => self.on_changes(placing, changes),
         };
         self.progress.on_known(at);
         self.after_news(placing, &change, at);
         if before == 0 {
             fleet.announce_replicas();
         }
-        let replicas = &placing.knowledge.replicas;
+        let replicas = &placing.state.replicas;
         let added = change.added.iter().filter_map(|id| replicas.get(id));
         let added: Vec<ReplicaRecord> = added.map(|replica| (*replica.record).clone()).collect();
         // One that went and came again within one answer of the store stays.
@@ -250,15 +255,15 @@
         let mut change = ListChange::default();
         for event in changes.events {
             match event {
-                Change::Put(record) => placing.knowledge.replicas.on_entry(record, now, &mut change),
+                Change::Put(record) => placing.state.replicas.on_entry(record, now, &mut change),
                 // What is no longer an entry of a replica names none to use.
                 Change::Gone(id) | Change::Unreadable(id) => match self.lapses.missing_since(now) {
                     Some(since) => {
                         info!(event = "replica_missing", upstream = id; "a replica is no longer listed, perhaps because the store was away");
-                        placing.knowledge.replicas.on_missing(&id, since);
-                        self.lookout.ask_about(placing.knowledge.asked_for_health(&id), now);
+                        placing.state.replicas.on_missing(&id, since);
+                        self.lookout.ask_about(placing.state.health_check_target(&id), now);
                     }
-                    None => placing.knowledge.replicas.on_unlisted(&id, now, &mut change),
+                    None => placing.state.replicas.on_unlisted(&id, now, &mut change),
                 },
             }
         }
@@ -269,14 +274,14 @@
     fn gather(&mut self, placing: &Placing, fleet: &Fleet, news: ReplicaUpdate) {
         match self.gathering.add(news, self.shared.now()) {
             Some(Duration::ZERO) => self.tell_gathered(placing, fleet),
-            Some(pause) => self.shared.tell_after(pause, ToControl::TellReplicas),
+            Some(pause) => self.shared.tell_after(pause, ToControl::SendReplicaUpdates),
             None => {}
         }
     }
 
     /// Tells other nodes what was gathered.
     pub fn tell_gathered(&mut self, placing: &Placing, fleet: &Fleet) {
-        let replicas = placing.knowledge.replicas.len();
+        let replicas = placing.state.replicas.len();
         let Some(news) = self.gathering.take(replicas, self.shared.now()) else {
             return;
         };
@@ -300,7 +305,7 @@
         self.tell(fleet, &part);
         if !self.parts.is_empty() {
             let link = self.shared.settings.link_bits_per_second() * PART_OF_LINK;
-            self.shared.tell_after(Duration::from_secs_f64(PART_BITS / link), ToControl::TellPart);
+            self.shared.tell_after(Duration::from_secs_f64(PART_BITS / link), ToControl::SendNextUpdatePart);
         }
     }
 
@@ -330,16 +335,16 @@
         let mut change = ListChange::default();
         for record in &news.added {
             // One that is thought to leave may stay after all; one may have started again, or be cold.
-            let known = placing.knowledge.replicas.get(&record.id);
+            let known = placing.state.replicas.get(&record.id);
             let is_new = |known: &Replica| {
                 known.leaving.is_some() || known.is_missing() || known.record.born < record.born
             };
             if !record.cold.is_zero() || known.is_none_or(is_new) {
-                placing.knowledge.replicas.on_entry(record.clone(), now, &mut change);
+                placing.state.replicas.on_entry(record.clone(), now, &mut change);
             }
         }
         for of in &news.leaving {
-            if placing.knowledge.replicas.on_sign(of, LeavingSign::ReportedByPeer, now) {
+            if placing.state.replicas.on_sign(of, LeavingSign::ReportedByPeer, now) {
                 change.leaving.push(of.id.clone());
             }
         }
@@ -366,7 +371,7 @@
             (true, false) => Source::Far,
             (false, _) => Source::Any,
         };
-        let replicas = placing.knowledge.replicas.len();
+        let replicas = placing.state.replicas.len();
         let Some(pause) = self.lack.on_peer_revision(theirs, own, source, replicas, self.shared.now()) else {
             return;
         };
@@ -377,7 +382,7 @@
                 let known = shared.replicas_at();
                 fetching::fetch_replicas(shared, from, known).await;
             } else {
-                shared.tell(ToControl::Fetched(from, Fetched::Replicas(HandedReplicas::Nothing)));
+                shared.tell(ToControl::Fetched(from, Fetched::Replicas(FetchedReplicas::Nothing)));
             }
         });
     }
@@ -388,20 +393,20 @@
         placing: &mut Placing,
         fleet: &Fleet,
         from: SocketAddr,
-        handed: HandedReplicas,
+        handed: FetchedReplicas,
     ) {
         self.lack.on_answer();
         let (list, packed) = match handed {
-            HandedReplicas::List(list, packed) if list.at > self.progress.at() => (list, packed),
-            HandedReplicas::Busy(after) => {
+            FetchedReplicas::List(list, packed) if list.at > self.progress.at() => (list, packed),
+            FetchedReplicas::Busy(after) => {
                 return self.lack.on_busy(after, self.progress.at(), self.shared.now());
             }
-            HandedReplicas::List(..) | HandedReplicas::Nothing => return,
+            FetchedReplicas::List(..) | FetchedReplicas::Nothing => return,
         };
         let is_first = !self.is_known();
         info!(event = "replicas_fetched", from:% = from, whole = list.is_whole, staying = list.staying.len(), leaving = list.leaving.len(), at = list.at, before = self.progress.at(); "another node handed its replicas over");
         let at = list.at;
-        let change = placing.knowledge.replicas.on_peer_list(list, self.shared.now());
+        let change = placing.state.replicas.on_peer_list(list, self.shared.now());
         self.progress.on_known(at);
         self.after_news(placing, &change, at);
         if is_first {
@@ -424,13 +429,13 @@
     /// A change that is learnt with news which is not known whole is newer than all that is: whoever is handed what
     /// this node knows later on must get it.
     fn on_list_change(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
-        placing.knowledge.replicas.set_changed_at(change, at.max(self.progress.at()));
+        placing.state.replicas.set_changed_at(change, at.max(self.progress.at()));
         self.log_added(placing, change);
         for id in &change.restarted {
             placing.on_restarted(id);
         }
         for id in &change.leaving {
-            if let Some(sign) = placing.knowledge.replicas.get(id).and_then(|r| r.leaving) {
+            if let Some(sign) = placing.state.replicas.get(id).and_then(|r| r.leaving) {
                 self.evacuate(placing, id, sign);
             }
         }
@@ -442,7 +447,7 @@
             return;
         }
         for id in &change.added {
-            if let Some(replica) = placing.knowledge.replicas.get(id) {
+            if let Some(replica) = placing.state.replicas.get(id) {
                 info!(event = "replica_listed", upstream = &**id, service = &*replica.record.service, hall = &*replica.record.hall, address:% = replica.record.address; "replica is listed");
             }
         }
@@ -454,7 +459,7 @@
         info!(event = "replica_leaves", upstream = &**id, sign:% = sign, streams = streams.len(); "replica leaves");
         for stream in streams {
             // A stream that has just ended needs no order.
-            let _ = stream.orders.send(Order::Evacuate(id.clone()));
+            let _ = stream.commands.send(StreamCommand::Evacuate(id.clone()));
         }
     }
 }
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -35,9 +35,9 @@
 use crate::gateway::control::trial::Trial;
 use crate::gateway::control::upgrade_store;
 use crate::gateway::messages::AnswerSample;
-use crate::gateway::messages::News;
-use crate::gateway::messages::Order;
-use crate::gateway::messages::StoredWord;
+use crate::gateway::messages::StoreUpdate;
+use crate::gateway::messages::StreamCommand;
+use crate::gateway::messages::UpgradeWriteResult;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::peers::peer_message::CountsReport;
 use crate::gateway::peers::peer_message::PeerMessage;
@@ -96,16 +96,21 @@
     }
 
     /// The store told of the orders.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<StoredUpgrade>) {
+    pub fn on_store_update(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        news: StoreUpdate<StoredUpgrade>,
+    ) {
         let now = self.shared.now();
         let mut told = self.shared.upgrades().announced(now);
         match news {
-            News::Listed { list: Listed { items, at, .. }, .. } => {
+            StoreUpdate::Listed { list: Listed { items, at, .. }, .. } => {
                 told = AnnouncedUpgrades { at, upgrades: Vec::new() };
                 self.stored.clear();
                 items.into_iter().for_each(|item| self.on_stored(item, &mut told, now));
             }
-            News::Changed(changes) => {
+            StoreUpdate::Changed(changes) => {
                 told.at = changes.at.max(told.at);
                 for event in changes.events {
                     match event {
@@ -148,7 +153,7 @@
     }
 
     /// Another node told of them.
-    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: AnnouncedUpgrades) {
+    pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, told: AnnouncedUpgrades) {
         // Nearly always there is none.
         if told.upgrades.is_empty() && told.at <= self.shared.upgrades().at() {
             return;
@@ -195,12 +200,12 @@
         if !matches!(upgrade.stage, Stage::Switch | Stage::Proven) {
             return;
         }
-        let replaced = placing.knowledge.staying(service);
+        let replaced = placing.state.staying(service);
         let replaced = replaced.filter(|replica| replica.record.version != upgrade.order.target);
         for replica in replaced {
             for stream in placing.streams_at(&replica.record.id) {
                 // A stream that has just ended needs no order.
-                let _ = stream.orders.send(Order::Evacuate(replica.record.id.clone()));
+                let _ = stream.commands.send(StreamCommand::Evacuate(replica.record.id.clone()));
             }
         }
     }
@@ -240,7 +245,7 @@
         let upgrades = self.shared.upgrades();
         if let (Some(upgrade), Some(trial)) = (upgrades.of(service), self.trials.get(service)) {
             let until = trial.is_judged_until(fleet, upgrade, self.shared.now());
-            placing.knowledge.judged.note(service, until);
+            placing.state.judged.note(service, until);
         }
     }
 
@@ -303,7 +308,7 @@
             upgrade,
             counts: &counts,
             capacity: capacity(placing, service, &upgrade.order),
-            has_streams: placing.knowledge.engine_traits(service).is_some(),
+            has_streams: placing.state.engine_traits(service).is_some(),
             store_answers,
             hearing: trial.coverage(fleet, upgrade, now),
             bounds,
@@ -339,7 +344,7 @@
     }
 
     /// A write of a status ended.
-    pub fn on_written(&mut self, placing: &mut Placing, fleet: &Fleet, written: StoredWord) {
+    pub fn on_written(&mut self, placing: &mut Placing, fleet: &Fleet, written: UpgradeWriteResult) {
         let now = self.shared.now();
         let Some(stored) = self.stored.get_mut(&written.service) else {
             return;
@@ -376,7 +381,7 @@
 /// Requests that the replicas of both versions take at once.
 fn capacity(placing: &Placing, service: &ServiceId, order: &UpgradeOrder) -> Capacity {
     let mut capacity = Capacity::default();
-    for replica in placing.knowledge.open(service) {
+    for replica in placing.state.open(service) {
         let is_target = replica.record.version == order.target;
         let of = if is_target { &mut capacity.target } else { &mut capacity.present };
         *of += replica.record.slots;
--- a/node/src/gateway/control/upgrade_store.rs
+++ b/node/src/gateway/control/upgrade_store.rs
@@ -14,8 +14,8 @@
 use leadstage_platform::store_kinds::Upgrades;
 use log::info;
 
-use crate::gateway::messages::StoredWord;
 use crate::gateway::messages::ToControl;
+use crate::gateway::messages::UpgradeWriteResult;
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::shared::Shared;
 
@@ -66,5 +66,5 @@
             None
         }
     };
-    shared.tell(ToControl::UpgradeWritten(StoredWord { service, held }));
+    shared.tell(ToControl::UpgradeWritten(UpgradeWriteResult { service, held }));
 }
--- a/node/src/gateway/control/watching.rs
+++ b/node/src/gateway/control/watching.rs
@@ -24,7 +24,7 @@
 use crate::gateway::control::follow;
 use crate::gateway::control::follow::Pace;
 use crate::gateway::control::follow::Role;
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::shared::Shared;
@@ -135,7 +135,7 @@
             }
         };
         if let Some(list) = listed {
-            shared.tell(ToControl::ClosedHalls(News::Listed { list, after_outage: false }));
+            shared.tell(ToControl::ClosedHalls(StoreUpdate::Listed { list, after_outage: false }));
         }
         tell(if answers { StoreState::Answers } else { StoreState::Away });
         shared.metrics.on_store_call(StoreCall::Pulse, answers);
--- a/node/src/gateway/ingress/streams.rs
+++ b/node/src/gateway/ingress/streams.rs
@@ -44,7 +44,7 @@
     open: OpenGuard,
 ) -> Result<Reply, Refusal> {
     let (orders_tx, orders) = mpsc::unbounded_channel();
-    let handle = StreamHandle { orders: orders_tx.clone(), produced: Arc::new(AtomicU32::new(0)) };
+    let handle = StreamHandle { commands: orders_tx.clone(), produced: Arc::new(AtomicU32::new(0)) };
     let Begun { run, exchange, sent } = match begin(traffic, &req, &handle).await? {
         Beginning::Begun(begun) => begun,
         Beginning::Answered(answer) => return Ok(plain::reply(answer)),
--- a/node/src/gateway/messages.rs
+++ b/node/src/gateway/messages.rs
@@ -54,7 +54,7 @@
     /// A request is no longer at its replica.
     Ended(RunId, Outcome),
     /// A replica showed that it leaves.
-    Sign(Incarnation, LeavingSign),
+    LeavingSign(Incarnation, LeavingSign),
     /// A replica was asked for its health.
     Health(Incarnation, Health),
     /// What a replica's answer says of its limit.
@@ -62,31 +62,31 @@
     /// A run broke at its replica, perhaps as that ended.
     RunBroke(BrokenRun),
     /// A run of a request ended well that something speaks against.
-    RanWell(Fingerprint),
+    RunSucceeded(Fingerprint),
     /// A replica was asked after a run broke there.
-    AskedAfterBreak(Incarnation, Shown),
+    CheckedAfterBreak(Incarnation, Shown),
     /// News of the requests under which replicas ended, from the store.
-    Suspects(News<Suspect>),
+    Suspects(StoreUpdate<Suspect>),
     /// What the store holds of such a request after a write; `None` if it was not written.
     SuspectStored(Fingerprint, Option<StoredSuspect>),
     /// It is time to tell other nodes what was gathered of the replicas.
-    TellReplicas,
+    SendReplicaUpdates,
     /// It is time to tell them the next part of what is told.
-    TellPart,
+    SendNextUpdatePart,
     /// News of the replicas from the store.
-    Replicas(News<ReplicaRecord>),
+    Replicas(StoreUpdate<ReplicaRecord>),
     /// News of the orders to upgrade services, from the store.
-    Upgrades(News<StoredUpgrade>),
+    Upgrades(StoreUpdate<StoredUpgrade>),
     /// A write of what became of such an order ended.
-    UpgradeWritten(StoredWord),
+    UpgradeWritten(UpgradeWriteResult),
     /// A replica of a service that is being upgraded answered.
     Sampled(AnswerSample),
     /// News of the closed halls from the store.
-    ClosedHalls(News<HallId>),
+    ClosedHalls(StoreUpdate<HallId>),
     /// News of the configuration from the store.
-    Configuration(News<Bytes>),
+    Configuration(StoreUpdate<Bytes>),
     /// Another node that knows the replicas up to this revision wants what it lacks, packed.
-    HandOut(Revision, oneshot::Sender<Bytes>),
+    ServeReplicas(Revision, oneshot::Sender<Bytes>),
     /// Another node was asked for what it knows.
     Fetched(SocketAddr, Fetched),
     /// The store was read once for its configuration, which came before; whether it answered.
@@ -127,7 +127,7 @@
 
 /// What the store holds of an order after a write.
 #[derive(Clone, Debug)]
-pub struct StoredWord {
+pub struct UpgradeWriteResult {
     /// The service.
     pub service: ServiceId,
     /// The object; `None` if that is not known.
@@ -145,7 +145,7 @@
 
 /// What became of asking another node for its configuration. What came of it is kept.
 #[derive(Debug)]
-pub enum HandedConfig {
+pub enum FetchedConfig {
     /// Its version and text.
     Text(ConfigVersion, Bytes),
     /// It hands out to others; it may be asked again after this.
@@ -158,7 +158,7 @@
 
 /// What became of asking another node for its list of replicas.
 #[derive(Debug)]
-pub enum HandedReplicas {
+pub enum FetchedReplicas {
     /// The list, and as it came.
     List(ReplicaList, Bytes),
     /// It hands out to others; it may be asked again after this.
@@ -170,13 +170,13 @@
 /// What another node handed over.
 pub enum Fetched {
     /// Its configuration.
-    Configuration(HandedConfig),
+    Configuration(FetchedConfig),
     /// Its list of replicas.
-    Replicas(HandedReplicas),
+    Replicas(FetchedReplicas),
 }
 
 /// What following a kind of objects brought.
-pub enum News<T> {
+pub enum StoreUpdate<T> {
     /// The whole list. `after_outage` is set if entries may have lapsed meanwhile.
     Listed {
         /// The list.
@@ -213,20 +213,20 @@
 #[derive(Clone)]
 pub struct StreamHandle {
     /// Takes orders to the stream.
-    pub orders: UnboundedSender<Order>,
+    pub commands: UnboundedSender<StreamCommand>,
     /// Tokens that the stream has made.
     pub produced: Arc<AtomicU32>,
 }
 
 /// What a stream is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum StreamCommand {
     /// Its engine leaves: move the generation.
     Evacuate(UpstreamId),
     /// Its engine has started again under its id: the generation is lost there.
     Lost(Incarnation),
     /// Its engine fills up: move the generation if there is room elsewhere at once.
-    Relieve(UpstreamId),
+    Rebalance(UpstreamId),
 }
 
 /// A replica was chosen.
--- a/node/src/gateway/observability/status.rs
+++ b/node/src/gateway/observability/status.rs
@@ -7,7 +7,7 @@
 use leadstage_lib::status::PeerLine;
 use leadstage_lib::status::PoolLine;
 
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
@@ -20,11 +20,11 @@
 pub fn status(
     shared: &Shared,
     fleet: &Fleet,
-    knowledge: &Knowledge,
+    state: &PlacementState,
     led: &[ServiceId],
     waiting: usize,
 ) -> NodeStatus {
-    let leaving = knowledge.replicas.iter().filter(|replica| replica.leaving.is_some());
+    let leaving = state.replicas.iter().filter(|replica| replica.leaving.is_some());
     NodeStatus {
         vm: shared.settings.vm.to_string(),
         hall: shared.settings.hall.to_string(),
@@ -37,7 +37,7 @@
             .alive()
             .map(|node| PeerLine { vm: node.to_string(), liveness: "alive".to_owned() })
             .collect(),
-        pools: led.iter().map(|service| pool(knowledge, service, waiting)).collect(),
+        pools: led.iter().map(|service| pool(state, service, waiting)).collect(),
         leaving: leaving.map(|replica| replica.record.id.to_string()).collect(),
         quarantined: quarantined(shared),
         limits: limits(shared),
@@ -71,17 +71,17 @@
     }
 }
 
-fn pool(knowledge: &Knowledge, service: &ServiceId, waiting: usize) -> PoolLine {
-    let all_engines = knowledge.staying(service).count();
+fn pool(state: &PlacementState, service: &ServiceId, waiting: usize) -> PoolLine {
+    let all_engines = state.staying(service).count();
     let engines = if all_engines <= MOST_ENGINES {
-        knowledge.replicas.of_service(service)
+        state.replicas.of_service(service)
     } else {
         // Those that have something to do.
-        let busy = knowledge.book.busy_replicas().filter_map(|id| knowledge.replicas.get(id));
+        let busy = state.load.busy_replicas().filter_map(|id| state.replicas.get(id));
         busy.filter(|replica| replica.record.service == *service).take(MOST_ENGINES).collect()
     };
     let engines: Vec<EngineLine> =
-        engines.into_iter().map(|replica| engine(knowledge, service, replica)).collect();
+        engines.into_iter().map(|replica| engine(state, service, replica)).collect();
     PoolLine {
         all_engines,
         model: service.to_string(),
@@ -92,14 +92,14 @@
     }
 }
 
-fn engine(knowledge: &Knowledge, service: &ServiceId, replica: &Replica) -> EngineLine {
+fn engine(state: &PlacementState, service: &ServiceId, replica: &Replica) -> EngineLine {
     let id = &replica.record.id;
     EngineLine {
         id: id.to_string(),
         state: replica.leaving.map_or_else(|| "up".to_owned(), |sign| format!("leaving: {sign}")),
-        running: knowledge.book.runs_at(id).count(),
-        held_tokens: knowledge.book.runs_at(id).map(|(_, run)| knowledge.book.memory(run) as u64).sum(),
-        memory_tokens: knowledge.engine_traits(service).map_or(0, |traits| u64::from(traits.memory_tokens)),
+        running: state.load.runs_at(id).count(),
+        held_tokens: state.load.runs_at(id).map(|(_, run)| state.load.memory(run) as u64).sum(),
+        memory_tokens: state.engine_traits(service).map_or(0, |traits| u64::from(traits.memory_tokens)),
         step_ms: 0.0,
     }
 }
--- a/node/src/gateway/peers/fetching.rs
+++ b/node/src/gateway/peers/fetching.rs
@@ -23,8 +23,8 @@
 use log::info;
 
 use crate::gateway::messages::Fetched;
-use crate::gateway::messages::HandedConfig;
-use crate::gateway::messages::HandedReplicas;
+use crate::gateway::messages::FetchedConfig;
+use crate::gateway::messages::FetchedReplicas;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::metrics::PeerBytes;
 use crate::gateway::peers::peer_port::CONFIG_PATH;
@@ -55,16 +55,16 @@
     shared.tell(ToControl::Fetched(from, Fetched::Configuration(handed)));
 }
 
-fn read_edition(part: &PartialConfig, own: Option<&ConfigText>, from: SocketAddr) -> HandedConfig {
+fn read_edition(part: &PartialConfig, own: Option<&ConfigText>, from: SocketAddr) -> FetchedConfig {
     let edition = part.edition;
     match ConfigText::decode(edition, &part.buf, own) {
         Ok(text) => {
             info!(event = "config_fetched", from:% = from, edition:% = edition, bytes = edition.bytes, text = text.len(); "another node handed its configuration over");
-            HandedConfig::Text(edition.version, text)
+            FetchedConfig::Text(edition.version, text)
         }
         Err(err) => {
             info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, edition:% = edition, reason:% = err; "a node's configuration can't be read");
-            HandedConfig::Unreadable
+            FetchedConfig::Unreadable
         }
     }
 }
@@ -75,7 +75,7 @@
     from: SocketAddr,
     known: ConfigVersion,
     part: Option<PartialConfig>,
-) -> Result<PartialConfig, HandedConfig> {
+) -> Result<PartialConfig, FetchedConfig> {
     let mut req = get(from, &format!("{CONFIG_PATH}?{known}"));
     if let Some(part) = &part {
         let headers = req.headers_mut();
@@ -94,14 +94,14 @@
                 return Ok(whole);
             }
             if status == StatusCode::SERVICE_UNAVAILABLE {
-                return Err(HandedConfig::Busy(come_back(&headers), part));
+                return Err(FetchedConfig::Busy(come_back(&headers), part));
             }
             info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, status = status.as_u16(); "a node handed nothing out");
-            Err(HandedConfig::Failed(part))
+            Err(FetchedConfig::Failed(part))
         }
         Err(err) => {
             info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, had, has, reason:% = err; "a node did not hand its configuration over");
-            Err(HandedConfig::Failed(part))
+            Err(FetchedConfig::Failed(part))
         }
     }
 }
@@ -136,7 +136,7 @@
     shared.tell(ToControl::Fetched(from, Fetched::Replicas(handed)));
 }
 
-async fn ask_for_replicas(shared: &Shared, from: SocketAddr, path: &str) -> HandedReplicas {
+async fn ask_for_replicas(shared: &Shared, from: SocketAddr, path: &str) -> FetchedReplicas {
     let answer = Link::new(from).fetch(get(from, path), ANSWER_LIMIT).await;
     match answer {
         Ok(answer) if answer.status == StatusCode::OK => {
@@ -144,25 +144,25 @@
             read_list(answer.body, from)
         }
         Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
-            HandedReplicas::Busy(come_back(&answer.headers))
+            FetchedReplicas::Busy(come_back(&answer.headers))
         }
         Ok(answer) => {
             info!(event = "fetch_failed", from:% = from, path, status = answer.status.as_u16(); "a node handed nothing out");
-            HandedReplicas::Nothing
+            FetchedReplicas::Nothing
         }
         Err(err) => {
             info!(event = "fetch_failed", from:% = from, path, reason:% = err; "a node did not answer");
-            HandedReplicas::Nothing
+            FetchedReplicas::Nothing
         }
     }
 }
 
-fn read_list(body: Bytes, from: SocketAddr) -> HandedReplicas {
+fn read_list(body: Bytes, from: SocketAddr) -> FetchedReplicas {
     match ReplicaList::unpack(&body) {
-        Ok(list) => HandedReplicas::List(list, body),
+        Ok(list) => FetchedReplicas::List(list, body),
         Err(err) => {
             info!(event = "fetch_failed", from:% = from, path = REPLICAS_PATH, reason:% = err; "a node's list can't be read");
-            HandedReplicas::Nothing
+            FetchedReplicas::Nothing
         }
     }
 }
--- a/node/src/gateway/peers/peer_port.rs
+++ b/node/src/gateway/peers/peer_port.rs
@@ -138,7 +138,7 @@
 
     async fn replicas(&self, known: Revision) -> Response<Full<Bytes>> {
         let (tx, rx) = oneshot::channel();
-        self.shared.tell(ToControl::HandOut(known, tx));
+        self.shared.tell(ToControl::ServeReplicas(known, tx));
         match rx.await {
             Ok(packed) => self.hand_out(packed),
             // The control loop has logged why.
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -22,8 +22,8 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::gateway::messages::Order;
 use crate::gateway::messages::Outcome;
+use crate::gateway::messages::StreamCommand;
 use crate::gateway::messages::StreamHandle;
 use crate::gateway::messages::ToControl;
 use crate::gateway::reply_body::PartsSender;
@@ -128,7 +128,7 @@
     }
 
     /// Passes events on until the stream ends.
-    pub async fn run(mut self, mut orders: UnboundedReceiver<Order>) {
+    pub async fn run(mut self, mut orders: UnboundedReceiver<StreamCommand>) {
         let end = self.relay(&mut orders).await;
         let took = self.req.came.elapsed().as_millis() as u64;
         info!(event = "stream_end", request = self.req.id(), route = &*self.req.route.name, end:% = end, upstream = &*self.leg.run.placed.replica.id, events = self.events.events(), moves = self.moves, first_ms = self.pace.first.unwrap_or_default().as_millis() as u64, gap_ms = self.pace.longest_gap.as_millis() as u64, took_ms = took; "stream ended");
@@ -167,7 +167,7 @@
         self.leg.run.end(outcome);
     }
 
-    async fn relay(&mut self, orders: &mut UnboundedReceiver<Order>) -> End {
+    async fn relay(&mut self, orders: &mut UnboundedReceiver<StreamCommand>) -> End {
         loop {
             match self.next(orders).await {
                 Ok(()) => {}
@@ -182,7 +182,7 @@
     }
 
     /// Does what comes next; an error if the stream cannot go on by itself.
-    async fn next(&mut self, orders: &mut UnboundedReceiver<Order>) -> Result<(), End> {
+    async fn next(&mut self, orders: &mut UnboundedReceiver<StreamCommand>) -> Result<(), End> {
         let tx = self.tx.clone();
         tokio::select! {
             biased;
--- a/node/src/gateway/upstream/relay/moving.rs
+++ b/node/src/gateway/upstream/relay/moving.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::gateway::messages::Order;
+use crate::gateway::messages::StreamCommand;
 use crate::gateway::upstream::copying;
 use crate::gateway::upstream::copying::Copied;
 use crate::gateway::upstream::copying::Copying;
@@ -30,16 +30,18 @@
 const DRAIN_LIMIT: Duration = Duration::from_millis(80);
 
 impl Relay {
-    pub(super) fn on_order(&mut self, order: Order) -> Result<(), End> {
+    pub(super) fn on_order(&mut self, order: StreamCommand) -> Result<(), End> {
         let here = &self.leg.run.placed.replica;
         match order {
-            Order::Lost(of) if of.id == here.id && of.born > here.born => return Err(End::EngineLost),
-            Order::Lost(_) => {}
-            Order::Relieve(engine) if engine == here.id && self.moving.is_none() => {
+            StreamCommand::Lost(of) if of.id == here.id && of.born > here.born => {
+                return Err(End::EngineLost);
+            }
+            StreamCommand::Lost(_) => {}
+            StreamCommand::Rebalance(engine) if engine == here.id && self.moving.is_none() => {
                 self.start_copy(Duration::ZERO)
             }
-            Order::Relieve(_) => {}
-            Order::Evacuate(engine) => {
+            StreamCommand::Rebalance(_) => {}
+            StreamCommand::Evacuate(engine) => {
                 self.leaving.push(engine);
                 self.leave();
             }
--- a/node/src/gateway/upstream/replica_words.rs
+++ b/node/src/gateway/upstream/replica_words.rs
@@ -103,7 +103,7 @@
     fn on_said_leaving(&self, req: &CallerRequest, replica: &ReplicaRecord) {
         if self.leaving_announcements.borrow_mut().on_announced(&replica.incarnation(), self.shared.now()) {
             info!(event = "leaving_said", request = req.id(), upstream = &*replica.id; "a replica says in an answer that it leaves");
-            self.shared.tell(ToControl::Sign(replica.incarnation(), LeavingSign::Announced));
+            self.shared.tell(ToControl::LeavingSign(replica.incarnation(), LeavingSign::Announced));
         }
     }
 
@@ -142,7 +142,7 @@
         info!(event = "turned_away", request = req.id(), upstream = &*replica.id, status = status.as_u16(); "a replica did not run a request");
         if status == StatusCode::MISDIRECTED_REQUEST {
             let sign = LeavingSign::Replaced;
-            self.shared.tell(ToControl::Sign(replica.incarnation(), sign));
+            self.shared.tell(ToControl::LeavingSign(replica.incarnation(), sign));
         }
     }
 }
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -56,7 +56,7 @@
         let name = sound.name(&req.parts());
         sound.on_sound(name, self.shared.now());
         if self.standing(req).is_some() {
-            self.shared.tell(ToControl::RanWell(req.fingerprint()));
+            self.shared.tell(ToControl::RunSucceeded(req.fingerprint()));
         }
     }
 
