--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -41,11 +41,11 @@
 use crate::gateway::shared::Shared;
 
 /// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two looks at status and levels.
 const STATUS_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two lines of the log that tell the levels.
-const LEVELS_LINE_INTERVAL: Duration = Duration::from_secs(10);
+const LEVELS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The parts of the control thread.
 pub struct Control {
@@ -61,9 +61,9 @@
     watchers: Watchers,
     watching: Watching,
     last_status: Timestamp,
-    last_levels_line: Timestamp,
-    /// The calls to the store that a line of the log has told.
-    told_calls: StoreCalls,
+    last_levels_log: Timestamp,
+    /// The calls to the store that a line of the log has announced.
+    logged_calls: StoreCalls,
 }
 
 impl Control {
@@ -82,15 +82,15 @@
             watchers: Watchers::new(fleet.own().clone()),
             watching: Watching::new(shared.clone()),
             last_status: Timestamp::ZERO,
-            last_levels_line: Timestamp::ZERO,
-            told_calls: StoreCalls::default(),
+            last_levels_log: Timestamp::ZERO,
+            logged_calls: StoreCalls::default(),
             fleet,
             shared,
         }
     }
 
     pub async fn run(mut self, mut rx: UnboundedReceiver<ToControl>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         loop {
             tokio::select! {
                 message = rx.recv() => match message {
@@ -117,25 +117,31 @@
             }
             ToControl::SendNextUpdatePart => self.replicas.tell_part(&self.fleet),
             ToControl::SendReplicaUpdates => self.replicas.tell_gathered(&self.placing, &self.fleet),
-            ToControl::Replicas(news) => self.replicas.on_store_update(&mut self.placing, &self.fleet, news),
-            ToControl::ClosedHalls(news) => self.halls.on_store_update(&mut self.placing, &self.fleet, news),
-            ToControl::Upgrades(news) => self.upgrades.on_store_update(&mut self.placing, &self.fleet, news),
+            ToControl::Replicas(update) => {
+                self.replicas.on_store_update(&mut self.placing, &self.fleet, update)
+            }
+            ToControl::ClosedHalls(update) => {
+                self.halls.on_store_update(&mut self.placing, &self.fleet, update)
+            }
+            ToControl::Upgrades(update) => {
+                self.upgrades.on_store_update(&mut self.placing, &self.fleet, update)
+            }
             ToControl::UpgradeWritten(written) => {
                 self.upgrades.on_written(&mut self.placing, &self.fleet, written)
             }
             ToControl::Sampled(sample) => self.upgrades.on_sample(sample),
-            ToControl::LimitReport(of, word, times) => {
-                self.limits.on_answer(&mut self.placing.state, &self.fleet, &of, word, times)
+            ToControl::LimitReport(of, report, times) => {
+                self.limits.on_answer(&mut self.placing.state, &self.fleet, &of, report, times)
             }
-            ToControl::GrantSilent(question) => self.placing.on_grant_silent(&self.fleet, question),
+            ToControl::GrantSilent(id) => self.placing.on_grant_silent(&self.fleet, id),
             ToControl::RunBroke(run) => self.crashes.on_break(&self.placing, run),
             ToControl::RunSucceeded(fingerprint) => self.crashes.on_ran_well(&self.fleet, fingerprint),
             ToControl::CheckedAfterBreak(of, shown) => {
                 self.crashes.on_asked(&self.placing, &self.fleet, &of, shown)
             }
-            ToControl::Suspects(news) => self.crashes.on_store_update(&self.fleet, news),
+            ToControl::Suspects(update) => self.crashes.on_store_update(&self.fleet, update),
             ToControl::SuspectStored(of, stored) => self.crashes.on_stored(&self.fleet, of, stored),
-            ToControl::Configuration(news) => self.configs.on_store_update(&self.fleet, news),
+            ToControl::Configuration(update) => self.configs.on_store_update(&self.fleet, update),
             ToControl::Fetched(from, Fetched::Configuration(handed)) => {
                 self.configs.on_fetched(&self.fleet, from, handed)
             }
@@ -160,7 +166,7 @@
         self.shared.set_nodes(self.fleet.nodes());
         self.shared.note_fleet_size(self.fleet.nodes());
         self.shared.set_has_neighbour(self.fleet.has_neighbour());
-        self.placing.tell_leads(&self.fleet);
+        self.placing.send_inventories(&self.fleet);
         self.placing.lead(&self.fleet);
         self.fleet.hears_watchers = self.watchers.fresh_pulses(now).next().is_some();
         let has_wide_link = |node: &VmId| self.fleet.node_has_wide_link(node);
@@ -170,13 +176,13 @@
         self.crashes.tick(&self.placing, &self.fleet, role.is_some());
         let store_answers = self.watchers.store_answers(now);
         self.upgrades.tick(&mut self.placing, &self.fleet, role, store_answers);
-        self.look_out(now);
+        self.update_health_polls(now);
         self.replicas.tick(&mut self.placing, &self.fleet, role.is_some());
         self.publish_status(now);
     }
 
     /// While the store may not tell that engines leave, they are asked.
-    fn look_out(&mut self, now: Timestamp) {
+    fn update_health_polls(&mut self, now: Timestamp) {
         let is_away = !self.watchers.store_answers(now);
         if is_away {
             self.replicas.on_store_unavailable();
@@ -209,8 +215,8 @@
             replicas_age: now.saturating_sub(self.replicas.heard()),
         };
         self.shared.metrics.on_levels(&levels);
-        if now >= self.last_levels_line + LEVELS_LINE_INTERVAL {
-            self.last_levels_line = now;
+        if now >= self.last_levels_log + LEVELS_LOG_INTERVAL {
+            self.last_levels_log = now;
             let replicas_at = self.shared.replicas_at();
             let peer_bytes = self.shared.metrics.peer_bytes_so_far();
             info!(event = "levels", open = levels.open, waiting = levels.waiting, nodes = levels.nodes, config = self.shared.config_version(), config_age_ms = levels.config_age.as_millis() as u64, replicas_age_ms = levels.replicas_age.as_millis() as u64, replicas_at = revision::number(replicas_at), store_era = revision::era(replicas_at), peer_bytes; "levels");
@@ -228,10 +234,10 @@
     /// Tells the calls to the store so far, if there are more.
     fn log_store_calls(&mut self) {
         let calls = self.shared.metrics.store_calls_so_far();
-        if calls == self.told_calls {
+        if calls == self.logged_calls {
             return;
         }
-        self.told_calls = calls;
+        self.logged_calls = calls;
         let of = |purpose| calls.of(purpose);
         info!(event = "store_calls", start = of(StoreCall::Start), read = of(StoreCall::Read), list = of(StoreCall::List), watch = of(StoreCall::Watch), pulse = of(StoreCall::Pulse), write = of(StoreCall::Write); "calls to the store so far");
     }
@@ -266,20 +272,24 @@
             PeerMessage::Placed(run, record) => self.placing.on_placed(run, record),
             PeerMessage::Waits(run) => self.placing.on_waits(run),
             PeerMessage::FirstEvent(run) => self.placing.on_first_event(from, run),
-            PeerMessage::Ended(run) => self.placing.on_other_ended(from, run),
+            PeerMessage::Ended(run) => self.placing.on_remote_ended(from, run),
             PeerMessage::EngineFailed(engine) => self.placing.on_engine_failed(&engine),
             PeerMessage::Copied(run) => self.placing.on_copied(from, run),
             PeerMessage::MoveAway(run, engine) => self.placing.on_move_away(run, engine),
             PeerMessage::Inventory(inventory) => self.placing.on_inventory(from, inventory),
-            PeerMessage::Replicas(news) => self.replicas.on_news(&mut self.placing, &self.fleet, from, news),
+            PeerMessage::Replicas(update) => {
+                self.replicas.on_news(&mut self.placing, &self.fleet, from, update)
+            }
             PeerMessage::Pulse(pulse) => self.on_pulse(pulse),
-            PeerMessage::Suspects(told) => self.crashes.on_announced(&self.fleet, told),
-            PeerMessage::Limits(told) => self.limits.on_announced(&mut self.placing.state, &self.fleet, told),
-            PeerMessage::AskGrant(ask) => {
-                self.limits.on_announced(&mut self.placing.state, &self.fleet, vec![ask.limit.clone()]);
-                self.placing.on_ask_grant(&self.fleet, from, ask)
+            PeerMessage::Suspects(announced) => self.crashes.on_announced(&self.fleet, announced),
+            PeerMessage::Limits(announced) => {
+                self.limits.on_announced(&mut self.placing.state, &self.fleet, announced)
+            }
+            PeerMessage::AskGrant(request) => {
+                self.limits.on_announced(&mut self.placing.state, &self.fleet, vec![request.limit.clone()]);
+                self.placing.on_grant_request(&self.fleet, from, request)
             }
-            PeerMessage::Granted(question, grant) => self.placing.on_granted(&self.fleet, question, grant),
+            PeerMessage::Granted(id, grant) => self.placing.on_granted(&self.fleet, id, grant),
             PeerMessage::AnswerCounts(report) => self.upgrades.on_report(&self.fleet, node_id(from), report),
             PeerMessage::CountsTaken(report) => {
                 self.upgrades.on_acknowledged(&mut self.placing, &self.fleet, &node_id(from), &report)
@@ -304,14 +314,14 @@
     fn on_own_pulse(&mut self, number: PulseNumber, store: StoreState) {
         let now = self.shared.now();
         self.watchers.on_own_pulse(store, now);
-        self.look_out(now);
+        self.update_health_polls(now);
         let settings = &self.shared.settings;
         let (watcher, has_wide_link) = (settings.peer, settings.has_wide_link());
         self.fleet.tell(&PeerMessage::Pulse(Pulse { watcher, has_wide_link, number, store }));
     }
 
     /// A node probes this one. One that hears of no watcher, as it has just started or was cut off, is
-    /// told who follows the store, which it would else hear some tenths of a second later.
+    /// announced who follows the store, which it would else hear some tenths of a second later.
     fn on_gossip(&mut self, from: SocketAddr, gossip: &Gossip, now: Timestamp) {
         self.watchers.on_node_count(gossip.nodes as usize);
         if gossip.hears_watchers {
@@ -332,7 +342,7 @@
             self.fleet.on_wide_link(&watcher);
         }
         if self.watchers.on_pulse(&watcher, pulse.number, pulse.store, now) {
-            self.look_out(now);
+            self.update_health_polls(now);
             self.fleet.pass_on(&PeerMessage::Pulse(pulse));
         }
     }
--- a/node/src/gateway/control/grant_requests.rs
+++ b/node/src/gateway/control/grant_requests.rs
@@ -12,7 +12,7 @@
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::ids::VmId;
 
-use crate::gateway::control::lead_scheduler::Ask;
+use crate::gateway::control::lead_scheduler::PendingPlacement;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::outbox::Outbox;
 use crate::gateway::peers::peer_message::AskGrant;
@@ -21,12 +21,12 @@
 
 /// Whoever does not answer within this is passed over, as a lead is: ten times the round trip between halls
 /// with a turn of a busy node in it. So much a call waits at most, and only those that ask.
-const GRANT_LIMIT: Duration = Duration::from_millis(40);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// A plain call that waits for a grant.
-pub struct GrantQuestion {
+pub struct GrantRequest {
     /// The call.
-    pub ask: Ask,
+    pub pending: PendingPlacement,
     /// The replica that it would be sent to.
     pub replica: Arc<ReplicaRecord>,
     /// The node that was asked.
@@ -35,47 +35,47 @@
     pub tries: u32,
 }
 
-impl GrantQuestion {
+impl GrantRequest {
     fn id(&self) -> GrantRequestId {
-        GrantRequestId { run: self.ask.key.run, number: self.tries }
+        GrantRequestId { run: self.pending.key.run, number: self.tries }
     }
 }
 
 /// The questions without an answer.
-pub struct GrantQuestions {
+pub struct GrantRequests {
     shared: Arc<Shared>,
     outbox: Outbox,
-    open: PendingQueries<GrantRequestId, GrantQuestion>,
+    pending: PendingQueries<GrantRequestId, GrantRequest>,
 }
 
-impl GrantQuestions {
+impl GrantRequests {
     /// None yet.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
-        GrantQuestions { shared, outbox, open: PendingQueries::default() }
+        GrantRequests { shared, outbox, pending: PendingQueries::default() }
     }
 
     /// Asks another node, at `address`.
-    pub fn ask(&mut self, question: GrantQuestion, limit: AnnouncedLimit, address: SocketAddr) {
-        let id = question.id();
-        let ask = AskGrant { question: id, limit, urgency: urgency(&question.ask) };
-        self.outbox.send(address, &PeerMessage::AskGrant(ask));
-        self.open.insert(id, question, self.shared.now() + GRANT_LIMIT);
-        self.shared.tell_after(GRANT_LIMIT, ToControl::GrantSilent(id));
+    pub fn send(&mut self, request: GrantRequest, limit: AnnouncedLimit, address: SocketAddr) {
+        let id = request.id();
+        let message = AskGrant { question: id, limit, urgency: urgency(&request.pending) };
+        self.outbox.send(address, &PeerMessage::AskGrant(message));
+        self.pending.insert(id, request, self.shared.now() + GRANT_TIMEOUT);
+        self.shared.tell_after(GRANT_TIMEOUT, ToControl::GrantSilent(id));
     }
 
     /// Takes a question out, as its answer came.
-    pub fn answered(&mut self, id: GrantRequestId) -> Option<GrantQuestion> {
-        self.open.take_answered(id)
+    pub fn take_answered(&mut self, id: GrantRequestId) -> Option<GrantRequest> {
+        self.pending.take_answered(id)
     }
 
     /// Takes a question out if who was asked is to be passed over.
-    pub fn overdue(&mut self, id: GrantRequestId) -> Option<GrantQuestion> {
-        self.open.take_overdue(id, self.shared.now())
+    pub fn take_overdue(&mut self, id: GrantRequestId) -> Option<GrantRequest> {
+        self.pending.take_overdue(id, self.shared.now())
     }
 }
 
 /// The urgency with which a call asks. One that was sent before goes last: where all replicas are in need,
 /// repeats would only make it worse.
-pub fn urgency(ask: &Ask) -> u8 {
-    if ask.wanted.exclude.is_empty() { ask.priority } else { LEAST_URGENT }
+pub fn urgency(pending: &PendingPlacement) -> u8 {
+    if pending.wanted.exclude.is_empty() { pending.priority } else { LEAST_URGENT }
 }
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -1,7 +1,7 @@
 //! Takes in which halls are closed, from the store or from other nodes, and tells others.
 //!
 //! Each message between nodes tells all closed halls, so that whoever hears of any node knows them. What
-//! is new is told at once beside that, and a few times again: the store gives five seconds, and a request that was
+//! is new is announced at once beside that, and a few times again: the store gives five seconds, and a request that was
 //! placed just before is on its way for a part of them.
 
 use std::sync::Arc;
@@ -34,19 +34,23 @@
 /// The way of closed halls into this node, and on to others.
 pub struct HallIntake {
     shared: Arc<Shared>,
-    book: ClosedHallsTracker,
+    closed_halls: ClosedHallsTracker,
     rebroadcast: Rebroadcast<HallId>,
 }
 
 impl HallIntake {
     /// Nothing has come yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        HallIntake { shared, book: ClosedHallsTracker::default(), rebroadcast: Rebroadcast::default() }
+        HallIntake {
+            shared,
+            closed_halls: ClosedHallsTracker::default(),
+            rebroadcast: Rebroadcast::default(),
+        }
     }
 
-    /// The store told of the closed halls.
-    pub fn on_store_update(&mut self, placing: &mut Placing, fleet: &Fleet, news: StoreUpdate<HallId>) {
-        let told = match news {
+    /// The store announced of the closed halls.
+    pub fn on_store_update(&mut self, placing: &mut Placing, fleet: &Fleet, update: StoreUpdate<HallId>) {
+        let announced = match update {
             StoreUpdate::Listed { list: Listed { items, at, .. }, .. } => {
                 ClosedHalls { at, halls: items.into_iter().collect() }
             }
@@ -54,28 +58,28 @@
                 let halls = changes.events.into_iter().filter_map(|event| match event {
                     Change::Put(hall) => Some(HallChange::Closed(hall)),
                     Change::Gone(name) => {
-                        self.book.on_opened(&name);
+                        self.closed_halls.on_opened(&name);
                         Some(HallChange::Opened(name.into()))
                     }
                     Change::Unreadable(_) => None,
                 });
                 let halls: Vec<HallChange> = halls.collect();
-                self.book.stored().after(halls, changes.at)
+                self.closed_halls.stored().after(halls, changes.at)
             }
         };
-        if self.take(placing, told, Source::Store) {
+        if self.take(placing, announced, Source::Store) {
             fleet.tell(&PeerMessage::HallsChanged);
         }
     }
 
-    /// Another node told of them.
-    pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, told: ClosedHalls) {
-        if self.take(placing, told, Source::Node) {
+    /// Another node announced of them.
+    pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, announced: ClosedHalls) {
+        if self.take(placing, announced, Source::Node) {
             fleet.pass_on(&PeerMessage::HallsChanged);
         }
     }
 
-    /// Tells news again. Each node that tells them on once may miss a node whose messages get lost: of 2,000 modelled
+    /// Tells update again. Each node that tells them on once may miss a node whose messages get lost: of 2,000 modelled
     /// series of changes, with a third of the messages lost, 13 left a node without them for 5 s, none since.
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet) {
         self.publish(placing, Source::Store);
@@ -85,23 +89,23 @@
     }
 
     /// Returns whether it changed anything.
-    fn take(&mut self, placing: &mut Placing, mut told: ClosedHalls, source: Source) -> bool {
+    fn take(&mut self, placing: &mut Placing, mut announced: ClosedHalls, source: Source) -> bool {
         // Nearly all that nodes tell is known.
-        if told.at <= self.book.stored().at {
+        if announced.at <= self.closed_halls.stored().at {
             return false;
         }
-        let beyond = told.truncate();
+        let beyond = announced.truncate();
         if beyond > 0 {
             warn!(event = "halls_left_out", halls = beyond; "more halls are closed than there can be");
         }
-        self.book.take(told, self.shared.now());
+        self.closed_halls.take(announced, self.shared.now());
         self.publish(placing, source)
     }
 
     /// Publishes the halls that are closed now; returns whether others were before.
     fn publish(&mut self, placing: &mut Placing, source: Source) -> bool {
         let known = self.shared.closed_halls();
-        let halls = self.book.in_force(self.shared.now());
+        let halls = self.closed_halls.in_force(self.shared.now());
         if *known == halls {
             return false;
         }
@@ -121,7 +125,7 @@
             }
         }
         if !changes.is_empty() {
-            // Who waits may have to be told, or can go on.
+            // Who waits may have to be announced, or can go on.
             placing.settle();
         }
         !changes.is_empty()
--- a/node/src/gateway/control/lead_scheduler.rs
+++ b/node/src/gateway/control/lead_scheduler.rs
@@ -1,4 +1,4 @@
-//! A lead's work: grants engines, lets generations wait for room, and has running ones move
+//! A lead's work: grants engines, lets generations wait for key, and has running ones move
 //! for balance.
 
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 use crate::gateway::peers::peer_message::Wanted;
 
 /// A generation that wants an engine.
-pub struct Ask {
+pub struct PendingPlacement {
     /// Names it.
     pub key: RunKey,
     /// What it wants.
@@ -46,13 +46,13 @@
     /// patience.
     pub leaves_after: Duration,
     /// Who gets the answer.
-    pub asker: Asker,
+    pub requester: Requester,
 }
 
 /// Who asked for a place.
-pub enum Asker {
+pub enum Requester {
     /// A request of this node.
-    Here {
+    Local {
         /// The caller's id of the request, for logs.
         request: String,
         /// How a stream is told to move.
@@ -61,13 +61,13 @@
         reply: PlaceReply,
     },
     /// Another node.
-    There(SocketAddr),
+    Remote(SocketAddr),
 }
 
 /// An answer to a generation that wanted an engine.
 pub struct Decision {
     /// The question.
-    pub ask: Ask,
+    pub pending: PendingPlacement,
     /// The engine, already in the books.
     pub chosen: Result<Arc<ReplicaRecord>, NoRoom>,
 }
@@ -82,18 +82,18 @@
 
 /// Where a question waits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Room {
-    /// New generations of a service, for an engine with room in these regions.
-    New(ServiceId, AllowedRegions),
+enum QueueKey {
+    /// New generations of a service, for an engine with key in these regions.
+    Service(ServiceId, AllowedRegions),
     /// Generations that leave an engine, for their turn on its link.
-    From(UpstreamId),
+    Engine(UpstreamId),
 }
 
 /// The services that this node leads.
 #[derive(Default)]
 pub struct LeadScheduler {
     policy: Policy,
-    queues: HashMap<Room, LeadQueue<Ask>>,
+    queues: HashMap<QueueKey, LeadQueue<PendingPlacement>>,
     rebalancers: HashMap<ServiceId, Rebalancer>,
 }
 
@@ -104,40 +104,45 @@
     }
 
     /// Takes a question in.
-    pub fn ask(&mut self, state: &mut PlacementState, ask: Ask, now: Timestamp) -> Outcome {
+    pub fn submit(
+        &mut self,
+        state: &mut PlacementState,
+        pending: PendingPlacement,
+        now: Timestamp,
+    ) -> Outcome {
         let waits =
-            if ask.wanted.from.is_some() { self.policy.copy_turns } else { self.policy.wait_for_room };
-        if ask.patience.is_zero() || !waits {
-            let chosen = choose(state, &ask, MayWait::No);
-            let chosen = chosen.map_err(|_| state.no_room(&ask.wanted));
-            return Outcome::Decided(Box::new(Decision { ask, chosen }));
+            if pending.wanted.from.is_some() { self.policy.copy_turns } else { self.policy.wait_for_room };
+        if pending.patience.is_zero() || !waits {
+            let chosen = choose(state, &pending, MayWait::No);
+            let chosen = chosen.map_err(|_| state.no_room(&pending.wanted));
+            return Outcome::Decided(Box::new(Decision { pending, chosen }));
         }
-        let (room, terms) = (room_of(&ask), terms(state, &ask));
-        let key = ask.key.clone();
-        let there = match &ask.asker {
-            Asker::There(address) => Some(*address),
-            Asker::Here { .. } => None,
+        let (key, terms) = (queue_key(&pending), terms(state, &pending));
+        let run_key = pending.key.clone();
+        let remote = match &pending.requester {
+            Requester::Remote(address) => Some(*address),
+            Requester::Local { .. } => None,
         };
-        let queue = self.queues.entry(room.clone()).or_insert_with(|| LeadQueue::new(self.policy));
-        match queue.ask(ask, &terms, &mut EnginesOf { state, room, now }, now) {
-            QueueReply::Placed(ask, replica) => {
-                Outcome::Decided(Box::new(Decision { ask, chosen: Ok(replica) }))
+        let queue = self.queues.entry(key.clone()).or_insert_with(|| LeadQueue::new(self.policy));
+        match queue.ask(pending, &terms, &mut QueueEngines { state, key, now }, now) {
+            QueueReply::Placed(pending, replica) => {
+                Outcome::Decided(Box::new(Decision { pending, chosen: Ok(replica) }))
             }
-            QueueReply::Refused(ask, expected) => Outcome::Decided(Box::new(refusal(ask, expected))),
-            QueueReply::Waits => Outcome::Waits(key, there),
+            QueueReply::Refused(pending, expected) => Outcome::Decided(Box::new(refusal(pending, expected))),
+            QueueReply::Waits => Outcome::Waits(run_key, remote),
         }
     }
 
     /// Answers those that can go on now, and those that can't be expected to begin in time.
     pub fn settle(&mut self, state: &mut PlacementState, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        for (room, queue) in &mut self.queues {
-            let mut engines = EnginesOf { state: &mut *state, room: room.clone(), now };
-            for Settled { item: ask, outcome, waited } in queue.settle(&mut engines, now) {
-                log_wait(&ask, &waited, outcome.is_ok());
+        for (key, queue) in &mut self.queues {
+            let mut engines = QueueEngines { state: &mut *state, key: key.clone(), now };
+            for Settled { item: pending, outcome, waited } in queue.settle(&mut engines, now) {
+                log_waited(&pending, &waited, outcome.is_ok());
                 decisions.push(match outcome {
-                    Ok(replica) => Decision { ask, chosen: Ok(replica) },
-                    Err(expected) => refusal(ask, expected),
+                    Ok(replica) => Decision { pending, chosen: Ok(replica) },
+                    Err(expected) => refusal(pending, expected),
                 });
             }
         }
@@ -161,42 +166,44 @@
             return Vec::new();
         };
         let rebalancer = self.rebalancers.entry(service.clone()).or_default();
-        let engines = state.balanced(service).filter(|replica| replica.is_usable(now));
+        let engines = state.rebalance_targets(service).filter(|replica| replica.is_usable(now));
         rebalancer.due_moves(&state.load, engines, &traits, now)
     }
 }
 
 /// The engines, for those that wait in one place.
-struct EnginesOf<'a> {
+struct QueueEngines<'a> {
     state: &'a mut PlacementState,
-    room: Room,
+    key: QueueKey,
     now: Timestamp,
 }
 
-impl Engines<Ask> for EnginesOf<'_> {
+impl Engines<PendingPlacement> for QueueEngines<'_> {
     type Place = Arc<ReplicaRecord>;
 
-    fn choose(&mut self, ask: &Ask) -> Result<Arc<ReplicaRecord>, Shortage> {
-        choose(self.state, ask, MayWait::Yes)
+    fn choose(&mut self, pending: &PendingPlacement) -> Result<Arc<ReplicaRecord>, Shortage> {
+        choose(self.state, pending, MayWait::Yes)
     }
 
     /// Unknown for a turn on a link.
     fn time_until(&self, tokens: f64) -> Option<Duration> {
-        match &self.room {
-            Room::New(service, regions) if self.state.is_closed(service, regions) => Some(Duration::MAX),
-            Room::New(service, _) => self.state.forecast(service).time_until(tokens, self.now),
-            Room::From(_) => None,
+        match &self.key {
+            QueueKey::Service(service, regions) if self.state.is_closed(service, regions) => {
+                Some(Duration::MAX)
+            }
+            QueueKey::Service(service, _) => self.state.forecast(service).time_until(tokens, self.now),
+            QueueKey::Engine(_) => None,
         }
     }
 }
 
 /// What holds for a generation that may wait.
-fn terms(state: &PlacementState, ask: &Ask) -> QueueTerms {
-    let Ask { priority, patience, leaves_after, .. } = *ask;
-    if ask.wanted.from.is_some() {
+fn terms(state: &PlacementState, pending: &PendingPlacement) -> QueueTerms {
+    let PendingPlacement { priority, patience, leaves_after, .. } = *pending;
+    if pending.wanted.from.is_some() {
         return QueueTerms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
     }
-    let (service, size) = (&ask.wanted.service, ask.wanted.size.unwrap_or_default());
+    let (service, size) = (&pending.wanted.service, pending.wanted.size.unwrap_or_default());
     let reading = state.load.prefill.usual_prefill_time(service, size.prompt);
     QueueTerms {
         priority,
@@ -206,14 +213,14 @@
     }
 }
 
-fn refusal(ask: Ask, expected: Option<Duration>) -> Decision {
-    Decision { ask, chosen: Err(NoRoom { expected }) }
+fn refusal(pending: PendingPlacement, expected: Option<Duration>) -> Decision {
+    Decision { pending, chosen: Err(NoRoom { expected }) }
 }
 
-fn room_of(ask: &Ask) -> Room {
-    match &ask.wanted.from {
-        Some(engine) => Room::From(engine.clone()),
-        None => Room::New(ask.wanted.service.clone(), ask.wanted.regions.clone()),
+fn queue_key(pending: &PendingPlacement) -> QueueKey {
+    match &pending.wanted.from {
+        Some(engine) => QueueKey::Engine(engine.clone()),
+        None => QueueKey::Service(pending.wanted.service.clone(), pending.wanted.regions.clone()),
     }
 }
 
@@ -224,22 +231,26 @@
     No,
 }
 
-/// Finds a replica and puts the request into the books there. One that moves waits for its turn on its
+/// Finds a replica and puts the request into the books remote. One that moves waits for its turn on its
 /// engine's link like for an engine.
-fn choose(state: &mut PlacementState, ask: &Ask, may_wait: MayWait) -> Result<Arc<ReplicaRecord>, Shortage> {
-    if !state.copy_may_start(&ask.wanted) {
+fn choose(
+    state: &mut PlacementState,
+    pending: &PendingPlacement,
+    may_wait: MayWait,
+) -> Result<Arc<ReplicaRecord>, Shortage> {
+    if !state.may_start_copy(&pending.wanted) {
         return Err(Shortage::Engines);
     }
-    let reads_soon = may_wait == MayWait::Yes && ask.wanted.from.is_none();
-    let replica = state.choose(&ask.key, &ask.wanted, reads_soon)?;
-    state.add(ask.key.clone(), &ask.wanted, &replica.id);
+    let reads_soon = may_wait == MayWait::Yes && pending.wanted.from.is_none();
+    let replica = state.choose(&pending.key, &pending.wanted, reads_soon)?;
+    state.add(pending.key.clone(), &pending.wanted, &replica.id);
     Ok(replica)
 }
 
 /// One line for each new generation that waited: for what, and whether it was given an engine.
-fn log_wait(ask: &Ask, waited: &ShortageTimes, given: bool) {
-    if ask.wanted.from.is_some() || waited.sum().is_zero() {
+fn log_waited(pending: &PendingPlacement, waited: &ShortageTimes, given: bool) {
+    if pending.wanted.from.is_some() || waited.sum().is_zero() {
         return;
     }
-    info!(event = "waited", entry = &*ask.key.entry, run = ask.key.run, given, engines_ms = waited.engines.as_millis() as u64, reading_ms = waited.prefill.as_millis() as u64, memory_ms = waited.memory.as_millis() as u64; "a generation waited for an engine");
+    info!(event = "waited", entry = &*pending.key.entry, run = pending.key.run, given, engines_ms = waited.engines.as_millis() as u64, reading_ms = waited.prefill.as_millis() as u64, memory_ms = waited.memory.as_millis() as u64; "a generation waited for an engine");
 }
--- a/node/src/gateway/control/limit_intake.rs
+++ b/node/src/gateway/control/limit_intake.rs
@@ -17,7 +17,7 @@
 use crate::gateway::shared::Shared;
 
 /// Limits in one message: each takes some 40 bytes, and ids are at most a few times as long as usual.
-const TOLD_AT_ONCE: usize = 100;
+const MAX_LIMITS_PER_MESSAGE: usize = 100;
 
 /// The way of limits into this node, and on to others.
 pub struct LimitIntake {
@@ -37,12 +37,12 @@
         state: &mut PlacementState,
         fleet: &Fleet,
         of: &Incarnation,
-        word: LimitReport,
+        report: LimitReport,
         times: ResponseTimes,
     ) {
         let now = self.shared.now();
         let limits = &mut state.limits.get_mut().limits;
-        if !limits.on_answer(of, word, times) {
+        if !limits.on_answer(of, report, times) {
             return;
         }
         let limit = limits.limit(&of.id);
@@ -53,14 +53,19 @@
     }
 
     /// Another node told some.
-    pub fn on_announced(&mut self, state: &mut PlacementState, fleet: &Fleet, told: Vec<AnnouncedLimit>) {
-        let news = state.limits.get_mut().limits.on_announced(told, self.shared.now());
+    pub fn on_announced(
+        &mut self,
+        state: &mut PlacementState,
+        fleet: &Fleet,
+        announced: Vec<AnnouncedLimit>,
+    ) {
+        let updates = state.limits.get_mut().limits.on_announced(announced, self.shared.now());
         self.publish(state);
-        for told in &news {
-            info!(event = "limit_told", upstream = &*told.replica.id, limit:? = told.limit, said_ms_ago = told.age.as_millis() as u64; "another node told a replica's limit");
+        for limit in &updates {
+            info!(event = "limit_told", upstream = &*limit.replica.id, limit:? = limit.limit, said_ms_ago = limit.age.as_millis() as u64; "another node told a replica's limit");
         }
-        if !news.is_empty() {
-            fleet.pass_on(&PeerMessage::Limits(news));
+        if !updates.is_empty() {
+            fleet.pass_on(&PeerMessage::Limits(updates));
         }
     }
 
@@ -71,7 +76,7 @@
             return;
         }
         let all = state.limits.borrow().limits.all(now);
-        for part in all.chunks(TOLD_AT_ONCE) {
+        for part in all.chunks(MAX_LIMITS_PER_MESSAGE) {
             fleet.send(from, &PeerMessage::Limits(part.to_vec()));
         }
     }
--- a/node/src/gateway/control/placement_state.rs
+++ b/node/src/gateway/control/placement_state.rs
@@ -43,8 +43,8 @@
     /// The limits that replicas name.
     pub limits: RefCell<ReplicaRateLimiter>,
     /// The model services that this node leads.
-    led: Vec<ServiceId>,
-    tried: TriedReplicas,
+    led_services: Vec<ServiceId>,
+    canary_replicas: TriedReplicas,
     /// Services whose upgrades are judged by what this node sees.
     pub judged: JudgedServices,
 }
@@ -60,8 +60,8 @@
             forecasts: HashMap::new(),
             cold: RefCell::new(ColdStartLimiter::new(own)),
             limits: RefCell::default(),
-            led: Vec::new(),
-            tried: TriedReplicas::default(),
+            led_services: Vec::new(),
+            canary_replicas: TriedReplicas::default(),
             judged: JudgedServices::default(),
         }
     }
@@ -111,7 +111,7 @@
         let mut later = Vec::new();
         let soon = self.candidates(key, wanted, |replica| {
             let is_soon = !may_wait || self.load.has_prefill_capacity(&replica.record.id, now);
-            if !is_soon && later.len() < eligible::MOST_CONSIDERED {
+            if !is_soon && later.len() < eligible::MAX_CANDIDATES {
                 later.push(replica);
             }
             is_soon
@@ -124,43 +124,43 @@
 
     /// Whether the engine that a generation moves away from can start another copy; a new
     /// generation needs none.
-    pub fn copy_may_start(&self, wanted: &Wanted) -> bool {
+    pub fn may_start_copy(&self, wanted: &Wanted) -> bool {
         let copies = wanted.from.as_ref().map_or(0, |engine| self.load.copies_from(engine));
         copies < evacuation::MAX_CONCURRENT_COPIES || !self.shared.settings.policy.copy_turns
     }
 
     /// Other nodes are alive than before.
-    pub fn on_fleet(&mut self, nodes: impl Iterator<Item = VmId>) {
+    pub fn on_fleet_change(&mut self, nodes: impl Iterator<Item = VmId>) {
         self.cold.get_mut().set_nodes(nodes);
     }
 
     /// How many nodes there are, this one included, and the services that it leads.
-    pub fn on_tick(&mut self, nodes: usize, led: Vec<ServiceId>) {
+    pub fn on_tick(&mut self, nodes: usize, led_services: Vec<ServiceId>) {
         self.limits.get_mut().set_nodes(nodes, self.shared.now());
-        self.led = led;
+        self.led_services = led_services;
     }
 
     /// Whether a replica bears another request of this node: all do that are warm and name no limit.
-    fn bears_more(&self, replica: &Replica, now: Timestamp) -> bool {
-        let giver = self.giver(&replica.record.service);
+    fn can_accept(&self, replica: &Replica, now: Timestamp) -> bool {
+        let placed_by = self.placed_by(&replica.record.service);
         let mut limits = self.limits.borrow_mut();
-        limits.allows(&replica.record.id, giver, now, &mut rand::rng())
-            && self.is_warm_enough(replica, giver, now)
+        limits.allows(&replica.record.id, placed_by, now, &mut rand::rng())
+            && self.is_warm_enough(replica, placed_by, now)
     }
 
     /// Who this node is for a service's replicas.
-    fn giver(&self, service: &ServiceId) -> PlacedBy {
-        if self.led.contains(service) { PlacedBy::Lead } else { PlacedBy::Node }
+    fn placed_by(&self, service: &ServiceId) -> PlacedBy {
+        if self.led_services.contains(service) { PlacedBy::Lead } else { PlacedBy::Node }
     }
 
-    fn is_warm_enough(&self, replica: &Replica, giver: PlacedBy, now: Timestamp) -> bool {
+    fn is_warm_enough(&self, replica: &Replica, placed_by: PlacedBy, now: Timestamp) -> bool {
         let service = &replica.record.service;
         let rate = replica.is_cold(now).then(|| self.shared.table()?.service(service)?.cold_rate).flatten();
         let Some(rate) = rate else {
             return true;
         };
         let shared = self.shared.bounds().cold.shared_rate(rate);
-        self.cold.borrow_mut().allows(&replica.record.id, giver, shared, now)
+        self.cold.borrow_mut().allows(&replica.record.id, placed_by, shared, now)
     }
 
     /// A hall was opened: its replicas may have turned cold meanwhile, and their entries tell that later.
@@ -182,10 +182,10 @@
     /// A request is at a replica from now on.
     pub fn add(&mut self, key: RunKey, wanted: &Wanted, id: &str) {
         let now = self.shared.now();
-        let giver = self.giver(&wanted.service);
+        let placed_by = self.placed_by(&wanted.service);
         if let Some(replica) = self.replicas.get(id) {
             self.cold.get_mut().on_assigned(id, now);
-            self.limits.get_mut().on_assigned(id, giver, now, &mut rand::rng());
+            self.limits.get_mut().on_assigned(id, placed_by, now, &mut rand::rng());
             self.load.add(key, wanted.at(&replica.record.id), replica, now);
         }
     }
--- a/node/src/gateway/control/placement_state/eligible.rs
+++ b/node/src/gateway/control/placement_state/eligible.rs
@@ -24,14 +24,14 @@
 use crate::gateway::peers::peer_message::Wanted;
 
 /// Replicas that are weighed for one request at most: the best of these is close to the best of all.
-pub(super) const MOST_CONSIDERED: usize = 64;
+pub(super) const MAX_CANDIDATES: usize = 64;
 
 /// What keeps replicas from getting a request, whatever they bear.
-struct Screen<'a> {
+struct RequestFilter<'a> {
     wanted: &'a Wanted,
     halls: Arc<ClosedHalls>,
     /// Replicas that have just come into need are left to others, as there are some.
-    leaves_to_others: bool,
+    skips_newly_limited: bool,
 }
 
 impl PlacementState {
@@ -55,7 +55,7 @@
     }
 
     /// Whether a request may go to none of the open replicas, as each has asked its node for rest or was tried.
-    pub fn is_kept_from_all(&self, wanted: &Wanted) -> bool {
+    pub fn is_excluded_from_all(&self, wanted: &Wanted) -> bool {
         let excluded = wanted.exclude.len() + wanted.resting.len();
         !wanted.resting.is_empty()
             && excluded >= self.count_open(&wanted.service)
@@ -69,7 +69,7 @@
     }
 
     /// The open replicas of a service that may be given generations for balance.
-    pub fn balanced<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
+    pub fn rebalance_targets<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         let upgrade = self.shared.upgrades().of(service).cloned();
         self.open(service).filter(move |replica| {
             upgrade.as_ref().is_none_or(|upgrade| canary::is_rebalance_target(replica, upgrade))
@@ -93,7 +93,7 @@
         mut accepts: impl FnMut(&'a Replica) -> bool,
     ) -> Vec<&'a Replica> {
         let now = self.shared.now();
-        let screen = self.screen(wanted);
+        let filter = self.filter(wanted);
         let pools = self.pools(key, wanted);
         let mut may_rest = false;
         // Accepted or not, some may get it.
@@ -101,9 +101,9 @@
         loop {
             for pool in &pools {
                 let candidates = self.sample(wanted, pool, |replica| {
-                    let is_eligible = self.passes(&screen, replica)
+                    let is_eligible = self.passes(&filter, replica)
                         && (may_rest || replica.is_usable(now))
-                        && self.bears_more(replica, now);
+                        && self.can_accept(replica, now);
                     is_any_eligible |= is_eligible;
                     is_eligible && accepts(replica)
                 });
@@ -132,7 +132,7 @@
             VersionPool::All | VersionPool::Of(_) | VersionPool::Except(_) => {
                 let (service, hall, rng) = (&wanted.service, &wanted.hall, &mut rand::rng());
                 let is_accepted = |replica: &'a Replica| pool.has(replica) && accepts(replica);
-                self.replicas.sample(service, hall, MOST_CONSIDERED, rng, is_accepted)
+                self.replicas.sample(service, hall, MAX_CANDIDATES, rng, is_accepted)
             }
         }
     }
@@ -145,7 +145,7 @@
                 let is_judged = self.judged.may_try(&wanted.service, self.shared.now());
                 let share = if is_judged { self.trial_share() } else { 0.0 };
                 canary::pools(upgrade, key, share, || {
-                    self.tried.of(&self.replicas, &wanted.service, &upgrade.order, share)
+                    self.canary_replicas.of(&self.replicas, &wanted.service, &upgrade.order, share)
                 })
             }
             None => vec![VersionPool::All],
@@ -156,33 +156,41 @@
         self.shared.bounds().exposure.map_or(0.0, |exposure| canary::trial_share(exposure.share))
     }
 
-    fn screen<'a>(&self, wanted: &'a Wanted) -> Screen<'a> {
+    fn filter<'a>(&self, wanted: &'a Wanted) -> RequestFilter<'a> {
         let halls = self.shared.closed_halls();
-        let mut screen = Screen { wanted, halls, leaves_to_others: false };
-        screen.leaves_to_others = !self.shared.limits().is_empty() && self.is_any_unlimited(&screen);
-        screen
+        let mut filter = RequestFilter { wanted, halls, skips_newly_limited: false };
+        filter.skips_newly_limited = !self.shared.limits().is_empty() && self.is_any_unlimited(&filter);
+        filter
     }
 
-    fn passes(&self, Screen { wanted, halls, leaves_to_others }: &Screen<'_>, replica: &Replica) -> bool {
+    fn passes(
+        &self,
+        RequestFilter { wanted, halls, skips_newly_limited }: &RequestFilter<'_>,
+        replica: &Replica,
+    ) -> bool {
         let id = &replica.record.id;
         let is_newly_limited = || self.limits.borrow().limits.is_newly_limited(id, self.shared.now());
         takes_requests(replica, halls)
             && !is_excluded(wanted, id)
             && self.shared.settings.regions.allows(&wanted.regions, &replica.record.hall)
-            && !(*leaves_to_others && is_newly_limited())
+            && !(*skips_newly_limited && is_newly_limited())
     }
 
     /// Whether a request may go to a replica that names no limit, should that have room.
     pub fn has_unlimited(&self, wanted: &Wanted) -> bool {
-        self.is_any_unlimited(&Screen { wanted, halls: self.shared.closed_halls(), leaves_to_others: false })
+        self.is_any_unlimited(&RequestFilter {
+            wanted,
+            halls: self.shared.closed_halls(),
+            skips_newly_limited: false,
+        })
     }
 
-    fn is_any_unlimited(&self, screen: &Screen<'_>) -> bool {
+    fn is_any_unlimited(&self, filter: &RequestFilter<'_>) -> bool {
         let (limits, now) = (self.shared.limits(), self.shared.now());
         let is_unlimited =
             |replica: &Replica| replica.is_usable(now) && !limits.contains_key(&replica.record.id);
-        let mut staying = self.staying(&screen.wanted.service);
-        staying.any(|replica| is_unlimited(replica) && self.passes(screen, replica))
+        let mut staying = self.staying(&filter.wanted.service);
+        staying.any(|replica| is_unlimited(replica) && self.passes(filter, replica))
     }
 
     /// What who finds no replica with room is told: where none may ever have it, that; where all replicas name
@@ -191,10 +199,10 @@
         if self.is_closed(&wanted.service, &wanted.regions) {
             return NoRoom { expected: Some(Duration::MAX) };
         }
-        NoRoom { expected: self.has_room_under_limits_after(wanted) }
+        NoRoom { expected: self.limited_retry_delay(wanted) }
     }
 
-    fn has_room_under_limits_after(&self, wanted: &Wanted) -> Option<Duration> {
+    fn limited_retry_delay(&self, wanted: &Wanted) -> Option<Duration> {
         let service = &wanted.service;
         let mut limits = self.limits.borrow_mut();
         let regions = &self.shared.settings.regions;
@@ -203,43 +211,43 @@
         let first = open.next()?;
         let limit = |replica: &Replica| limits.limits.limit(&replica.record.id);
         let named = open.try_fold(limit(first)?, |named, replica| Some(named + limit(replica)?))?;
-        let nodes = if self.giver(service) == PlacedBy::Lead { 1 } else { self.shared.nodes() };
+        let nodes = if self.placed_by(service) == PlacedBy::Lead { 1 } else { self.shared.nodes() };
         Some(limits.next_retry_delay(service, named, nodes, self.shared.now()))
     }
 
     /// A replica that names a limit and that this node may ask a grant at, for a plain call.
-    pub fn limited_to_ask(&self, key: &RunKey, wanted: &Wanted) -> Option<Arc<ReplicaRecord>> {
+    pub fn choose_limited(&self, key: &RunKey, wanted: &Wanted) -> Option<Arc<ReplicaRecord>> {
         let limits = self.shared.limits();
         if limits.is_empty() {
             return None;
         }
         let now = self.shared.now();
-        let screen = self.screen(wanted);
+        let filter = self.filter(wanted);
         let pools = self.pools(key, wanted);
         let mut limited: Vec<&Replica> = limits.keys().filter_map(|id| self.replicas.get(id)).collect();
         limited.retain(|replica| *replica.record.service == *wanted.service);
         // The map of the limits has no order of its own.
         limited.sort_by(|a, b| a.record.id.cmp(&b.record.id));
-        pools.iter().find_map(|pool| self.one_to_ask(&limited, pool, &screen, now))
+        pools.iter().find_map(|pool| self.choose_limited_from(&limited, pool, &filter, now))
     }
 
-    fn one_to_ask(
+    fn choose_limited_from(
         &self,
         limited: &[&Replica],
         pool: &VersionPool,
-        screen: &Screen<'_>,
+        filter: &RequestFilter<'_>,
         now: Timestamp,
     ) -> Option<Arc<ReplicaRecord>> {
         let rng = &mut rand::rng();
-        let mut open = limited.to_vec();
-        open.retain(|replica| {
+        let mut candidates = limited.to_vec();
+        candidates.retain(|replica| {
             pool.has(replica)
-                && self.passes(screen, replica)
+                && self.passes(filter, replica)
                 && replica.is_usable(now)
                 && self.limits.borrow_mut().may_request(&replica.record.id, now, rng)
                 && self.is_warm_enough(replica, PlacedBy::Node, now)
         });
-        open.choose(rng).map(|replica| replica.record.clone())
+        candidates.choose(rng).map(|replica| replica.record.clone())
     }
 }
 
--- a/node/src/gateway/control/placing.rs
+++ b/node/src/gateway/control/placing.rs
@@ -22,15 +22,15 @@
 use leadstage_lib::status::NodeStatus;
 use log::info;
 
-use crate::gateway::control::grant_requests::GrantQuestions;
+use crate::gateway::control::grant_requests::GrantRequests;
 use crate::gateway::control::inventories::Inventories;
-use crate::gateway::control::lead_requests::LeadQuestions;
-use crate::gateway::control::lead_requests::Question;
+use crate::gateway::control::lead_requests::LeadRequest;
+use crate::gateway::control::lead_requests::LeadRequests;
 use crate::gateway::control::lead_scheduler;
-use crate::gateway::control::lead_scheduler::Ask;
-use crate::gateway::control::lead_scheduler::Asker;
 use crate::gateway::control::lead_scheduler::Decision;
 use crate::gateway::control::lead_scheduler::LeadScheduler;
+use crate::gateway::control::lead_scheduler::PendingPlacement;
+use crate::gateway::control::lead_scheduler::Requester;
 use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::messages::Outcome;
 use crate::gateway::messages::PlaceReply;
@@ -50,7 +50,7 @@
 use crate::shared::unix_millis;
 
 /// Ids of one process: those of its next start are higher.
-const RUNS_PER_MILLI: RunId = 1 << 10;
+const RUN_IDS_PER_MS: RunId = 1 << 10;
 
 /// Finds replicas.
 pub struct Placing {
@@ -58,12 +58,12 @@
     outbox: Outbox,
     /// The replicas, and the requests at them.
     pub state: PlacementState,
-    desk: LeadScheduler,
+    lead_scheduler: LeadScheduler,
     leads: Leads,
     /// Who grants for replicas that name limits; one that is slow with a grant may still lead.
     granters: Leads,
-    questions: LeadQuestions,
-    grants: GrantQuestions,
+    lead_requests: LeadRequests,
+    grant_requests: GrantRequests,
     streams: HashMap<RunId, StreamHandle>,
     inventories: Inventories,
     last_run: RunId,
@@ -77,16 +77,16 @@
     pub fn new(shared: Arc<Shared>, outbox: Outbox, own: VmId) -> Self {
         Placing {
             state: PlacementState::new(shared.clone(), own.clone()),
-            desk: LeadScheduler::new(shared.settings.policy),
+            lead_scheduler: LeadScheduler::new(shared.settings.policy),
             leads: Leads::default(),
             granters: Leads::default(),
-            questions: LeadQuestions::new(shared.clone(), outbox.clone()),
-            grants: GrantQuestions::new(shared.clone(), outbox.clone()),
+            lead_requests: LeadRequests::new(shared.clone(), outbox.clone()),
+            grant_requests: GrantRequests::new(shared.clone(), outbox.clone()),
             shared,
             outbox,
             streams: HashMap::new(),
             inventories: Inventories::default(),
-            last_run: unix_millis() * RUNS_PER_MILLI,
+            last_run: unix_millis() * RUN_IDS_PER_MS,
             own,
             fleet_version: None,
         }
@@ -95,29 +95,29 @@
     /// Places a request, or asks the lead to.
     pub fn place(&mut self, fleet: &Fleet, request: PlaceRequest, reply: PlaceReply) {
         self.last_run += 1;
-        let ask = Ask {
+        let pending = PendingPlacement {
             key: self.own_key(self.last_run),
             wanted: request.wanted,
             priority: request.priority,
             patience: request.patience,
             leaves_after: request.leaves_after,
-            asker: Asker::Here { request: request.request, stream: request.stream, reply },
+            requester: Requester::Local { request: request.request, stream: request.stream, reply },
         };
-        if self.state.is_kept_from_all(&ask.wanted) {
-            let chosen = Err(self.state.no_room(&ask.wanted));
-            return self.answer(Decision { ask, chosen });
+        if self.state.is_excluded_from_all(&pending.wanted) {
+            let chosen = Err(self.state.no_room(&pending.wanted));
+            return self.answer(Decision { pending, chosen });
         }
-        match self.lead_for(fleet, &ask) {
-            Some((lead, address)) => self.questions.ask(ask, lead, address),
-            None if ask.wanted.size.is_none() => self.place_plain(fleet, ask, 0),
-            None => self.decide_here(ask),
+        match self.lead_for(fleet, &pending) {
+            Some((lead, address)) => self.lead_requests.send(pending, lead, address),
+            None if pending.wanted.size.is_none() => self.place_plain(fleet, pending, 0),
+            None => self.place_locally(pending),
         }
     }
 
     /// The other node that places this request, if there is one.
-    fn lead_for(&self, fleet: &Fleet, ask: &Ask) -> Option<(VmId, SocketAddr)> {
-        ask.wanted.size?;
-        self.other_lead(fleet, &ask.wanted.service)
+    fn lead_for(&self, fleet: &Fleet, pending: &PendingPlacement) -> Option<(VmId, SocketAddr)> {
+        pending.wanted.size?;
+        self.other_lead(fleet, &pending.wanted.service)
     }
 
     /// The lead of a service and where it is, unless it is this node.
@@ -131,9 +131,9 @@
         self.leads.lead_of(service, &self.own, fleet.alive(), fleet.version(), self.shared.now())
     }
 
-    fn decide_here(&mut self, ask: Ask) {
+    fn place_locally(&mut self, pending: PendingPlacement) {
         self.update_progress();
-        match self.desk.ask(&mut self.state, ask, self.shared.now()) {
+        match self.lead_scheduler.submit(&mut self.state, pending, self.shared.now()) {
             lead_scheduler::Outcome::Decided(decision) => self.answer(*decision),
             lead_scheduler::Outcome::Waits(key, Some(there)) => {
                 self.outbox.send(there, &PeerMessage::Waits(key.run))
@@ -144,21 +144,21 @@
 
     /// Answers a question of this node or of another one.
     fn answer(&mut self, decision: Decision) {
-        let Decision { ask, chosen } = decision;
-        let run = ask.key.run;
-        match ask.asker {
-            Asker::There(there) => {
+        let Decision { pending, chosen } = decision;
+        let run = pending.key.run;
+        match pending.requester {
+            Requester::Remote(there) => {
                 let placed = chosen.map(|record| (*record).clone());
                 self.outbox.send(there, &PeerMessage::Placed(run, placed));
             }
-            Asker::Here { request, stream, reply } => {
+            Requester::Local { request, stream, reply } => {
                 match (&chosen, stream) {
                     (Ok(_), Some(stream)) => {
                         self.streams.insert(run, stream);
                     }
                     (Err(no_room), _) => {
-                        let replicas = self.state.count_open(&ask.wanted.service);
-                        info!(event = "no_room", request = request, run, service = &*ask.wanted.service, replicas, excluded = ask.wanted.exclude.len(), patience_ms = ask.patience.as_millis() as u64, expected_ms = no_room.expected.map_or(0, |expected| expected.as_millis() as u64); "no replica has room");
+                        let replicas = self.state.count_open(&pending.wanted.service);
+                        info!(event = "no_room", request = request, run, service = &*pending.wanted.service, replicas, excluded = pending.wanted.exclude.len(), patience_ms = pending.patience.as_millis() as u64, expected_ms = no_room.expected.map_or(0, |expected| expected.as_millis() as u64); "no replica has room");
                     }
                     _ => {}
                 }
@@ -172,54 +172,54 @@
 
     /// The lead answered.
     pub fn on_placed(&mut self, run: RunId, placed: Result<ReplicaRecord, NoRoom>) {
-        let Some(Question { ask, lead, .. }) = self.questions.answered(run) else {
+        let Some(LeadRequest { pending, lead, .. }) = self.lead_requests.take_answered(run) else {
             return;
         };
         self.leads.on_answer(&lead);
         let record = match placed {
             Ok(record) => record,
-            Err(no_room) => return self.answer(Decision { ask, chosen: Err(no_room) }),
+            Err(no_room) => return self.answer(Decision { pending, chosen: Err(no_room) }),
         };
         let known = self.state.replicas.get(&record.id);
         let is_open = self.shared.closed_halls().is_open(&record.hall);
         if !is_open || known.is_some_and(|replica| replica.leaving.is_some()) {
-            return self.decide_here(ask);
+            return self.place_locally(pending);
         }
         let now = self.shared.now();
         if known.is_none() {
             self.state.replicas.on_entry(record.clone(), now, &mut ListChange::default());
         }
-        self.state.add(ask.key.clone(), &ask.wanted, &record.id);
-        self.answer(Decision { ask, chosen: Ok(Arc::new(record)) });
+        self.state.add(pending.key.clone(), &pending.wanted, &record.id);
+        self.answer(Decision { pending, chosen: Ok(Arc::new(record)) });
     }
 
     /// The request waits at the lead.
     pub fn on_waits(&mut self, run: RunId) {
-        if let Some(lead) = self.questions.on_waits(run) {
+        if let Some(lead) = self.lead_requests.on_waits(run) {
             self.leads.on_answer(lead);
         }
     }
 
     /// The lead did not answer in time: this node chooses by what it knows.
     pub fn on_lead_silent(&mut self, run: RunId) {
-        let Some(Question { ask, lead, .. }) = self.questions.overdue(run) else {
+        let Some(LeadRequest { pending, lead, .. }) = self.lead_requests.take_overdue(run) else {
             return;
         };
-        info!(event = "lead_silent", lead = &*lead, service = &*ask.wanted.service, run; "the lead did not answer: places alone");
+        info!(event = "lead_silent", lead = &*lead, service = &*pending.wanted.service, run; "the lead did not answer: places alone");
         self.shared.metrics.on_lead_silence();
         self.leads.on_silence(&lead, self.shared.now());
-        self.decide_here(ask);
+        self.place_locally(pending);
     }
 
     /// Another node asks this one, as the lead, to place a generation.
     pub fn on_place(&mut self, from: SocketAddr, remote: RemotePlace) {
-        self.decide_here(Ask {
+        self.place_locally(PendingPlacement {
             key: RunKey { entry: node_id(from), run: remote.run },
             wanted: remote.wanted,
             priority: remote.priority,
             patience: remote.patience,
             leaves_after: remote.leaves_after,
-            asker: Asker::There(from),
+            requester: Requester::Remote(from),
         });
     }
 
@@ -232,9 +232,9 @@
     /// Another node is gone.
     pub fn on_node_gone(&mut self, node: &VmId) {
         self.state.load.on_entry_gone(node);
-        for Question { ask, lead, .. } in self.questions.of_lost_lead(node) {
-            info!(event = "lead_lost", lead = &*lead, run = ask.key.run; "the lead is gone with what waited there: places alone");
-            self.decide_here(ask);
+        for LeadRequest { pending, lead, .. } in self.lead_requests.take_for_lost_lead(node) {
+            info!(event = "lead_lost", lead = &*lead, run = pending.key.run; "the lead is gone with what waited there: places alone");
+            self.place_locally(pending);
         }
     }
 
@@ -273,7 +273,7 @@
         let Some(replica) = self.state.load.get(&key).map(|run| run.replica.clone()) else {
             return;
         };
-        self.note_first_event(&key);
+        self.record_first_event(&key);
         if let Some(address) = self.other_lead_at(fleet, &replica) {
             self.outbox.send(address, &PeerMessage::FirstEvent(run));
         }
@@ -281,11 +281,11 @@
 
     /// The first event of a generation of another node came.
     pub fn on_first_event(&mut self, from: SocketAddr, run: RunId) {
-        self.note_first_event(&RunKey { entry: node_id(from), run });
+        self.record_first_event(&RunKey { entry: node_id(from), run });
     }
 
     /// An engine that begins to answer does not fail, and may be given another prompt to read.
-    fn note_first_event(&mut self, key: &RunKey) {
+    fn record_first_event(&mut self, key: &RunKey) {
         let now = self.shared.now();
         self.state.load.on_first_event(key, now);
         if let Some(run) = self.state.load.get(key) {
@@ -303,12 +303,12 @@
     /// A request is no longer at its replica.
     pub fn on_ended(&mut self, fleet: &Fleet, run: RunId, outcome: Outcome) {
         self.on_own_copied(fleet, run);
-        self.tell_end(fleet, run, outcome);
+        self.notify_lead_of_end(fleet, run, outcome);
         self.end(run, outcome);
     }
 
     /// Tells the lead that a generation of this node ended, and whether its engine failed it.
-    fn tell_end(&self, fleet: &Fleet, run: RunId, outcome: Outcome) {
+    fn notify_lead_of_end(&self, fleet: &Fleet, run: RunId, outcome: Outcome) {
         let generation = self.state.load.get(&self.own_key(run)).filter(|run| run.size.is_some());
         let engine = generation.and_then(|run| self.state.replicas.get(&run.replica));
         let Some(engine) = engine.map(|engine| engine.record.incarnation()) else {
@@ -324,7 +324,7 @@
     }
 
     /// A generation of another node ended: its room may let one that waits go on.
-    pub fn on_other_ended(&mut self, from: SocketAddr, run: RunId) {
+    pub fn on_remote_ended(&mut self, from: SocketAddr, run: RunId) {
         self.state.remove(&RunKey { entry: node_id(from), run });
         self.settle();
     }
@@ -373,29 +373,29 @@
     }
 
     /// Does a lead's work that is due: answers who waits, and has generations move. The progress of
-    /// this node's own streams must be up to date, as after [`Self::tell_leads`].
+    /// this node's own streams must be up to date, as after [`Self::send_inventories`].
     pub fn lead(&mut self, fleet: &Fleet) {
         self.settle();
-        let led = self.led(fleet);
+        let led_services = self.led_services(fleet);
         if self.fleet_version != Some(fleet.version()) {
             self.fleet_version = Some(fleet.version());
-            self.state.on_fleet(fleet.alive().cloned());
+            self.state.on_fleet_change(fleet.alive().cloned());
         }
-        self.state.on_tick(fleet.nodes(), led.clone());
-        for service in led {
+        self.state.on_tick(fleet.nodes(), led_services.clone());
+        for service in led_services {
             self.rebalance(&service);
         }
     }
 
     /// Answers who waits here and can go on.
     pub fn settle(&mut self) {
-        for decision in self.desk.settle(&mut self.state, self.shared.now()) {
+        for decision in self.lead_scheduler.settle(&mut self.state, self.shared.now()) {
             self.answer(decision);
         }
     }
 
     /// The model services that this node leads.
-    fn led(&self, fleet: &Fleet) -> Vec<ServiceId> {
+    fn led_services(&self, fleet: &Fleet) -> Vec<ServiceId> {
         let Some(table) = self.shared.table() else {
             return Vec::new();
         };
@@ -412,19 +412,25 @@
 
     /// The node's status as it is now.
     pub fn status(&self, fleet: &Fleet) -> NodeStatus {
-        status::status(&self.shared, fleet, &self.state, &self.led(fleet), self.desk.waiting())
+        status::status(
+            &self.shared,
+            fleet,
+            &self.state,
+            &self.led_services(fleet),
+            self.lead_scheduler.waiting(),
+        )
     }
 
     /// Generations that wait here.
     pub fn waiting(&self) -> usize {
-        self.desk.waiting()
+        self.lead_scheduler.waiting()
     }
 
     /// The engines with generations, of the services that this node leads, and where they
     /// tell their health.
     pub fn engines_in_use(&self, fleet: &Fleet) -> Vec<(Arc<ReplicaRecord>, String)> {
         let mut engines = Vec::new();
-        for service in self.led(fleet) {
+        for service in self.led_services(fleet) {
             let in_use = self.state.load.busy_replicas().filter(|id| {
                 let replica = self.state.replicas.get(id);
                 replica.is_some_and(|replica| replica.leaving.is_none() && replica.record.service == service)
@@ -435,7 +441,7 @@
     }
 
     fn rebalance(&mut self, service: &ServiceId) {
-        for relief in self.desk.due_moves(&self.state, service, self.shared.now()) {
+        for relief in self.lead_scheduler.due_moves(&self.state, service, self.shared.now()) {
             info!(event = "relief", upstream = &*relief.from, entry = &*relief.key.entry, run = relief.key.run; "a generation should move for balance");
             if relief.key.entry == self.own {
                 self.on_move_away(relief.key.run, relief.from);
@@ -446,12 +452,12 @@
     }
 
     /// Tells the leads what this node runs, when it is time.
-    pub fn tell_leads(&mut self, fleet: &Fleet) {
+    pub fn send_inventories(&mut self, fleet: &Fleet) {
         self.update_progress();
         let (now, last) = (self.shared.now(), self.newest_settled());
         let mut inventories = std::mem::take(&mut self.inventories);
         let lead_of = |service: &ServiceId| self.other_lead(fleet, service).map(|(_, address)| address);
-        for (lead, runs) in inventories.take(&self.state, &self.own, now, lead_of) {
+        for (lead, runs) in inventories.take_due(&self.state, &self.own, now, lead_of) {
             for part in Inventory::parts(runs, last, MAX_INVENTORY) {
                 self.outbox.send(lead, &PeerMessage::Inventory(part));
             }
@@ -461,7 +467,7 @@
 
     /// The newest request of this node before which none waits for a lead.
     fn newest_settled(&self) -> RunId {
-        self.questions.oldest().map_or(self.last_run, |run| run - 1)
+        self.lead_requests.oldest().map_or(self.last_run, |run| run - 1)
     }
 
     fn update_progress(&mut self) {
--- a/node/src/gateway/control/placing/plain_calls.rs
+++ b/node/src/gateway/control/placing/plain_calls.rs
@@ -15,9 +15,9 @@
 use log::info;
 
 use crate::gateway::control::grant_requests;
-use crate::gateway::control::grant_requests::GrantQuestion;
-use crate::gateway::control::lead_scheduler::Ask;
+use crate::gateway::control::grant_requests::GrantRequest;
 use crate::gateway::control::lead_scheduler::Decision;
+use crate::gateway::control::lead_scheduler::PendingPlacement;
 use crate::gateway::control::placing::Placing;
 use crate::gateway::observability::metrics::GrantOutcome;
 use crate::gateway::peers::fleet::Fleet;
@@ -28,104 +28,104 @@
 use crate::gateway::shared::Phase;
 
 /// Replicas that a call asks for at most.
-const MOST_TRIES: u32 = 3;
+const MAX_GRANT_REQUESTS: u32 = 3;
 /// A node that stops sends those that ask away: by then they know who grants instead.
-const ASK_ANOTHER_AFTER: Duration = Duration::from_millis(300);
+const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl Placing {
     /// Places a plain call that has asked for `tries` replicas which name limits.
-    pub(super) fn place_plain(&mut self, fleet: &Fleet, ask: Ask, tries: u32) {
-        let Some(replica) = self.state.limited_to_ask(&ask.key, &ask.wanted) else {
-            return self.decide_here(ask);
+    pub(super) fn place_plain(&mut self, fleet: &Fleet, pending: PendingPlacement, tries: u32) {
+        let Some(replica) = self.state.choose_limited(&pending.key, &pending.wanted) else {
+            return self.place_locally(pending);
         };
         let now = self.shared.now();
         let limits = self.state.limits.get_mut();
         limits.on_requested(&replica.id, now);
         let limit = limits.limits.announced(&replica.id, now);
-        let hashed = self.hashed_for(&replica.id);
-        let granter = self.granters.lead_of(&hashed, &self.own, fleet.alive(), fleet.version(), now);
+        let key = self.granter_key(&replica.id);
+        let granter = self.granters.lead_of(&key, &self.own, fleet.alive(), fleet.version(), now);
         let address = address_of(&granter).filter(|_| granter != self.own);
-        let question = GrantQuestion { ask, replica, granter, tries: tries + 1 };
+        let request = GrantRequest { pending, replica, granter, tries: tries + 1 };
         match (address, limit) {
-            (Some(address), Some(limit)) => self.grants.ask(question, limit, address),
+            (Some(address), Some(limit)) => self.grant_requests.send(request, limit, address),
             _ => {
-                let urgency = grant_requests::urgency(&question.ask);
-                let grant = self.grant(fleet, &self.own.clone(), &question.replica.id, urgency);
-                self.on_grant(fleet, question, grant);
+                let urgency = grant_requests::urgency(&request.pending);
+                let grant = self.grant(fleet, &self.own.clone(), &request.replica.id, urgency);
+                self.on_grant(fleet, request, grant);
             }
         }
     }
 
     /// Another node asks for a grant.
-    pub fn on_ask_grant(&mut self, fleet: &Fleet, from: SocketAddr, ask: AskGrant) {
-        let replica = ask.limit.replica.id.clone();
-        let grant = self.grant(fleet, &node_id(from), &replica, ask.urgency);
-        self.outbox.send(from, &PeerMessage::Granted(ask.question, grant));
+    pub fn on_grant_request(&mut self, fleet: &Fleet, from: SocketAddr, request: AskGrant) {
+        let replica = request.limit.replica.id.clone();
+        let grant = self.grant(fleet, &node_id(from), &replica, request.urgency);
+        self.outbox.send(from, &PeerMessage::Granted(request.question, grant));
     }
 
     /// What the node that grants for a replica is the first for: an engine's service, whose lead it is, or the
     /// replica itself.
-    fn hashed_for(&self, replica: &UpstreamId) -> UpstreamId {
+    fn granter_key(&self, replica: &UpstreamId) -> UpstreamId {
         let service = self.state.replicas.get(replica).map(|known| &known.record.service);
         let of_model = service.filter(|service| self.state.engine_traits(service).is_some());
         of_model.unwrap_or(replica).clone()
     }
 
-    fn grant(&mut self, fleet: &Fleet, asker: &VmId, replica: &UpstreamId, urgency: u8) -> Grant {
+    fn grant(&mut self, fleet: &Fleet, requester: &VmId, replica: &UpstreamId, urgency: u8) -> Grant {
         if self.shared.phase() > Phase::Serving {
-            return Grant { granted: false, ask_again_after: ASK_ANOTHER_AFTER };
+            return Grant { granted: false, ask_again_after: STOPPING_RETRY_DELAY };
         }
-        let hashed = self.hashed_for(replica);
-        let first = rendezvous::pick(&hashed, fleet.alive().chain(std::iter::once(&self.own)));
+        let key = self.granter_key(replica);
+        let first = rendezvous::pick(&key, fleet.alive().chain(std::iter::once(&self.own)));
         let is_first = first.is_none_or(|first| *first == self.own);
         let role = if is_first { GranterRole::Primary } else { GranterRole::Substitute };
         let now = self.shared.now();
         let grant = self.state.limits.get_mut().grant(replica, role, urgency, now);
         if grant.granted {
-            info!(event = "limit_grant", upstream = &**replica, to = &**asker, urgency, is_first, pause_ms = grant.ask_again_after.as_millis() as u64; "a request to a replica that names a limit is granted");
+            info!(event = "limit_grant", upstream = &**replica, to = &**requester, urgency, is_first, pause_ms = grant.ask_again_after.as_millis() as u64; "a request to a replica that names a limit is granted");
         }
         grant
     }
 
     /// A node that was asked for a grant answered.
     pub fn on_granted(&mut self, fleet: &Fleet, id: GrantRequestId, grant: Grant) {
-        if let Some(question) = self.grants.answered(id) {
-            self.granters.on_answer(&question.granter);
-            self.on_grant(fleet, question, grant);
+        if let Some(request) = self.grant_requests.take_answered(id) {
+            self.granters.on_answer(&request.granter);
+            self.on_grant(fleet, request, grant);
         }
     }
 
     /// A node that was asked for a grant did not answer in time.
     pub fn on_grant_silent(&mut self, fleet: &Fleet, id: GrantRequestId) {
-        let Some(question) = self.grants.overdue(id) else {
+        let Some(request) = self.grant_requests.take_overdue(id) else {
             return;
         };
-        info!(event = "grant_silent", node = &*question.granter, upstream = &*question.replica.id, run = id.run; "a node that grants did not answer");
+        info!(event = "grant_silent", node = &*request.granter, upstream = &*request.replica.id, run = id.run; "a node that grants did not answer");
         self.shared.metrics.on_grant(GrantOutcome::Silent);
-        self.granters.on_silence(&question.granter, self.shared.now());
-        self.place_without(fleet, question);
+        self.granters.on_silence(&request.granter, self.shared.now());
+        self.place_without_grant(fleet, request);
     }
 
-    fn on_grant(&mut self, fleet: &Fleet, question: GrantQuestion, grant: Grant) {
-        let replica = question.replica.clone();
+    fn on_grant(&mut self, fleet: &Fleet, request: GrantRequest, grant: Grant) {
+        let replica = request.replica.clone();
         let limits = self.state.limits.get_mut();
         limits.on_answer(&replica.id, grant.ask_again_after, self.shared.now());
         self.shared.metrics.on_grant(GrantOutcome::of(&grant));
         let stays = self.state.is_open(&replica.id);
         if !grant.granted || !stays {
-            return self.place_without(fleet, question);
+            return self.place_without_grant(fleet, request);
         }
-        let ask = question.ask;
-        self.state.add(ask.key.clone(), &ask.wanted, &replica.id);
-        self.answer(Decision { ask, chosen: Ok(replica) });
+        let pending = request.pending;
+        self.state.add(pending.key.clone(), &pending.wanted, &replica.id);
+        self.answer(Decision { pending, chosen: Ok(replica) });
     }
 
     /// Places a call that got no grant.
-    fn place_without(&mut self, fleet: &Fleet, question: GrantQuestion) {
-        let GrantQuestion { ask, tries, .. } = question;
-        if tries >= MOST_TRIES || self.state.has_unlimited(&ask.wanted) {
-            return self.decide_here(ask);
+    fn place_without_grant(&mut self, fleet: &Fleet, request: GrantRequest) {
+        let GrantRequest { pending, tries, .. } = request;
+        if tries >= MAX_GRANT_REQUESTS || self.state.has_unlimited(&pending.wanted) {
+            return self.place_locally(pending);
         }
-        self.place_plain(fleet, ask, tries);
+        self.place_plain(fleet, pending, tries);
     }
 }
