--- a/node/src/gateway/control.rs
+++ b/node/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! What the node believes and decides, on the control thread.
+//! The node's state and decisions, on the control thread.
 
 pub mod config_intake;
 pub mod config_transfers;
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -1,5 +1,5 @@
-//! The control loop of a gateway node: takes each message and passes it to the part that
-//! it concerns.
+//! The control loop of a gateway node: receives each message and dispatches it to the component that
+//! handles it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,14 +40,14 @@
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
 
-/// Time between two looks at what is due.
+/// Interval at which periodic work is checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two looks at status and levels.
+/// Interval at which the status and the gauge values are published.
 const STATUS_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two lines of the log that tell the levels.
+/// Interval at which the gauge values are logged.
 const LEVELS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The parts of the control thread.
+/// The components of the control thread.
 pub struct Control {
     shared: Arc<Shared>,
     fleet: Fleet,
@@ -62,12 +62,12 @@
     watching: Watching,
     last_status: Timestamp,
     last_levels_log: Timestamp,
-    /// The calls to the store that a line of the log has announced.
+    /// The counts of calls to the store that were last logged.
     logged_calls: StoreCalls,
 }
 
 impl Control {
-    /// A loop that knows nothing yet.
+    /// Creates a control loop without any state from the store or from other nodes.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
         let settings = &shared.settings;
         let fleet = Fleet::new(settings, outbox.clone());
@@ -142,8 +142,8 @@
             ToControl::Suspects(update) => self.crashes.on_store_update(&self.fleet, update),
             ToControl::SuspectStored(of, stored) => self.crashes.on_stored(&self.fleet, of, stored),
             ToControl::Configuration(update) => self.configs.on_store_update(&self.fleet, update),
-            ToControl::Fetched(from, Fetched::Configuration(handed)) => {
-                self.configs.on_fetched(&self.fleet, from, handed)
+            ToControl::Fetched(from, Fetched::Configuration(fetched)) => {
+                self.configs.on_fetched(&self.fleet, from, fetched)
             }
             ToControl::ConfigurationRead(answered) => self.configs.on_read(answered),
             ToControl::ConfigurationDue => self.configs.on_due(),
@@ -181,13 +181,13 @@
         self.publish_status(now);
     }
 
-    /// While the store may not tell that engines leave, they are asked.
+    /// Polls the health of engines while the store may be unable to report that they are leaving.
     fn update_health_polls(&mut self, now: Timestamp) {
-        let is_away = !self.watchers.store_answers(now);
-        if is_away {
+        let is_store_down = !self.watchers.store_answers(now);
+        if is_store_down {
             self.replicas.on_store_unavailable();
         }
-        if is_away || self.watchers.store_may_be_down(now) {
+        if is_store_down || self.watchers.store_may_be_down(now) {
             self.replicas.look_out(&self.placing, &self.fleet);
         }
     }
@@ -224,14 +224,14 @@
         }
     }
 
-    /// Tells what was sent to other nodes since the start, as messages and bytes of each kind.
+    /// Logs the messages and bytes of each kind that were sent to other nodes since the start.
     fn log_peer_traffic(&self) {
         let traffic = &self.shared.metrics.peer_traffic;
         let of = |kind| traffic.of(kind);
         info!(event = "peer_traffic", membership:% = of(MessageKind::Membership), placing:% = of(MessageKind::Placing), inventory:% = of(MessageKind::Inventory), replicas:% = of(MessageKind::Replicas), pulse:% = of(MessageKind::Pulse), config:% = of(MessageKind::Config), halls:% = of(MessageKind::Halls), suspects:% = of(MessageKind::Suspects), limits:% = of(MessageKind::Limits), upgrades:% = of(MessageKind::Upgrades), config_handed_out:% = of(MessageKind::ConfigHandedOut), replicas_handed_out:% = of(MessageKind::ReplicasHandedOut); "sent to other nodes so far");
     }
 
-    /// Tells the calls to the store so far, if there are more.
+    /// Logs the calls to the store so far if there were new ones.
     fn log_store_calls(&mut self) {
         let calls = self.shared.metrics.store_calls_so_far();
         if calls == self.logged_calls {
@@ -320,8 +320,9 @@
         self.fleet.tell(&PeerMessage::Pulse(Pulse { watcher, has_wide_link, number, store }));
     }
 
-    /// A node probes this one. One that hears of no watcher, as it has just started or was cut off, is
-    /// announced who follows the store, which it would else hear some tenths of a second later.
+    /// Handles a probe from another node. A sender that receives no pulses from watchers, because it has
+    /// just started or was partitioned, is sent the current ones; it would otherwise receive them some
+    /// tenths of a second later.
     fn on_gossip(&mut self, from: SocketAddr, gossip: &Gossip, now: Timestamp) {
         self.watchers.on_node_count(gossip.nodes as usize);
         if gossip.hears_watchers {
--- a/node/src/gateway/control/grant_requests.rs
+++ b/node/src/gateway/control/grant_requests.rs
@@ -1,5 +1,5 @@
-//! Questions to other nodes for a grant to send a plain call to a replica that names a limit, and how long
-//! their answers are waited for.
+//! Requests to other nodes for a grant to send a plain call to a replica that announces a limit, with a
+//! timeout for the answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,19 +19,20 @@
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
-/// Whoever does not answer within this is passed over, as a lead is: ten times the round trip between halls
-/// with a turn of a busy node in it. So much a call waits at most, and only those that ask.
+/// A node that does not answer within this time is skipped, as a lead is. This is ten times the round trip
+/// between halls including a turn of a busy node. A call waits at most this long for an answer, and only
+/// calls that request a grant wait.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// A plain call that waits for a grant.
 pub struct GrantRequest {
     /// The call.
     pub pending: PendingPlacement,
-    /// The replica that it would be sent to.
+    /// The replica that the call would be sent to.
     pub replica: Arc<ReplicaRecord>,
-    /// The node that was asked.
+    /// The node that the grant was requested from.
     pub granter: VmId,
-    /// Replicas that it has asked for, this one included.
+    /// Number of replicas that grants were requested for, including this one.
     pub tries: u32,
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-/// The questions without an answer.
+/// The unanswered requests for grants.
 pub struct GrantRequests {
     shared: Arc<Shared>,
     outbox: Outbox,
@@ -49,12 +50,12 @@
 }
 
 impl GrantRequests {
-    /// None yet.
+    /// Creates an empty set of requests.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
         GrantRequests { shared, outbox, pending: PendingQueries::default() }
     }
 
-    /// Asks another node, at `address`.
+    /// Requests a grant from the node at `address`.
     pub fn send(&mut self, request: GrantRequest, limit: AnnouncedLimit, address: SocketAddr) {
         let id = request.id();
         let message = AskGrant { question: id, limit, urgency: urgency(&request.pending) };
@@ -63,19 +64,19 @@
         self.shared.tell_after(GRANT_TIMEOUT, ToControl::GrantSilent(id));
     }
 
-    /// Takes a question out, as its answer came.
+    /// Removes and returns a request that has been answered.
     pub fn take_answered(&mut self, id: GrantRequestId) -> Option<GrantRequest> {
         self.pending.take_answered(id)
     }
 
-    /// Takes a question out if who was asked is to be passed over.
+    /// Removes and returns a request if its timeout has passed.
     pub fn take_overdue(&mut self, id: GrantRequestId) -> Option<GrantRequest> {
         self.pending.take_overdue(id, self.shared.now())
     }
 }
 
-/// The urgency with which a call asks. One that was sent before goes last: where all replicas are in need,
-/// repeats would only make it worse.
+/// The urgency of a call's request for a grant. A call that has been sent before is the least urgent: where
+/// all replicas are rate-limited, retries would only increase the load.
 pub fn urgency(pending: &PendingPlacement) -> u8 {
     if pending.wanted.exclude.is_empty() { pending.priority } else { LEAST_URGENT }
 }
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -1,8 +1,8 @@
-//! Takes in which halls are closed, from the store or from other nodes, and tells others.
+//! Receives updates of the closed halls from the store or from other nodes, and distributes them.
 //!
-//! Each message between nodes tells all closed halls, so that whoever hears of any node knows them. What
-//! is new is announced at once beside that, and a few times again: the store gives five seconds, and a request that was
-//! placed just before is on its way for a part of them.
+//! Every message between nodes contains the list of closed halls, so a node that receives a message from
+//! any other node knows them. An update is in addition broadcast at once, and repeated a few times: the
+//! store allows five seconds, part of which a request that was placed just before spends in transit.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
-/// How a node learnt of it.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug, derive_more::Display)]
 enum Source {
     #[display("store")]
@@ -31,7 +31,7 @@
     Node,
 }
 
-/// The way of closed halls into this node, and on to others.
+/// Receives updates of the closed halls and distributes them to other nodes.
 pub struct HallIntake {
     shared: Arc<Shared>,
     closed_halls: ClosedHallsTracker,
@@ -39,7 +39,7 @@
 }
 
 impl HallIntake {
-    /// Nothing has come yet.
+    /// Creates a state without any updates.
     pub fn new(shared: Arc<Shared>) -> Self {
         HallIntake {
             shared,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The store announced of the closed halls.
+    /// Handles an update from the store.
     pub fn on_store_update(&mut self, placing: &mut Placing, fleet: &Fleet, update: StoreUpdate<HallId>) {
         let announced = match update {
             StoreUpdate::Listed { list: Listed { items, at, .. }, .. } => {
@@ -72,15 +72,16 @@
         }
     }
 
-    /// Another node announced of them.
+    /// Handles the list of closed halls in a message from another node.
     pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, announced: ClosedHalls) {
         if self.take(placing, announced, Source::Node) {
             fleet.pass_on(&PeerMessage::HallsChanged);
         }
     }
 
-    /// Tells update again. Each node that tells them on once may miss a node whose messages get lost: of 2,000 modelled
-    /// series of changes, with a third of the messages lost, 13 left a node without them for 5 s, none since.
+    /// Publishes the current state and rebroadcasts recent updates. If each node forwarded an update only
+    /// once, a node whose messages get lost might not receive it: in 2,000 modelled series of changes with
+    /// a third of the messages lost, 13 left a node without an update for 5 s, and none with rebroadcasts.
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet) {
         self.publish(placing, Source::Store);
         if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
@@ -88,21 +89,21 @@
         }
     }
 
-    /// Returns whether it changed anything.
+    /// Merges an update. Returns whether it changed the closed halls.
     fn take(&mut self, placing: &mut Placing, mut announced: ClosedHalls, source: Source) -> bool {
-        // Nearly all that nodes tell is known.
+        // Almost all lists from other nodes are already known.
         if announced.at <= self.closed_halls.stored().at {
             return false;
         }
-        let beyond = announced.truncate();
-        if beyond > 0 {
-            warn!(event = "halls_left_out", halls = beyond; "more halls are closed than there can be");
+        let excess = announced.truncate();
+        if excess > 0 {
+            warn!(event = "halls_left_out", halls = excess; "too many halls are closed; ignoring the excess");
         }
         self.closed_halls.take(announced, self.shared.now());
         self.publish(placing, source)
     }
 
-    /// Publishes the halls that are closed now; returns whether others were before.
+    /// Publishes the halls that are currently closed. Returns whether they changed.
     fn publish(&mut self, placing: &mut Placing, source: Source) -> bool {
         let known = self.shared.closed_halls();
         let halls = self.closed_halls.in_force(self.shared.now());
@@ -116,16 +117,16 @@
             self.rebroadcast.on_update(hall.clone());
             match change {
                 HallChange::Closed(hall) => {
-                    info!(event = "hall_closed", hall = &**hall, at, by:% = source; "a hall's replicas get nothing new")
+                    info!(event = "hall_closed", hall = &**hall, at, by:% = source; "hall closed: its replicas receive no new requests")
                 }
                 HallChange::Opened(hall) => {
-                    info!(event = "hall_opened", hall = &**hall, at, by:% = source; "a hall's replicas may get requests again");
+                    info!(event = "hall_opened", hall = &**hall, at, by:% = source; "hall opened: its replicas may receive requests again");
                     placing.state.on_hall_opened(hall);
                 }
             }
         }
         if !changes.is_empty() {
-            // Who waits may have to be announced, or can go on.
+            // Queued generations may have to be refused, or can be placed.
             placing.settle();
         }
         !changes.is_empty()
--- a/node/src/gateway/control/inventories.rs
+++ b/node/src/gateway/control/inventories.rs
@@ -1,5 +1,5 @@
-//! What a node tells each lead of its own generations: all of them, again and again, so that
-//! a lost message or a new lead needs no special care.
+//! Reports of a node's own generations to their leads. Each report is complete and is repeated
+//! periodically, so that a lost message or a new lead needs no special handling.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -14,31 +14,31 @@
 
 use crate::gateway::control::placement_state::PlacementState;
 
-/// Time between two inventories for a lead. Ends are due_runs at once, and in a second a
-/// generation makes some 115 tokens: 3 in 100 of its memory.
+/// Interval between two inventories for a lead. Ends are reported at once, and in a second a generation
+/// produces about 115 tokens, 3% of its memory.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A lead that was due_runs.
+/// The last inventory for a service.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     lead: SocketAddr,
     at: Timestamp,
 }
 
-/// Which leads were due_runs of which services, and when.
+/// The lead and the time of the last inventory for each service.
 #[derive(Debug, Default)]
 pub struct Inventories {
     last_reports: HashMap<ServiceId, LastReport>,
 }
 
 impl Inventories {
-    /// The requests of the node `own` that are to be due_runs now, in order of their ids, by the lead
-    /// that is due_runs. A new lead is due_runs at once, and one that was due_runs of generations is due_runs once
-    /// more when there are none.
+    /// Returns the requests of the node `own` that are to be reported now, in order of their ids, by lead.
+    /// A new lead receives a report at once, and a lead that has received generations receives one more
+    /// report when there are none left.
     ///
-    /// A lead is due_runs of all services that it leads at once: due_runs of one alone it would take those
-    /// of the others for ended. Of three services with the same lead and a generation each, two were
-    /// unknown in each of 30 looks at the lead's status within 3 s.
+    /// A report to a lead covers all services that it leads: it would consider the generations of an
+    /// omitted service ended. With three services that had the same lead and a generation each, two
+    /// generations were unknown at the lead in each of 30 checks of its status within 3 s.
     pub fn take_due(
         &mut self,
         state: &PlacementState,
@@ -47,28 +47,29 @@
         lead_of: impl Fn(&ServiceId) -> Option<SocketAddr>,
     ) -> HashMap<SocketAddr, Vec<(RunId, Run)>> {
         let busy: HashSet<ServiceId> = services(state, own).collect();
-        // A lead is picked by a hash over all nodes: once for each service, not each generation.
+        // Selecting a lead hashes all nodes, so it is done once for each service rather than for each
+        // generation.
         let known = busy.iter().chain(self.last_reports.keys());
         let leads: HashMap<ServiceId, SocketAddr> =
             known.filter_map(|service| Some((service.clone(), lead_of(service)?))).collect();
         let due = leads.iter().filter(|(service, lead)| self.is_due(service, **lead, now));
-        let mut due_runs: HashMap<SocketAddr, Vec<(RunId, Run)>> =
+        let mut runs_by_lead: HashMap<SocketAddr, Vec<(RunId, Run)>> =
             due.map(|(_, lead)| (*lead, Vec::new())).collect();
-        for (run, it) in state.load.runs_of_entry(own) {
-            let service = state.replicas.get(&it.replica).map(|replica| &replica.record.service);
+        for (id, run) in state.load.runs_of_entry(own) {
+            let service = state.replicas.get(&run.replica).map(|replica| &replica.record.service);
             let lead = service.and_then(|service| leads.get(service));
-            if let Some(runs) = lead.and_then(|lead| due_runs.get_mut(lead)) {
-                runs.push((run, it.clone()));
+            if let Some(runs) = lead.and_then(|lead| runs_by_lead.get_mut(lead)) {
+                runs.push((id, run.clone()));
             }
         }
-        for (service, lead) in leads.into_iter().filter(|(_, lead)| due_runs.contains_key(lead)) {
+        for (service, lead) in leads.into_iter().filter(|(_, lead)| runs_by_lead.contains_key(lead)) {
             if busy.contains(&service) {
                 self.last_reports.insert(service, LastReport { lead, at: now });
             } else {
                 self.last_reports.remove(&service);
             }
         }
-        due_runs
+        runs_by_lead
     }
 
     fn is_due(&self, service: &ServiceId, lead: SocketAddr, now: Timestamp) -> bool {
--- a/node/src/gateway/control/lead_requests.rs
+++ b/node/src/gateway/control/lead_requests.rs
@@ -1,7 +1,7 @@
-//! Questions to the leads of other nodes, and how long their answers are waited for.
+//! Placement requests to the leads of other nodes, with a timeout for the answers.
 //!
-//! A lead answers within some milliseconds, or says that the generation waits there. One that
-//! does neither is passed over, and this node decides alone.
+//! A lead answers within some milliseconds, or reports that the generation is queued there. A lead that
+//! does neither is skipped, and this node places the generation by itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,22 +18,22 @@
 use crate::gateway::peers::peer_message::RemotePlace;
 use crate::gateway::shared::Shared;
 
-/// A lead that does not answer within this is passed over: ten times the round trip between
-/// halls with a turn of a busy node in it, and little against the objectives.
+/// A lead that does not answer within this time is skipped. This is ten times the round trip between halls
+/// including a turn of a busy node, and short compared with the objectives.
 const LEAD_TIMEOUT: Duration = Duration::from_millis(40);
-/// What a lead may take beyond the time that a generation waits: it looks at those that
-/// wait each 100 ms, and may be late itself.
+/// Additional time that a lead may take when the waiting time of a generation ends: it checks its queues
+/// every 100 ms, and may be delayed itself.
 const WAIT_SLACK: Duration = Duration::from_millis(300);
 
-/// A question without an answer.
+/// An unanswered placement request.
 pub struct LeadRequest {
-    /// What was asked.
+    /// The request.
     pub pending: PendingPlacement,
-    /// The lead that was asked.
+    /// The lead that it was sent to.
     pub lead: VmId,
 }
 
-/// The questions without an answer, by the generation that they are about.
+/// The unanswered placement requests, by generation.
 pub struct LeadRequests {
     shared: Arc<Shared>,
     outbox: Outbox,
@@ -41,12 +41,12 @@
 }
 
 impl LeadRequests {
-    /// None yet.
+    /// Creates an empty set of requests.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
         LeadRequests { shared, outbox, pending: PendingQueries::default() }
     }
 
-    /// Asks a lead to place a generation.
+    /// Sends a request to place a generation to a lead.
     pub fn send(&mut self, pending: PendingPlacement, lead: VmId, address: SocketAddr) {
         let run = pending.key.run;
         let remote = RemotePlace {
@@ -61,7 +61,7 @@
         self.shared.tell_after(LEAD_TIMEOUT, ToControl::LeadSilent(run));
     }
 
-    /// The lead lets the generation wait; returns the lead.
+    /// Extends the timeout of a generation that is queued at its lead. Returns the lead.
     pub fn on_waits(&mut self, run: RunId) -> Option<&VmId> {
         let within = self.pending.get(run)?.pending.leaves_after + WAIT_SLACK;
         self.shared.tell_after(within, ToControl::LeadSilent(run));
@@ -69,23 +69,23 @@
         Some(&request.lead)
     }
 
-    /// Takes a question out, as its answer came.
+    /// Removes and returns a request that has been answered.
     pub fn take_answered(&mut self, run: RunId) -> Option<LeadRequest> {
         self.pending.take_answered(run)
     }
 
-    /// Takes a question out if its lead is to be passed over.
+    /// Removes and returns a request if its timeout has passed.
     pub fn take_overdue(&mut self, run: RunId) -> Option<LeadRequest> {
         self.pending.take_overdue(run, self.shared.now())
     }
 
-    /// Takes the questions out whose lead is gone: a generation may wait there for the whole time
-    /// until its first event is due.
+    /// Removes and returns the requests to a lead that is gone: a generation that is queued there would
+    /// otherwise wait until its first event is due.
     pub fn take_for_lost_lead(&mut self, lead: &VmId) -> Vec<LeadRequest> {
         self.pending.take_matching(|request| request.lead == *lead)
     }
 
-    /// The oldest generation without an answer.
+    /// The oldest generation whose request is unanswered.
     pub fn oldest(&self) -> Option<RunId> {
         self.pending.oldest()
     }
--- a/node/src/gateway/control/lead_scheduler.rs
+++ b/node/src/gateway/control/lead_scheduler.rs
@@ -1,5 +1,5 @@
-//! A lead's work: grants engines, lets generations wait for key, and has running ones move
-//! for balance.
+//! The lead's scheduler: assigns engines to generations, queues generations until an engine has room, and
+//! moves running ones to balance load.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,65 +31,65 @@
 use crate::gateway::messages::StreamHandle;
 use crate::gateway::peers::peer_message::Wanted;
 
-/// A generation that wants an engine.
+/// A request that needs a replica.
 pub struct PendingPlacement {
-    /// Names it.
+    /// Identifies the request.
     pub key: RunKey,
-    /// What it wants.
+    /// The requirements on the replica.
     pub wanted: Wanted,
-    /// Its urgency; 0 goes first.
+    /// Its urgency; 0 is the most urgent.
     pub priority: u8,
-    /// For a new generation, the time until its first event is due; for one that moves, how long
-    /// it may wait for its turn.
+    /// For a new generation, the time until its first event is due; for one that moves, the maximum time
+    /// that it waits for its turn.
     pub patience: Duration,
-    /// For a new generation, the time until its caller leaves that has had no event; at least the
+    /// For a new generation, the time after which its caller leaves without an event; at least the
     /// patience.
     pub leaves_after: Duration,
-    /// Who gets the answer.
+    /// Receives the decision.
     pub requester: Requester,
 }
 
-/// Who asked for a place.
+/// The origin of a placement request.
 pub enum Requester {
     /// A request of this node.
     Local {
         /// The caller's id of the request, for logs.
         request: String,
-        /// How a stream is told to move.
+        /// Sends commands to the stream, such as to move.
         stream: Option<StreamHandle>,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: PlaceReply,
     },
     /// Another node.
     Remote(SocketAddr),
 }
 
-/// An answer to a generation that wanted an engine.
+/// The decision on a placement request.
 pub struct Decision {
-    /// The question.
+    /// The request.
     pub pending: PendingPlacement,
-    /// The engine, already in the books.
+    /// The replica, which already counts the request, or no room.
     pub chosen: Result<Arc<ReplicaRecord>, NoRoom>,
 }
 
-/// What became of a question at once.
+/// The immediate result of submitting a placement request.
 pub enum Outcome {
-    /// It is answered.
+    /// The request is decided.
     Decided(Box<Decision>),
-    /// It waits; this node is to be told so.
+    /// The request waits; the node at this address, if any, is to be notified.
     Waits(RunKey, Option<SocketAddr>),
 }
 
-/// Where a question waits.
+/// Identifies a queue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum QueueKey {
-    /// New generations of a service, for an engine with key in these regions.
+    /// New generations of a service that wait for an engine with room in these regions.
     Service(ServiceId, AllowedRegions),
-    /// Generations that leave an engine, for their turn on its link.
+    /// Generations that leave an engine and wait for their turn on its link.
     Engine(UpstreamId),
 }
 
-/// The services that this node leads.
+/// The queues and rebalancers of the services that this node leads.
 #[derive(Default)]
 pub struct LeadScheduler {
     policy: Policy,
@@ -98,12 +98,12 @@
 }
 
 impl LeadScheduler {
-    /// Leads no services yet.
+    /// Creates a scheduler without any services.
     pub fn new(policy: Policy) -> Self {
         LeadScheduler { policy, ..LeadScheduler::default() }
     }
 
-    /// Takes a question in.
+    /// Places a request at once if possible; otherwise queues or refuses it.
     pub fn submit(
         &mut self,
         state: &mut PlacementState,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Answers those that can go on now, and those that can't be expected to begin in time.
+    /// Decides the queued requests that can be placed now or are not expected to begin in time.
     pub fn settle(&mut self, state: &mut PlacementState, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for (key, queue) in &mut self.queues {
@@ -150,12 +150,12 @@
         decisions
     }
 
-    /// Generations that wait.
+    /// Number of queued generations.
     pub fn waiting(&self) -> usize {
         self.queues.values().map(LeadQueue::len).sum()
     }
 
-    /// Generations of a service that should move for balance.
+    /// Generations of a service that should move now to balance load.
     pub fn due_moves(
         &mut self,
         state: &PlacementState,
@@ -171,7 +171,7 @@
     }
 }
 
-/// The engines, for those that wait in one place.
+/// The engines as seen from one queue.
 struct QueueEngines<'a> {
     state: &'a mut PlacementState,
     key: QueueKey,
@@ -185,7 +185,7 @@
         choose(self.state, pending, MayWait::Yes)
     }
 
-    /// Unknown for a turn on a link.
+    /// Unknown for generations that wait for their turn on a link.
     fn time_until(&self, tokens: f64) -> Option<Duration> {
         match &self.key {
             QueueKey::Service(service, regions) if self.state.is_closed(service, regions) => {
@@ -197,18 +197,18 @@
     }
 }
 
-/// What holds for a generation that may wait.
+/// The queue terms for a generation that may wait.
 fn terms(state: &PlacementState, pending: &PendingPlacement) -> QueueTerms {
     let PendingPlacement { priority, patience, leaves_after, .. } = *pending;
     if pending.wanted.from.is_some() {
         return QueueTerms { priority, in_time: patience, may_wait: leaves_after, tokens: 0.0 };
     }
     let (service, size) = (&pending.wanted.service, pending.wanted.size.unwrap_or_default());
-    let reading = state.load.prefill.usual_prefill_time(service, size.prompt);
+    let prefill_time = state.load.prefill.usual_prefill_time(service, size.prompt);
     QueueTerms {
         priority,
-        in_time: patience.saturating_sub(reading + MAX_QUEUED_PREFILL),
-        may_wait: leaves_after.saturating_sub(reading),
+        in_time: patience.saturating_sub(prefill_time + MAX_QUEUED_PREFILL),
+        may_wait: leaves_after.saturating_sub(prefill_time),
         tokens: state.load.memory_of(service, size, 0),
     }
 }
@@ -224,15 +224,15 @@
     }
 }
 
-/// Whether a generation may wait for an engine that reads it soon.
+/// Whether a generation may wait for an engine that can start its prefill soon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MayWait {
     Yes,
     No,
 }
 
-/// Finds a replica and puts the request into the books remote. One that moves waits for its turn on its
-/// engine's link like for an engine.
+/// Chooses a replica and adds the request to its load. A generation that moves waits for its turn on its
+/// engine's link as others wait for an engine.
 fn choose(
     state: &mut PlacementState,
     pending: &PendingPlacement,
@@ -241,13 +241,14 @@
     if !state.may_start_copy(&pending.wanted) {
         return Err(Shortage::Engines);
     }
-    let reads_soon = may_wait == MayWait::Yes && pending.wanted.from.is_none();
-    let replica = state.choose(&pending.key, &pending.wanted, reads_soon)?;
+    let needs_prefill_soon = may_wait == MayWait::Yes && pending.wanted.from.is_none();
+    let replica = state.choose(&pending.key, &pending.wanted, needs_prefill_soon)?;
     state.add(pending.key.clone(), &pending.wanted, &replica.id);
     Ok(replica)
 }
 
-/// One line for each new generation that waited: for what, and whether it was given an engine.
+/// Logs one line for each new generation that waited: the time by shortage, and whether it was given an
+/// engine.
 fn log_waited(pending: &PendingPlacement, waited: &ShortageTimes, given: bool) {
     if pending.wanted.from.is_some() || waited.sum().is_zero() {
         return;
--- a/node/src/gateway/control/limit_intake.rs
+++ b/node/src/gateway/control/limit_intake.rs
@@ -1,5 +1,5 @@
-//! Takes in the limits that replicas name, from this node's own calls and from other nodes, and tells
-//! what is new.
+//! Receives the limits that replicas announce, from the answers to this node's calls and from other nodes,
+//! and distributes changes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,22 +16,23 @@
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
-/// Limits in one message: each takes some 40 bytes, and ids are at most a few times as long as usual.
+/// Maximum number of limits in a message: each takes about 40 bytes, and ids are at most a few times longer
+/// than usual.
 const MAX_LIMITS_PER_MESSAGE: usize = 100;
 
-/// The way of limits into this node, and on to others.
+/// Receives limits and distributes them to other nodes.
 pub struct LimitIntake {
     shared: Arc<Shared>,
     telling_all: TellingAll,
 }
 
 impl LimitIntake {
-    /// None has come yet.
+    /// Creates a state without any limits.
     pub fn new(shared: Arc<Shared>) -> Self {
         LimitIntake { shared, telling_all: TellingAll::default() }
     }
 
-    /// An answer of a replica came to this node.
+    /// Handles what an answer from a replica to this node says about its limit.
     pub fn on_answer(
         &mut self,
         state: &mut PlacementState,
@@ -47,12 +48,12 @@
         }
         let limit = limits.limit(&of.id);
         let asked_ms_ago = now.saturating_sub(times.sent).as_millis() as u64;
-        info!(event = "limit_named", upstream = &*of.id, limit:? = limit, asked_ms_ago; "a replica named another limit, or none");
+        info!(event = "limit_named", upstream = &*of.id, limit:? = limit, asked_ms_ago; "replica announced a new limit, or none");
         fleet.tell(&PeerMessage::Limits(limits.announced(&of.id, now).into_iter().collect()));
         self.publish(state);
     }
 
-    /// Another node told some.
+    /// Handles limits that another node has announced.
     pub fn on_announced(
         &mut self,
         state: &mut PlacementState,
@@ -62,14 +63,15 @@
         let updates = state.limits.get_mut().limits.on_announced(announced, self.shared.now());
         self.publish(state);
         for limit in &updates {
-            info!(event = "limit_told", upstream = &*limit.replica.id, limit:? = limit.limit, said_ms_ago = limit.age.as_millis() as u64; "another node told a replica's limit");
+            info!(event = "limit_told", upstream = &*limit.replica.id, limit:? = limit.limit, said_ms_ago = limit.age.as_millis() as u64; "another node announced the limit of a replica");
         }
         if !updates.is_empty() {
             fleet.pass_on(&PeerMessage::Limits(updates));
         }
     }
 
-    /// Another node knows other limits if its digest is another one: it is told all, and does the same.
+    /// Sends all limits to another node if its digest shows that it knows different ones. The other node
+    /// does the same.
     pub fn compare(&mut self, state: &PlacementState, fleet: &Fleet, from: SocketAddr, digest: u64) {
         let now = self.shared.now();
         if !self.telling_all.is_due(self.shared.limits_digest(), digest, now) {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Publishes what has changed since, as replicas are gone or have started again.
+    /// Publishes the limits if they have changed, also because replicas are gone or have restarted.
     pub fn publish(&self, state: &PlacementState) {
         let limits = &state.limits.borrow().limits;
         if limits.digest() != self.shared.limits_digest() {
--- a/node/src/gateway/control/placement_state.rs
+++ b/node/src/gateway/control/placement_state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the replicas and of the requests at them.
+//! The state that placement decisions are based on: the replicas and the requests running on them.
 
 mod eligible;
 
@@ -31,26 +31,27 @@
 use crate::gateway::peers::peer_message::Wanted;
 use crate::gateway::shared::Shared;
 
-/// The replicas, and the requests at them.
+/// The replicas and the requests running on them.
 pub struct PlacementState {
     shared: Arc<Shared>,
     /// The replicas.
     pub replicas: ReplicaTable,
-    /// The requests; those of other nodes as far as this node leads.
+    /// The running requests: those of this node, and those of other nodes for the services that this node
+    /// leads.
     pub load: LoadTracker,
     forecasts: HashMap<ServiceId, RoomForecast>,
     cold: RefCell<ColdStartLimiter>,
-    /// The limits that replicas name.
+    /// The limits that replicas announce.
     pub limits: RefCell<ReplicaRateLimiter>,
     /// The model services that this node leads.
     led_services: Vec<ServiceId>,
     canary_replicas: TriedReplicas,
-    /// Services whose upgrades are judged by what this node sees.
+    /// Services whose upgrades are judged by evidence that includes this node's.
     pub judged: JudgedServices,
 }
 
 impl PlacementState {
-    /// Knows nothing yet.
+    /// Creates a state without replicas and requests.
     pub fn new(shared: Arc<Shared>, own: VmId) -> Self {
         let policy = shared.settings.policy;
         PlacementState {
@@ -66,13 +67,13 @@
         }
     }
 
-    /// What the engines of a service are; `None` for plain services.
+    /// The traits of a service's engines; `None` for plain services.
     pub fn engine_traits(&self, service: &ServiceId) -> Option<EngineTraits> {
         self.shared.table()?.service(service)?.engine.clone()
     }
 
-    /// The best replica for a request, if one has room; for a generation that `may_wait`, if one reads
-    /// it soon.
+    /// Returns the best replica for a request, if one has room. For a generation that `may_wait`, only
+    /// engines that can start its prefill soon are eligible.
     pub fn choose(
         &self,
         key: &RunKey,
@@ -107,40 +108,43 @@
             produced: wanted.produced,
             moves: wanted.from.is_some(),
         };
-        // Engines that read later are only asked whether they would have had memory.
-        let mut later = Vec::new();
-        let soon = self.candidates(key, wanted, |replica| {
-            let is_soon = !may_wait || self.load.has_prefill_capacity(&replica.record.id, now);
-            if !is_soon && later.len() < eligible::MAX_CANDIDATES {
-                later.push(replica);
+        // Engines with a prefill backlog are only checked for whether their memory would admit the
+        // generation.
+        let mut backlogged = Vec::new();
+        let available = self.candidates(key, wanted, |replica| {
+            let can_prefill_soon = !may_wait || self.load.has_prefill_capacity(&replica.record.id, now);
+            if !can_prefill_soon && backlogged.len() < eligible::MAX_CANDIDATES {
+                backlogged.push(replica);
             }
-            is_soon
+            can_prefill_soon
         });
-        let engines = soon.len() + later.len();
-        let choice = self.load.choose_engine_or_shortage(soon, later, &request, now, &mut rand::rng())?;
+        let engines = available.len() + backlogged.len();
+        let choice =
+            self.load.choose_engine_or_shortage(available, backlogged, &request, now, &mut rand::rng())?;
         info!(event = "engine_chosen", run = key.run, entry = &*key.entry, upstream = &*choice.replica.record.id, service = &*wanted.service, prompt = size.prompt, expected = size.expected, produced = wanted.produced, engines, runs = choice.runs, fill:% = format_args!("{:.2}", choice.fill), wait_ms = choice.wait.as_millis() as u64, cost_ms:% = format_args!("{:.0}", choice.cost); "engine chosen");
         Ok(choice.replica.record.clone())
     }
 
-    /// Whether the engine that a generation moves away from can start another copy; a new
-    /// generation needs none.
+    /// Whether the engine that a generation moves away from may start another copy. Always true for a new
+    /// generation, which needs no copy.
     pub fn may_start_copy(&self, wanted: &Wanted) -> bool {
         let copies = wanted.from.as_ref().map_or(0, |engine| self.load.copies_from(engine));
         copies < evacuation::MAX_CONCURRENT_COPIES || !self.shared.settings.policy.copy_turns
     }
 
-    /// Other nodes are alive than before.
+    /// Updates the set of nodes that are alive.
     pub fn on_fleet_change(&mut self, nodes: impl Iterator<Item = VmId>) {
         self.cold.get_mut().set_nodes(nodes);
     }
 
-    /// How many nodes there are, this one included, and the services that it leads.
+    /// Updates the number of nodes, including this one, and the services that this node leads.
     pub fn on_tick(&mut self, nodes: usize, led_services: Vec<ServiceId>) {
         self.limits.get_mut().set_nodes(nodes, self.shared.now());
         self.led_services = led_services;
     }
 
-    /// Whether a replica bears another request of this node: all do that are warm and name no limit.
+    /// Whether a replica can accept another request from this node: always true for replicas that are warm
+    /// and announce no limit.
     fn can_accept(&self, replica: &Replica, now: Timestamp) -> bool {
         let placed_by = self.placed_by(&replica.record.service);
         let mut limits = self.limits.borrow_mut();
@@ -148,7 +152,7 @@
             && self.is_warm_enough(replica, placed_by, now)
     }
 
-    /// Who this node is for a service's replicas.
+    /// The role in which this node places requests on a service's replicas.
     fn placed_by(&self, service: &ServiceId) -> PlacedBy {
         if self.led_services.contains(service) { PlacedBy::Lead } else { PlacedBy::Node }
     }
@@ -163,14 +167,15 @@
         self.cold.borrow_mut().allows(&replica.record.id, placed_by, shared, now)
     }
 
-    /// A hall was opened: its replicas may have turned cold meanwhile, and their entries tell that later.
+    /// Marks the replicas of a reopened hall as cold: they may have turned cold while it was closed, and
+    /// their entries report that later.
     pub fn on_hall_opened(&mut self, hall: &str) {
         let now = self.shared.now();
         let Some(table) = self.shared.table() else {
             return;
         };
-        let there = self.replicas.iter().filter(|replica| &*replica.record.hall == hall);
-        let cold = there.filter_map(|replica| {
+        let in_hall = self.replicas.iter().filter(|replica| &*replica.record.hall == hall);
+        let cold = in_hall.filter_map(|replica| {
             let service = table.service(&replica.record.service)?;
             Some((replica.record.id.clone(), service.cold_for))
         });
@@ -179,7 +184,7 @@
         }
     }
 
-    /// A request is at a replica from now on.
+    /// Records that a request was placed on a replica.
     pub fn add(&mut self, key: RunKey, wanted: &Wanted, id: &str) {
         let now = self.shared.now();
         let placed_by = self.placed_by(&wanted.service);
@@ -190,8 +195,8 @@
         }
     }
 
-    /// A request is no longer at its replica. What it held there may be used by others, if the
-    /// replica stays.
+    /// Records that a request has left its replica. The memory that it frees counts in the forecast unless
+    /// the replica is leaving or its hall is closed.
     pub fn remove(&mut self, key: &RunKey) -> Option<Run> {
         let now = self.shared.now();
         let run = self.load.remove(key)?;
@@ -205,19 +210,19 @@
         Some(run)
     }
 
-    /// When the engines of a service are expected to have room.
+    /// The forecast of when engines of a service will have room.
     pub fn forecast(&self, service: &ServiceId) -> RoomForecast {
         self.forecasts.get(service).copied().unwrap_or_default()
     }
 
-    /// A replica, and the path where it tells its health.
+    /// Returns a replica and the path of its health endpoint.
     pub fn health_check_target(&self, id: &str) -> Option<(Arc<ReplicaRecord>, String)> {
         let record = self.replicas.get(id)?.record.clone();
         let path = self.shared.table()?.service(&record.service)?.health_path.clone();
         Some((record, path))
     }
 
-    /// Forgets what was learnt of replicas that are no longer known.
+    /// Drops the state of replicas that are no longer known.
     pub fn forget_gone(&mut self) {
         let replicas = &self.replicas;
         self.load.retain_replicas(|id| replicas.get(id).is_some());
--- a/node/src/gateway/control/placement_state/eligible.rs
+++ b/node/src/gateway/control/placement_state/eligible.rs
@@ -1,8 +1,9 @@
-//! Which replicas a request may go to.
+//! Selects the replicas that are eligible for a request.
 //!
-//! What stands for good comes first: replicas that leave, closed halls, regions, the versions of an upgrade. Then what
-//! passes: limits, cold starts, rests after failures. Replicas are picked at random and then looked at, so that a choice
-//! among ten thousand costs what one among a hundred does, as long as most may get requests.
+//! Lasting conditions are checked first: whether a replica is leaving, closed halls, regions, the versions
+//! of an upgrade. Temporary ones follow: limits, cold starts, back-offs after failures. Replicas are
+//! sampled at random before they are checked, so that a choice among ten thousand costs as much as one
+//! among a hundred, as long as most are eligible.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,38 +24,41 @@
 use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::peers::peer_message::Wanted;
 
-/// Replicas that are weighed for one request at most: the best of these is close to the best of all.
+/// Maximum number of replicas that are evaluated for a request: the best of these is close to the best of
+/// all.
 pub(super) const MAX_CANDIDATES: usize = 64;
 
-/// What keeps replicas from getting a request, whatever they bear.
+/// The conditions that exclude replicas from a request regardless of their load.
 struct RequestFilter<'a> {
     wanted: &'a Wanted,
     halls: Arc<ClosedHalls>,
-    /// Replicas that have just come into need are left to others, as there are some.
+    /// Set if replicas that have just announced a limit are skipped, because there are replicas without
+    /// one.
     skips_newly_limited: bool,
 }
 
 impl PlacementState {
-    /// The replicas of a service that are not known to leave.
+    /// The replicas of a service that are not known to be leaving.
     pub fn staying<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         self.replicas.staying(service)
     }
 
-    /// The replicas of a service that may get requests: they are not known to leave, and their halls are
-    /// open.
+    /// The replicas of a service that may receive requests: they are not known to be leaving, and their
+    /// halls are open.
     pub fn open<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         let halls = self.shared.closed_halls();
         self.replicas.staying(service).filter(move |replica| halls.is_open(&replica.record.hall))
     }
 
-    /// How many these are.
+    /// The number of replicas that [`Self::open`] returns.
     pub fn count_open(&self, service: &str) -> usize {
         let halls = self.shared.closed_halls();
         let open = self.replicas.staying_by_hall(service).filter(|(hall, _)| halls.is_open(hall));
         open.map(|(_, replicas)| replicas).sum()
     }
 
-    /// Whether a request may go to none of the open replicas, as each has asked its node for rest or was tried.
+    /// Whether a request is excluded from all open replicas, because each has asked the request's node to
+    /// back off or was tried before.
     pub fn is_excluded_from_all(&self, wanted: &Wanted) -> bool {
         let excluded = wanted.exclude.len() + wanted.resting.len();
         !wanted.resting.is_empty()
@@ -62,13 +66,13 @@
             && self.open(&wanted.service).all(|replica| is_excluded(wanted, &replica.record.id))
     }
 
-    /// Whether a replica may get requests.
+    /// Whether a replica may receive requests.
     pub fn is_open(&self, id: &str) -> bool {
         let halls = self.shared.closed_halls();
         self.replicas.get(id).is_some_and(|replica| takes_requests(replica, &halls))
     }
 
-    /// The open replicas of a service that may be given generations for balance.
+    /// The open replicas of a service that generations may be moved to for load balance.
     pub fn rebalance_targets<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Replica> + use<'a> {
         let upgrade = self.shared.upgrades().of(service).cloned();
         self.open(service).filter(move |replica| {
@@ -76,16 +80,17 @@
         })
     }
 
-    /// Whether a service has replicas where its requests may be served, but none of them in an open hall.
+    /// Whether a service has replicas, but none that is in an open hall where the request may be served.
     pub fn is_closed(&self, service: &str, regions: &AllowedRegions) -> bool {
         let halls = self.shared.closed_halls();
         let allowed = |hall: &str| self.shared.settings.regions.allows(regions, hall);
-        let mut there = self.replicas.staying_by_hall(service).map(|(hall, _)| hall).peekable();
-        there.peek().is_some() && !there.any(|hall| allowed(hall) && halls.is_open(hall))
+        let mut halls_with_replicas = self.replicas.staying_by_hall(service).map(|(hall, _)| hall).peekable();
+        halls_with_replicas.peek().is_some()
+            && !halls_with_replicas.any(|hall| allowed(hall) && halls.is_open(hall))
     }
 
-    /// Some of the replicas that may get a request and that `accepts` takes; those that rest after failures only when
-    /// there are no others.
+    /// Returns a sample of the replicas that are eligible for a request and for which `accepts` returns
+    /// true. Replicas that back off after failures are included only if there are no others.
     pub(super) fn candidates<'a>(
         &'a self,
         key: &RunKey,
@@ -95,14 +100,14 @@
         let now = self.shared.now();
         let filter = self.filter(wanted);
         let pools = self.pools(key, wanted);
-        let mut may_rest = false;
-        // Accepted or not, some may get it.
+        let mut may_use_backed_off = false;
+        // Whether any replica is eligible, accepted or not.
         let mut is_any_eligible = false;
         loop {
             for pool in &pools {
                 let candidates = self.sample(wanted, pool, |replica| {
                     let is_eligible = self.passes(&filter, replica)
-                        && (may_rest || replica.is_usable(now))
+                        && (may_use_backed_off || replica.is_usable(now))
                         && self.can_accept(replica, now);
                     is_any_eligible |= is_eligible;
                     is_eligible && accepts(replica)
@@ -111,10 +116,10 @@
                     return candidates;
                 }
             }
-            if may_rest {
+            if may_use_backed_off {
                 return Vec::new();
             }
-            may_rest = true;
+            may_use_backed_off = true;
         }
     }
 
@@ -126,8 +131,8 @@
     ) -> Vec<&'a Replica> {
         match pool {
             VersionPool::Canaries(ids) => {
-                let tried = ids.iter().filter_map(|id| self.replicas.get(id));
-                tried.filter(|replica| replica.leaving.is_none() && accepts(replica)).collect()
+                let canaries = ids.iter().filter_map(|id| self.replicas.get(id));
+                canaries.filter(|replica| replica.leaving.is_none() && accepts(replica)).collect()
             }
             VersionPool::All | VersionPool::Of(_) | VersionPool::Except(_) => {
                 let (service, hall, rng) = (&wanted.service, &wanted.hall, &mut rand::rng());
@@ -137,7 +142,8 @@
         }
     }
 
-    /// Where a request may go by version, the later pools only where an earlier one has nothing for it.
+    /// The version pools for a request, in order of preference: a later pool is used only if the earlier
+    /// ones have no eligible replica.
     fn pools(&self, key: &RunKey, wanted: &Wanted) -> Vec<VersionPool> {
         let upgrades = self.shared.upgrades();
         match upgrades.of(&wanted.service) {
@@ -176,7 +182,7 @@
             && !(*skips_newly_limited && is_newly_limited())
     }
 
-    /// Whether a request may go to a replica that names no limit, should that have room.
+    /// Whether a replica without a limit exists that may receive the request once it has room.
     pub fn has_unlimited(&self, wanted: &Wanted) -> bool {
         self.is_any_unlimited(&RequestFilter {
             wanted,
@@ -193,8 +199,8 @@
         staying.any(|replica| is_unlimited(replica) && self.passes(filter, replica))
     }
 
-    /// What who finds no replica with room is told: where none may ever have it, that; where all replicas name
-    /// limits, when these have room for one more caller.
+    /// The reply for a request that finds no replica with room. It holds [`Duration::MAX`] if no replica
+    /// may serve it (see [`Self::is_closed`]), and the retry delay if all replicas announce limits.
     pub fn no_room(&self, wanted: &Wanted) -> NoRoom {
         if self.is_closed(&wanted.service, &wanted.regions) {
             return NoRoom { expected: Some(Duration::MAX) };
@@ -210,12 +216,13 @@
             self.open(service).filter(|replica| regions.allows(&wanted.regions, &replica.record.hall));
         let first = open.next()?;
         let limit = |replica: &Replica| limits.limits.limit(&replica.record.id);
-        let named = open.try_fold(limit(first)?, |named, replica| Some(named + limit(replica)?))?;
+        let total = open.try_fold(limit(first)?, |total, replica| Some(total + limit(replica)?))?;
         let nodes = if self.placed_by(service) == PlacedBy::Lead { 1 } else { self.shared.nodes() };
-        Some(limits.next_retry_delay(service, named, nodes, self.shared.now()))
+        Some(limits.next_retry_delay(service, total, nodes, self.shared.now()))
     }
 
-    /// A replica that names a limit and that this node may ask a grant at, for a plain call.
+    /// Chooses a replica that announces a limit and for which this node may request a grant, for a plain
+    /// call.
     pub fn choose_limited(&self, key: &RunKey, wanted: &Wanted) -> Option<Arc<ReplicaRecord>> {
         let limits = self.shared.limits();
         if limits.is_empty() {
@@ -226,7 +233,7 @@
         let pools = self.pools(key, wanted);
         let mut limited: Vec<&Replica> = limits.keys().filter_map(|id| self.replicas.get(id)).collect();
         limited.retain(|replica| *replica.record.service == *wanted.service);
-        // The map of the limits has no order of its own.
+        // The map of limits is unordered.
         limited.sort_by(|a, b| a.record.id.cmp(&b.record.id));
         pools.iter().find_map(|pool| self.choose_limited_from(&limited, pool, &filter, now))
     }
@@ -251,12 +258,12 @@
     }
 }
 
-/// Whether a request may not go to a replica that others may go to.
+/// Whether a replica is excluded for this request only.
 fn is_excluded(wanted: &Wanted, id: &UpstreamId) -> bool {
     wanted.exclude.contains(id) || wanted.resting.contains(id)
 }
 
-/// Whether a replica may get requests.
+/// Whether a replica may receive requests.
 pub(super) fn takes_requests(replica: &Replica, halls: &ClosedHalls) -> bool {
     replica.leaving.is_none() && halls.is_open(&replica.record.hall)
 }
--- a/node/src/gateway/control/placing.rs
+++ b/node/src/gateway/control/placing.rs
@@ -1,5 +1,5 @@
-//! Finds a replica for each request: for plain calls here, for generations at the service's
-//! lead, or here while no lead answers.
+//! Finds a replica for each request: plain calls are placed by this node, generations by the lead of the
+//! service, or by this node while no lead answers.
 
 mod plain_calls;
 
@@ -49,18 +49,19 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// Ids of one process: those of its next start are higher.
+/// Ids per millisecond of the start time. The ids of a process start above those of the previous one.
 const RUN_IDS_PER_MS: RunId = 1 << 10;
 
-/// Finds replicas.
+/// Places requests on replicas.
 pub struct Placing {
     shared: Arc<Shared>,
     outbox: Outbox,
-    /// The replicas, and the requests at them.
+    /// The replicas and the requests running on them.
     pub state: PlacementState,
     lead_scheduler: LeadScheduler,
     leads: Leads,
-    /// Who grants for replicas that name limits; one that is slow with a grant may still lead.
+    /// Selects the nodes that grant requests to replicas with limits. Separate from `leads`: a node that is
+    /// slow to grant may still lead.
     granters: Leads,
     lead_requests: LeadRequests,
     grant_requests: GrantRequests,
@@ -68,12 +69,12 @@
     inventories: Inventories,
     last_run: RunId,
     own: VmId,
-    /// Which nodes the knowledge was told of.
+    /// The version of the set of nodes that was last passed to `state`.
     fleet_version: Option<u64>,
 }
 
 impl Placing {
-    /// Knows nothing yet.
+    /// Creates a state without replicas and requests.
     pub fn new(shared: Arc<Shared>, outbox: Outbox, own: VmId) -> Self {
         Placing {
             state: PlacementState::new(shared.clone(), own.clone()),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Places a request, or asks the lead to.
+    /// Places a request, or sends it to the lead.
     pub fn place(&mut self, fleet: &Fleet, request: PlaceRequest, reply: PlaceReply) {
         self.last_run += 1;
         let pending = PendingPlacement {
@@ -120,7 +121,7 @@
         self.other_lead(fleet, &pending.wanted.service)
     }
 
-    /// The lead of a service and where it is, unless it is this node.
+    /// The lead of a service and its address, unless this node leads it.
     fn other_lead(&self, fleet: &Fleet, service: &ServiceId) -> Option<(VmId, SocketAddr)> {
         let lead = self.lead_of(fleet, service);
         let address = address_of(&lead).filter(|_| lead != self.own)?;
@@ -135,21 +136,21 @@
         self.update_progress();
         match self.lead_scheduler.submit(&mut self.state, pending, self.shared.now()) {
             lead_scheduler::Outcome::Decided(decision) => self.answer(*decision),
-            lead_scheduler::Outcome::Waits(key, Some(there)) => {
-                self.outbox.send(there, &PeerMessage::Waits(key.run))
+            lead_scheduler::Outcome::Waits(key, Some(address)) => {
+                self.outbox.send(address, &PeerMessage::Waits(key.run))
             }
             lead_scheduler::Outcome::Waits(_, None) => {}
         }
     }
 
-    /// Answers a question of this node or of another one.
+    /// Sends a decision to the local request or to the node that requested it.
     fn answer(&mut self, decision: Decision) {
         let Decision { pending, chosen } = decision;
         let run = pending.key.run;
         match pending.requester {
-            Requester::Remote(there) => {
+            Requester::Remote(address) => {
                 let placed = chosen.map(|record| (*record).clone());
-                self.outbox.send(there, &PeerMessage::Placed(run, placed));
+                self.outbox.send(address, &PeerMessage::Placed(run, placed));
             }
             Requester::Local { request, stream, reply } => {
                 match (&chosen, stream) {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// The lead answered.
+    /// Handles the lead's decision.
     pub fn on_placed(&mut self, run: RunId, placed: Result<ReplicaRecord, NoRoom>) {
         let Some(LeadRequest { pending, lead, .. }) = self.lead_requests.take_answered(run) else {
             return;
@@ -193,25 +194,25 @@
         self.answer(Decision { pending, chosen: Ok(Arc::new(record)) });
     }
 
-    /// The request waits at the lead.
+    /// Handles the lead's message that the request is queued there.
     pub fn on_waits(&mut self, run: RunId) {
         if let Some(lead) = self.lead_requests.on_waits(run) {
             self.leads.on_answer(lead);
         }
     }
 
-    /// The lead did not answer in time: this node chooses by what it knows.
+    /// Handles a lead's timeout: this node places the generation with the state that it has.
     pub fn on_lead_silent(&mut self, run: RunId) {
         let Some(LeadRequest { pending, lead, .. }) = self.lead_requests.take_overdue(run) else {
             return;
         };
-        info!(event = "lead_silent", lead = &*lead, service = &*pending.wanted.service, run; "the lead did not answer: places alone");
+        info!(event = "lead_silent", lead = &*lead, service = &*pending.wanted.service, run; "the lead did not answer; placing the generation locally");
         self.shared.metrics.on_lead_silence();
         self.leads.on_silence(&lead, self.shared.now());
         self.place_locally(pending);
     }
 
-    /// Another node asks this one, as the lead, to place a generation.
+    /// Handles another node's request to place a generation, as the lead.
     pub fn on_place(&mut self, from: SocketAddr, remote: RemotePlace) {
         self.place_locally(PendingPlacement {
             key: RunKey { entry: node_id(from), run: remote.run },
@@ -223,31 +224,30 @@
         });
     }
 
-    /// Another node tells what it runs.
+    /// Handles another node's report of its requests.
     pub fn on_inventory(&mut self, from: SocketAddr, inventory: Inventory) {
         let now = self.shared.now();
         self.state.load.on_inventory(&node_id(from), inventory.ids, inventory.runs, now);
     }
 
-    /// Another node is gone.
+    /// Handles the loss of another node.
     pub fn on_node_gone(&mut self, node: &VmId) {
         self.state.load.on_entry_gone(node);
         for LeadRequest { pending, lead, .. } in self.lead_requests.take_for_lost_lead(node) {
-            info!(event = "lead_lost", lead = &*lead, run = pending.key.run; "the lead is gone with what waited there: places alone");
+            info!(event = "lead_lost", lead = &*lead, run = pending.key.run; "the lead with the queued generation is gone; placing it locally");
             self.place_locally(pending);
         }
     }
 
-    /// The lead wants a generation of this node to move for balance.
+    /// Handles the lead's request that a generation of this node moves to balance load.
     pub fn on_move_away(&self, run: RunId, engine: UpstreamId) {
         if let Some(stream) = self.streams.get(&run) {
-            // A stream that has just ended needs no order.
+            // The send fails if the stream has just ended.
             let _ = stream.commands.send(StreamCommand::Rebalance(engine));
         }
     }
 
-    /// A copy for a generation of this node is complete, or is not made after all: the lead
-    /// lets the next one start.
+    /// A copy for a generation of this node is complete or was abandoned. The lead lets the next one start.
     pub fn on_own_copied(&mut self, fleet: &Fleet, run: RunId) {
         let key = self.own_key(run);
         let Some(run) = self.state.load.get(&key).filter(|run| run.copied_from.is_some()) else {
@@ -261,13 +261,13 @@
         }
     }
 
-    /// Where the lead of a replica's service is, unless it is this node.
+    /// The address of the lead of a replica's service, unless this node leads it.
     fn other_lead_at(&self, fleet: &Fleet, replica: &str) -> Option<SocketAddr> {
         let service = &self.state.replicas.get(replica)?.record.service;
         self.other_lead(fleet, service).map(|(_, address)| address)
     }
 
-    /// The first event of a generation of this node came.
+    /// The first event of a generation of this node arrived.
     pub fn on_own_first_event(&mut self, fleet: &Fleet, run: RunId) {
         let key = self.own_key(run);
         let Some(replica) = self.state.load.get(&key).map(|run| run.replica.clone()) else {
@@ -279,12 +279,12 @@
         }
     }
 
-    /// The first event of a generation of another node came.
+    /// The first event of a generation of another node arrived.
     pub fn on_first_event(&mut self, from: SocketAddr, run: RunId) {
         self.record_first_event(&RunKey { entry: node_id(from), run });
     }
 
-    /// An engine that begins to answer does not fail, and may be given another prompt to read.
+    /// An engine that begins to answer is not failing, and has prefill capacity for another prompt.
     fn record_first_event(&mut self, key: &RunKey) {
         let now = self.shared.now();
         self.state.load.on_first_event(key, now);
@@ -294,20 +294,20 @@
         self.settle();
     }
 
-    /// A copy for a generation of another node is complete, or is not made after all.
+    /// A copy for a generation of another node is complete or was abandoned.
     pub fn on_copied(&mut self, from: SocketAddr, run: RunId) {
         self.state.load.on_copied(&RunKey { entry: node_id(from), run });
         self.settle();
     }
 
-    /// A request is no longer at its replica.
+    /// A request has left its replica.
     pub fn on_ended(&mut self, fleet: &Fleet, run: RunId, outcome: Outcome) {
         self.on_own_copied(fleet, run);
         self.notify_lead_of_end(fleet, run, outcome);
         self.end(run, outcome);
     }
 
-    /// Tells the lead that a generation of this node ended, and whether its engine failed it.
+    /// Notifies the lead that a generation of this node ended, and whether its engine failed it.
     fn notify_lead_of_end(&self, fleet: &Fleet, run: RunId, outcome: Outcome) {
         let generation = self.state.load.get(&self.own_key(run)).filter(|run| run.size.is_some());
         let engine = generation.and_then(|run| self.state.replicas.get(&run.replica));
@@ -323,7 +323,7 @@
         }
     }
 
-    /// A generation of another node ended: its room may let one that waits go on.
+    /// A generation of another node ended: a queued one may get its place.
     pub fn on_remote_ended(&mut self, from: SocketAddr, run: RunId) {
         self.state.remove(&RunKey { entry: node_id(from), run });
         self.settle();
@@ -331,22 +331,22 @@
 
     /// An engine failed a generation of another node.
     pub fn on_engine_failed(&mut self, engine: &Incarnation) {
-        info!(event = "engine_failed", upstream = &*engine.id; "an engine failed another node's generation");
+        info!(event = "engine_failed", upstream = &*engine.id; "an engine failed a generation of another node");
         self.state.replicas.on_incarnation_failure(engine, self.shared.now());
     }
 
-    /// A replica has started again under its id: what ran there is lost.
+    /// A replica has restarted under the same id: the requests that ran there are lost.
     pub fn on_restarted(&mut self, id: &UpstreamId) {
         let streams = self.streams_at(id);
         let Some(replica) = self.state.replicas.get(id) else {
             return;
         };
         let of = replica.record.incarnation();
-        info!(event = "replica_restarted", upstream = &**id, born = of.born, streams = streams.len(); "a replica has started again under its id");
+        info!(event = "replica_restarted", upstream = &**id, born = of.born, streams = streams.len(); "replica restarted under the same id");
         self.state.load.on_restarted(id);
         self.state.limits.get_mut().limits.forget(id);
         for stream in streams {
-            // A stream that has just ended needs no order.
+            // The send fails if the stream has just ended.
             let _ = stream.commands.send(StreamCommand::Lost(of.clone()));
         }
     }
@@ -372,7 +372,7 @@
         own.filter_map(|(key, _)| self.streams.get(&key.run).cloned()).collect()
     }
 
-    /// Does a lead's work that is due: answers who waits, and has generations move. The progress of
+    /// Does the lead's periodic work: decides queued requests and rebalances generations. The progress of
     /// this node's own streams must be up to date, as after [`Self::send_inventories`].
     pub fn lead(&mut self, fleet: &Fleet) {
         self.settle();
@@ -387,7 +387,7 @@
         }
     }
 
-    /// Answers who waits here and can go on.
+    /// Answers the queued requests that are decided now.
     pub fn settle(&mut self) {
         for decision in self.lead_scheduler.settle(&mut self.state, self.shared.now()) {
             self.answer(decision);
@@ -404,13 +404,13 @@
         names.filter(|service| self.lead_of(fleet, service) == self.own).collect()
     }
 
-    /// Publishes how fast generations make tokens, for the traffic thread.
+    /// Publishes the token rates of generations for the traffic thread.
     pub fn publish_paces(&self) {
         let paces = self.state.load.paces().all();
         self.shared.set_paces(paces.map(|(service, pace)| (service.clone(), pace)).collect());
     }
 
-    /// The node's status as it is now.
+    /// The node's current status.
     pub fn status(&self, fleet: &Fleet) -> NodeStatus {
         status::status(
             &self.shared,
@@ -421,13 +421,13 @@
         )
     }
 
-    /// Generations that wait here.
+    /// Number of generations that are queued at this node.
     pub fn waiting(&self) -> usize {
         self.lead_scheduler.waiting()
     }
 
-    /// The engines with generations, of the services that this node leads, and where they
-    /// tell their health.
+    /// The engines with running generations of the services that this node leads, and the paths of their
+    /// health endpoints.
     pub fn engines_in_use(&self, fleet: &Fleet) -> Vec<(Arc<ReplicaRecord>, String)> {
         let mut engines = Vec::new();
         for service in self.led_services(fleet) {
@@ -441,17 +441,17 @@
     }
 
     fn rebalance(&mut self, service: &ServiceId) {
-        for relief in self.lead_scheduler.due_moves(&self.state, service, self.shared.now()) {
-            info!(event = "relief", upstream = &*relief.from, entry = &*relief.key.entry, run = relief.key.run; "a generation should move for balance");
-            if relief.key.entry == self.own {
-                self.on_move_away(relief.key.run, relief.from);
-            } else if let Some(address) = address_of(&relief.key.entry) {
-                self.outbox.send(address, &PeerMessage::MoveAway(relief.key.run, relief.from));
+        for due_move in self.lead_scheduler.due_moves(&self.state, service, self.shared.now()) {
+            info!(event = "relief", upstream = &*due_move.from, entry = &*due_move.key.entry, run = due_move.key.run; "moving a generation to balance load");
+            if due_move.key.entry == self.own {
+                self.on_move_away(due_move.key.run, due_move.from);
+            } else if let Some(address) = address_of(&due_move.key.entry) {
+                self.outbox.send(address, &PeerMessage::MoveAway(due_move.key.run, due_move.from));
             }
         }
     }
 
-    /// Tells the leads what this node runs, when it is time.
+    /// Sends the inventories that are due to the leads.
     pub fn send_inventories(&mut self, fleet: &Fleet) {
         self.update_progress();
         let (now, last) = (self.shared.now(), self.newest_settled());
@@ -465,7 +465,7 @@
         self.inventories = inventories;
     }
 
-    /// The newest request of this node before which none waits for a lead.
+    /// The newest request of this node before which no request is unanswered by a lead.
     fn newest_settled(&self) -> RunId {
         self.lead_requests.oldest().map_or(self.last_run, |run| run - 1)
     }
--- a/node/src/gateway/control/placing/plain_calls.rs
+++ b/node/src/gateway/control/placing/plain_calls.rs
@@ -1,7 +1,8 @@
-//! Plain calls, which each node places by itself, where replicas name limits: one node grants what goes to
-//! such a replica, the first of all nodes by a hash.
+//! Placement of plain calls where replicas announce limits. Each node places its plain calls by itself, but
+//! requests to a replica with a limit are granted by one node, the first of all nodes by a hash.
 //!
-//! A call that may go elsewhere asks for no more than one replica; where all are in need, it asks for a few.
+//! A call that may go to a replica without a limit requests a grant for only one replica; where all are
+//! rate-limited, for a few.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,13 +28,14 @@
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Phase;
 
-/// Replicas that a call asks for at most.
+/// Maximum number of replicas that a call requests grants for.
 const MAX_GRANT_REQUESTS: u32 = 3;
-/// A node that stops sends those that ask away: by then they know who grants instead.
+/// Delay after which a request for a grant may be repeated when the granting node is stopping: by then
+/// other nodes know the node that grants instead.
 const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl Placing {
-    /// Places a plain call that has asked for `tries` replicas which name limits.
+    /// Places a plain call that has requested grants for `tries` replicas.
     pub(super) fn place_plain(&mut self, fleet: &Fleet, pending: PendingPlacement, tries: u32) {
         let Some(replica) = self.state.choose_limited(&pending.key, &pending.wanted) else {
             return self.place_locally(pending);
@@ -56,19 +58,19 @@
         }
     }
 
-    /// Another node asks for a grant.
+    /// Handles another node's request for a grant.
     pub fn on_grant_request(&mut self, fleet: &Fleet, from: SocketAddr, request: AskGrant) {
         let replica = request.limit.replica.id.clone();
         let grant = self.grant(fleet, &node_id(from), &replica, request.urgency);
         self.outbox.send(from, &PeerMessage::Granted(request.question, grant));
     }
 
-    /// What the node that grants for a replica is the first for: an engine's service, whose lead it is, or the
-    /// replica itself.
+    /// The key by which the granting node of a replica is selected: an engine's service, so that its lead
+    /// grants, or the replica itself.
     fn granter_key(&self, replica: &UpstreamId) -> UpstreamId {
-        let service = self.state.replicas.get(replica).map(|known| &known.record.service);
-        let of_model = service.filter(|service| self.state.engine_traits(service).is_some());
-        of_model.unwrap_or(replica).clone()
+        let service = self.state.replicas.get(replica).map(|replica| &replica.record.service);
+        let model_service = service.filter(|service| self.state.engine_traits(service).is_some());
+        model_service.unwrap_or(replica).clone()
     }
 
     fn grant(&mut self, fleet: &Fleet, requester: &VmId, replica: &UpstreamId, urgency: u8) -> Grant {
@@ -82,12 +84,12 @@
         let now = self.shared.now();
         let grant = self.state.limits.get_mut().grant(replica, role, urgency, now);
         if grant.granted {
-            info!(event = "limit_grant", upstream = &**replica, to = &**requester, urgency, is_first, pause_ms = grant.ask_again_after.as_millis() as u64; "a request to a replica that names a limit is granted");
+            info!(event = "limit_grant", upstream = &**replica, to = &**requester, urgency, is_first, pause_ms = grant.ask_again_after.as_millis() as u64; "granted a request to a replica with a limit");
         }
         grant
     }
 
-    /// A node that was asked for a grant answered.
+    /// Handles the answer to a request for a grant.
     pub fn on_granted(&mut self, fleet: &Fleet, id: GrantRequestId, grant: Grant) {
         if let Some(request) = self.grant_requests.take_answered(id) {
             self.granters.on_answer(&request.granter);
@@ -95,12 +97,12 @@
         }
     }
 
-    /// A node that was asked for a grant did not answer in time.
+    /// Handles the timeout of a request for a grant.
     pub fn on_grant_silent(&mut self, fleet: &Fleet, id: GrantRequestId) {
         let Some(request) = self.grant_requests.take_overdue(id) else {
             return;
         };
-        info!(event = "grant_silent", node = &*request.granter, upstream = &*request.replica.id, run = id.run; "a node that grants did not answer");
+        info!(event = "grant_silent", node = &*request.granter, upstream = &*request.replica.id, run = id.run; "the granting node did not answer");
         self.shared.metrics.on_grant(GrantOutcome::Silent);
         self.granters.on_silence(&request.granter, self.shared.now());
         self.place_without_grant(fleet, request);
@@ -111,8 +113,8 @@
         let limits = self.state.limits.get_mut();
         limits.on_answer(&replica.id, grant.ask_again_after, self.shared.now());
         self.shared.metrics.on_grant(GrantOutcome::of(&grant));
-        let stays = self.state.is_open(&replica.id);
-        if !grant.granted || !stays {
+        let is_open = self.state.is_open(&replica.id);
+        if !grant.granted || !is_open {
             return self.place_without_grant(fleet, request);
         }
         let pending = request.pending;
--- a/node/src/gateway/messages.rs
+++ b/node/src/gateway/messages.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread and the tasks of the control thread tell the control loop.
+//! Messages from the traffic thread and from the tasks of the control thread to the control loop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,93 +39,94 @@
 use crate::gateway::peers::peer_message::Datagram;
 use crate::gateway::peers::peer_message::Wanted;
 
-/// To the control loop.
+/// A message to the control loop.
 pub enum ToControl {
-    /// A request wants a replica.
+    /// A request needs a replica.
     Place(PlaceRequest, PlaceReply),
-    /// The lead did not answer within its bound.
+    /// The lead did not answer in time.
     LeadSilent(RunId),
-    /// Whoever grants requests to a replica that names a limit did not answer within its bound.
+    /// The node that grants requests to a replica with a limit did not answer in time.
     GrantSilent(GrantRequestId),
-    /// A generation's first event came.
+    /// The first event of a generation arrived.
     FirstEvent(RunId),
     /// The copy of a generation to this engine is complete.
     Copied(RunId),
-    /// A request is no longer at its replica.
+    /// A request has left its replica.
     Ended(RunId, Outcome),
-    /// A replica showed that it leaves.
+    /// A replica showed that it is leaving.
     LeavingSign(Incarnation, LeavingSign),
-    /// A replica was asked for its health.
+    /// The result of a replica's health check.
     Health(Incarnation, Health),
-    /// What a replica's answer says of its limit.
+    /// What a replica's answer says about its limit.
     LimitReport(Incarnation, LimitReport, ResponseTimes),
-    /// A run broke at its replica, perhaps as that ended.
+    /// A run broke off, possibly because its replica ended.
     RunBroke(BrokenRun),
-    /// A run of a request ended well that something speaks against.
+    /// A run of a request with evidence against it succeeded.
     RunSucceeded(Fingerprint),
-    /// A replica was asked after a run broke there.
+    /// The result of checking a replica after a run broke off there.
     CheckedAfterBreak(Incarnation, Shown),
-    /// News of the requests under which replicas ended, from the store.
+    /// An update from the store of the requests during which replicas ended.
     Suspects(StoreUpdate<Suspect>),
-    /// What the store holds of such a request after a write; `None` if it was not written.
+    /// What the store holds about such a request after a write; `None` if the write failed.
     SuspectStored(Fingerprint, Option<StoredSuspect>),
-    /// It is time to tell other nodes what was gathered of the replicas.
+    /// The batch of replica updates for other nodes is due.
     SendReplicaUpdates,
-    /// It is time to tell them the next part of what is told.
+    /// The next part of the replica updates for other nodes is due.
     SendNextUpdatePart,
-    /// News of the replicas from the store.
+    /// An update of the replicas from the store.
     Replicas(StoreUpdate<ReplicaRecord>),
-    /// News of the orders to upgrade services, from the store.
+    /// An update of the upgrade orders from the store.
     Upgrades(StoreUpdate<StoredUpgrade>),
-    /// A write of what became of such an order ended.
+    /// A write of an upgrade's status to the store finished.
     UpgradeWritten(UpgradeWriteResult),
     /// A replica of a service that is being upgraded answered.
     Sampled(AnswerSample),
-    /// News of the closed halls from the store.
+    /// An update of the closed halls from the store.
     ClosedHalls(StoreUpdate<HallId>),
-    /// News of the configuration from the store.
+    /// An update of the configuration from the store.
     Configuration(StoreUpdate<Bytes>),
-    /// Another node that knows the replicas up to this revision wants what it lacks, packed.
+    /// Another node that knows the replicas up to this revision requests the changes since, packed.
     ServeReplicas(Revision, oneshot::Sender<Bytes>),
-    /// Another node was asked for what it knows.
+    /// The result of a fetch from another node.
     Fetched(SocketAddr, Fetched),
-    /// The store was read once for its configuration, which came before; whether it answered.
+    /// A single read of the configuration from the store finished; the configuration itself was sent
+    /// before. Holds whether the store answered.
     ConfigurationRead(bool),
-    /// A node that has a newer configuration may be asked now.
+    /// A node that has a newer configuration may be queried now.
     ConfigurationDue,
     /// This node's own pulse as a watcher of the store, and whether the store answers.
     OwnPulse(PulseNumber, StoreState),
     /// A message from another node.
     Datagram(Datagram),
-    /// The settings name other seeds.
+    /// The settings name different seeds.
     Seeds(Vec<SocketAddr>),
     /// A planned stop has begun.
     Stopping,
 }
 
-/// A run that broke before its answer's end.
+/// A run that broke off before the end of its answer.
 #[derive(Clone, Debug)]
 pub struct BrokenRun {
-    /// What it ran.
+    /// The request's fingerprint.
     pub fingerprint: Fingerprint,
-    /// Where.
+    /// The replica that it ran on.
     pub replica: Incarnation,
 }
 
-/// An answer of a replica of a service that is being upgraded.
+/// An answer from a replica of a service that is being upgraded.
 #[derive(Clone, Debug)]
 pub struct AnswerSample {
     /// The service.
     pub service: ServiceId,
     /// The request's route.
     pub route: RouteId,
-    /// Which version answered.
+    /// The version that answered.
     pub side: Side,
-    /// What came.
+    /// The outcome and timing of the answer.
     pub sample: Sample,
 }
 
-/// What the store holds of an order after a write.
+/// What the store holds about an upgrade order after a write.
 #[derive(Clone, Debug)]
 pub struct UpgradeWriteResult {
     /// The service.
@@ -134,40 +135,40 @@
     pub held: Option<StoredUpgrade>,
 }
 
-/// What the store holds of a request under which replicas ended.
+/// What the store holds about a request during which replicas ended.
 #[derive(Clone, Debug)]
 pub enum StoredSuspect {
-    /// These ends, as of a revision.
+    /// The ends, as of a revision.
     Kept(Suspect, Revision),
     /// Nothing.
     Removed,
 }
 
-/// What became of asking another node for its configuration. What came of it is kept.
+/// The result of fetching another node's configuration. The part that was received is kept.
 #[derive(Debug)]
 pub enum FetchedConfig {
     /// Its version and text.
     Text(ConfigVersion, Bytes),
-    /// It hands out to others; it may be asked again after this.
+    /// The node is busy serving others; it may be queried again after this time.
     Busy(Duration, Option<PartialConfig>),
-    /// It handed nothing over, or not all.
+    /// The fetch failed or is incomplete.
     Failed(Option<PartialConfig>),
-    /// It does not fit to what is here, though it should.
+    /// The configuration could not be decoded, although it should match the one that this node has.
     Unreadable,
 }
 
-/// What became of asking another node for its list of replicas.
+/// The result of fetching another node's list of replicas.
 #[derive(Debug)]
 pub enum FetchedReplicas {
-    /// The list, and as it came.
+    /// The list, decoded and as received.
     List(ReplicaList, Bytes),
-    /// It hands out to others; it may be asked again after this.
+    /// The node is busy serving others; it may be queried again after this time.
     Busy(Duration),
-    /// Nothing, or it was no longer wanted.
+    /// The fetch failed, or its result is no longer needed.
     Nothing,
 }
 
-/// What another node handed over.
+/// Data fetched from another node.
 pub enum Fetched {
     /// Its configuration.
     Configuration(FetchedConfig),
@@ -175,64 +176,64 @@
     Replicas(FetchedReplicas),
 }
 
-/// What following a kind of objects brought.
+/// An update from following one kind of objects in the store.
 pub enum StoreUpdate<T> {
-    /// The whole list. `after_outage` is set if entries may have lapsed meanwhile.
+    /// The whole list.
     Listed {
         /// The list.
         list: Listed<T>,
-        /// The store had been away.
+        /// The store was unavailable before, so entries may have expired in the meantime.
         after_outage: bool,
     },
-    /// Changes since the last news.
+    /// The changes since the previous update.
     Changed(Changes<T>),
 }
 
-/// Takes the answer to a request that wants a replica.
+/// Receives the answer to a request that needs a replica.
 pub type PlaceReply = oneshot::Sender<Result<Placed, NoRoom>>;
 
-/// A request that wants a replica.
+/// A request that needs a replica.
 pub struct PlaceRequest {
     /// The caller's id of the request, for logs.
     pub request: String,
-    /// What it wants.
+    /// The requirements on the replica.
     pub wanted: Wanted,
-    /// Its urgency; 0 goes first.
+    /// Its urgency; 0 is the most urgent.
     pub priority: u8,
-    /// For a new generation, the time until its first event is due; for one that moves, how long
-    /// it may wait for its turn.
+    /// For a new generation, the time until its first event is due; for one that moves, the maximum time
+    /// that it waits for its turn.
     pub patience: Duration,
-    /// For a new generation, the time until its caller leaves that has had no event; at least the
+    /// For a new generation, the time after which its caller leaves without an event; at least the
     /// patience.
     pub leaves_after: Duration,
-    /// How a stream is told to move, and shows its progress.
+    /// Sends commands to the stream, such as to move, and holds its progress.
     pub stream: Option<StreamHandle>,
 }
 
-/// The control loop's hold on a running stream.
+/// The control loop's handle to a running stream.
 #[derive(Clone)]
 pub struct StreamHandle {
-    /// Takes orders to the stream.
+    /// Sends commands to the stream.
     pub commands: UnboundedSender<StreamCommand>,
-    /// Tokens that the stream has made.
+    /// Number of tokens that the stream has produced.
     pub produced: Arc<AtomicU32>,
 }
 
-/// What a stream is told.
+/// A command to a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamCommand {
-    /// Its engine leaves: move the generation.
+    /// Its engine is leaving: move the generation.
     Evacuate(UpstreamId),
-    /// Its engine has started again under its id: the generation is lost there.
+    /// Its engine has restarted under the same id: the generation is lost there.
     Lost(Incarnation),
-    /// Its engine fills up: move the generation if there is room elsewhere at once.
+    /// Its engine is filling up: move the generation if another engine has room at once.
     Rebalance(UpstreamId),
 }
 
-/// A replica was chosen.
+/// The replica that was chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Placed {
-    /// Names the request at this replica until [`ToControl::Ended`].
+    /// Identifies the request at this replica until [`ToControl::Ended`].
     pub run: RunId,
     /// The replica.
     pub replica: Arc<ReplicaRecord>,
@@ -243,12 +244,12 @@
 pub enum Outcome {
     /// It was answered.
     Answered,
-    /// It was answered with an error of the replica's own.
+    /// The replica answered with an error of its own.
     Errored,
-    /// The replica failed it.
+    /// The replica failed the request.
     Failed,
-    /// The replica turned it away.
+    /// The replica refused the request.
     Refused,
-    /// It went away for reasons that say nothing of the replica.
+    /// The request was withdrawn for reasons unrelated to the replica.
     Withdrawn,
 }
