--- a/node/src/gateway/control/inventories.rs
+++ b/node/src/gateway/control/inventories.rs
@@ -15,7 +15,7 @@
 use crate::gateway::control::placement_state::PlacementState;
 
 /// Interval between two inventories for a lead. Ends are reported at once, and in a second a generation
-/// produces about 115 tokens, 3% of its memory.
+/// produces about 115 tokens, 3 in 100 of its memory.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The last inventory for a service.
