--- a/node/src/gateway/control.rs
+++ b/node/src/gateway/control.rs
@@ -1,5 +1,6 @@
 //! What the node believes and decides, on the control thread.
 
+pub mod canary_cache;
 pub mod config_intake;
 pub mod config_transfers;
 pub mod control_loop;
@@ -8,18 +9,17 @@
 pub mod follow;
 pub mod grant_questions;
 pub mod hall_intake;
+pub mod health_poller;
 pub mod inventories;
 pub mod judged_services;
 pub mod knowledge;
 pub mod lead_desk;
 pub mod lead_questions;
 pub mod limit_intake;
-pub mod lookout;
 pub mod placing;
 pub mod replica_intake;
+pub mod store_watcher;
 pub mod suspect_store;
 pub mod trial;
-pub mod tried_replicas;
 pub mod upgrade_intake;
 pub mod upgrade_store;
-pub mod watching;
--- a/node/src/gateway/control/tried_replicas.rs
+++ b/node/src/gateway/control/canary_cache.rs
@@ -11,17 +11,17 @@
 
 /// Those of the service that was asked for last.
 #[derive(Debug, Default)]
-pub struct TriedReplicas(RefCell<Option<Tried>>);
+pub struct CanaryCache(RefCell<Option<CachedCanaries>>);
 
 #[derive(Debug)]
-struct Tried {
+struct CachedCanaries {
     service: ServiceId,
     order: UpgradeOrder,
     table_version: u64,
     ids: Arc<[UpstreamId]>,
 }
 
-impl TriedReplicas {
+impl CanaryCache {
     /// The replicas of a service that are tried.
     pub fn of(
         &self,
@@ -31,16 +31,16 @@
         share: f64,
     ) -> Arc<[UpstreamId]> {
         let table_version = table.version();
-        let mut known = self.0.borrow_mut();
-        let is_fresh = |tried: &&Tried| {
-            tried.service == *service && tried.order == *order && tried.table_version == table_version
+        let mut entry = self.0.borrow_mut();
+        let is_fresh = |cached: &&CachedCanaries| {
+            cached.service == *service && cached.order == *order && cached.table_version == table_version
         };
-        if let Some(tried) = known.as_ref().filter(is_fresh) {
-            return tried.ids.clone();
+        if let Some(cached) = entry.as_ref().filter(is_fresh) {
+            return cached.ids.clone();
         }
         let ids = canary::canary_replicas(table, service, order, share);
         let (service, order) = (service.clone(), order.clone());
-        *known = Some(Tried { service, order, table_version, ids: ids.clone() });
+        *entry = Some(CachedCanaries { service, order, table_version, ids: ids.clone() });
         ids
     }
 }
--- a/node/src/gateway/control/config_transfers.rs
+++ b/node/src/gateway/control/config_transfers.rs
@@ -10,9 +10,9 @@
 /// A transfer that lasts longer gets another one beside it, from another node: 5,000 routes take
 /// 51 ms on a link of 10 Mbit/s, and a node that sends them slowly must not keep them from one that
 /// others have.
-pub const NEXT_AFTER: Duration = Duration::from_millis(500);
+pub const NEXT_TRANSFER_DELAY: Duration = Duration::from_millis(500);
 /// Transfers beside each other at most.
-const MOST_AT_ONCE: usize = 3;
+const MAX_TRANSFERS: usize = 3;
 
 struct Transfer {
     began: Timestamp,
@@ -52,10 +52,10 @@
     /// The time until one more may begin; `None` if it may now.
     pub fn next_due(&self, now: Timestamp) -> Option<Duration> {
         let newest = self.0.values().map(|transfer| transfer.began).max()?;
-        if self.0.len() >= MOST_AT_ONCE {
-            return Some(NEXT_AFTER);
+        if self.0.len() >= MAX_TRANSFERS {
+            return Some(NEXT_TRANSFER_DELAY);
         }
-        let due = newest + NEXT_AFTER;
+        let due = newest + NEXT_TRANSFER_DELAY;
         (due > now).then(|| due - now)
     }
 }
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -21,8 +21,8 @@
 use crate::gateway::control::limit_intake::LimitIntake;
 use crate::gateway::control::placing::Placing;
 use crate::gateway::control::replica_intake::ReplicaIntake;
+use crate::gateway::control::store_watcher::StoreWatcher;
 use crate::gateway::control::upgrade_intake::UpgradeIntake;
-use crate::gateway::control::watching::Watching;
 use crate::gateway::messages::Fetched;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::metrics::Levels;
@@ -59,7 +59,7 @@
     limits: LimitIntake,
     upgrades: UpgradeIntake,
     watchers: Watchers,
-    watching: Watching,
+    store_watcher: StoreWatcher,
     last_status: Timestamp,
     last_levels_line: Timestamp,
     /// The calls to the store that a line of the log has told.
@@ -80,7 +80,7 @@
             limits: LimitIntake::new(shared.clone()),
             upgrades: UpgradeIntake::new(shared.clone()),
             watchers: Watchers::new(fleet.own().clone()),
-            watching: Watching::new(shared.clone()),
+            store_watcher: StoreWatcher::new(shared.clone()),
             last_status: Timestamp::ZERO,
             last_levels_line: Timestamp::ZERO,
             told_calls: StoreCalls::default(),
@@ -113,8 +113,8 @@
             ToControl::Health(of, health) => {
                 self.replicas.on_health(&mut self.placing, &self.fleet, of, health)
             }
-            ToControl::TellPart => self.replicas.tell_part(&self.fleet),
-            ToControl::TellReplicas => self.replicas.tell_gathered(&self.placing, &self.fleet),
+            ToControl::TellPart => self.replicas.send_next_part(&self.fleet),
+            ToControl::TellReplicas => self.replicas.send_updates(&self.placing, &self.fleet),
             ToControl::Replicas(news) => self.replicas.on_store_news(&mut self.placing, &self.fleet, news),
             ToControl::ClosedHalls(news) => self.halls.on_store_news(&mut self.placing, &self.fleet, news),
             ToControl::Upgrades(news) => self.upgrades.on_store_news(&mut self.placing, &self.fleet, news),
@@ -127,9 +127,9 @@
             }
             ToControl::GrantSilent(question) => self.placing.on_grant_silent(&self.fleet, question),
             ToControl::RunBroke(run) => self.crashes.on_break(&self.placing, run),
-            ToControl::RanWell(fingerprint) => self.crashes.on_ran_well(&self.fleet, fingerprint),
+            ToControl::RanWell(fingerprint) => self.crashes.on_run_succeeded(&self.fleet, fingerprint),
             ToControl::AskedAfterBreak(of, shown) => {
-                self.crashes.on_asked(&self.placing, &self.fleet, &of, shown)
+                self.crashes.on_checked_after_break(&self.placing, &self.fleet, &of, shown)
             }
             ToControl::Suspects(news) => self.crashes.on_store_news(&self.fleet, news),
             ToControl::SuspectStored(of, stored) => self.crashes.on_stored(&self.fleet, of, stored),
@@ -139,7 +139,7 @@
             }
             ToControl::ConfigurationRead(answered) => self.configs.on_read(answered),
             ToControl::ConfigurationDue => self.configs.on_due(),
-            ToControl::HandOut(known, reply) => self.replicas.hand_out(&self.placing, known, reply),
+            ToControl::HandOut(known, reply) => self.replicas.serve_list(&self.placing, known, reply),
             ToControl::Fetched(from, Fetched::Replicas(list)) => {
                 self.replicas.on_fetched(&mut self.placing, &self.fleet, from, list)
             }
@@ -163,24 +163,24 @@
         self.fleet.hears_watchers = self.watchers.fresh_pulses(now).next().is_some();
         let has_wide_link = |node: &VmId| self.fleet.node_has_wide_link(node);
         let role = self.watchers.role(self.fleet.alive(), has_wide_link, now);
-        self.watching.set(role);
+        self.store_watcher.set(role);
         self.halls.tick(&mut self.placing, &self.fleet);
         self.crashes.tick(&self.placing, &self.fleet, role.is_some());
         let store_answers = self.watchers.store_answers(now);
         self.upgrades.tick(&mut self.placing, &self.fleet, role, store_answers);
-        self.look_out(now);
+        self.poll_health(now);
         self.replicas.tick(&mut self.placing, &self.fleet, role.is_some());
         self.publish_status(now);
     }
 
     /// While the store may not tell that engines leave, they are asked.
-    fn look_out(&mut self, now: Timestamp) {
+    fn poll_health(&mut self, now: Timestamp) {
         let is_away = !self.watchers.store_answers(now);
         if is_away {
             self.replicas.on_store_unavailable();
         }
         if is_away || self.watchers.store_may_be_down(now) {
-            self.replicas.look_out(&self.placing, &self.fleet);
+            self.replicas.poll_health(&self.placing, &self.fleet);
         }
     }
 
@@ -203,8 +203,8 @@
             suspects: crashes.len(),
             limited: self.shared.limits().len(),
             quarantined: crashes.values().filter(|standing| standing.is_quarantined()).count(),
-            config_age: now.saturating_sub(self.configs.heard()),
-            replicas_age: now.saturating_sub(self.replicas.heard()),
+            config_age: now.saturating_sub(self.configs.last_update()),
+            replicas_age: now.saturating_sub(self.replicas.last_update()),
         };
         self.shared.metrics.on_levels(&levels);
         if now >= self.last_levels_line + LEVELS_LINE_INTERVAL {
@@ -269,7 +269,9 @@
             PeerMessage::Copied(run) => self.placing.on_copied(from, run),
             PeerMessage::MoveAway(run, engine) => self.placing.on_move_away(run, engine),
             PeerMessage::Inventory(inventory) => self.placing.on_inventory(from, inventory),
-            PeerMessage::Replicas(news) => self.replicas.on_news(&mut self.placing, &self.fleet, from, news),
+            PeerMessage::Replicas(news) => {
+                self.replicas.on_peer_update(&mut self.placing, &self.fleet, from, news)
+            }
             PeerMessage::Pulse(pulse) => self.on_pulse(pulse),
             PeerMessage::Suspects(told) => self.crashes.on_told(&self.fleet, told),
             PeerMessage::Limits(told) => self.limits.on_told(&mut self.placing.knowledge, &self.fleet, told),
@@ -302,7 +304,7 @@
     fn on_own_pulse(&mut self, number: PulseNumber, store: StoreState) {
         let now = self.shared.now();
         self.watchers.on_own_pulse(store, now);
-        self.look_out(now);
+        self.poll_health(now);
         let settings = &self.shared.settings;
         let (watcher, has_wide_link) = (settings.peer, settings.has_wide_link());
         self.fleet.tell(&PeerMessage::Pulse(Pulse { watcher, has_wide_link, number, store }));
@@ -330,7 +332,7 @@
             self.fleet.on_wide_link(&watcher);
         }
         if self.watchers.on_pulse(&watcher, pulse.number, pulse.store, now) {
-            self.look_out(now);
+            self.poll_health(now);
             self.fleet.pass_on(&PeerMessage::Pulse(pulse));
         }
     }
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -39,11 +39,11 @@
 use crate::shared::unix_millis;
 
 /// Time for a replica to answer that is asked after a run broke there.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// News that a replica leaves may come so much later than its end: through another node, or after a break
 /// in following the store. A replica that ends without a plan is taken off the list only after three
 /// missed heartbeats, some 3 s later.
-const PLANS_COME_WITHIN: Duration = Duration::from_secs(1);
+const MAX_LEAVING_NOTICE_DELAY: Duration = Duration::from_secs(1);
 /// Time between two looks for ends that no longer count.
 const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
@@ -55,7 +55,7 @@
     stored: StoredSuspects,
     rebroadcast: Rebroadcast<Fingerprint>,
     telling_all: TellingAll,
-    forgot: Timestamp,
+    last_forget: Timestamp,
 }
 
 impl CrashIntake {
@@ -68,7 +68,7 @@
             stored: StoredSuspects::default(),
             rebroadcast: Rebroadcast::default(),
             telling_all: TellingAll::default(),
-            forgot: Timestamp::ZERO,
+            last_forget: Timestamp::ZERO,
         }
     }
 
@@ -80,123 +80,129 @@
             return;
         }
         self.pending.on_break(run.replica, run.fingerprint, self.shared.now());
-        self.ask(placing);
+        self.check_pending(placing);
     }
 
     /// Asks replicas at which runs broke, tells news again and writes what is due.
     pub fn tick(&mut self, placing: &Placing, fleet: &Fleet, follows: bool) {
-        self.look_at_list(placing, fleet);
-        self.ask(placing);
+        self.check_list(placing, fleet);
+        self.check_pending(placing);
         let now = self.shared.now();
-        if now >= self.forgot + FORGET_INTERVAL {
-            self.forgot = now;
+        if now >= self.last_forget + FORGET_INTERVAL {
+            self.last_forget = now;
             if self.ledger.forget(unix_millis()) {
                 self.publish();
             }
         }
-        self.tell_again(fleet);
+        self.rebroadcast_due(fleet);
         let role = StoreRole { follows, is_alone: fleet.nodes() == 1 };
         for write in self.stored.writes(&self.ledger, role, now, unix_millis()) {
             tokio::task::spawn_local(suspect_store::write(self.shared.clone(), write));
         }
     }
 
-    fn tell_again(&mut self, fleet: &Fleet) {
-        let told: Vec<Suspect> = self
+    fn rebroadcast_due(&mut self, fleet: &Fleet) {
+        let announced: Vec<Suspect> = self
             .rebroadcast
             .take_due(self.shared.now())
             .iter()
-            .filter_map(|of| self.ledger.get(of))
+            .filter_map(|fingerprint| self.ledger.get(fingerprint))
             .collect();
-        if !told.is_empty() {
-            fleet.pass_on(&PeerMessage::Suspects(told));
+        if !announced.is_empty() {
+            fleet.pass_on(&PeerMessage::Suspects(announced));
         }
     }
 
-    fn ask(&mut self, placing: &Placing) {
-        for of in self.pending.asks(self.shared.now()) {
-            match placing.knowledge.asked_for_health(&of.id) {
+    fn check_pending(&mut self, placing: &Placing) {
+        for incarnation in self.pending.asks(self.shared.now()) {
+            match placing.knowledge.asked_for_health(&incarnation.id) {
                 Some((replica, path)) => {
-                    tokio::task::spawn_local(ask(self.shared.clone(), replica, path));
+                    tokio::task::spawn_local(check_health(self.shared.clone(), replica, path));
                 }
                 None => {
-                    info!(event = "break_unexplained", upstream = &*of.id; "a replica at which a run broke is not known")
+                    info!(event = "break_unexplained", upstream = &*incarnation.id; "a replica at which a run broke is not known")
                 }
             }
         }
     }
 
     /// A replica answered after a run broke there, or did not.
-    pub fn on_asked(&mut self, placing: &Placing, fleet: &Fleet, of: &Incarnation, shown: Shown) {
-        self.look_at_list(placing, fleet);
-        info!(event = "asked_after_break", upstream = &*of.id, shown:? = shown; "a replica was asked as a run broke there");
-        let ended_under = self.pending.on_shown(of, shown);
-        self.on_ended(fleet, of, ended_under);
+    pub fn on_checked_after_break(
+        &mut self,
+        placing: &Placing,
+        fleet: &Fleet,
+        incarnation: &Incarnation,
+        result: Shown,
+    ) {
+        self.check_list(placing, fleet);
+        info!(event = "asked_after_break", upstream = &*incarnation.id, shown:? = result; "a replica was asked as a run broke there");
+        let fingerprints = self.pending.on_shown(incarnation, result);
+        self.on_ended(fleet, incarnation, fingerprints);
     }
 
     /// The list of replicas tells of some that they ended.
-    fn look_at_list(&mut self, placing: &Placing, fleet: &Fleet) {
+    fn check_list(&mut self, placing: &Placing, fleet: &Fleet) {
         let pending: Vec<(Incarnation, Timestamp)> =
             self.pending.replicas().map(|(replica, since)| (replica.clone(), since)).collect();
-        for (of, since) in pending {
-            let Some(replica) = placing.knowledge.replicas.get(&of.id) else {
+        for (incarnation, since) in pending {
+            let Some(replica) = placing.knowledge.replicas.get(&incarnation.id) else {
                 continue;
             };
-            let is_later_start = replica.record.born > of.born && of.born > 0;
-            let is_planned = replica.leaving_since < since + PLANS_COME_WITHIN;
+            let has_restarted = replica.record.born > incarnation.born && incarnation.born > 0;
+            let is_planned = replica.leaving_since < since + MAX_LEAVING_NOTICE_DELAY;
             match replica.leaving {
-                _ if is_later_start => self.on_gone(fleet, &of),
-                Some(LeavingSign::Listed | LeavingSign::Announced) => self.pending.on_lives(&of),
-                Some(_) if is_planned => self.pending.on_lives(&of),
+                _ if has_restarted => self.on_gone(fleet, &incarnation),
+                Some(LeavingSign::Listed | LeavingSign::Announced) => self.pending.on_lives(&incarnation),
+                Some(_) if is_planned => self.pending.on_lives(&incarnation),
                 Some(LeavingSign::Unlisted | LeavingSign::Expired | LeavingSign::Replaced) => {
-                    self.on_gone(fleet, &of)
+                    self.on_gone(fleet, &incarnation)
                 }
                 Some(LeavingSign::ReportedByPeer | LeavingSign::Unhealthy) | None => {}
             }
         }
     }
 
-    fn on_gone(&mut self, fleet: &Fleet, of: &Incarnation) {
-        let ended_under = self.pending.on_gone(of);
-        self.on_ended(fleet, of, ended_under);
+    fn on_gone(&mut self, fleet: &Fleet, incarnation: &Incarnation) {
+        let fingerprints = self.pending.on_gone(incarnation);
+        self.on_ended(fleet, incarnation, fingerprints);
     }
 
-    fn on_ended(&mut self, fleet: &Fleet, of: &Incarnation, ended_under: BTreeSet<Fingerprint>) {
-        let mut news = Vec::new();
-        for fingerprint in ended_under {
+    fn on_ended(&mut self, fleet: &Fleet, incarnation: &Incarnation, fingerprints: BTreeSet<Fingerprint>) {
+        let mut updated = Vec::new();
+        for fingerprint in fingerprints {
             self.stored.on_own_end(fingerprint);
-            news.extend(self.ledger.on_end(fingerprint, of.clone(), unix_millis()));
+            updated.extend(self.ledger.on_end(fingerprint, incarnation.clone(), unix_millis()));
         }
-        self.tell_news(fleet, news);
+        self.announce(fleet, updated);
     }
 
     /// Publishes what is news here, and tells other nodes.
-    fn tell_news(&mut self, fleet: &Fleet, news: Vec<Suspect>) {
-        if !news.is_empty() {
-            self.on_change(&news);
-            fleet.tell(&PeerMessage::Suspects(news));
+    fn announce(&mut self, fleet: &Fleet, updated: Vec<Suspect>) {
+        if !updated.is_empty() {
+            self.on_change(&updated);
+            fleet.tell(&PeerMessage::Suspects(updated));
         }
     }
 
     /// A request that something speaks against ended well.
-    pub fn on_ran_well(&mut self, fleet: &Fleet, fingerprint: Fingerprint) {
+    pub fn on_run_succeeded(&mut self, fleet: &Fleet, fingerprint: Fingerprint) {
         self.clear(fleet, fingerprint, "it ended well");
     }
 
-    fn clear(&mut self, fleet: &Fleet, fingerprint: Fingerprint, why: &str) {
-        let news = self.ledger.clear(fingerprint);
-        if !news.is_empty() {
-            warn!(event = "request_cleared", fingerprint:% = fingerprint, reason = why; "nothing speaks against a request any more");
+    fn clear(&mut self, fleet: &Fleet, fingerprint: Fingerprint, reason: &str) {
+        let updated = self.ledger.clear(fingerprint);
+        if !updated.is_empty() {
+            warn!(event = "request_cleared", fingerprint:% = fingerprint, reason = reason; "nothing speaks against a request any more");
         }
-        self.tell_news(fleet, news);
+        self.announce(fleet, updated);
     }
 
     /// Another node told what it knows.
-    pub fn on_told(&mut self, fleet: &Fleet, told: Vec<Suspect>) {
-        let news = self.ledger.take(told, unix_millis());
-        if !news.is_empty() {
-            self.on_change(&news);
-            fleet.pass_on(&PeerMessage::Suspects(news));
+    pub fn on_told(&mut self, fleet: &Fleet, announced: Vec<Suspect>) {
+        let updated = self.ledger.take(announced, unix_millis());
+        if !updated.is_empty() {
+            self.on_change(&updated);
+            fleet.pass_on(&PeerMessage::Suspects(updated));
         }
     }
 
@@ -209,54 +215,55 @@
     }
 
     /// The store told what it holds.
-    pub fn on_store_news(&mut self, fleet: &Fleet, news: News<Suspect>) {
+    pub fn on_store_news(&mut self, fleet: &Fleet, update: News<Suspect>) {
         let mut removed = Vec::new();
-        let mut told = Vec::new();
-        match news {
+        let mut announced = Vec::new();
+        match update {
             News::Listed { list, .. } => {
                 removed = self.stored.on_listed(&list.items, list.at);
-                told = list.items;
+                announced = list.items;
             }
             News::Changed(changes) => {
                 for event in changes.events {
                     match event {
                         Change::Put(suspect) => {
                             self.stored.on_kept(&suspect, changes.at);
-                            told.push(suspect);
+                            announced.push(suspect);
                         }
                         Change::Gone(name) => removed.extend(
-                            Fingerprint::parse(&name).filter(|of| self.stored.on_removed(of, changes.at)),
+                            Fingerprint::parse(&name)
+                                .filter(|fingerprint| self.stored.on_removed(fingerprint, changes.at)),
                         ),
                         Change::Unreadable(_) => {}
                     }
                 }
             }
         }
-        let news = self.ledger.take(told, unix_millis());
-        self.tell_news(fleet, news);
+        let updated = self.ledger.take(announced, unix_millis());
+        self.announce(fleet, updated);
         for fingerprint in removed {
             self.clear(fleet, fingerprint, "its object was removed");
         }
     }
 
     /// A write to the store ended.
-    pub fn on_stored(&mut self, fleet: &Fleet, of: Fingerprint, stored: Option<StoredSuspect>) {
-        self.stored.on_write_ended(of, stored.is_some(), self.shared.now());
+    pub fn on_stored(&mut self, fleet: &Fleet, fingerprint: Fingerprint, stored: Option<StoredSuspect>) {
+        self.stored.on_write_ended(fingerprint, stored.is_some(), self.shared.now());
         match stored {
             Some(StoredSuspect::Kept(suspect, at)) => {
                 self.stored.on_kept(&suspect, at);
                 self.on_told(fleet, vec![suspect]);
             }
-            Some(StoredSuspect::Removed) => drop(self.stored.on_removed(&of, u64::MAX)),
+            Some(StoredSuspect::Removed) => drop(self.stored.on_removed(&fingerprint, u64::MAX)),
             None => {}
         }
     }
 
-    fn on_change(&mut self, news: &[Suspect]) {
+    fn on_change(&mut self, updated: &[Suspect]) {
         let before = self.shared.crashes();
         self.publish();
         let after = self.shared.crashes();
-        for suspect in news {
+        for suspect in updated {
             if self.ledger.is_agreed_on(&suspect.fingerprint) {
                 self.rebroadcast.on_update(suspect.fingerprint);
             }
@@ -287,12 +294,12 @@
     }
 }
 
-async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
-    let shown = match health::ask(&replica, &path, ASK_LIMIT).await {
+async fn check_health(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
+    let result = match health::ask(&replica, &path, HEALTH_CHECK_TIMEOUT).await {
         Health::Well { .. } | Health::Unwell | Health::Leaving => Shown::Lives,
         Health::Other => Shown::Replaced,
         Health::Closed => Shown::PortClosed,
         Health::Silent => Shown::Silent,
     };
-    shared.tell(ToControl::AskedAfterBreak(replica.incarnation(), shown));
+    shared.tell(ToControl::AskedAfterBreak(replica.incarnation(), result));
 }
--- a/node/src/gateway/control/first_read.rs
+++ b/node/src/gateway/control/first_read.rs
@@ -17,7 +17,7 @@
 
 /// Reads everything but the configuration once it is this node's turn, and again when that failed; ends when the
 /// replicas are known.
-pub async fn read_unless_told(shared: Arc<Shared>) {
+pub async fn read_until_replicas_known(shared: Arc<Shared>) {
     let settings = &shared.settings;
     let is_seed =
         settings.seeds.is_empty() || settings.seeds.iter().any(|seed| seed.ip() == settings.peer.ip());
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -24,38 +24,38 @@
 use crate::gateway::shared::Shared;
 
 /// Pause after the first failed call. Calls are priced, refused ones too.
-const LEAST_PAUSE: Duration = Duration::from_millis(150);
+const MIN_BACKOFF: Duration = Duration::from_millis(150);
 /// Longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Fields without a decision that the log tells of a kind at most.
-const MOST_NOTED: usize = 32;
+const MAX_LOGGED_FIELDS: usize = 32;
 /// The first watch after a failed call waits so long: its answer shows that the store is back.
-const FIRST_AFTER_FAILURE: Duration = Duration::from_millis(1);
+const RECONNECT_WATCH_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// How this node follows the store; it changes while it does.
 pub type Role = Rc<Cell<WatchRole>>;
 
 /// How often a follower asks the store.
-pub struct Pace {
+pub struct FollowOptions {
     /// The node's role.
     pub role: Role,
     /// Whether changes are gathered, as long as the role says, before the next question.
-    pub gathers: bool,
+    pub is_batching: bool,
     /// Whether something else tells of changes too, should a watch's connection fall silent: then each
     /// watch waits as long as a standby's.
-    pub is_backed: bool,
+    pub has_other_source: bool,
 }
 
-impl Pace {
+impl FollowOptions {
     /// How long one watch waits at the store.
     fn watch_timeout(&self) -> Duration {
-        let role = if self.is_backed { WatchRole::Standby } else { self.role.get() };
+        let role = if self.has_other_source { WatchRole::Standby } else { self.role.get() };
         role.watch_timeout()
     }
 
     /// Pause between a change and the next watch.
     fn batch_delay(&self) -> Duration {
-        if self.gathers { self.role.get().batch_delay() } else { Duration::ZERO }
+        if self.is_batching { self.role.get().batch_delay() } else { Duration::ZERO }
     }
 }
 
@@ -67,7 +67,7 @@
         Age::SomeSeconds => StoreCall::Start,
         Age::Newest => StoreCall::Read,
     };
-    match store.list::<K>(age, note_unreadable::<K>).await {
+    match store.list::<K>(age, log_unreadable::<K>).await {
         Ok(list) => {
             shared.metrics.on_store_call(purpose, true);
             shared.tell(wrap(News::Listed { list, after_outage: true }));
@@ -82,24 +82,28 @@
 }
 
 /// Follows the kind `K` until the process ends, and tells the control loop what it learns.
-pub async fn follow<K: Kind>(shared: Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl, pace: Pace) {
+pub async fn follow<K: Kind>(
+    shared: Arc<Shared>,
+    wrap: fn(News<K::Item>) -> ToControl,
+    options: FollowOptions,
+) {
     let store = Store::new(shared.settings.store);
-    let backoff = Backoff::new(LEAST_PAUSE, LONGEST_PAUSE);
+    let backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     let mut follower = Follower::<K> {
         store,
         shared,
         wrap,
-        pace,
+        options,
         age: K::FIRST_AGE,
-        at: None,
-        is_new: true,
+        watch_from: None,
+        is_unwatched: true,
         era: None,
-        lost: false,
+        is_lost: false,
         backoff,
-        noted: BTreeSet::new(),
+        logged_fields: BTreeSet::new(),
     };
     loop {
-        if let Err(err) = follower.ask().await {
+        if let Err(err) = follower.poll().await {
             follower.on_error(err).await;
         }
     }
@@ -109,53 +113,53 @@
     store: Store,
     shared: Arc<Shared>,
     wrap: fn(News<K::Item>) -> ToControl,
-    pace: Pace,
+    options: FollowOptions,
     /// How old the next list may be.
     age: Age,
     /// The revision to watch from; without one the kind is listed.
-    at: Option<Revision>,
+    watch_from: Option<Revision>,
     /// The revision to watch from has not been watched from yet.
-    is_new: bool,
+    is_unwatched: bool,
     /// The era of the last answer.
     era: Option<Era>,
     /// The last call had no answer.
-    lost: bool,
+    is_lost: bool,
     backoff: Backoff,
     /// Fields that nobody has decided on, as far as the log has told them.
-    noted: BTreeSet<String>,
+    logged_fields: BTreeSet<String>,
 }
 
 impl<K: Kind> Follower<K> {
-    async fn ask(&mut self) -> Result<(), StoreError> {
-        match self.at {
+    async fn poll(&mut self) -> Result<(), StoreError> {
+        match self.watch_from {
             Some(at) => self.watch(at).await,
             None => self.list().await,
         }
     }
 
     async fn list(&mut self) -> Result<(), StoreError> {
-        let list = self.store.list::<K>(self.age, note_unreadable::<K>).await;
+        let list = self.store.list::<K>(self.age, log_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::List, list.is_ok());
         let list = list?;
-        self.note_undecided(&list.undecided);
+        self.log_undecided(&list.undecided);
         // If the history does not reach back to an old list, the next one is to be new.
         self.age = Age::Newest;
-        self.is_new = true;
+        self.is_unwatched = true;
         let after_outage = self.on_answer(list.at);
         self.shared.tell((self.wrap)(News::Listed { list, after_outage }));
         Ok(())
     }
 
     async fn watch(&mut self, at: Revision) -> Result<(), StoreError> {
-        let wait = if self.lost { FIRST_AFTER_FAILURE } else { self.pace.watch_timeout() };
-        let changes = self.store.watch::<K>(at, wait, note_unreadable::<K>).await;
+        let timeout = if self.is_lost { RECONNECT_WATCH_TIMEOUT } else { self.options.watch_timeout() };
+        let changes = self.store.watch::<K>(at, timeout, log_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::Watch, changes.is_ok());
         let changes = changes?;
-        self.note_undecided(&changes.undecided);
-        self.is_new = false;
+        self.log_undecided(&changes.undecided);
+        self.is_unwatched = false;
         self.on_answer(changes.at);
         self.shared.tell((self.wrap)(News::Changed(changes)));
-        let pause = self.pace.batch_delay();
+        let pause = self.options.batch_delay();
         if !pause.is_zero() {
             tokio::time::sleep(pause).await;
         }
@@ -163,9 +167,9 @@
     }
 
     /// Logs each field once that nobody has decided on: the platform may ask for something that is not built.
-    fn note_undecided(&mut self, undecided: &BTreeSet<String>) {
+    fn log_undecided(&mut self, undecided: &BTreeSet<String>) {
         for field in undecided {
-            if self.noted.len() < MOST_NOTED && self.noted.insert(field.clone()) {
+            if self.logged_fields.len() < MAX_LOGGED_FIELDS && self.logged_fields.insert(field.clone()) {
                 warn!(event = "field_undecided", kind = K::NAME, field = field.as_str(); "an object has a field that is not read, and nobody has said why");
             }
         }
@@ -178,10 +182,10 @@
         if before.is_some_and(|before| before != era) {
             info!(event = "store_era", kind = K::NAME, before:? = before, now = era, revision = number; "the store has come back from a copy");
         }
-        self.at = Some(at);
+        self.watch_from = Some(at);
         self.backoff.reset();
         self.shared.set_store_answers(true);
-        let after_outage = std::mem::take(&mut self.lost);
+        let after_outage = std::mem::take(&mut self.is_lost);
         if after_outage {
             info!(event = "store_regained", kind = K::NAME, revision = number; "the store answers again");
         }
@@ -191,19 +195,19 @@
     async fn on_error(&mut self, err: StoreError) {
         match err {
             StoreError::HistoryGone => {
-                self.at = None;
+                self.watch_from = None;
                 info!(event = "store_history_gone", kind = K::NAME; "the store's history is gone: lists anew");
-                if self.is_new {
+                if self.is_unwatched {
                     // A store that keeps no history at all must not be listed without end.
-                    tokio::time::sleep(LONGEST_PAUSE).await;
+                    tokio::time::sleep(MAX_BACKOFF).await;
                 }
             }
             StoreError::OtherEra => {
-                self.at = None;
+                self.watch_from = None;
                 info!(event = "store_era_ended", kind = K::NAME; "the store came back from a copy: lists anew");
             }
             StoreError::TooManyChanges(most) => {
-                self.at = None;
+                self.watch_from = None;
                 info!(event = "store_changes_skipped", kind = K::NAME, most; "much has changed: lists anew");
             }
             err => self.on_failure(err).await,
@@ -214,10 +218,10 @@
         // What does not lapse in an outage is watched on from where it was: the configuration is up to
         // 1 MB, 0.84 s of a link of 10 Mbit/s, and each list is priced.
         if K::LAPSES {
-            self.at = None;
+            self.watch_from = None;
         }
         self.shared.set_store_answers(false);
-        if !std::mem::replace(&mut self.lost, true) {
+        if !std::mem::replace(&mut self.is_lost, true) {
             warn!(event = "store_lost", kind = K::NAME, reason:% = err; "the store does not answer");
         }
         let pause = self.backoff.next(&mut rand::rng());
@@ -226,6 +230,6 @@
 }
 
 /// Logs that an object can't be read.
-pub fn note_unreadable<K: Kind>(name: &str, err: &serde_json::Error) {
+pub fn log_unreadable<K: Kind>(name: &str, err: &serde_json::Error) {
     warn!(event = "object_unreadable", kind = K::NAME, name, reason:% = err; "an object of the store can't be read");
 }
--- a/node/src/gateway/control/lookout.rs
+++ b/node/src/gateway/control/health_poller.rs
@@ -16,41 +16,41 @@
 use crate::gateway::shared::Shared;
 
 /// Looks out for engines that leave.
-pub struct Lookout {
+pub struct HealthPoller {
     shared: Arc<Shared>,
-    asked: health_polls::HealthPolls,
+    polls: health_polls::HealthPolls,
 }
 
-impl Lookout {
+impl HealthPoller {
     /// Looks out for nothing yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        Lookout { shared, asked: health_polls::HealthPolls::default() }
+        HealthPoller { shared, polls: health_polls::HealthPolls::default() }
     }
 
     /// An engine answered.
     pub fn on_health(&mut self, replica: &UpstreamId, now: Timestamp) {
-        self.asked.on_answer(replica, now);
+        self.polls.on_answer(replica, now);
     }
 
     /// Asks engines if it is time; each comes with the path of its health.
-    pub fn ask_all(&mut self, now: Timestamp, engines: Vec<(Arc<ReplicaRecord>, String)>) {
-        self.asked.forget(now);
+    pub fn poll_all(&mut self, now: Timestamp, engines: Vec<(Arc<ReplicaRecord>, String)>) {
+        self.polls.forget(now);
         for engine in engines {
-            self.ask_about(Some(engine), now);
+            self.poll(Some(engine), now);
         }
     }
 
     /// Asks a replica for its health, unless it was asked just now.
-    pub fn ask_about(&mut self, replica: Option<(Arc<ReplicaRecord>, String)>, now: Timestamp) {
+    pub fn poll(&mut self, replica: Option<(Arc<ReplicaRecord>, String)>, now: Timestamp) {
         if let Some((replica, path)) = replica
-            && self.asked.start_if_due(&replica.id, now)
+            && self.polls.start_if_due(&replica.id, now)
         {
-            tokio::task::spawn_local(ask(self.shared.clone(), replica, path));
+            tokio::task::spawn_local(poll(self.shared.clone(), replica, path));
         }
     }
 }
 
-async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
+async fn poll(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
     let health = health::ask(&replica, &path, HEALTH_TIMEOUT).await;
     shared.tell(ToControl::Health(replica.incarnation(), health));
 }
--- a/node/src/gateway/control/judged_services.rs
+++ b/node/src/gateway/control/judged_services.rs
@@ -14,7 +14,7 @@
 
 impl JudgedServices {
     /// A service's upgrade is judged until a moment.
-    pub fn note(&mut self, service: &ServiceId, until: Timestamp) {
+    pub fn set_judged_until(&mut self, service: &ServiceId, until: Timestamp) {
         match self.0.get_mut(service) {
             Some(known) => *known = until,
             None => drop(self.0.insert(service.clone(), until)),
--- a/node/src/gateway/control/knowledge.rs
+++ b/node/src/gateway/control/knowledge.rs
@@ -26,8 +26,8 @@
 use leadstage_lib::ids::VmId;
 use log::info;
 
+use crate::gateway::control::canary_cache::CanaryCache;
 use crate::gateway::control::judged_services::JudgedServices;
-use crate::gateway::control::tried_replicas::TriedReplicas;
 use crate::gateway::peers::peer_message::Wanted;
 use crate::gateway::shared::Shared;
 
@@ -44,7 +44,7 @@
     pub limits: RefCell<ReplicaRateLimiter>,
     /// The model services that this node leads.
     led: Vec<ServiceId>,
-    tried: TriedReplicas,
+    tried: CanaryCache,
     /// Services whose upgrades are judged by what this node sees.
     pub judged: JudgedServices,
 }
@@ -61,7 +61,7 @@
             cold: RefCell::new(ColdStartLimiter::new(own)),
             limits: RefCell::default(),
             led: Vec::new(),
-            tried: TriedReplicas::default(),
+            tried: CanaryCache::default(),
             judged: JudgedServices::default(),
         }
     }
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -33,7 +33,7 @@
 use log::warn;
 use tokio::sync::oneshot;
 
-use crate::gateway::control::lookout::Lookout;
+use crate::gateway::control::health_poller::HealthPoller;
 use crate::gateway::control::placing::Placing;
 use crate::gateway::messages::Fetched;
 use crate::gateway::messages::HandedReplicas;
@@ -50,46 +50,46 @@
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 /// Replicas that are listed at once and get a line each; a starting node would else write a thousand,
 /// of which the log's limit leaves 300, and lose what it says next.
-const MOST_LOGGED_ALONE: usize = 50;
+const MAX_LOGGED_INDIVIDUALLY: usize = 50;
 /// What the nodes that are told one part of some news take of the link, in bits.
 const PART_BITS: f64 = 8.0 * 9_000.0 * 8.0;
 /// Part of the link that is for it.
-const PART_OF_LINK: f64 = 0.5;
+const LINK_SHARE: f64 = 0.5;
 /// The way of news of the replicas into this node, and on to others.
 pub struct ReplicaIntake {
     shared: Arc<Shared>,
-    lookout: Lookout,
-    gathering: UpdateBatcher,
+    health_poller: HealthPoller,
+    batcher: UpdateBatcher,
     /// Parts of news that are to be told, one after the other.
-    parts: VecDeque<ReplicaUpdate>,
+    pending_parts: VecDeque<ReplicaUpdate>,
     relay: UpdateRelay,
     /// Up to which revision of the store the replicas are known.
     progress: UpdateProgress,
     /// When news last came.
-    heard: Timestamp,
-    lapses: StoreOutages,
+    last_update: Timestamp,
+    outages: StoreOutages,
     /// This node follows the store.
-    follows: bool,
+    is_watcher: bool,
     /// The whole list as other nodes are handed it, and up to which revision it holds.
     packed: Option<(Revision, Bytes)>,
-    lack: ReplicaCatchUp,
+    catch_up: ReplicaCatchUp,
 }
 
 impl ReplicaIntake {
     /// Nothing has come yet.
     pub fn new(shared: Arc<Shared>) -> Self {
         ReplicaIntake {
-            lookout: Lookout::new(shared.clone()),
+            health_poller: HealthPoller::new(shared.clone()),
             shared,
-            gathering: UpdateBatcher::default(),
-            parts: VecDeque::new(),
+            batcher: UpdateBatcher::default(),
+            pending_parts: VecDeque::new(),
             relay: UpdateRelay::default(),
             progress: UpdateProgress::default(),
-            heard: Timestamp::ZERO,
-            lapses: StoreOutages::default(),
-            follows: false,
+            last_update: Timestamp::ZERO,
+            outages: StoreOutages::default(),
+            is_watcher: false,
             packed: None,
-            lack: ReplicaCatchUp::new(&mut rand::rng()),
+            catch_up: ReplicaCatchUp::new(&mut rand::rng()),
         }
     }
 
@@ -100,14 +100,14 @@
     }
 
     /// When news last came.
-    pub fn heard(&self) -> Timestamp {
-        self.heard
+    pub fn last_update(&self) -> Timestamp {
+        self.last_update
     }
 
     /// Takes replicas that stayed missing for gone. Who follows the store tells the others, whose revision is the same.
-    pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet, follows: bool) {
+    pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet, is_watcher: bool) {
         let replicas = &mut placing.knowledge.replicas;
-        if std::mem::replace(&mut self.follows, follows) && !follows {
+        if std::mem::replace(&mut self.is_watcher, is_watcher) && !is_watcher {
             replicas.forget_missing();
         }
         let change = replicas.tick(self.shared.now(), FORGET_AFTER);
@@ -116,17 +116,17 @@
         }
         let leaving = replicas.leaving_of(&change.leaving);
         self.on_list_change(placing, &change, 0);
-        if follows {
-            self.tell_departures(placing, fleet, leaving);
+        if is_watcher {
+            self.announce_departures(placing, fleet, leaving);
         }
     }
 
     /// Tells that replicas leave, with no new revision.
-    fn tell_departures(&self, placing: &Placing, fleet: &Fleet, leaving: Vec<Incarnation>) {
+    fn announce_departures(&self, placing: &Placing, fleet: &Fleet, leaving: Vec<Incarnation>) {
         let count = leaving.len();
-        let news = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
-        match news.into_parts(placing.knowledge.replicas.len()) {
-            Some(parts) => parts.iter().for_each(|part| self.tell(fleet, part)),
+        let update = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
+        match update.into_parts(placing.knowledge.replicas.len()) {
+            Some(parts) => parts.iter().for_each(|part| self.send_update(fleet, part)),
             None => {
                 info!(event = "news_not_told", added = 0, leaving = count, at = 0; "more has changed than is told")
             }
@@ -134,7 +134,7 @@
     }
 
     /// Packs what another node lacks. The whole list is packed once for all that ask for it until it changes.
-    pub fn hand_out(&mut self, placing: &Placing, known: Revision, reply: oneshot::Sender<Bytes>) {
+    pub fn serve_list(&mut self, placing: &Placing, known: Revision, reply: oneshot::Sender<Bytes>) {
         if let Some((at, packed)) = &self.packed
             && known == 0
             && *at == self.progress.at()
@@ -159,49 +159,64 @@
 
     /// The store answers nobody: entries may lapse.
     pub fn on_store_unavailable(&mut self) {
-        self.lapses.on_store_unavailable(self.shared.now());
+        self.outages.on_store_unavailable(self.shared.now());
     }
 
     /// Asks the engines that this node leads whether they leave: the store may not tell.
-    pub fn look_out(&mut self, placing: &Placing, fleet: &Fleet) {
+    pub fn poll_health(&mut self, placing: &Placing, fleet: &Fleet) {
         if self.shared.settings.policy.look_out {
-            self.lookout.ask_all(self.shared.now(), placing.engines_in_use(fleet));
+            self.health_poller.poll_all(self.shared.now(), placing.engines_in_use(fleet));
         }
     }
 
     /// A replica showed this node that it leaves: in an answer, or when it was asked for its health.
-    pub fn on_sign(&mut self, placing: &mut Placing, fleet: &Fleet, of: &Incarnation, sign: LeavingSign) {
+    pub fn on_sign(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        incarnation: &Incarnation,
+        sign: LeavingSign,
+    ) {
         let replicas = &mut placing.knowledge.replicas;
-        let was_leaving = replicas.get(&of.id).is_some_and(|replica| replica.leaving.is_some());
+        let was_leaving = replicas.get(&incarnation.id).is_some_and(|replica| replica.leaving.is_some());
         // A stronger sign of what is known holds against more, and is no news to others.
-        if !replicas.on_sign(of, sign, self.shared.now()) || was_leaving {
+        if !replicas.on_sign(incarnation, sign, self.shared.now()) || was_leaving {
             return;
         }
-        let change = ListChange { leaving: vec![of.id.clone()], ..ListChange::default() };
-        self.after_news(placing, &change, 0);
-        self.tell(fleet, &ReplicaUpdate { leaving: vec![of.clone()], ..ReplicaUpdate::default() });
+        let change = ListChange { leaving: vec![incarnation.id.clone()], ..ListChange::default() };
+        self.after_update(placing, &change, 0);
+        self.send_update(
+            fleet,
+            &ReplicaUpdate { leaving: vec![incarnation.clone()], ..ReplicaUpdate::default() },
+        );
     }
 
     /// A replica was asked for its health.
-    pub fn on_health(&mut self, placing: &mut Placing, fleet: &Fleet, of: Incarnation, health: Health) {
+    pub fn on_health(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        incarnation: Incarnation,
+        health: Health,
+    ) {
         let now = self.shared.now();
-        self.lookout.on_health(&of.id, now);
+        self.health_poller.on_health(&incarnation.id, now);
         let sign = match health {
-            Health::Well { cold } => return placing.knowledge.replicas.on_cold(&of.id, cold, now),
+            Health::Well { cold } => return placing.knowledge.replicas.on_cold(&incarnation.id, cold, now),
             Health::Unwell => LeavingSign::Unhealthy,
             Health::Leaving => LeavingSign::Announced,
             Health::Other => LeavingSign::Replaced,
             Health::Silent | Health::Closed => {
-                return placing.knowledge.replicas.on_incarnation_failure(&of, now);
+                return placing.knowledge.replicas.on_incarnation_failure(&incarnation, now);
             }
         };
-        self.on_sign(placing, fleet, &of, sign);
+        self.on_sign(placing, fleet, &incarnation, sign);
     }
 
     /// The store told of its replicas.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<ReplicaRecord>) {
+    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, update: News<ReplicaRecord>) {
         let (before, now) = (self.progress.at(), self.shared.now());
-        let at = match &news {
+        let at = match &update {
             News::Listed { list, .. } => list.at,
             News::Changed(changes) => changes.at,
         };
@@ -209,16 +224,16 @@
             info!(event = "store_era_old", era = revision::era(at), known = revision::era(before); "an answer of the store is older than its return from a copy");
             return;
         }
-        let change = match news {
+        let change = match update {
             News::Listed { list, after_outage } => {
-                self.note_era(at);
-                let lapses = after_outage || self.lapses.missing_since(now).is_some();
-                placing.knowledge.replicas.on_store_list(list.items, at, lapses, now)
+                self.check_era(at);
+                let may_have_expired = after_outage || self.outages.missing_since(now).is_some();
+                placing.knowledge.replicas.on_store_list(list.items, at, may_have_expired, now)
             }
             News::Changed(changes) => self.on_changes(placing, changes),
         };
         self.progress.on_known(at);
-        self.after_news(placing, &change, at);
+        self.after_update(placing, &change, at);
         if before == 0 {
             fleet.announce_replicas();
         }
@@ -230,18 +245,18 @@
         // Without any change too, so that nobody takes the new revision for missed news.
         if at > before && before > 0 {
             let part = Part::default();
-            self.gather(placing, fleet, ReplicaUpdate { before, at, added, leaving, part });
+            self.batch(placing, fleet, ReplicaUpdate { before, at, added, leaving, part });
         } else if before > 0 && !(added.is_empty() && leaving.is_empty()) {
             info!(event = "news_kept", added = added.len(), leaving = leaving.len(), at, before; "news of the store is no newer than what is known, and not told");
         }
     }
 
     /// What a copy lacks is not gone: replicas write their entries again.
-    fn note_era(&mut self, at: Revision) {
+    fn check_era(&mut self, at: Revision) {
         let before = self.progress.at();
         if before > 0 && revision::era(at) > revision::era(before) {
             info!(event = "store_copy", era = revision::era(at), revision = revision::number(at); "the store has come back from a copy, which may lack replicas");
-            self.lapses.on_store_unavailable(self.shared.now());
+            self.outages.on_store_unavailable(self.shared.now());
         }
     }
 
@@ -252,11 +267,11 @@
             match event {
                 Change::Put(record) => placing.knowledge.replicas.on_entry(record, now, &mut change),
                 // What is no longer an entry of a replica names none to use.
-                Change::Gone(id) | Change::Unreadable(id) => match self.lapses.missing_since(now) {
+                Change::Gone(id) | Change::Unreadable(id) => match self.outages.missing_since(now) {
                     Some(since) => {
                         info!(event = "replica_missing", upstream = id; "a replica is no longer listed, perhaps because the store was away");
                         placing.knowledge.replicas.on_missing(&id, since);
-                        self.lookout.ask_about(placing.knowledge.asked_for_health(&id), now);
+                        self.health_poller.poll(placing.knowledge.asked_for_health(&id), now);
                     }
                     None => placing.knowledge.replicas.on_unlisted(&id, now, &mut change),
                 },
@@ -266,46 +281,46 @@
     }
 
     /// Tells other nodes, together with what follows soon.
-    fn gather(&mut self, placing: &Placing, fleet: &Fleet, news: ReplicaUpdate) {
-        match self.gathering.add(news, self.shared.now()) {
-            Some(Duration::ZERO) => self.tell_gathered(placing, fleet),
+    fn batch(&mut self, placing: &Placing, fleet: &Fleet, update: ReplicaUpdate) {
+        match self.batcher.add(update, self.shared.now()) {
+            Some(Duration::ZERO) => self.send_updates(placing, fleet),
             Some(pause) => self.shared.tell_after(pause, ToControl::TellReplicas),
             None => {}
         }
     }
 
     /// Tells other nodes what was gathered.
-    pub fn tell_gathered(&mut self, placing: &Placing, fleet: &Fleet) {
+    pub fn send_updates(&mut self, placing: &Placing, fleet: &Fleet) {
         let replicas = placing.knowledge.replicas.len();
-        let Some(news) = self.gathering.take(replicas, self.shared.now()) else {
+        let Some(update) = self.batcher.take(replicas, self.shared.now()) else {
             return;
         };
-        let (added, leaving, at) = (news.added.len(), news.leaving.len(), news.at);
-        let Some(parts) = news.into_parts(replicas) else {
+        let (added, leaving, at) = (update.added.len(), update.leaving.len(), update.at);
+        let Some(parts) = update.into_parts(replicas) else {
             info!(event = "news_not_told", added, leaving, at; "more has changed than is told: other nodes fetch it");
             return;
         };
-        let is_idle = self.parts.is_empty();
-        self.parts.extend(parts);
+        let is_idle = self.pending_parts.is_empty();
+        self.pending_parts.extend(parts);
         if is_idle {
-            self.tell_part(fleet);
+            self.send_next_part(fleet);
         }
     }
 
     /// Tells the next part, and the one after it when the link has carried that.
-    pub fn tell_part(&mut self, fleet: &Fleet) {
-        let Some(part) = self.parts.pop_front() else {
+    pub fn send_next_part(&mut self, fleet: &Fleet) {
+        let Some(part) = self.pending_parts.pop_front() else {
             return;
         };
-        self.tell(fleet, &part);
-        if !self.parts.is_empty() {
-            let link = self.shared.settings.link_bits_per_second() * PART_OF_LINK;
+        self.send_update(fleet, &part);
+        if !self.pending_parts.is_empty() {
+            let link = self.shared.settings.link_bits_per_second() * LINK_SHARE;
             self.shared.tell_after(Duration::from_secs_f64(PART_BITS / link), ToControl::TellPart);
         }
     }
 
-    fn tell(&self, fleet: &Fleet, news: &ReplicaUpdate) {
-        match news.pack() {
+    fn send_update(&self, fleet: &Fleet, update: &ReplicaUpdate) {
+        match update.pack() {
             Ok(packed) => fleet.tell(&PeerMessage::Replicas(packed)),
             Err(err) => {
                 warn!(event = "replicas_unwritable", reason:% = err; "news of the replicas can't be packed")
@@ -314,13 +329,19 @@
     }
 
     /// A watcher learnt of replicas. What is new here is passed on.
-    pub fn on_news(&mut self, placing: &mut Placing, fleet: &Fleet, from: SocketAddr, packed: PackedUpdate) {
+    pub fn on_peer_update(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        from: SocketAddr,
+        packed: PackedUpdate,
+    ) {
         let is_sign = packed.at == 0;
         if !is_sign && self.progress.has(&packed) {
             return;
         }
-        let news = match packed.unpack() {
-            Ok(news) => news,
+        let update = match packed.unpack() {
+            Ok(update) => update,
             Err(err) => {
                 info!(event = "news_unreadable", from:% = from, reason:% = err; "another node's news can't be read");
                 return;
@@ -328,7 +349,7 @@
         };
         let now = self.shared.now();
         let mut change = ListChange::default();
-        for record in &news.added {
+        for record in &update.added {
             // One that is thought to leave may stay after all; one may have started again, or be cold.
             let known = placing.knowledge.replicas.get(&record.id);
             let is_new = |known: &Replica| {
@@ -338,27 +359,27 @@
                 placing.knowledge.replicas.on_entry(record.clone(), now, &mut change);
             }
         }
-        for of in &news.leaving {
-            if placing.knowledge.replicas.on_sign(of, LeavingSign::ReportedByPeer, now) {
-                change.leaving.push(of.id.clone());
+        for incarnation in &update.leaving {
+            if placing.knowledge.replicas.on_sign(incarnation, LeavingSign::ReportedByPeer, now) {
+                change.leaving.push(incarnation.id.clone());
             }
         }
-        let is_news = !change.added.is_empty() || !change.leaving.is_empty();
-        if !is_sign && self.progress.on_part(&news) {
+        let has_changes = !change.added.is_empty() || !change.leaving.is_empty();
+        if !is_sign && self.progress.on_part(&update) {
             // Something is still missing.
-            self.compare(placing, fleet, from, news.at);
+            self.compare(placing, fleet, from, update.at);
         }
-        self.after_news(placing, &change, news.at);
-        if self.relay.should_forward(&news, is_news) {
+        self.after_update(placing, &change, update.at);
+        if self.relay.should_forward(&update, has_changes) {
             fleet.pass_on(&PeerMessage::Replicas(packed));
         }
     }
 
     /// Another node knows the replicas up to this revision; what is missing here is fetched
     /// there unless it comes by itself.
-    pub fn compare(&mut self, placing: &Placing, fleet: &Fleet, from: SocketAddr, theirs: Revision) {
+    pub fn compare(&mut self, placing: &Placing, fleet: &Fleet, from: SocketAddr, peer_revision: Revision) {
         let own = self.progress.at();
-        if theirs <= own {
+        if peer_revision <= own {
             return;
         }
         let source = match (fleet.has_enough_in_hall(), fleet.is_near(from)) {
@@ -367,13 +388,15 @@
             (false, _) => Source::Any,
         };
         let replicas = placing.knowledge.replicas.len();
-        let Some(pause) = self.lack.on_peer_revision(theirs, own, source, replicas, self.shared.now()) else {
+        let Some(pause) =
+            self.catch_up.on_peer_revision(peer_revision, own, source, replicas, self.shared.now())
+        else {
             return;
         };
         let shared = self.shared.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(pause).await;
-            if shared.replicas_at() < theirs {
+            if shared.replicas_at() < peer_revision {
                 let known = shared.replicas_at();
                 fetching::fetch_replicas(shared, from, known).await;
             } else {
@@ -388,13 +411,13 @@
         placing: &mut Placing,
         fleet: &Fleet,
         from: SocketAddr,
-        handed: HandedReplicas,
+        fetched: HandedReplicas,
     ) {
-        self.lack.on_answer();
-        let (list, packed) = match handed {
+        self.catch_up.on_answer();
+        let (list, packed) = match fetched {
             HandedReplicas::List(list, packed) if list.at > self.progress.at() => (list, packed),
             HandedReplicas::Busy(after) => {
-                return self.lack.on_busy(after, self.progress.at(), self.shared.now());
+                return self.catch_up.on_busy(after, self.progress.at(), self.shared.now());
             }
             HandedReplicas::List(..) | HandedReplicas::Nothing => return,
         };
@@ -403,7 +426,7 @@
         let at = list.at;
         let change = placing.knowledge.replicas.on_peer_list(list, self.shared.now());
         self.progress.on_known(at);
-        self.after_news(placing, &change, at);
+        self.after_update(placing, &change, at);
         if is_first {
             // It is handed on as it came.
             self.packed = Some((at, packed));
@@ -412,11 +435,11 @@
     }
 
     /// What follows from any news; `at` is its revision, 0 for a sign.
-    fn after_news(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
-        self.heard = self.shared.now();
+    fn after_update(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
+        self.last_update = self.shared.now();
         self.on_list_change(placing, change, at);
         if self.shared.replicas_at() < self.progress.at() {
-            self.lack.on_update();
+            self.catch_up.on_update();
             self.shared.set_replicas_at(self.progress.at());
         }
     }
@@ -437,7 +460,7 @@
     }
 
     fn log_added(&self, placing: &Placing, change: &ListChange) {
-        if change.added.len() > MOST_LOGGED_ALONE {
+        if change.added.len() > MAX_LOGGED_INDIVIDUALLY {
             info!(event = "replicas_listed", replicas = change.added.len(), at = self.progress.at(); "many replicas are listed");
             return;
         }
--- a/node/src/gateway/control/watching.rs
+++ b/node/src/gateway/control/store_watcher.rs
@@ -22,7 +22,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::gateway::control::follow;
-use crate::gateway::control::follow::Pace;
+use crate::gateway::control::follow::FollowOptions;
 use crate::gateway::control::follow::Role;
 use crate::gateway::messages::News;
 use crate::gateway::messages::ToControl;
@@ -32,10 +32,10 @@
 
 /// The store is away if it does not answer within this; a slow one takes a quarter of a
 /// second.
-const PULSE_LIMIT: Duration = Duration::from_millis(500);
+const PULSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The store is late if it does not answer within this: it usually takes some 4 ms, and the
 /// turn of a busy node some tens.
-const PULSE_LATE: Duration = Duration::from_millis(120);
+const PULSE_LATE_AFTER: Duration = Duration::from_millis(120);
 /// Part of the interval by which pulses come earlier or later, so that those of three
 /// watchers spread over it: the first to miss an answer warns all.
 const PULSE_JITTER: f64 = 0.3;
@@ -52,7 +52,7 @@
 }
 
 /// This node's watching.
-pub struct Watching {
+pub struct StoreWatcher {
     shared: Arc<Shared>,
     role: Option<WatchRole>,
     /// The role that the tasks have, once there are some.
@@ -60,10 +60,10 @@
     tasks: Option<Tasks>,
 }
 
-impl Watching {
+impl StoreWatcher {
     /// Does not watch yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        Watching { shared, role: None, tasks_role: Rc::new(Cell::new(WatchRole::Standby)), tasks: None }
+        StoreWatcher { shared, role: None, tasks_role: Rc::new(Cell::new(WatchRole::Standby)), tasks: None }
     }
 
     /// Begins or ends to watch, or changes how.
@@ -87,18 +87,20 @@
         let (shared, role) = (&self.shared, &self.tasks_role);
         // Each watcher takes a configuration at once: all nodes fetch it from those that have it,
         // and one alone may have a small link.
-        let pace = |gathers| Pace { role: role.clone(), gathers, is_backed: false };
+        let options =
+            |is_batching| FollowOptions { role: role.clone(), is_batching, has_other_source: false };
         let configuration =
-            follow::follow::<Configuration>(shared.clone(), ToControl::Configuration, pace(false));
-        let replicas = follow::follow::<Replicas>(shared.clone(), ToControl::Replicas, pace(true));
+            follow::follow::<Configuration>(shared.clone(), ToControl::Configuration, options(false));
+        let replicas = follow::follow::<Replicas>(shared.clone(), ToControl::Replicas, options(true));
         // The pulses tell them too: a calm day on 66 nodes takes 387 calls to the store in place of 411.
-        let backed_pace = || Pace { is_backed: true, ..pace(false) };
+        let with_other_source = || FollowOptions { has_other_source: true, ..options(false) };
         let closed_halls =
-            follow::follow::<Evacuations>(shared.clone(), ToControl::ClosedHalls, backed_pace());
+            follow::follow::<Evacuations>(shared.clone(), ToControl::ClosedHalls, with_other_source());
         // Nodes tell each other of suspects too, with or without the store.
-        let suspects = follow::follow::<Suspects>(shared.clone(), ToControl::Suspects, backed_pace());
+        let suspects = follow::follow::<Suspects>(shared.clone(), ToControl::Suspects, with_other_source());
         let upgrades = self.shared.bounds().exposure.map(|_| {
-            let upgrades = follow::follow::<Upgrades>(shared.clone(), ToControl::Upgrades, backed_pace());
+            let upgrades =
+                follow::follow::<Upgrades>(shared.clone(), ToControl::Upgrades, with_other_source());
             AbortOnDropHandle::new(tokio::task::spawn_local(upgrades))
         });
         Tasks {
@@ -119,17 +121,17 @@
     let mut store = Store::new(shared.settings.store);
     let mut number: PulseNumber = unix_millis();
     loop {
-        let mut tell = |state| {
+        let mut report = |state| {
             number += 1;
             shared.tell(ToControl::OwnPulse(number, state));
         };
         let Glance { answers, listed } = {
-            let glance = store.glance::<Evacuations>(PULSE_LIMIT, follow::note_unreadable::<Evacuations>);
+            let glance = store.glance::<Evacuations>(PULSE_TIMEOUT, follow::log_unreadable::<Evacuations>);
             let mut answer = std::pin::pin!(glance);
-            match tokio::time::timeout(PULSE_LATE, &mut answer).await {
+            match tokio::time::timeout(PULSE_LATE_AFTER, &mut answer).await {
                 Ok(glance) => glance,
                 Err(_) => {
-                    tell(StoreState::Late);
+                    report(StoreState::Late);
                     answer.await
                 }
             }
@@ -137,7 +139,7 @@
         if let Some(list) = listed {
             shared.tell(ToControl::ClosedHalls(News::Listed { list, after_outage: false }));
         }
-        tell(if answers { StoreState::Answers } else { StoreState::Away });
+        report(if answers { StoreState::Answers } else { StoreState::Away });
         shared.metrics.on_store_call(StoreCall::Pulse, answers);
         if shared.set_store_answers(answers) {
             if answers {
--- a/node/src/gateway/control/suspect_store.rs
+++ b/node/src/gateway/control/suspect_store.rs
@@ -20,14 +20,14 @@
 use crate::shared::unix_millis;
 
 /// Tries of a write at most, while other nodes come first.
-const MOST_TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// Does a write, and tells the control loop what came of it.
 pub async fn write(shared: Arc<Shared>, write: StoreWrite) {
     let fingerprint = write.fingerprint();
     let mut store = SuspectStore { store: Store::new(shared.settings.store), shared: &shared };
     let stored = match write {
-        StoreWrite::Keep(suspect) => store.keep(suspect).await,
+        StoreWrite::Keep(suspect) => store.add_ends(suspect).await,
         StoreWrite::Remove(fingerprint) => store.remove(fingerprint).await.map(Some),
     };
     let stored = stored.unwrap_or_else(|err| {
@@ -44,9 +44,9 @@
 
 impl SuspectStore<'_> {
     /// Adds ends to those that the store holds. `None` if others were faster each time.
-    async fn keep(&mut self, mut suspect: Suspect) -> Result<Option<StoredSuspect>, StoreError> {
+    async fn add_ends(&mut self, mut suspect: Suspect) -> Result<Option<StoredSuspect>, StoreError> {
         let mut replaces: Option<Revision> = None;
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let written = match replaces {
                 None => self.store.create::<Suspects>(&suspect).await,
                 Some(revision) => self.store.replace::<Suspects>(&suspect, revision).await,
--- a/node/src/gateway/control/trial.rs
+++ b/node/src/gateway/control/trial.rs
@@ -29,9 +29,9 @@
 use crate::gateway::peers::peer_message::TrialId;
 
 /// What the judges of a service's upgrade are hashed by, before the service's name.
-const JUDGE: &str = "judge of ";
+const JUDGE_KEY_PREFIX: &str = "judge of ";
 /// Whoever was sent a report judges for so long, whatever it thinks of the other nodes.
-const ASKED_FOR: Duration = Duration::from_secs(2);
+const JUDGE_DUTY_TIME: Duration = Duration::from_secs(2);
 
 /// What is counted for one order.
 pub struct Trial {
@@ -45,7 +45,7 @@
     reports: TrialReports,
     evidence: TrialEvidence,
     /// When another node last reported to this one.
-    asked: Option<Timestamp>,
+    last_report_received: Option<Timestamp>,
     /// Time from the order to the last report that a judge has.
     judged_as_of: Duration,
 }
@@ -61,7 +61,7 @@
             counted: 0,
             reports: TrialReports::default(),
             evidence: TrialEvidence::default(),
-            asked: None,
+            last_report_received: None,
             judged_as_of: Duration::ZERO,
         }
     }
@@ -71,7 +71,7 @@
     }
 
     /// Whether it is the trial that a message names.
-    pub fn is(&self, id: &TrialId) -> bool {
+    pub fn has_id(&self, id: &TrialId) -> bool {
         self.order.made == id.made
     }
 
@@ -83,7 +83,7 @@
 
     /// Another node reports, and is told that its report has come.
     pub fn on_report(&mut self, fleet: &Fleet, from: VmId, report: CountsReport, now: Timestamp) {
-        self.asked = Some(now);
+        self.last_report_received = Some(now);
         if let Some(address) = address_of(&from) {
             fleet.send(address, &PeerMessage::CountsTaken(report.id));
         }
@@ -98,7 +98,7 @@
 
     /// Whether what this node sees is known to a judge, and what judges find to this node: until when it may be
     /// taken to be so.
-    pub fn is_judged_until(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Timestamp {
+    pub fn judged_until(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Timestamp {
         let max_report_age = trial_reports::max_report_age(fleet.nodes());
         if fleet.is_alone() {
             now + max_report_age
@@ -115,7 +115,7 @@
             since: self.since,
             switch_report_at: upgrade_judge::switch_report_at(upgrade),
         };
-        let key = format!("{JUDGE}{}", self.service);
+        let key = format!("{JUDGE_KEY_PREFIX}{}", self.service);
         let nodes = fleet.alive().chain(std::iter::once(fleet.own()));
         let ranked = rendezvous::ranked(&key, nodes, trial_reports::CANDIDATES);
         let Due { to, judges } = self.reports.due(&ranked, fleet.own(), &pending, now);
@@ -126,7 +126,7 @@
             let message = PeerMessage::AnswerCounts(CountsReport { id, report });
             to.iter().filter_map(address_of).for_each(|judge| fleet.send(judge, &message));
         }
-        judges || self.asked.is_some_and(|asked| asked + ASKED_FOR > now)
+        judges || self.last_report_received.is_some_and(|received| received + JUDGE_DUTY_TIME > now)
     }
 
     /// All counts that this node knows.
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -47,7 +47,7 @@
 use crate::shared::unix_millis;
 
 /// A write to the store that failed is tried again after this.
-const WRITE_AGAIN_AFTER: Duration = Duration::from_millis(300);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How a node learnt of it.
 #[derive(Clone, Copy, Debug, derive_more::Display)]
@@ -62,13 +62,13 @@
 
 /// A standby of who follows the store first writes what is final if it is still due after this: by then it would have
 /// heard that it was written.
-const STANDBY_WRITES_AFTER: Duration = Duration::from_millis(300);
+const STANDBY_WRITE_DELAY: Duration = Duration::from_millis(300);
 
 /// An order as the store holds it, as far as this node follows the store, and the write of its status.
-struct Stored {
+struct StoredOrder {
     held: StoredUpgrade,
     is_writing: bool,
-    write_from: Timestamp,
+    next_write: Timestamp,
 }
 
 /// The way of upgrades into this node, and on to others.
@@ -79,7 +79,7 @@
     rebroadcast: Rebroadcast<ServiceId>,
     pauses: ProcessPauses,
     trials: BTreeMap<ServiceId, Trial>,
-    stored: BTreeMap<ServiceId, Stored>,
+    stored: BTreeMap<ServiceId, StoredOrder>,
 }
 
 impl UpgradeIntake {
@@ -96,42 +96,42 @@
     }
 
     /// The store told of the orders.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<StoredUpgrade>) {
+    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, update: News<StoredUpgrade>) {
         let now = self.shared.now();
-        let mut told = self.shared.upgrades().announced(now);
-        match news {
+        let mut announced = self.shared.upgrades().announced(now);
+        match update {
             News::Listed { list: Listed { items, at, .. }, .. } => {
-                told = AnnouncedUpgrades { at, upgrades: Vec::new() };
+                announced = AnnouncedUpgrades { at, upgrades: Vec::new() };
                 self.stored.clear();
-                items.into_iter().for_each(|item| self.on_stored(item, &mut told, now));
+                items.into_iter().for_each(|item| self.on_stored(item, &mut announced, now));
             }
             News::Changed(changes) => {
-                told.at = changes.at.max(told.at);
+                announced.at = changes.at.max(announced.at);
                 for event in changes.events {
                     match event {
-                        Change::Put(item) => self.on_stored(item, &mut told, now),
+                        Change::Put(item) => self.on_stored(item, &mut announced, now),
                         Change::Gone(name) | Change::Unreadable(name) => {
                             self.stored.remove(&*name);
-                            told.upgrades.retain(|upgrade| *upgrade.service != *name);
+                            announced.upgrades.retain(|upgrade| *upgrade.service != *name);
                         }
                     }
                 }
             }
         }
-        if self.merge(placing, told, Source::Store) {
+        if self.merge(placing, announced, Source::Store) {
             fleet.tell(&PeerMessage::UpgradesChanged);
         }
     }
 
-    /// Takes an object in, and puts what it orders into `told`.
-    fn on_stored(&mut self, held: StoredUpgrade, told: &mut AnnouncedUpgrades, now: Timestamp) {
-        let known = told.upgrades.iter().position(|upgrade| upgrade.service == held.service);
-        let known = known.map(|at| told.upgrades.swap_remove(at));
+    /// Takes an object in, and puts what it orders into `announced`.
+    fn on_stored(&mut self, held: StoredUpgrade, announced: &mut AnnouncedUpgrades, now: Timestamp) {
+        let known = announced.upgrades.iter().position(|upgrade| upgrade.service == held.service);
+        let known = known.map(|at| announced.upgrades.swap_remove(at));
         match &held.order {
             Ok(order) => {
                 let known = known.filter(|known| known.order == *order);
                 let stage = held.state.and_then(upgrade_store::stage_of).unwrap_or(Stage::Trial);
-                told.upgrades.push(AnnouncedUpgrade {
+                announced.upgrades.push(AnnouncedUpgrade {
                     service: held.service.clone(),
                     order: order.clone(),
                     age: known.as_ref().map_or(Duration::ZERO, |known| known.age),
@@ -143,25 +143,25 @@
             }
             Err(_) => {}
         }
-        let write_from = self.stored.get(&held.service).map_or(now, |stored| stored.write_from);
-        self.stored.insert(held.service.clone(), Stored { held, is_writing: false, write_from });
+        let next_write = self.stored.get(&held.service).map_or(now, |stored| stored.next_write);
+        self.stored.insert(held.service.clone(), StoredOrder { held, is_writing: false, next_write });
     }
 
     /// Another node told of them.
-    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: AnnouncedUpgrades) {
+    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, announced: AnnouncedUpgrades) {
         // Nearly always there is none.
-        if told.upgrades.is_empty() && told.at <= self.shared.upgrades().at() {
+        if announced.upgrades.is_empty() && announced.at <= self.shared.upgrades().at() {
             return;
         }
-        if self.merge(placing, told, Source::Node) {
+        if self.merge(placing, announced, Source::Node) {
             fleet.pass_on(&PeerMessage::UpgradesChanged);
         }
     }
 
     /// Returns whether it changed anything.
-    fn merge(&mut self, placing: &mut Placing, told: AnnouncedUpgrades, source: Source) -> bool {
+    fn merge(&mut self, placing: &mut Placing, announced: AnnouncedUpgrades, source: Source) -> bool {
         let mut upgrades = (*self.shared.upgrades()).clone();
-        let changed = upgrades.merge(told, self.shared.now());
+        let changed = upgrades.merge(announced, self.shared.now());
         self.publish(placing, upgrades, &changed, source);
         !changed.is_empty()
     }
@@ -232,20 +232,20 @@
     pub fn on_acknowledged(&mut self, placing: &mut Placing, fleet: &Fleet, judge: &VmId, report: &ReportId) {
         if let Some(trial) = self.trial(&report.trial) {
             trial.on_acknowledged(judge, report);
-            self.note_judged(placing, fleet, &report.trial.service);
+            self.update_judged_until(placing, fleet, &report.trial.service);
         }
     }
 
-    fn note_judged(&self, placing: &mut Placing, fleet: &Fleet, service: &ServiceId) {
+    fn update_judged_until(&self, placing: &mut Placing, fleet: &Fleet, service: &ServiceId) {
         let upgrades = self.shared.upgrades();
         if let (Some(upgrade), Some(trial)) = (upgrades.of(service), self.trials.get(service)) {
-            let until = trial.is_judged_until(fleet, upgrade, self.shared.now());
-            placing.knowledge.judged.note(service, until);
+            let until = trial.judged_until(fleet, upgrade, self.shared.now());
+            placing.knowledge.judged.set_judged_until(service, until);
         }
     }
 
     fn trial(&mut self, id: &TrialId) -> Option<&mut Trial> {
-        self.trials.get_mut(&id.service).filter(|trial| trial.is(id))
+        self.trials.get_mut(&id.service).filter(|trial| trial.has_id(id))
     }
 
     /// Does what is due: `role` is how this node follows the store, `store_answers` whether that answers
@@ -265,7 +265,7 @@
             self.report_and_judge(placing, fleet, &service, store_answers);
         }
         if let Some(role) = role {
-            self.write_due(role);
+            self.write_due_statuses(role);
         }
     }
 
@@ -283,7 +283,7 @@
             return;
         };
         let judges = trial.report(fleet, upgrade, self.started, self.shared.now());
-        self.note_judged(placing, fleet, service);
+        self.update_judged_until(placing, fleet, service);
         if judges {
             self.judge(placing, fleet, service, store_answers);
         }
@@ -321,18 +321,20 @@
 
     /// Tells the operator what became of orders, where the store says otherwise. Each write names the revision that it
     /// replaces, so it does no harm if two nodes write.
-    fn write_due(&mut self, role: WatchRole) {
+    fn write_due_statuses(&mut self, role: WatchRole) {
         let now = self.shared.now();
         let upgrades = self.shared.upgrades();
-        for stored in self.stored.values_mut().filter(|stored| !stored.is_writing && stored.write_from <= now)
+        for stored in self.stored.values_mut().filter(|stored| !stored.is_writing && stored.next_write <= now)
         {
             let upgrade = upgrades.of(&stored.held.service);
-            if !writes(role, upgrade, now) {
+            if !is_writer(role, upgrade, now) {
                 continue;
             }
-            if let Some(word) = upgrade_store::word_due(&stored.held, upgrade.map(|upgrade| upgrade.stage)) {
+            if let Some(status) =
+                upgrade_store::due_status(&stored.held, upgrade.map(|upgrade| upgrade.stage))
+            {
                 stored.is_writing = true;
-                let writing = upgrade_store::write(self.shared.clone(), stored.held.clone(), word);
+                let writing = upgrade_store::write(self.shared.clone(), stored.held.clone(), status);
                 tokio::task::spawn_local(writing);
             }
         }
@@ -345,7 +347,7 @@
             return;
         };
         stored.is_writing = false;
-        stored.write_from = now + WRITE_AGAIN_AFTER;
+        stored.next_write = now + WRITE_RETRY_DELAY;
         let Some(held) = written.held else {
             return;
         };
@@ -365,10 +367,10 @@
 }
 
 /// Whether a node that follows the store in this role tells the operator of an order.
-fn writes(role: WatchRole, upgrade: Option<&Upgrade>, now: Timestamp) -> bool {
+fn is_writer(role: WatchRole, upgrade: Option<&Upgrade>, now: Timestamp) -> bool {
     let is_overdue = |upgrade: &Upgrade| {
         matches!(upgrade.stage, Stage::Proven | Stage::Reverted)
-            && upgrade.stage_since + STANDBY_WRITES_AFTER <= now
+            && upgrade.stage_since + STANDBY_WRITE_DELAY <= now
     };
     role == WatchRole::First || upgrade.is_some_and(is_overdue)
 }
--- a/node/src/gateway/control/upgrade_store.rs
+++ b/node/src/gateway/control/upgrade_store.rs
@@ -10,7 +10,7 @@
 use leadstage_platform::store::Written;
 use leadstage_platform::store_kinds::StoredUpgrade;
 use leadstage_platform::store_kinds::UpgradeState;
-use leadstage_platform::store_kinds::UpgradeWord;
+use leadstage_platform::store_kinds::UpgradeStatus;
 use leadstage_platform::store_kinds::Upgrades;
 use log::info;
 
@@ -30,7 +30,7 @@
 
 /// What the operator is to be told, if the store says something else. `stage` is that of the order, unless it can't
 /// be followed.
-pub fn word_due(held: &StoredUpgrade, stage: Option<Stage>) -> Option<UpgradeWord> {
+pub fn due_status(held: &StoredUpgrade, stage: Option<Stage>) -> Option<UpgradeStatus> {
     if held.state.and_then(stage_of).is_some() {
         return None;
     }
@@ -38,7 +38,7 @@
         Ok(order) => order,
         Err(reason) => {
             let (state, target) = (UpgradeState::RolledBack, "".into());
-            return Some(UpgradeWord { state, target, reason: Some(reason.clone()) });
+            return Some(UpgradeStatus { state, target, reason: Some(reason.clone()) });
         }
     };
     let state = match stage? {
@@ -47,18 +47,18 @@
         Stage::Reverted => UpgradeState::RolledBack,
         Stage::Failed | Stage::Succeeded => return None,
     };
-    let word = UpgradeWord { state, target: order.target.clone(), reason: None };
-    (held.state != Some(state)).then_some(word)
+    let status = UpgradeStatus { state, target: order.target.clone(), reason: None };
+    (held.state != Some(state)).then_some(status)
 }
 
 /// Writes it, and tells the control loop what the store holds then, if that is known.
-pub async fn write(shared: Arc<Shared>, held: StoredUpgrade, word: UpgradeWord) {
+pub async fn write(shared: Arc<Shared>, held: StoredUpgrade, status: UpgradeStatus) {
     let mut store = Store::new(shared.settings.store);
-    let written = store.replace_status::<Upgrades>(&held.service, &word, held.revision).await;
+    let written = store.replace_status::<Upgrades>(&held.service, &status, held.revision).await;
     shared.metrics.on_store_call(StoreCall::Write, written.is_ok());
     let service = held.service.clone();
     let held = match written {
-        Ok(Written::Done(revision)) => Some(StoredUpgrade { revision, state: Some(word.state), ..held }),
+        Ok(Written::Done(revision)) => Some(StoredUpgrade { revision, state: Some(status.state), ..held }),
         Ok(Written::Other(other, _)) => Some(other),
         Ok(Written::Missing) => None,
         Err(err) => {
--- a/node/src/gateway/start.rs
+++ b/node/src/gateway/start.rs
@@ -94,7 +94,7 @@
     tokio::task::spawn_local(small_port::serve(shared.clone(), metrics, "metrics", metrics_port::answer));
     if !shared.settings.first_start {
         tokio::task::spawn_local(config_intake::read_at_start(shared.clone()));
-        tokio::task::spawn_local(first_read::read_unless_told(shared.clone()));
+        tokio::task::spawn_local(first_read::read_until_replicas_known(shared.clone()));
     }
     let peer = listen(shared.settings.peer).await?;
     tokio::task::spawn_local(peer_port::serve(shared.clone(), peer));
