--- a/node/src/gateway/control/canary_cache.rs
+++ b/node/src/gateway/control/canary_cache.rs
@@ -1,4 +1,4 @@
-//! The replicas of a new version that are tried: worked out once, as long as the same replicas stay.
+//! Caches the canary replicas of a new version until the replicas change.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use leadstage_lib::gateway::upgrade::UpgradeOrder;
 use leadstage_lib::ids::UpstreamId;
 
-/// Those of the service that was asked for last.
+/// The canary replicas of the service that was queried last.
 #[derive(Debug, Default)]
 pub struct CanaryCache(RefCell<Option<CachedCanaries>>);
 
@@ -22,7 +22,7 @@
 }
 
 impl CanaryCache {
-    /// The replicas of a service that are tried.
+    /// Returns the canary replicas of a service.
     pub fn of(
         &self,
         table: &ReplicaTable,
--- a/node/src/gateway/control/config_intake.rs
+++ b/node/src/gateway/control/config_intake.rs
@@ -1,5 +1,5 @@
-//! Takes configurations in: from the store, if this node follows it, or from another node that
-//! has a newer one.
+//! Receives configurations from the store, if this node follows it, and otherwise from nodes that have a
+//! newer one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,34 +30,37 @@
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::shared::Shared;
 
-/// A starting node with a small link waits so long for another node to tell that it has the
-/// configuration: compressed it comes in a tenth of the time that it takes from the store.
+/// How long a starting node with a narrow link waits for another node to announce that it has the
+/// configuration. Nodes send it compressed, which takes a tenth of the time of a read from the store.
 const PEER_ANNOUNCEMENT_WAIT: Duration = Duration::from_millis(250);
 
-/// With a small link it waits no longer than this, whatever others tell: who told may stand still.
+/// The longest time that a starting node with a narrow link waits for the configuration from another node:
+/// one that announced it may hang.
 const MAX_PEER_CONFIG_WAIT: Duration = Duration::from_millis(700);
-/// The way of configurations into this node.
+
+/// Receives configurations and puts the newest one in force.
 pub struct ConfigIntake {
     shared: Arc<Shared>,
-    /// When a configuration last came.
+    /// When a configuration was last put in force.
     last_update: Timestamp,
     sources: ConfigSources,
-    /// What is here of an edition that broke off.
+    /// The received part of a configuration whose transfer was interrupted.
     partial: Option<PartialConfig>,
-    /// What differs from the configuration that is here did not fit.
+    /// The next transfer must send the full text: the last difference could not be applied to the
+    /// configuration in force.
     needs_full_text: bool,
-    /// A version that can't be read; it is not fetched again.
+    /// A version that could not be parsed; it is not fetched again.
     unreadable_version: ConfigVersion,
-    /// What is being fetched.
+    /// Transfers in progress.
     transfers: Transfers,
-    /// The store is being read, as other nodes did not hand a newer one over.
+    /// The store is being read because other nodes did not deliver a newer configuration.
     is_reading_store: bool,
-    /// When [`ToControl::ConfigurationDue`] comes.
+    /// When the next [`ToControl::ConfigurationDue`] is due.
     next_check: Option<Timestamp>,
 }
 
 impl ConfigIntake {
-    /// None has come yet.
+    /// Creates the state of a node that has received no configuration.
     pub fn new(shared: Arc<Shared>) -> Self {
         ConfigIntake {
             shared,
@@ -72,12 +75,12 @@
         }
     }
 
-    /// When a configuration last came.
+    /// When a configuration was last put in force.
     pub fn last_update(&self) -> Timestamp {
         self.last_update
     }
 
-    /// The store told of its configuration.
+    /// The store reported its configuration.
     pub fn on_store_news(&mut self, fleet: &Fleet, update: News<Bytes>) {
         let texts: Vec<Bytes> = match update {
             News::Listed { list, .. } => list.items,
@@ -90,13 +93,13 @@
                 })
                 .collect(),
         };
-        // Only the newest of several counts.
+        // Only the newest one matters.
         if let Some(newest) = texts.last() {
             self.apply(fleet, newest);
         }
     }
 
-    /// Another node has this version.
+    /// Another node has the version `peer_version`; fetches it if it is newer.
     pub fn compare(
         &mut self,
         fleet: &Fleet,
@@ -119,7 +122,7 @@
         self.fetch_next();
     }
 
-    /// Another node answered, or did not.
+    /// A transfer from another node ended.
     pub fn on_fetched(&mut self, fleet: &Fleet, from: SocketAddr, fetched: HandedConfig) {
         self.transfers.end(from);
         let now = self.shared.now();
@@ -145,7 +148,7 @@
         self.needs_full_text = false;
         if self.apply(fleet, text) {
             self.sources.on_delivered(from);
-            // The same comes no second time; what is newer still is asked for anew.
+            // The other transfers are of the same version; a newer one is requested again.
             self.transfers.clear();
         } else {
             self.unreadable_version = version;
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Keeps what came of an edition, if it is more than what is here.
+    /// Keeps the received part of a configuration if it is longer than the one kept so far.
     fn keep_partial(&mut self, partial: Option<PartialConfig>) {
         let bytes = |partial: &Option<PartialConfig>| partial.as_ref().map_or(0, |partial| partial.buf.len());
         if bytes(&partial) > bytes(&self.partial) {
@@ -161,7 +164,7 @@
         }
     }
 
-    /// The store was read, or did not answer.
+    /// A read of the store ended; `answered` says whether the store answered.
     pub fn on_read(&mut self, answered: bool) {
         self.is_reading_store = false;
         if answered {
@@ -170,7 +173,7 @@
         self.fetch_next();
     }
 
-    /// A node may be asked that had to wait.
+    /// A source that was not available before may be queried now.
     pub fn on_due(&mut self) {
         self.next_check = None;
         self.fetch_next();
@@ -205,7 +208,7 @@
         );
     }
 
-    /// Has the store read beside all else, as on a small link that may take long.
+    /// Reads the store in a task of its own: on a narrow link the read may take long.
     fn read_store(&mut self) {
         self.sources.on_store_queried();
         if !self.is_reading_store {
@@ -227,7 +230,7 @@
         self.shared.tell_after(delay, ToControl::ConfigurationDue);
     }
 
-    /// Puts a configuration in force if it is newer; returns whether it can be read.
+    /// Puts a configuration in force if it is newer; returns whether it could be parsed.
     fn apply(&mut self, fleet: &Fleet, text: &Bytes) -> bool {
         match leadstage_platform::config::decode(text) {
             Ok(config) => {
@@ -240,7 +243,7 @@
                 true
             }
             Err(err) => {
-                warn!(event = "config_unreadable", reason:% = err; "the configuration can't be read; the old one stays");
+                warn!(event = "config_unreadable", reason:% = err; "cannot parse the configuration; the previous one stays in force");
                 false
             }
         }
@@ -252,7 +255,8 @@
     follow::read_once::<Configuration>(shared.clone(), ToControl::Configuration, age).await
 }
 
-/// Reads the configuration when the node starts, unless another node has it and the link is small.
+/// Reads the configuration from the store when the node starts. With a narrow link, first waits for another
+/// node to deliver it.
 pub async fn read_at_start(shared: Arc<Shared>) {
     if !shared.settings.has_wide_link() {
         tokio::time::sleep(PEER_ANNOUNCEMENT_WAIT).await;
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -1,5 +1,5 @@
-//! Takes in under which requests replicas ended: from this node's own runs, other nodes and the store. What
-//! is new is told to other nodes and, where it must last, to the store.
+//! Receives reports of requests under which replicas ended, from this node's own runs, from other nodes and
+//! from the store. New reports are sent to other nodes and, where they must be kept, written to the store.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -38,16 +38,16 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// Time for a replica to answer that is asked after a run broke there.
+/// Time limit for the health check of a replica at which a run broke.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// News that a replica leaves may come so much later than its end: through another node, or after a break
-/// in following the store. A replica that ends without a plan is taken off the list only after three
-/// missed heartbeats, some 3 s later.
+/// How much later than a replica's end the notice that it leaves may arrive: through another node, or after
+/// an interruption in following the store. A replica that ends unplanned is removed from the list only
+/// after three missed heartbeats, about 3 s later.
 const MAX_LEAVING_NOTICE_DELAY: Duration = Duration::from_secs(1);
-/// Time between two looks for ends that no longer count.
+/// Time between two passes that forget ends that no longer count.
 const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The way of such news into this node, and on to others.
+/// Receives reports of requests under which replicas ended, and announces them to other nodes.
 pub struct CrashIntake {
     shared: Arc<Shared>,
     ledger: CrashLedger,
@@ -59,7 +59,7 @@
 }
 
 impl CrashIntake {
-    /// Nothing has come yet.
+    /// Creates the state of a node that has received no report.
     pub fn new(shared: Arc<Shared>) -> Self {
         CrashIntake {
             shared,
@@ -75,7 +75,7 @@
     /// A run of this node broke at its replica.
     pub fn on_break(&mut self, placing: &Placing, run: BrokenRun) {
         let replica = placing.knowledge.replicas.get(&run.replica.id);
-        // It was to end, whatever it ran.
+        // A leaving replica ends by plan, whatever it runs.
         if replica.is_some_and(|replica| replica.leaving.is_some()) {
             return;
         }
@@ -83,7 +83,8 @@
         self.check_pending(placing);
     }
 
-    /// Asks replicas at which runs broke, tells news again and writes what is due.
+    /// Checks replicas at which runs broke, announces recent changes again and starts the writes that are
+    /// due.
     pub fn tick(&mut self, placing: &Placing, fleet: &Fleet, follows: bool) {
         self.check_list(placing, fleet);
         self.check_pending(placing);
@@ -120,13 +121,13 @@
                     tokio::task::spawn_local(check_health(self.shared.clone(), replica, path));
                 }
                 None => {
-                    info!(event = "break_unexplained", upstream = &*incarnation.id; "a replica at which a run broke is not known")
+                    info!(event = "break_unexplained", upstream = &*incarnation.id; "the replica at which a run broke is unknown")
                 }
             }
         }
     }
 
-    /// A replica answered after a run broke there, or did not.
+    /// The health check of a replica at which a run broke ended.
     pub fn on_checked_after_break(
         &mut self,
         placing: &Placing,
@@ -135,12 +136,12 @@
         result: Shown,
     ) {
         self.check_list(placing, fleet);
-        info!(event = "asked_after_break", upstream = &*incarnation.id, shown:? = result; "a replica was asked as a run broke there");
+        info!(event = "asked_after_break", upstream = &*incarnation.id, shown:? = result; "checked the health of a replica at which a run broke");
         let fingerprints = self.pending.on_shown(incarnation, result);
         self.on_ended(fleet, incarnation, fingerprints);
     }
 
-    /// The list of replicas tells of some that they ended.
+    /// Checks in the list of replicas whether those at which runs broke have ended.
     fn check_list(&mut self, placing: &Placing, fleet: &Fleet) {
         let pending: Vec<(Incarnation, Timestamp)> =
             self.pending.replicas().map(|(replica, since)| (replica.clone(), since)).collect();
@@ -176,7 +177,7 @@
         self.announce(fleet, updated);
     }
 
-    /// Publishes what is news here, and tells other nodes.
+    /// Publishes changes on this node and sends them to other nodes.
     fn announce(&mut self, fleet: &Fleet, updated: Vec<Suspect>) {
         if !updated.is_empty() {
             self.on_change(&updated);
@@ -184,7 +185,7 @@
         }
     }
 
-    /// A request that something speaks against ended well.
+    /// A run of a suspected request succeeded.
     pub fn on_run_succeeded(&mut self, fleet: &Fleet, fingerprint: Fingerprint) {
         self.clear(fleet, fingerprint, "it ended well");
     }
@@ -192,12 +193,12 @@
     fn clear(&mut self, fleet: &Fleet, fingerprint: Fingerprint, reason: &str) {
         let updated = self.ledger.clear(fingerprint);
         if !updated.is_empty() {
-            warn!(event = "request_cleared", fingerprint:% = fingerprint, reason = reason; "nothing speaks against a request any more");
+            warn!(event = "request_cleared", fingerprint:% = fingerprint, reason = reason; "a request is no longer suspected");
         }
         self.announce(fleet, updated);
     }
 
-    /// Another node told what it knows.
+    /// Another node announced suspects.
     pub fn on_told(&mut self, fleet: &Fleet, announced: Vec<Suspect>) {
         let updated = self.ledger.take(announced, unix_millis());
         if !updated.is_empty() {
@@ -206,15 +207,15 @@
         }
     }
 
-    /// Another node knows something else if its digest is another one: it is told all that is known here,
-    /// and does the same.
+    /// Compares the digest of another node. If it differs, that node knows other suspects: this node sends
+    /// it all that have to be known everywhere, and the other node does the same.
     pub fn compare(&mut self, fleet: &Fleet, from: SocketAddr, digest: u64) {
         if self.telling_all.is_due(self.shared.crash_digest(), digest, self.shared.now()) {
             fleet.send(from, &PeerMessage::Suspects(self.ledger.agreed()));
         }
     }
 
-    /// The store told what it holds.
+    /// The store reported its suspects.
     pub fn on_store_news(&mut self, fleet: &Fleet, update: News<Suspect>) {
         let mut removed = Vec::new();
         let mut announced = Vec::new();
@@ -276,16 +277,16 @@
     }
 }
 
-/// One line for a suspicion and for the beginning and the end of a quarantine.
+/// Logs a new suspicion, and the beginning and the end of a quarantine.
 fn log_change(fingerprint: Fingerprint, before: &CrashTable, after: &CrashTable) {
     let is_quarantined = |table: &CrashTable| table.get(&fingerprint).is_some_and(Standing::is_quarantined);
     let ends = after.get(&fingerprint).map_or(0, |standing| standing.ends);
     match (is_quarantined(before), is_quarantined(after)) {
         (false, true) => {
-            warn!(event = "request_quarantined", fingerprint:% = fingerprint, ends; "replicas end under a request: it is sent to none")
+            warn!(event = "request_quarantined", fingerprint:% = fingerprint, ends; "several replicas ended under a request; it is quarantined")
         }
         (true, false) => {
-            warn!(event = "quarantine_ended", fingerprint:% = fingerprint, ends; "a request may be sent again")
+            warn!(event = "quarantine_ended", fingerprint:% = fingerprint, ends; "a request is no longer quarantined")
         }
         _ if ends > 0 => {
             info!(event = "request_suspected", fingerprint:% = fingerprint, ends; "a replica ended under a request")
--- a/node/src/gateway/control/first_read.rs
+++ b/node/src/gateway/control/first_read.rs
@@ -1,4 +1,4 @@
-//! What a node that has just started reads from the store, unless other nodes tell it first.
+//! Reads the state of the fleet from the store after a start, unless other nodes send it earlier.
 
 use std::sync::Arc;
 
@@ -15,8 +15,8 @@
 use crate::gateway::messages::ToControl;
 use crate::gateway::shared::Shared;
 
-/// Reads everything but the configuration once it is this node's turn, and again when that failed; ends when the
-/// replicas are known.
+/// Reads everything but the configuration from the store once it is this node's turn, and again if that
+/// failed; returns when the replicas are known.
 pub async fn read_until_replicas_known(shared: Arc<Shared>) {
     let settings = &shared.settings;
     let is_seed =
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads the replicas last: who is told of them by this node is told of the rest as well.
+/// Reads the replicas last, so that a node that gets them from this one gets the other state as well.
 async fn read(shared: &Arc<Shared>) {
     read_kind::<Evacuations>(shared, ToControl::ClosedHalls).await;
     read_kind::<Suspects>(shared, ToControl::Suspects).await;
@@ -40,6 +40,6 @@
 }
 
 async fn read_kind<K: Kind>(shared: &Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl) {
-    // A failure is logged, and what is missing comes from nodes that follow the store.
+    // A failure is logged; nodes that follow the store send what is missing.
     follow::read_once::<K>(shared.clone(), wrap, Age::SomeSeconds).await;
 }
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -1,4 +1,4 @@
-//! Follows a kind of objects in the platform's store: lists it, then waits for changes.
+//! Follows one kind of objects in the platform's store: lists it, then watches for changes.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -23,26 +23,26 @@
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::shared::Shared;
 
-/// Pause after the first failed call. Calls are priced, refused ones too.
+/// Delay after the first failed call. Calls are billed, refused ones too.
 const MIN_BACKOFF: Duration = Duration::from_millis(150);
-/// Longest pause after failed calls.
+/// Limit on the delay after failed calls.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Fields without a decision that the log tells of a kind at most.
+/// Limit on the undecided fields that are logged per kind.
 const MAX_LOGGED_FIELDS: usize = 32;
-/// The first watch after a failed call waits so long: its answer shows that the store is back.
+/// Timeout of the first watch after a failed call: its prompt answer shows that the store is back.
 const RECONNECT_WATCH_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// How this node follows the store; it changes while it does.
+/// The role in which this node follows the store; it may change meanwhile.
 pub type Role = Rc<Cell<WatchRole>>;
 
-/// How often a follower asks the store.
+/// Options that determine how often a follower calls the store.
 pub struct FollowOptions {
     /// The node's role.
     pub role: Role,
-    /// Whether changes are gathered, as long as the role says, before the next question.
+    /// Whether changes are batched before the next watch, for the time that the role sets.
     pub is_batching: bool,
-    /// Whether something else tells of changes too, should a watch's connection fall silent: then each
-    /// watch waits as long as a standby's.
+    /// Whether changes also arrive in another way if a watch's connection goes silent. Each watch then
+    /// waits as long as a standby's.
     pub has_other_source: bool,
 }
 
@@ -53,14 +53,14 @@
         role.watch_timeout()
     }
 
-    /// Pause between a change and the next watch.
+    /// Delay between a change and the next watch.
     fn batch_delay(&self) -> Duration {
         if self.is_batching { self.role.get().batch_delay() } else { Duration::ZERO }
     }
 }
 
-/// Reads a kind once; returns whether the store answered. For a starting node what may be some
-/// seconds old is enough, as other nodes tell what is newer, and costs a tenth.
+/// Lists a kind once; returns whether the store answered. A starting node can use a list that is some
+/// seconds old, which costs a tenth: other nodes send it what is newer.
 pub async fn read_once<K: Kind>(shared: Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl, age: Age) -> bool {
     let mut store = Store::new(shared.settings.store);
     let purpose = match age {
@@ -75,13 +75,13 @@
         }
         Err(err) => {
             shared.metrics.on_store_call(purpose, false);
-            info!(event = "store_lost", kind = K::NAME, reason:% = err; "the store does not answer a node that reads once");
+            info!(event = "store_lost", kind = K::NAME, reason:% = err; "the store did not answer a single read");
             false
         }
     }
 }
 
-/// Follows the kind `K` until the process ends, and tells the control loop what it learns.
+/// Follows the kind `K` until the process ends, and sends updates to the control loop.
 pub async fn follow<K: Kind>(
     shared: Arc<Shared>,
     wrap: fn(News<K::Item>) -> ToControl,
@@ -114,18 +114,18 @@
     shared: Arc<Shared>,
     wrap: fn(News<K::Item>) -> ToControl,
     options: FollowOptions,
-    /// How old the next list may be.
+    /// The maximum age of the next list.
     age: Age,
-    /// The revision to watch from; without one the kind is listed.
+    /// The revision to watch from; if `None`, the kind is listed.
     watch_from: Option<Revision>,
-    /// The revision to watch from has not been watched from yet.
+    /// No watch has succeeded since the last list.
     is_unwatched: bool,
-    /// The era of the last answer.
+    /// The era of the store at its last answer.
     era: Option<Era>,
-    /// The last call had no answer.
+    /// The store did not answer the last call.
     is_lost: bool,
     backoff: Backoff,
-    /// Fields that nobody has decided on, as far as the log has told them.
+    /// Undecided fields that have been logged.
     logged_fields: BTreeSet<String>,
 }
 
@@ -142,7 +142,7 @@
         self.shared.metrics.on_store_call(StoreCall::List, list.is_ok());
         let list = list?;
         self.log_undecided(&list.undecided);
-        // If the history does not reach back to an old list, the next one is to be new.
+        // If the store's history does not reach back to an old list, the next list must be a current one.
         self.age = Age::Newest;
         self.is_unwatched = true;
         let after_outage = self.on_answer(list.at);
@@ -166,21 +166,22 @@
         Ok(())
     }
 
-    /// Logs each field once that nobody has decided on: the platform may ask for something that is not built.
+    /// Logs each field that is neither read nor declared as ignored, once: the platform may require
+    /// something that is not implemented.
     fn log_undecided(&mut self, undecided: &BTreeSet<String>) {
         for field in undecided {
             if self.logged_fields.len() < MAX_LOGGED_FIELDS && self.logged_fields.insert(field.clone()) {
-                warn!(event = "field_undecided", kind = K::NAME, field = field.as_str(); "an object has a field that is not read, and nobody has said why");
+                warn!(event = "field_undecided", kind = K::NAME, field = field.as_str(); "an object has a field that is neither read nor declared as ignored");
             }
         }
     }
 
-    /// Returns whether calls before had no answer.
+    /// Records an answer of the store; returns whether the previous call had none.
     fn on_answer(&mut self, at: Revision) -> bool {
         let (era, number) = (revision::era(at), revision::number(at));
         let before = self.era.replace(era);
         if before.is_some_and(|before| before != era) {
-            info!(event = "store_era", kind = K::NAME, before:? = before, now = era, revision = number; "the store has come back from a copy");
+            info!(event = "store_era", kind = K::NAME, before:? = before, now = era, revision = number; "the store was restored from a copy");
         }
         self.watch_from = Some(at);
         self.backoff.reset();
@@ -196,27 +197,28 @@
         match err {
             StoreError::HistoryGone => {
                 self.watch_from = None;
-                info!(event = "store_history_gone", kind = K::NAME; "the store's history is gone: lists anew");
+                info!(event = "store_history_gone", kind = K::NAME; "the store no longer has the history since the last revision; listing again");
                 if self.is_unwatched {
-                    // A store that keeps no history at all must not be listed without end.
+                    // A store that keeps no history at all must not be listed in a tight loop.
                     tokio::time::sleep(MAX_BACKOFF).await;
                 }
             }
             StoreError::OtherEra => {
                 self.watch_from = None;
-                info!(event = "store_era_ended", kind = K::NAME; "the store came back from a copy: lists anew");
+                info!(event = "store_era_ended", kind = K::NAME; "the store was restored from a copy; listing again");
             }
             StoreError::TooManyChanges(most) => {
                 self.watch_from = None;
-                info!(event = "store_changes_skipped", kind = K::NAME, most; "much has changed: lists anew");
+                info!(event = "store_changes_skipped", kind = K::NAME, most; "too many changes for a watch; listing again");
             }
             err => self.on_failure(err).await,
         }
     }
 
     async fn on_failure(&mut self, err: StoreError) {
-        // What does not lapse in an outage is watched on from where it was: the configuration is up to
-        // 1 MB, 0.84 s of a link of 10 Mbit/s, and each list is priced.
+        // Objects that do not expire during an outage are watched from the last revision instead of being
+        // listed again: the configuration has up to 1 MB, which takes 0.84 s at 10 Mbit/s, and each list is
+        // billed.
         if K::LAPSES {
             self.watch_from = None;
         }
@@ -229,7 +231,7 @@
     }
 }
 
-/// Logs that an object can't be read.
+/// Logs an object that cannot be parsed.
 pub fn log_unreadable<K: Kind>(name: &str, err: &serde_json::Error) {
-    warn!(event = "object_unreadable", kind = K::NAME, name, reason:% = err; "an object of the store can't be read");
+    warn!(event = "object_unreadable", kind = K::NAME, name, reason:% = err; "cannot parse an object of the store");
 }
--- a/node/src/gateway/control/health_poller.rs
+++ b/node/src/gateway/control/health_poller.rs
@@ -1,7 +1,7 @@
-//! Asks engines for their health while the store may not tell that they leave.
+//! Polls the health of engines while the store may not report that they leave.
 //!
-//! Only a lead looks out, for all nodes, and only while the store is in doubt: health checks
-//! are priced.
+//! Only a lead polls, on behalf of all nodes, and only while it is doubtful whether the store answers:
+//! health checks are billed. A replica whose entry disappears at such a time is polled as well.
 
 use std::sync::Arc;
 
@@ -15,24 +15,24 @@
 use crate::gateway::messages::ToControl;
 use crate::gateway::shared::Shared;
 
-/// Looks out for engines that leave.
+/// Polls the health of engines to detect those that leave.
 pub struct HealthPoller {
     shared: Arc<Shared>,
     polls: health_polls::HealthPolls,
 }
 
 impl HealthPoller {
-    /// Looks out for nothing yet.
+    /// Creates a poller that has polled no engine.
     pub fn new(shared: Arc<Shared>) -> Self {
         HealthPoller { shared, polls: health_polls::HealthPolls::default() }
     }
 
-    /// An engine answered.
+    /// An engine answered, or its poll timed out.
     pub fn on_health(&mut self, replica: &UpstreamId, now: Timestamp) {
         self.polls.on_answer(replica, now);
     }
 
-    /// Asks engines if it is time; each comes with the path of its health.
+    /// Polls the engines that are due; each is given with the path of its health check.
     pub fn poll_all(&mut self, now: Timestamp, engines: Vec<(Arc<ReplicaRecord>, String)>) {
         self.polls.forget(now);
         for engine in engines {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Asks a replica for its health, unless it was asked just now.
+    /// Polls the health of a replica, unless it was polled recently.
     pub fn poll(&mut self, replica: Option<(Arc<ReplicaRecord>, String)>, now: Timestamp) {
         if let Some((replica, path)) = replica
             && self.polls.start_if_due(&replica.id, now)
--- a/node/src/gateway/control/judged_services.rs
+++ b/node/src/gateway/control/judged_services.rs
@@ -1,19 +1,19 @@
-//! Services whose upgrades are judged by what this node sees, and until when that is known to be so.
+//! Services whose upgrades are judged with the samples of this node, and until when that is known to hold.
 //!
-//! A node that no judge hears, as it was suspended or is cut off, would try a version that may have been given up
-//! meanwhile, and what its callers get would be counted by nobody.
+//! A node that reaches no judge, because it was suspended or is cut off, would try a version that may have
+//! been abandoned meanwhile, and the answers that its callers get would be counted by no judge.
 
 use std::collections::HashMap;
 
 use leadstage_lib::gateway::routing::ServiceId;
 use leadstage_lib::ids::Timestamp;
 
-/// The services, with until when.
+/// The services, each with the time until which its upgrade is known to be judged.
 #[derive(Debug, Default)]
 pub struct JudgedServices(HashMap<ServiceId, Timestamp>);
 
 impl JudgedServices {
-    /// A service's upgrade is judged until a moment.
+    /// Records that a service's upgrade is judged until a time.
     pub fn set_judged_until(&mut self, service: &ServiceId, until: Timestamp) {
         match self.0.get_mut(service) {
             Some(known) => *known = until,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether its new version may be tried.
+    /// Whether requests may be sent to the new version of a service.
     pub fn may_try(&self, service: &ServiceId, now: Timestamp) -> bool {
         self.0.get(service).is_some_and(|until| now < *until)
     }
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -1,6 +1,5 @@
-//! Takes news of the replicas in, from wherever they come: the store, another node, or signs of
-//! the replicas' own. What is new moves generations away from engines that leave, and is told
-//! to other nodes.
+//! Receives changes of the replicas, from the store, from other nodes and from the replicas themselves.
+//! Moves generations away from engines that leave, and forwards changes to other nodes.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -45,38 +44,39 @@
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
-/// A replica that left is forgotten after this: the longest time that one serves on after
-/// its entry is gone is a few seconds.
+/// Time after which a replica that left is forgotten. Replicas continue to serve for at most a few seconds
+/// after their entry is removed.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Replicas that are listed at once and get a line each; a starting node would else write a thousand,
-/// of which the log's limit leaves 300, and lose what it says next.
+/// Largest number of replicas of one change that are logged with a line each. A starting node would
+/// otherwise log a thousand lines, of which the log's limit keeps 300, and lose the lines that follow.
 const MAX_LOGGED_INDIVIDUALLY: usize = 50;
-/// What the nodes that are told one part of some news take of the link, in bits.
+/// Bits that the link carries when one part of an update is sent to all nodes that this node sends it to.
 const PART_BITS: f64 = 8.0 * 9_000.0 * 8.0;
-/// Part of the link that is for it.
+/// Fraction of the link that updates may take.
 const LINK_SHARE: f64 = 0.5;
-/// The way of news of the replicas into this node, and on to others.
+
+/// Receives changes of the replicas and forwards them to other nodes.
 pub struct ReplicaIntake {
     shared: Arc<Shared>,
     health_poller: HealthPoller,
     batcher: UpdateBatcher,
-    /// Parts of news that are to be told, one after the other.
+    /// Parts of updates that are still to be sent, in order.
     pending_parts: VecDeque<ReplicaUpdate>,
     relay: UpdateRelay,
-    /// Up to which revision of the store the replicas are known.
+    /// The revision of the store up to which the replicas are known.
     progress: UpdateProgress,
-    /// When news last came.
+    /// When an update was last received.
     last_update: Timestamp,
     outages: StoreOutages,
-    /// This node follows the store.
+    /// Whether this node follows the store.
     is_watcher: bool,
-    /// The whole list as other nodes are handed it, and up to which revision it holds.
+    /// The whole list, packed for other nodes, and the revision that it has.
     packed: Option<(Revision, Bytes)>,
     catch_up: ReplicaCatchUp,
 }
 
 impl ReplicaIntake {
-    /// Nothing has come yet.
+    /// Creates the state of a node that knows no replicas.
     pub fn new(shared: Arc<Shared>) -> Self {
         ReplicaIntake {
             health_poller: HealthPoller::new(shared.clone()),
@@ -93,18 +93,20 @@
         }
     }
 
-    /// Whether the replicas are known, all up to some revision. News of a few that came before the
-    /// list does not count: a node that served on it would refuse what it can serve a moment later.
+    /// Whether all replicas are known up to some revision. Updates of a few replicas that arrive before the
+    /// list don't count: a node that served with these alone would refuse requests that it can serve a
+    /// moment later.
     pub fn is_known(&self) -> bool {
         self.progress.at() > 0
     }
 
-    /// When news last came.
+    /// When an update was last received.
     pub fn last_update(&self) -> Timestamp {
         self.last_update
     }
 
-    /// Takes replicas that stayed missing for gone. Who follows the store tells the others, whose revision is the same.
+    /// Treats replicas as gone whose entries stayed missing. A node that follows the store announces them,
+    /// as the other nodes know the same revision and would not notice.
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet, is_watcher: bool) {
         let replicas = &mut placing.knowledge.replicas;
         if std::mem::replace(&mut self.is_watcher, is_watcher) && !is_watcher {
@@ -121,25 +123,26 @@
         }
     }
 
-    /// Tells that replicas leave, with no new revision.
+    /// Announces replicas that leave, without a new revision.
     fn announce_departures(&self, placing: &Placing, fleet: &Fleet, leaving: Vec<Incarnation>) {
         let count = leaving.len();
         let update = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
         match update.into_parts(placing.knowledge.replicas.len()) {
             Some(parts) => parts.iter().for_each(|part| self.send_update(fleet, part)),
             None => {
-                info!(event = "news_not_told", added = 0, leaving = count, at = 0; "more has changed than is told")
+                info!(event = "news_not_told", added = 0, leaving = count, at = 0; "too many changes to send to other nodes")
             }
         }
     }
 
-    /// Packs what another node lacks. The whole list is packed once for all that ask for it until it changes.
+    /// Packs the changes that another node lacks. The whole list is packed once and reused for further
+    /// requests until it changes.
     pub fn serve_list(&mut self, placing: &Placing, known: Revision, reply: oneshot::Sender<Bytes>) {
         if let Some((at, packed)) = &self.packed
             && known == 0
             && *at == self.progress.at()
         {
-            // Whoever asked may be gone.
+            // The requester may be gone.
             let _ = reply.send(packed.clone());
             return;
         }
@@ -152,24 +155,24 @@
                 let _ = reply.send(packed);
             }
             Err(err) => {
-                warn!(event = "replicas_unwritable", reason:% = err; "the list of replicas can't be packed")
+                warn!(event = "replicas_unwritable", reason:% = err; "cannot pack the list of replicas")
             }
         }
     }
 
-    /// The store answers nobody: entries may lapse.
+    /// The store answers no node, so entries may expire.
     pub fn on_store_unavailable(&mut self) {
         self.outages.on_store_unavailable(self.shared.now());
     }
 
-    /// Asks the engines that this node leads whether they leave: the store may not tell.
+    /// Polls the health of the engines that this node leads, as the store may not report that they leave.
     pub fn poll_health(&mut self, placing: &Placing, fleet: &Fleet) {
         if self.shared.settings.policy.look_out {
             self.health_poller.poll_all(self.shared.now(), placing.engines_in_use(fleet));
         }
     }
 
-    /// A replica showed this node that it leaves: in an answer, or when it was asked for its health.
+    /// A replica showed this node that it leaves, in a response or in a health check.
     pub fn on_sign(
         &mut self,
         placing: &mut Placing,
@@ -179,7 +182,8 @@
     ) {
         let replicas = &mut placing.knowledge.replicas;
         let was_leaving = replicas.get(&incarnation.id).is_some_and(|replica| replica.leaving.is_some());
-        // A stronger sign of what is known holds against more, and is no news to others.
+        // A stronger sign is recorded, as it outweighs more evidence that the replica stays, but other
+        // nodes already know that it leaves.
         if !replicas.on_sign(incarnation, sign, self.shared.now()) || was_leaving {
             return;
         }
@@ -191,7 +195,7 @@
         );
     }
 
-    /// A replica was asked for its health.
+    /// A health check of a replica ended.
     pub fn on_health(
         &mut self,
         placing: &mut Placing,
@@ -213,7 +217,7 @@
         self.on_sign(placing, fleet, &incarnation, sign);
     }
 
-    /// The store told of its replicas.
+    /// The store reported its replicas.
     pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, update: News<ReplicaRecord>) {
         let (before, now) = (self.progress.at(), self.shared.now());
         let at = match &update {
@@ -221,7 +225,7 @@
             News::Changed(changes) => changes.at,
         };
         if revision::era(at) < revision::era(before) {
-            info!(event = "store_era_old", era = revision::era(at), known = revision::era(before); "an answer of the store is older than its return from a copy");
+            info!(event = "store_era_old", era = revision::era(at), known = revision::era(before); "ignoring an answer from before the store was restored from a copy");
             return;
         }
         let change = match update {
@@ -240,22 +244,23 @@
         let replicas = &placing.knowledge.replicas;
         let added = change.added.iter().filter_map(|id| replicas.get(id));
         let added: Vec<ReplicaRecord> = added.map(|replica| (*replica.record).clone()).collect();
-        // One that went and came again within one answer of the store stays.
+        // A replica that was removed and added again within one answer of the store is not leaving.
         let leaving = replicas.leaving_of(&change.leaving);
-        // Without any change too, so that nobody takes the new revision for missed news.
+        // Sent without any change as well, so that no node considers the new revision a missed update.
         if at > before && before > 0 {
             let part = Part::default();
             self.batch(placing, fleet, ReplicaUpdate { before, at, added, leaving, part });
         } else if before > 0 && !(added.is_empty() && leaving.is_empty()) {
-            info!(event = "news_kept", added = added.len(), leaving = leaving.len(), at, before; "news of the store is no newer than what is known, and not told");
+            info!(event = "news_kept", added = added.len(), leaving = leaving.len(), at, before; "changes from the store are not newer than the known revision, and are not forwarded");
         }
     }
 
-    /// What a copy lacks is not gone: replicas write their entries again.
+    /// Detects that the store was restored from a copy. Replicas that the copy lacks are not gone: they
+    /// write their entries again.
     fn check_era(&mut self, at: Revision) {
         let before = self.progress.at();
         if before > 0 && revision::era(at) > revision::era(before) {
-            info!(event = "store_copy", era = revision::era(at), revision = revision::number(at); "the store has come back from a copy, which may lack replicas");
+            info!(event = "store_copy", era = revision::era(at), revision = revision::number(at); "the store was restored from a copy, which may lack replicas");
             self.outages.on_store_unavailable(self.shared.now());
         }
     }
@@ -266,10 +271,10 @@
         for event in changes.events {
             match event {
                 Change::Put(record) => placing.knowledge.replicas.on_entry(record, now, &mut change),
-                // What is no longer an entry of a replica names none to use.
+                // An entry that can no longer be parsed names no usable replica.
                 Change::Gone(id) | Change::Unreadable(id) => match self.outages.missing_since(now) {
                     Some(since) => {
-                        info!(event = "replica_missing", upstream = id; "a replica is no longer listed, perhaps because the store was away");
+                        info!(event = "replica_missing", upstream = id; "a replica is no longer listed, perhaps because the store was unavailable");
                         placing.knowledge.replicas.on_missing(&id, since);
                         self.health_poller.poll(placing.knowledge.asked_for_health(&id), now);
                     }
@@ -280,7 +285,7 @@
         change
     }
 
-    /// Tells other nodes, together with what follows soon.
+    /// Sends an update to other nodes, batched with those that follow soon.
     fn batch(&mut self, placing: &Placing, fleet: &Fleet, update: ReplicaUpdate) {
         match self.batcher.add(update, self.shared.now()) {
             Some(Duration::ZERO) => self.send_updates(placing, fleet),
@@ -289,7 +294,7 @@
         }
     }
 
-    /// Tells other nodes what was gathered.
+    /// Sends the batched updates to other nodes.
     pub fn send_updates(&mut self, placing: &Placing, fleet: &Fleet) {
         let replicas = placing.knowledge.replicas.len();
         let Some(update) = self.batcher.take(replicas, self.shared.now()) else {
@@ -297,7 +302,7 @@
         };
         let (added, leaving, at) = (update.added.len(), update.leaving.len(), update.at);
         let Some(parts) = update.into_parts(replicas) else {
-            info!(event = "news_not_told", added, leaving, at; "more has changed than is told: other nodes fetch it");
+            info!(event = "news_not_told", added, leaving, at; "too many changes to send to other nodes, which fetch them instead");
             return;
         };
         let is_idle = self.pending_parts.is_empty();
@@ -307,7 +312,7 @@
         }
     }
 
-    /// Tells the next part, and the one after it when the link has carried that.
+    /// Sends the next part, and schedules the one after it for when the link has carried this one.
     pub fn send_next_part(&mut self, fleet: &Fleet) {
         let Some(part) = self.pending_parts.pop_front() else {
             return;
@@ -323,12 +328,12 @@
         match update.pack() {
             Ok(packed) => fleet.tell(&PeerMessage::Replicas(packed)),
             Err(err) => {
-                warn!(event = "replicas_unwritable", reason:% = err; "news of the replicas can't be packed")
+                warn!(event = "replicas_unwritable", reason:% = err; "cannot pack an update of the replicas")
             }
         }
     }
 
-    /// A watcher learnt of replicas. What is new here is passed on.
+    /// Another node sent an update. It is forwarded if it is new to this node.
     pub fn on_peer_update(
         &mut self,
         placing: &mut Placing,
@@ -343,14 +348,15 @@
         let update = match packed.unpack() {
             Ok(update) => update,
             Err(err) => {
-                info!(event = "news_unreadable", from:% = from, reason:% = err; "another node's news can't be read");
+                info!(event = "news_unreadable", from:% = from, reason:% = err; "cannot unpack an update from another node");
                 return;
             }
         };
         let now = self.shared.now();
         let mut change = ListChange::default();
         for record in &update.added {
-            // One that is thought to leave may stay after all; one may have started again, or be cold.
+            // A replica that is considered leaving may stay after all; another may have restarted, or be
+            // cold.
             let known = placing.knowledge.replicas.get(&record.id);
             let is_new = |known: &Replica| {
                 known.leaving.is_some() || known.is_missing() || known.record.born < record.born
@@ -366,7 +372,7 @@
         }
         let has_changes = !change.added.is_empty() || !change.leaving.is_empty();
         if !is_sign && self.progress.on_part(&update) {
-            // Something is still missing.
+            // An earlier update or another part is still missing.
             self.compare(placing, fleet, from, update.at);
         }
         self.after_update(placing, &change, update.at);
@@ -375,8 +381,8 @@
         }
     }
 
-    /// Another node knows the replicas up to this revision; what is missing here is fetched
-    /// there unless it comes by itself.
+    /// Another node knows the replicas up to `peer_revision`. Fetches the missing changes from it, unless
+    /// they arrive on their own before.
     pub fn compare(&mut self, placing: &Placing, fleet: &Fleet, from: SocketAddr, peer_revision: Revision) {
         let own = self.progress.at();
         if peer_revision <= own {
@@ -405,7 +411,7 @@
         });
     }
 
-    /// Another node answered, or did not.
+    /// A query of another node for its replicas ended.
     pub fn on_fetched(
         &mut self,
         placing: &mut Placing,
@@ -428,13 +434,13 @@
         self.progress.on_known(at);
         self.after_update(placing, &change, at);
         if is_first {
-            // It is handed on as it came.
+            // The list is served to other nodes as it was received.
             self.packed = Some((at, packed));
             fleet.announce_replicas();
         }
     }
 
-    /// What follows from any news; `at` is its revision, 0 for a sign.
+    /// Applies the consequences of any update; `at` is its revision, 0 for a sign without one.
     fn after_update(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
         self.last_update = self.shared.now();
         self.on_list_change(placing, change, at);
@@ -444,8 +450,9 @@
         }
     }
 
-    /// A change that is learnt with news which is not known whole is newer than all that is: whoever is handed what
-    /// this node knows later on must get it.
+    /// Records and logs changes, and evacuates replicas that leave. A change from an update that is not
+    /// complete yet is recorded under that update's later revision, so that nodes that fetch from this one
+    /// afterwards get it.
     fn on_list_change(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
         placing.knowledge.replicas.set_changed_at(change, at.max(self.progress.at()));
         self.log_added(placing, change);
@@ -471,12 +478,12 @@
         }
     }
 
-    /// A replica leaves: its streams are told to move.
+    /// A replica leaves: orders its streams to move.
     fn evacuate(&self, placing: &Placing, id: &UpstreamId, sign: LeavingSign) {
         let streams = if self.shared.settings.policy.evacuate { placing.streams_at(id) } else { Vec::new() };
         info!(event = "replica_leaves", upstream = &**id, sign:% = sign, streams = streams.len(); "replica leaves");
         for stream in streams {
-            // A stream that has just ended needs no order.
+            // The stream may have just ended.
             let _ = stream.orders.send(Order::Evacuate(id.clone()));
         }
     }
--- a/node/src/gateway/control/store_watcher.rs
+++ b/node/src/gateway/control/store_watcher.rs
@@ -1,4 +1,4 @@
-//! Follows the store while this node is one of its watchers, and sends their pulse.
+//! Follows the store while this node is one of its watchers, and sends a watcher's pulse.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -30,48 +30,48 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// The store is away if it does not answer within this; a slow one takes a quarter of a
+/// Time without an answer after which the store is considered away; a slow store takes a quarter of a
 /// second.
 const PULSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The store is late if it does not answer within this: it usually takes some 4 ms, and the
-/// turn of a busy node some tens.
+/// Time without an answer after which the store is considered late. An answer usually takes about 4 ms, and
+/// a busy node some tens of milliseconds until it processes one.
 const PULSE_LATE_AFTER: Duration = Duration::from_millis(120);
-/// Part of the interval by which pulses come earlier or later, so that those of three
-/// watchers spread over it: the first to miss an answer warns all.
+/// Fraction of the interval by which pulses are sent earlier or later at random, so that those of the three
+/// watchers spread over it: the first watcher that misses an answer warns all nodes.
 const PULSE_JITTER: f64 = 0.3;
 
-/// The tasks of a watcher; they end when this is dropped.
+/// The tasks of a watcher, which end when this is dropped.
 struct Tasks {
     _configuration: AbortOnDropHandle<()>,
     _replicas: AbortOnDropHandle<()>,
     _closed_halls: AbortOnDropHandle<()>,
     _suspects: AbortOnDropHandle<()>,
-    /// Where the operator orders upgrades.
+    /// Only where the operator can order upgrades.
     _upgrades: Option<AbortOnDropHandle<()>>,
     _pulse: AbortOnDropHandle<()>,
 }
 
-/// This node's watching.
+/// Follows the store while this node has a role as one of its watchers.
 pub struct StoreWatcher {
     shared: Arc<Shared>,
     role: Option<WatchRole>,
-    /// The role that the tasks have, once there are some.
+    /// The role that the tasks use, once they are started.
     tasks_role: Role,
     tasks: Option<Tasks>,
 }
 
 impl StoreWatcher {
-    /// Does not watch yet.
+    /// Creates a watcher without a role.
     pub fn new(shared: Arc<Shared>) -> Self {
         StoreWatcher { shared, role: None, tasks_role: Rc::new(Cell::new(WatchRole::Standby)), tasks: None }
     }
 
-    /// Begins or ends to watch, or changes how.
+    /// Starts or stops watching, or changes the role.
     pub fn set(&mut self, role: Option<WatchRole>) {
         if role == self.role {
             return;
         }
-        info!(event = "store_watch", before:? = self.role, now:? = role; "this node follows the store for others, or no longer");
+        info!(event = "store_watch", before:? = self.role, now:? = role; "this node's role as a watcher of the store changed");
         self.role = role;
         let Some(role) = role else {
             self.tasks = None;
@@ -85,18 +85,19 @@
 
     fn start(&self) -> Tasks {
         let (shared, role) = (&self.shared, &self.tasks_role);
-        // Each watcher takes a configuration at once: all nodes fetch it from those that have it,
-        // and one alone may have a small link.
+        // Each watcher reads a new configuration at once: all nodes fetch it from those that have it, and a
+        // single watcher may have a narrow link.
         let options =
             |is_batching| FollowOptions { role: role.clone(), is_batching, has_other_source: false };
         let configuration =
             follow::follow::<Configuration>(shared.clone(), ToControl::Configuration, options(false));
         let replicas = follow::follow::<Replicas>(shared.clone(), ToControl::Replicas, options(true));
-        // The pulses tell them too: a calm day on 66 nodes takes 387 calls to the store in place of 411.
+        // Pulses read the closed halls as well. In calm operation of 66 nodes this takes 387 calls to the
+        // store instead of 411.
         let with_other_source = || FollowOptions { has_other_source: true, ..options(false) };
         let closed_halls =
             follow::follow::<Evacuations>(shared.clone(), ToControl::ClosedHalls, with_other_source());
-        // Nodes tell each other of suspects too, with or without the store.
+        // Nodes also send suspects to each other, with or without the store.
         let suspects = follow::follow::<Suspects>(shared.clone(), ToControl::Suspects, with_other_source());
         let upgrades = self.shared.bounds().exposure.map(|_| {
             let upgrades =
@@ -114,9 +115,9 @@
     }
 }
 
-/// Asks the store again and again whether it answers: a waiting watch looks the same when the store is
-/// away. Each question costs a tenth of a usual call. It is for the closed halls, some seconds old, so
-/// that a watch of them whose answer was lost is not all that tells of one.
+/// Checks periodically whether the store answers: a pending watch looks the same when the store is away.
+/// Each check costs a tenth of a usual call. It reads the closed halls, as they were some seconds ago, so
+/// that a closed hall is noticed even if the answer of its watch was lost.
 async fn pulse(shared: Arc<Shared>) {
     let mut store = Store::new(shared.settings.store);
     let mut number: PulseNumber = unix_millis();
--- a/node/src/gateway/control/suspect_store.rs
+++ b/node/src/gateway/control/suspect_store.rs
@@ -1,4 +1,4 @@
-//! Writes to the platform's store under which requests replicas ended, so that it outlasts all nodes.
+//! Writes requests under which replicas ended to the platform's store, so that they outlast all nodes.
 
 use std::sync::Arc;
 
@@ -19,10 +19,10 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// Tries of a write at most, while other nodes come first.
+/// Limit on the attempts of a write when other nodes change the object first.
 const MAX_ATTEMPTS: usize = 4;
 
-/// Does a write, and tells the control loop what came of it.
+/// Executes a write and reports the result to the control loop.
 pub async fn write(shared: Arc<Shared>, write: StoreWrite) {
     let fingerprint = write.fingerprint();
     let mut store = SuspectStore { store: Store::new(shared.settings.store), shared: &shared };
@@ -31,7 +31,7 @@
         StoreWrite::Remove(fingerprint) => store.remove(fingerprint).await.map(Some),
     };
     let stored = stored.unwrap_or_else(|err| {
-        info!(event = "suspect_not_stored", fingerprint:% = fingerprint, reason:% = err; "the store did not take a request under which replicas ended");
+        info!(event = "suspect_not_stored", fingerprint:% = fingerprint, reason:% = err; "could not store a request under which replicas ended");
         None
     });
     shared.tell(ToControl::SuspectStored(fingerprint, stored));
@@ -43,7 +43,8 @@
 }
 
 impl SuspectStore<'_> {
-    /// Adds ends to those that the store holds. `None` if others were faster each time.
+    /// Adds ends to those that the store holds. Returns `None` if other nodes changed the object before
+    /// each attempt.
     async fn add_ends(&mut self, mut suspect: Suspect) -> Result<Option<StoredSuspect>, StoreError> {
         let mut replaces: Option<Revision> = None;
         for _ in 0..MAX_ATTEMPTS {
@@ -74,8 +75,8 @@
     }
 }
 
-/// All ends of both, and whether the store holds them already: as ends are only added, it then has nothing to
-/// be told.
+/// Returns the union of the ends of both, and whether the store holds all of them already. As ends are only
+/// added, no write is needed then.
 fn union(ours: Suspect, held: Suspect) -> (Suspect, bool) {
     let now = unix_millis();
     let mut ledger = CrashLedger::default();
--- a/node/src/gateway/control/trial.rs
+++ b/node/src/gateway/control/trial.rs
@@ -1,4 +1,5 @@
-//! What a node has counted in the trial of a new version, what it has told the judges, and what it has heard as one of them.
+//! State of a node in the trial of a new version: its own counts, its reports to the judges, and the
+//! reports that it received as a judge.
 
 use std::time::Duration;
 
@@ -28,15 +29,17 @@
 use crate::gateway::peers::peer_message::ReportId;
 use crate::gateway::peers::peer_message::TrialId;
 
-/// What the judges of a service's upgrade are hashed by, before the service's name.
+/// Prefix of the key, followed by the service's name, by which the judges of a service's upgrade are
+/// ranked.
 const JUDGE_KEY_PREFIX: &str = "judge of ";
-/// Whoever was sent a report judges for so long, whatever it thinks of the other nodes.
+/// How long a node that received a report acts as a judge, even if it does not rank itself among the
+/// judges.
 const JUDGE_DUTY_TIME: Duration = Duration::from_secs(2);
 
-/// What is counted for one order.
+/// The trial of one order.
 pub struct Trial {
     service: ServiceId,
-    /// When this node learnt of it.
+    /// When this node learned of the order.
     since: Timestamp,
     /// The order.
     pub order: UpgradeOrder,
@@ -44,14 +47,14 @@
     counted: SampleCount,
     reports: TrialReports,
     evidence: TrialEvidence,
-    /// When another node last reported to this one.
+    /// When another node last sent a report to this one.
     last_report_received: Option<Timestamp>,
-    /// Time from the order to the last report that a judge has.
+    /// Time from the order to the newest report that a judge acknowledged.
     judged_as_of: Duration,
 }
 
 impl Trial {
-    /// Nothing is counted yet.
+    /// Creates a trial without samples.
     pub fn new(service: ServiceId, order: UpgradeOrder, since: Timestamp) -> Self {
         Trial {
             service,
@@ -70,7 +73,7 @@
         TrialId { service: self.service.clone(), made: self.order.made }
     }
 
-    /// Whether it is the trial that a message names.
+    /// Whether `id`, from a message, names this trial.
     pub fn has_id(&self, id: &TrialId) -> bool {
         self.order.made == id.made
     }
@@ -81,7 +84,7 @@
         self.counted += 1;
     }
 
-    /// Another node reports, and is told that its report has come.
+    /// Adds another node's report, and acknowledges it.
     pub fn on_report(&mut self, fleet: &Fleet, from: VmId, report: CountsReport, now: Timestamp) {
         self.last_report_received = Some(now);
         if let Some(address) = address_of(&from) {
@@ -90,14 +93,14 @@
         self.evidence.add_report(from, report.report);
     }
 
-    /// A judge has a report of this node.
+    /// A judge acknowledged a report of this node.
     pub fn on_acknowledged(&mut self, judge: &VmId, report: &ReportId) {
         self.reports.on_acknowledged(judge, report.counted);
         self.judged_as_of = self.judged_as_of.max(report.as_of);
     }
 
-    /// Whether what this node sees is known to a judge, and what judges find to this node: until when it may be
-    /// taken to be so.
+    /// Returns the time until which this node may assume that a judge has its samples and that it knows the
+    /// judges' decisions.
     pub fn judged_until(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Timestamp {
         let max_report_age = trial_reports::max_report_age(fleet.nodes());
         if fleet.is_alone() {
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Reports to the judges what is due; returns whether this node is one of them.
+    /// Sends the reports that are due to the judges; returns whether this node is a judge.
     pub fn report(&mut self, fleet: &Fleet, upgrade: &Upgrade, started: UnixMillis, now: Timestamp) -> bool {
         let pending = Pending {
             counted: self.counted,
@@ -129,18 +132,18 @@
         judges || self.last_report_received.is_some_and(|received| received + JUDGE_DUTY_TIME > now)
     }
 
-    /// All counts that this node knows.
+    /// The counts of all nodes, as far as this node knows them.
     pub fn all(&self) -> AnswerCounts {
         self.evidence.all(&self.own)
     }
 
-    /// How much of the fleet it has heard of late.
+    /// How much of the fleet recent reports cover.
     pub fn coverage(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Coverage {
         let since = upgrade_judge::report_cutoff(upgrade, fleet.nodes(), now);
         self.evidence.coverage(&fleet.census(), since)
     }
 
-    /// Nodes that it has heard, itself included.
+    /// Number of nodes whose counts are known, this one included.
     pub fn nodes(&self) -> usize {
         self.evidence.nodes() + 1
     }
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -1,8 +1,9 @@
-//! Takes upgrades in, from the store or from other nodes, counts how both versions answer, and has them go on.
+//! Receives upgrades from the store or from other nodes, counts how both versions answer, and advances
+//! upgrades to their next stage.
 //!
-//! Each message between nodes tells all upgrades. The nodes tell their counts to a few of them, the judges, which are the
-//! first by a hash, so that no election is needed: all judges come to the same by the same counts. The
-//! node that follows the store first tells the operator.
+//! Each message between nodes carries all upgrades. The nodes report their counts to a few judges, which
+//! are the first nodes by a hash. No election is needed: all judges reach the same decision from the same
+//! counts. The first watcher of the store reports the result to the operator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -46,10 +47,10 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// A write to the store that failed is tried again after this.
+/// Delay before a write to the store is tried again.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How a node learnt of it.
+/// How a node learned of a stage.
 #[derive(Clone, Copy, Debug, derive_more::Display)]
 enum Source {
     #[display("store")]
@@ -60,21 +61,22 @@
     Judge,
 }
 
-/// A standby of who follows the store first writes what is final if it is still due after this: by then it would have
-/// heard that it was written.
+/// Time after which a standby watcher writes a final status that the first watcher has not written. If it
+/// had been written, the standby would have received the change by then.
 const STANDBY_WRITE_DELAY: Duration = Duration::from_millis(300);
 
-/// An order as the store holds it, as far as this node follows the store, and the write of its status.
+/// An order as the store holds it, known while this node follows the store, and the state of writing its
+/// status.
 struct StoredOrder {
     held: StoredUpgrade,
     is_writing: bool,
     next_write: Timestamp,
 }
 
-/// The way of upgrades into this node, and on to others.
+/// Receives upgrades, announces them to other nodes and advances them.
 pub struct UpgradeIntake {
     shared: Arc<Shared>,
-    /// When the process began.
+    /// When the process started.
     started: UnixMillis,
     rebroadcast: Rebroadcast<ServiceId>,
     pauses: ProcessPauses,
@@ -83,7 +85,7 @@
 }
 
 impl UpgradeIntake {
-    /// Nothing has come yet.
+    /// Creates the state of a node that knows no upgrades.
     pub fn new(shared: Arc<Shared>) -> Self {
         UpgradeIntake {
             shared,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// The store told of the orders.
+    /// The store reported the orders.
     pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, update: News<StoredUpgrade>) {
         let now = self.shared.now();
         let mut announced = self.shared.upgrades().announced(now);
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes an object in, and puts what it orders into `announced`.
+    /// Records a stored object, and adds its order to `announced`.
     fn on_stored(&mut self, held: StoredUpgrade, announced: &mut AnnouncedUpgrades, now: Timestamp) {
         let known = announced.upgrades.iter().position(|upgrade| upgrade.service == held.service);
         let known = known.map(|at| announced.upgrades.swap_remove(at));
@@ -139,7 +141,7 @@
                 });
             }
             Err(reason) if held.state.is_none() => {
-                warn!(event = "upgrade_refused", service = &*held.service, reason = reason.as_str(); "an order to upgrade a service can't be followed")
+                warn!(event = "upgrade_refused", service = &*held.service, reason = reason.as_str(); "an order to upgrade a service is invalid")
             }
             Err(_) => {}
         }
@@ -147,9 +149,9 @@
         self.stored.insert(held.service.clone(), StoredOrder { held, is_writing: false, next_write });
     }
 
-    /// Another node told of them.
+    /// Another node announced its upgrades.
     pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, announced: AnnouncedUpgrades) {
-        // Nearly always there is none.
+        // There is nearly never an upgrade.
         if announced.upgrades.is_empty() && announced.at <= self.shared.upgrades().at() {
             return;
         }
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Returns whether it changed anything.
+    /// Merges announced upgrades; returns whether that changed any.
     fn merge(&mut self, placing: &mut Placing, announced: AnnouncedUpgrades, source: Source) -> bool {
         let mut upgrades = (*self.shared.upgrades()).clone();
         let changed = upgrades.merge(announced, self.shared.now());
@@ -180,7 +182,7 @@
             match upgrades.of(service) {
                 Some(upgrade) => self.on_stage(placing, service, upgrade, source),
                 None => {
-                    info!(event = "upgrade_withdrawn", service = &**service, by:% = source; "there is no order to upgrade a service any more")
+                    info!(event = "upgrade_withdrawn", service = &**service, by:% = source; "the order to upgrade a service was withdrawn")
                 }
             }
         }
@@ -191,7 +193,7 @@
 
     fn on_stage(&self, placing: &Placing, service: &ServiceId, upgrade: &Upgrade, source: Source) {
         let age_ms = self.shared.now().saturating_sub(upgrade.began).as_millis() as u64;
-        info!(event = "upgrade_stage", service = &**service, target = &*upgrade.order.target, stage:% = upgrade.stage, by:% = source, age_ms; "the upgrade of a service is at this stage");
+        info!(event = "upgrade_stage", service = &**service, target = &*upgrade.order.target, stage:% = upgrade.stage, by:% = source, age_ms; "the upgrade of a service reached a stage");
         if !matches!(upgrade.stage, Stage::Switch | Stage::Proven) {
             return;
         }
@@ -199,13 +201,14 @@
         let replaced = replaced.filter(|replica| replica.record.version != upgrade.order.target);
         for replica in replaced {
             for stream in placing.streams_at(&replica.record.id) {
-                // A stream that has just ended needs no order.
+                // The stream may have just ended.
                 let _ = stream.orders.send(Order::Evacuate(replica.record.id.clone()));
             }
         }
     }
 
-    /// A replica answered a request of this node. Times that a pause of this process has lengthened are left out.
+    /// A replica answered a request of this node. Times that a pause of this process may have lengthened
+    /// are ignored.
     pub fn on_sample(&mut self, sample: AnswerSample) {
         let now = self.shared.now();
         let is_disturbed = match sample.sample {
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Another node tells its counts.
+    /// Another node reported its counts.
     pub fn on_report(&mut self, fleet: &Fleet, from: VmId, report: CountsReport) {
         let now = self.shared.now();
         if let Some(trial) = self.trial(&report.id.trial) {
@@ -228,7 +231,7 @@
         }
     }
 
-    /// A judge has a report of this node.
+    /// A judge acknowledged a report of this node.
     pub fn on_acknowledged(&mut self, placing: &mut Placing, fleet: &Fleet, judge: &VmId, report: &ReportId) {
         if let Some(trial) = self.trial(&report.trial) {
             trial.on_acknowledged(judge, report);
@@ -248,8 +251,8 @@
         self.trials.get_mut(&id.service).filter(|trial| trial.has_id(id))
     }
 
-    /// Does what is due: `role` is how this node follows the store, `store_answers` whether that answers
-    /// somebody.
+    /// Sends reports, judges upgrades and starts writes that are due. `role` is the role in which this node
+    /// follows the store; `store_answers` says whether the store answers any node.
     pub fn tick(
         &mut self,
         placing: &mut Placing,
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Reports what is due, and judges if this node is one of those that do.
+    /// Sends the reports that are due, and judges the upgrade if this node is a judge.
     fn report_and_judge(
         &mut self,
         placing: &mut Placing,
@@ -312,15 +315,15 @@
             return;
         };
         let (answered, exposed) = counts.answered();
-        info!(event = "upgrade_judged", service = &**service, stage:% = stage, reason:% = reason, answered, exposed, nodes = trial.nodes(), hearing:? = situation.hearing; "an upgrade goes on");
+        info!(event = "upgrade_judged", service = &**service, stage:% = stage, reason:% = reason, answered, exposed, nodes = trial.nodes(), hearing:? = situation.hearing; "the judge advances an upgrade to its next stage");
         let order = upgrade.order.clone();
         upgrades.advance(service, &order, stage, now);
         self.publish(placing, upgrades, std::slice::from_ref(service), Source::Judge);
         fleet.tell(&PeerMessage::UpgradesChanged);
     }
 
-    /// Tells the operator what became of orders, where the store says otherwise. Each write names the revision that it
-    /// replaces, so it does no harm if two nodes write.
+    /// Writes the state of orders for the operator where the stored status differs. Each write names the
+    /// revision that it replaces, so it is harmless if two nodes write.
     fn write_due_statuses(&mut self, role: WatchRole) {
         let now = self.shared.now();
         let upgrades = self.shared.upgrades();
@@ -340,7 +343,7 @@
         }
     }
 
-    /// A write of a status ended.
+    /// The write of a status ended.
     pub fn on_written(&mut self, placing: &mut Placing, fleet: &Fleet, written: StoredWord) {
         let now = self.shared.now();
         let Some(stored) = self.stored.get_mut(&written.service) else {
@@ -351,7 +354,7 @@
         let Some(held) = written.held else {
             return;
         };
-        info!(event = "upgrade_stored", service = &*written.service, state:? = held.state, revision = held.revision; "the operator is told of an upgrade");
+        info!(event = "upgrade_stored", service = &*written.service, state:? = held.state, revision = held.revision; "the status of an upgrade is stored");
         let (state, order) = (held.state, held.order.clone());
         stored.held = held;
         let stage = state.and_then(upgrade_store::stage_of);
@@ -366,7 +369,7 @@
     }
 }
 
-/// Whether a node that follows the store in this role tells the operator of an order.
+/// Whether a node that follows the store in this role writes the status of an order.
 fn is_writer(role: WatchRole, upgrade: Option<&Upgrade>, now: Timestamp) -> bool {
     let is_overdue = |upgrade: &Upgrade| {
         matches!(upgrade.stage, Stage::Proven | Stage::Reverted)
@@ -375,13 +378,13 @@
     role == WatchRole::First || upgrade.is_some_and(is_overdue)
 }
 
-/// Requests that the replicas of both versions take at once.
+/// Number of concurrent requests that the replicas of each version accept.
 fn capacity(placing: &Placing, service: &ServiceId, order: &UpgradeOrder) -> Capacity {
     let mut capacity = Capacity::default();
     for replica in placing.knowledge.open(service) {
         let is_target = replica.record.version == order.target;
-        let of = if is_target { &mut capacity.target } else { &mut capacity.present };
-        *of += replica.record.slots;
+        let slots = if is_target { &mut capacity.target } else { &mut capacity.present };
+        *slots += replica.record.slots;
     }
     capacity
 }
--- a/node/src/gateway/control/upgrade_store.rs
+++ b/node/src/gateway/control/upgrade_store.rs
@@ -1,7 +1,7 @@
-//! Tells the operator what became of an order to upgrade a service: in the status of its object.
+//! Reports the state of an order to upgrade a service to the operator, in the status of the order's object.
 //!
-//! Each write names the revision of the object that it was decided on, so that a success and a failure, or a new
-//! order, never overwrite each other. What is final stays.
+//! Each write names the revision of the object that it is based on, so that a success, a failure and a new
+//! order never overwrite each other. A final state is never changed.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::shared::Shared;
 
-/// The stage that an order has by what the operator was told of it; `None` where that is still open.
+/// The final stage of an order according to its stored status; `None` if the upgrade has not ended.
 pub fn stage_of(state: UpgradeState) -> Option<Stage> {
     match state {
         UpgradeState::Running => None,
@@ -28,8 +28,8 @@
     }
 }
 
-/// What the operator is to be told, if the store says something else. `stage` is that of the order, unless it can't
-/// be followed.
+/// The status to write, if it differs from the stored one. `stage` is the stage of the order; it is `None`
+/// if the order is invalid or unknown.
 pub fn due_status(held: &StoredUpgrade, stage: Option<Stage>) -> Option<UpgradeStatus> {
     if held.state.and_then(stage_of).is_some() {
         return None;
@@ -51,7 +51,7 @@
     (held.state != Some(state)).then_some(status)
 }
 
-/// Writes it, and tells the control loop what the store holds then, if that is known.
+/// Writes a status, and reports to the control loop what the store holds afterwards, if that is known.
 pub async fn write(shared: Arc<Shared>, held: StoredUpgrade, status: UpgradeStatus) {
     let mut store = Store::new(shared.settings.store);
     let written = store.replace_status::<Upgrades>(&held.service, &status, held.revision).await;
@@ -62,7 +62,7 @@
         Ok(Written::Other(other, _)) => Some(other),
         Ok(Written::Missing) => None,
         Err(err) => {
-            info!(event = "upgrade_not_stored", service = &*service, reason:% = err; "the store did not take what became of an upgrade");
+            info!(event = "upgrade_not_stored", service = &*service, reason:% = err; "could not store the status of an upgrade");
             None
         }
     };
