--- a/node/src/gateway/observability/logging.rs
+++ b/node/src/gateway/observability/logging.rs
@@ -24,19 +24,19 @@
 use log::kv::VisitSource;
 
 /// Lines that wait to be written at most; some seconds' worth of a busy node.
-const LINES_WAITING: usize = 1_024;
+const MAX_QUEUED_LINES: usize = 1_024;
 /// Lines written in a second at most, about 50 KB. A node of the sheets writes 20 to 60.
-const LINES_PER_SECOND: u32 = 300;
+const MAX_LINES_PER_SECOND: u32 = 300;
 
 /// Lines beyond that which are kept for the process's end, which may be in the same second: a node
 /// that had logged 500 lines in its last second did not tell that it stopped.
-const LAST_LINES: usize = 32;
+const MAX_DEFERRED_LINES: usize = 32;
 /// The end of a process waits so long for a reader that is slow, or does not read at all. Of twelve
 /// processes that failed at their start at once, beside a load of 28 on 12 cores, two had not got
 /// the thread that writes to run within 100 ms.
-const FLUSH_WITHIN: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time between two tries to reach a thread whose queue is full.
-const FLUSH_RETRY: Duration = Duration::from_millis(5);
+const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The way to the thread that writes.
 static QUEUE: OnceLock<SyncSender<Entry>> = OnceLock::new();
@@ -51,14 +51,14 @@
 
 /// Starts logging; the level comes from `RUST_LOG`, `info` by default.
 pub fn start() -> io::Result<()> {
-    let (tx, rx) = sync_channel(LINES_WAITING);
-    let left_out = Arc::new(AtomicU64::new(0));
-    let writer = Writer::new(left_out.clone());
+    let (tx, rx) = sync_channel(MAX_QUEUED_LINES);
+    let dropped = Arc::new(AtomicU64::new(0));
+    let writer = Writer::new(dropped.clone());
     std::thread::Builder::new().name("logs".to_owned()).spawn(move || writer.run(&rx))?;
     QUEUE.get_or_init(|| tx.clone());
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .format(format_line)
-        .target(env_logger::Target::Pipe(Box::new(Queue { tx, left_out })))
+        .target(env_logger::Target::Pipe(Box::new(Queue { tx, dropped })))
         .init();
     Ok(())
 }
@@ -69,13 +69,13 @@
     let Some(tx) = QUEUE.get() else {
         return;
     };
-    let deadline = Instant::now() + FLUSH_WITHIN;
+    let deadline = Instant::now() + FLUSH_TIMEOUT;
     let (written_tx, written) = sync_channel(1);
     while tx.try_send(Entry::Flush(written_tx.clone())).is_err() {
         if Instant::now() >= deadline {
             return;
         }
-        std::thread::sleep(FLUSH_RETRY);
+        std::thread::sleep(FLUSH_RETRY_INTERVAL);
     }
     // Where the reader does not read there is nobody to tell that lines are lost.
     let _ = written.recv_timeout(deadline.saturating_duration_since(Instant::now()));
@@ -84,13 +84,13 @@
 /// Takes formatted lines; never blocks.
 struct Queue {
     tx: SyncSender<Entry>,
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl Write for Queue {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if self.tx.try_send(Entry::Line(buf.to_vec())).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(buf.len())
     }
@@ -103,18 +103,18 @@
 /// Writes lines until the process ends, and says how many were left out.
 struct Writer {
     /// When the second began in which lines are counted.
-    second: Instant,
+    window_start: Instant,
     /// Lines written in it.
     written: u32,
     /// The last lines that were not written in it.
-    beyond: VecDeque<Vec<u8>>,
+    deferred: VecDeque<Vec<u8>>,
     /// Lines left out that were not reported yet.
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl Writer {
-    fn new(left_out: Arc<AtomicU64>) -> Self {
-        Writer { second: Instant::now(), written: 0, beyond: VecDeque::new(), left_out }
+    fn new(dropped: Arc<AtomicU64>) -> Self {
+        Writer { window_start: Instant::now(), written: 0, deferred: VecDeque::new(), dropped }
     }
 
     fn run(mut self, rx: &Receiver<Entry>) {
@@ -122,7 +122,7 @@
             match entry {
                 Entry::Line(line) => self.line(line),
                 Entry::Flush(written) => {
-                    self.write_beyond();
+                    self.write_deferred();
                     // Who asked may have waited long enough.
                     let _ = written.try_send(());
                 }
@@ -131,63 +131,63 @@
     }
 
     fn line(&mut self, line: Vec<u8>) {
-        if self.second.elapsed() >= Duration::from_secs(1) {
-            self.begin_second();
+        if self.window_start.elapsed() >= Duration::from_secs(1) {
+            self.begin_window();
         }
-        if self.written < LINES_PER_SECOND {
+        if self.written < MAX_LINES_PER_SECOND {
             self.written += 1;
-            put(&line);
+            write_line(&line);
             return;
         }
-        self.beyond.push_back(line);
-        if self.beyond.len() > LAST_LINES {
-            self.beyond.pop_front();
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+        self.deferred.push_back(line);
+        if self.deferred.len() > MAX_DEFERRED_LINES {
+            self.deferred.pop_front();
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    fn begin_second(&mut self) {
-        self.second = Instant::now();
+    fn begin_window(&mut self) {
+        self.window_start = Instant::now();
         self.written = 0;
-        self.left_out.fetch_add(self.beyond.len() as u64, Ordering::Relaxed);
-        self.beyond.clear();
-        self.report_left_out();
+        self.dropped.fetch_add(self.deferred.len() as u64, Ordering::Relaxed);
+        self.deferred.clear();
+        self.report_dropped();
     }
 
-    fn write_beyond(&mut self) {
-        self.report_left_out();
-        self.beyond.drain(..).for_each(|line| put(&line));
+    fn write_deferred(&mut self) {
+        self.report_dropped();
+        self.deferred.drain(..).for_each(|line| write_line(&line));
     }
 
-    fn report_left_out(&self) {
-        let count = self.left_out.swap(0, Ordering::Relaxed);
+    fn report_dropped(&self) {
+        let count = self.dropped.swap(0, Ordering::Relaxed);
         if count > 0 {
-            put(format!("level=WARN event=log_lines_left_out count={count}\n").as_bytes());
+            write_line(format!("level=WARN event=log_lines_left_out count={count}\n").as_bytes());
         }
     }
 }
 
 /// Without a reader there is nobody to tell of the failure.
-fn put(line: &[u8]) {
+fn write_line(line: &[u8]) {
     let _ = io::stdout().lock().write_all(line);
 }
 
 /// One line: time, level, the event's key-values, then the message.
 fn format_line(buf: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     write!(buf, "ts={} level={}", buf.timestamp_millis(), record.level())?;
-    let mut pairs = Pairs { buf, result: Ok(()) };
-    let visited = record.key_values().visit(&mut pairs);
-    pairs.result?;
+    let mut formatter = PairFormatter { buf, result: Ok(()) };
+    let visited = record.key_values().visit(&mut formatter);
+    formatter.result?;
     visited.map_err(io::Error::other)?;
     writeln!(buf, " msg={:?}", record.args().to_string())
 }
 
-struct Pairs<'a> {
+struct PairFormatter<'a> {
     buf: &'a mut Formatter,
     result: io::Result<()>,
 }
 
-impl<'kvs> VisitSource<'kvs> for Pairs<'_> {
+impl<'kvs> VisitSource<'kvs> for PairFormatter<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let text = value.to_string();
         let is_bare = !text.is_empty() && !text.contains([' ', '"', '=', '\n', '\\']);
--- a/node/src/gateway/observability/metrics.rs
+++ b/node/src/gateway/observability/metrics.rs
@@ -20,9 +20,9 @@
 use crate::metrics::Instruments;
 
 /// Routes with a label value of their own; later ones share `other`.
-const MOST_ROUTES: usize = 64;
+const MAX_ROUTE_LABELS: usize = 64;
 /// The label value of routes beyond that.
-const OTHER_ROUTE: &str = "other";
+const OTHER_ROUTES_LABEL: &str = "other";
 
 /// The instruments.
 pub struct GatewayMetrics {
@@ -130,8 +130,8 @@
         if routes.contains(route) {
             return route.to_owned();
         }
-        if routes.len() >= MOST_ROUTES {
-            return OTHER_ROUTE.to_owned();
+        if routes.len() >= MAX_ROUTE_LABELS {
+            return OTHER_ROUTES_LABEL.to_owned();
         }
         routes.insert(route.to_owned());
         route.to_owned()
@@ -221,8 +221,8 @@
     }
 
     /// A run broke at its replica.
-    pub fn on_broken_run(&self, is_held: bool) {
-        self.broken_runs.add(1, &[KeyValue::new("held", is_held)]);
+    pub fn on_broken_run(&self, held_against_request: bool) {
+        self.broken_runs.add(1, &[KeyValue::new("held", held_against_request)]);
     }
 
     /// The levels at this time.
@@ -324,7 +324,7 @@
     /// Configurations and lists that were fetched.
     FetchedIn,
     /// Configurations and lists that were handed out.
-    FetchedOut,
+    ServedOut,
 }
 
 impl PeerBytes {
@@ -333,7 +333,7 @@
             PeerBytes::DatagramsIn => "datagrams in",
             PeerBytes::DatagramsOut => "datagrams out",
             PeerBytes::FetchedIn => "fetched",
-            PeerBytes::FetchedOut => "handed out",
+            PeerBytes::ServedOut => "handed out",
         }
     }
 }
--- a/node/src/gateway/observability/metrics_port.rs
+++ b/node/src/gateway/observability/metrics_port.rs
@@ -29,8 +29,8 @@
     }
 }
 
-fn respond(kind: &'static str, body: String) -> Response<Full<Bytes>> {
+fn respond(content_type: &'static str, body: String) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::from(body));
-    res.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    res.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     res
 }
--- a/node/src/gateway/observability/peer_traffic.rs
+++ b/node/src/gateway/observability/peer_traffic.rs
@@ -71,19 +71,19 @@
 
 /// Messages and bytes since the start.
 #[derive(Debug, Default)]
-pub struct Sent {
+pub struct SentCounts {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Sent {
+impl SentCounts {
     fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-impl fmt::Display for Sent {
+impl fmt::Display for SentCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.messages.load(Ordering::Relaxed), self.bytes.load(Ordering::Relaxed))
     }
@@ -91,7 +91,7 @@
 
 /// What was sent of each kind; bytes without the headers of packets.
 #[derive(Debug, Default)]
-pub struct PeerTraffic([Sent; MessageKind::ALL.len()]);
+pub struct PeerTraffic([SentCounts; MessageKind::ALL.len()]);
 
 impl PeerTraffic {
     /// A message was sent.
@@ -100,7 +100,7 @@
     }
 
     /// What was sent of a kind.
-    pub fn of(&self, kind: MessageKind) -> &Sent {
+    pub fn of(&self, kind: MessageKind) -> &SentCounts {
         &self.0[kind as usize]
     }
 }
--- a/node/src/gateway/observability/status.rs
+++ b/node/src/gateway/observability/status.rs
@@ -61,7 +61,7 @@
 }
 
 /// Engines of one service that are told at most.
-const MOST_ENGINES: usize = 200;
+const MAX_ENGINES: usize = 200;
 
 fn readiness(phase: Phase) -> &'static str {
     match phase {
@@ -73,12 +73,12 @@
 
 fn pool(knowledge: &Knowledge, service: &ServiceId, waiting: usize) -> PoolLine {
     let all_engines = knowledge.staying(service).count();
-    let engines = if all_engines <= MOST_ENGINES {
+    let engines = if all_engines <= MAX_ENGINES {
         knowledge.replicas.of_service(service)
     } else {
         // Those that have something to do.
         let busy = knowledge.book.busy_replicas().filter_map(|id| knowledge.replicas.get(id));
-        busy.filter(|replica| replica.record.service == *service).take(MOST_ENGINES).collect()
+        busy.filter(|replica| replica.record.service == *service).take(MAX_ENGINES).collect()
     };
     let engines: Vec<EngineLine> =
         engines.into_iter().map(|replica| engine(knowledge, service, replica)).collect();
--- a/node/src/gateway/peers/fetching.rs
+++ b/node/src/gateway/peers/fetching.rs
@@ -33,11 +33,11 @@
 
 /// Time until an answer begins: some round trips, and the turns of a busy node with a small share
 /// of a core.
-const ANSWER_LIMIT: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// When to come back to a busy node that does not say.
-const DEFAULT_BUSY: Duration = Duration::from_millis(100);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The longest that a busy node is left alone, whatever it says.
-const LONGEST_BUSY: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Fetches the configuration from another node, after the `part` of it that is here, and tells the
 /// control loop. What differs from `own` is enough, where there is one.
@@ -48,14 +48,14 @@
     part: Option<PartialConfig>,
 ) {
     let known = own.as_ref().map_or(0, |own| own.version);
-    let handed = match ask_for_configuration(&shared, from, known, part).await {
-        Ok(part) => read_edition(&part, own.as_deref(), from),
-        Err(handed) => handed,
+    let fetched = match request_configuration(&shared, from, known, part).await {
+        Ok(part) => decode_edition(&part, own.as_deref(), from),
+        Err(fetched) => fetched,
     };
-    shared.tell(ToControl::Fetched(from, Fetched::Configuration(handed)));
+    shared.tell(ToControl::Fetched(from, Fetched::Configuration(fetched)));
 }
 
-fn read_edition(part: &PartialConfig, own: Option<&ConfigText>, from: SocketAddr) -> HandedConfig {
+fn decode_edition(part: &PartialConfig, own: Option<&ConfigText>, from: SocketAddr) -> HandedConfig {
     let edition = part.edition;
     match ConfigText::decode(edition, &part.buf, own) {
         Ok(text) => {
@@ -70,13 +70,13 @@
 }
 
 /// Asks a node; returns an edition that is whole, or what became of it otherwise.
-async fn ask_for_configuration(
+async fn request_configuration(
     shared: &Shared,
     from: SocketAddr,
     known: ConfigVersion,
     part: Option<PartialConfig>,
 ) -> Result<PartialConfig, HandedConfig> {
-    let mut req = get(from, &format!("{CONFIG_PATH}?{known}"));
+    let mut req = get_request(from, &format!("{CONFIG_PATH}?{known}"));
     if let Some(part) = &part {
         let headers = req.headers_mut();
         let value = |text: String| text.parse().expect("numbers are a valid value");
@@ -85,16 +85,17 @@
     }
     let mut part = part;
     let mut had = part.as_ref().map_or(0, |part| part.buf.len());
-    let answer = Link::new(from).fetch_into(req, ANSWER_LIMIT, |res| buf_for(res, &mut part, &mut had)).await;
+    let response =
+        Link::new(from).fetch_into(req, RESPONSE_TIMEOUT, |res| body_buf(res, &mut part, &mut had)).await;
     let has = part.as_ref().map_or(0, |part| part.buf.len());
     shared.metrics.on_peer_bytes(PeerBytes::FetchedIn, has.saturating_sub(had));
-    match answer {
+    match response {
         Ok((status, headers)) => {
             if let Some(whole) = part.take_if(|part| status.is_success() && part.is_whole()) {
                 return Ok(whole);
             }
             if status == StatusCode::SERVICE_UNAVAILABLE {
-                return Err(HandedConfig::Busy(come_back(&headers), part));
+                return Err(HandedConfig::Busy(retry_after(&headers), part));
             }
             info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, status = status.as_u16(); "a node handed nothing out");
             Err(HandedConfig::Failed(part))
@@ -107,7 +108,7 @@
 }
 
 /// Where an answer's body goes: on to the part that is here, which `had` so many bytes, or to a new one.
-fn buf_for<'p>(
+fn body_buf<'p>(
     res: &Response<Incoming>,
     part: &'p mut Option<PartialConfig>,
     had: &mut usize,
@@ -122,32 +123,32 @@
     part.as_mut().filter(|part| part.edition == edition).map(|part| &mut part.buf)
 }
 
-fn come_back(headers: &HeaderMap) -> Duration {
+fn retry_after(headers: &HeaderMap) -> Duration {
     let after = headers.get(header::RETRY_AFTER).and_then(|after| after.to_str().ok());
     let after = after.and_then(|after| after.parse().ok());
     let after = after.and_then(|after| Duration::try_from_secs_f64(after).ok());
-    after.unwrap_or(DEFAULT_BUSY).min(LONGEST_BUSY)
+    after.unwrap_or(DEFAULT_RETRY_AFTER).min(MAX_RETRY_AFTER)
 }
 
 /// Fetches from another node what changed of the replicas since the revision `known`, and
 /// tells the control loop.
 pub async fn fetch_replicas(shared: Arc<Shared>, from: SocketAddr, known: Revision) {
-    let handed = ask_for_replicas(&shared, from, &format!("{REPLICAS_PATH}?{known}")).await;
-    shared.tell(ToControl::Fetched(from, Fetched::Replicas(handed)));
+    let fetched = request_replicas(&shared, from, &format!("{REPLICAS_PATH}?{known}")).await;
+    shared.tell(ToControl::Fetched(from, Fetched::Replicas(fetched)));
 }
 
-async fn ask_for_replicas(shared: &Shared, from: SocketAddr, path: &str) -> HandedReplicas {
-    let answer = Link::new(from).fetch(get(from, path), ANSWER_LIMIT).await;
-    match answer {
-        Ok(answer) if answer.status == StatusCode::OK => {
-            shared.metrics.on_peer_bytes(PeerBytes::FetchedIn, answer.body.len());
-            read_list(answer.body, from)
+async fn request_replicas(shared: &Shared, from: SocketAddr, path: &str) -> HandedReplicas {
+    let response = Link::new(from).fetch(get_request(from, path), RESPONSE_TIMEOUT).await;
+    match response {
+        Ok(response) if response.status == StatusCode::OK => {
+            shared.metrics.on_peer_bytes(PeerBytes::FetchedIn, response.body.len());
+            decode_list(response.body, from)
         }
-        Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
-            HandedReplicas::Busy(come_back(&answer.headers))
+        Ok(response) if response.status == StatusCode::SERVICE_UNAVAILABLE => {
+            HandedReplicas::Busy(retry_after(&response.headers))
         }
-        Ok(answer) => {
-            info!(event = "fetch_failed", from:% = from, path, status = answer.status.as_u16(); "a node handed nothing out");
+        Ok(response) => {
+            info!(event = "fetch_failed", from:% = from, path, status = response.status.as_u16(); "a node handed nothing out");
             HandedReplicas::Nothing
         }
         Err(err) => {
@@ -157,7 +158,7 @@
     }
 }
 
-fn read_list(body: Bytes, from: SocketAddr) -> HandedReplicas {
+fn decode_list(body: Bytes, from: SocketAddr) -> HandedReplicas {
     match ReplicaList::unpack(&body) {
         Ok(list) => HandedReplicas::List(list, body),
         Err(err) => {
@@ -167,7 +168,7 @@
     }
 }
 
-fn get(from: SocketAddr, path: &str) -> Request<Full<Bytes>> {
+fn get_request(from: SocketAddr, path: &str) -> Request<Full<Bytes>> {
     let req = Request::get(path).header(header::HOST, from.to_string()).body(Full::default());
     req.expect("the request is valid")
 }
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -31,21 +31,21 @@
 
 /// A probe that is not answered within this has failed: some round trips between halls,
 /// and the time that a busy node with a small share of a core needs to answer.
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Nodes named in one message.
-const KNOWN_PER_MESSAGE: usize = 8;
+const MAX_KNOWN_PER_MESSAGE: usize = 8;
 /// When a node that has met others greets a seed once more, to learn of how many it is one.
-const GREETS_AGAIN_AT: Timestamp = Duration::from_millis(400);
+const SECOND_SEED_PROBE_AT: Timestamp = Duration::from_millis(400);
 /// Nodes that are told by the one that has news: all of a small fleet, so that most news
 /// takes one way only.
-const FIRST_FAN_OUT: usize = 8;
+const ORIGIN_FAN_OUT: usize = 8;
 /// Nodes that each node which hears of the news tells on: some 2 in 100 are missed by all,
 /// and notice from the next message that they lack something.
 const FAN_OUT: usize = 4;
 
 /// Whose answer to a probe is awaited, and why.
 #[derive(Clone, Debug)]
-enum Awaited {
+enum ProbePurpose {
     /// For this node's own view.
     Direct(VmId),
     /// Another node probes it for this one.
@@ -53,7 +53,7 @@
     /// This node probes for another one, which named the probe so.
     ForOther(SocketAddr, ProbeId),
     /// A seed's, by a node that has just started; it is asked again if it does not answer.
-    Greeted,
+    Seed,
 }
 
 /// This node's view of the others.
@@ -64,17 +64,17 @@
     own_link_is_wide: bool,
     own_link_bits_per_second: f64,
     /// Nodes that have wide links, as far as is known.
-    wide: SampleSet<VmId>,
+    wide_nodes: SampleSet<VmId>,
     peers: PeersByHall,
     seeds: BTreeSet<SocketAddr>,
     known: BTreeSet<SocketAddr>,
     membership: Membership,
-    probes: HashMap<ProbeId, (Awaited, Timestamp)>,
+    probes: HashMap<ProbeId, (ProbePurpose, Timestamp)>,
     last_probe: ProbeId,
-    /// Nodes that sent their first message since the last tick.
-    met: usize,
+    /// Number of nodes whose first message was received since the last tick.
+    new_nodes: usize,
     size: FleetSize,
-    greeting: Greeting,
+    seed_contact: SeedContact,
     /// Whether this node hears of others that follow the store, which it tells with its probes.
     pub hears_watchers: bool,
     outbox: Outbox,
@@ -82,13 +82,13 @@
 
 /// How a node that has just started makes itself known.
 #[derive(Debug, Default)]
-struct Greeting {
-    /// Another node was heard from.
-    met: bool,
-    /// Seeds were asked once more after that.
-    asked_again: bool,
-    /// Seeds greeted so far.
-    greeted: usize,
+struct SeedContact {
+    /// A message from another node was received.
+    has_contact: bool,
+    /// A seed was probed once more after that.
+    probed_again: bool,
+    /// Number of probes sent to seeds so far.
+    probes_sent: usize,
 }
 
 impl Fleet {
@@ -105,19 +105,19 @@
             own_hall: settings.hall.clone(),
             own_link_is_wide: settings.has_wide_link(),
             own_link_bits_per_second: settings.link_bits_per_second(),
-            wide: SampleSet::default(),
+            wide_nodes: SampleSet::default(),
             known: BTreeSet::new(),
             seeds: seeds.clone(),
             probes: HashMap::new(),
             last_probe: 0,
-            met: 0,
+            new_nodes: 0,
             size: FleetSize::default(),
-            greeting: Greeting::default(),
+            seed_contact: SeedContact::default(),
             hears_watchers: false,
             outbox,
         };
         for seed in seeds {
-            fleet.list(seed, Timestamp::ZERO);
+            fleet.add_known(seed, Timestamp::ZERO);
         }
         fleet
     }
@@ -126,7 +126,7 @@
     pub fn set_seeds(&mut self, seeds: &[SocketAddr], now: Timestamp) {
         self.seeds = peer_addresses(seeds, self.own_address);
         for seed in self.seeds.clone() {
-            self.list(seed, now);
+            self.add_known(seed, now);
         }
     }
 
@@ -146,7 +146,7 @@
     }
 
     fn size(&self) -> Option<usize> {
-        let is_known = self.greeting.met || self.seeds.is_empty();
+        let is_known = self.seed_contact.has_contact || self.seeds.is_empty();
         is_known.then(|| self.size.recent_max())
     }
 
@@ -177,12 +177,12 @@
 
     /// A node says that it has a wide link.
     pub fn on_wide_link(&mut self, node: &VmId) {
-        self.wide.insert(node.clone());
+        self.wide_nodes.insert(node.clone());
     }
 
     /// Whether a node, perhaps this one, is known to have a wide link.
     pub fn node_has_wide_link(&self, node: &VmId) -> bool {
-        if *node == self.own { self.own_link_is_wide } else { self.wide.contains(node) }
+        if *node == self.own { self.own_link_is_wide } else { self.wide_nodes.contains(node) }
     }
 
     /// Whether the node at a peer address is known to have a wide link.
@@ -203,11 +203,12 @@
 
     fn announce(&self, message: &PeerMessage) {
         let count = transfer_slots::max_concurrent(self.own_link_bits_per_second).max(FAN_OUT);
-        let wide = self.wide.sample(count / 2, &mut rand::rng()).into_iter().filter_map(address_of);
-        let wide: Vec<SocketAddr> = wide.collect();
-        let others = self.sample(count).into_iter().filter(|node| !wide.contains(node));
-        let told: Vec<SocketAddr> = wide.iter().copied().chain(others).take(count).collect();
-        for node in told {
+        let wide_nodes =
+            self.wide_nodes.sample(count / 2, &mut rand::rng()).into_iter().filter_map(address_of);
+        let wide_nodes: Vec<SocketAddr> = wide_nodes.collect();
+        let others = self.sample(count).into_iter().filter(|node| !wide_nodes.contains(node));
+        let targets: Vec<SocketAddr> = wide_nodes.iter().copied().chain(others).take(count).collect();
+        for node in targets {
             self.outbox.send(node, message);
         }
     }
@@ -228,7 +229,7 @@
     }
 
     pub fn tell(&self, message: &PeerMessage) {
-        for node in self.gossip_targets(FIRST_FAN_OUT) {
+        for node in self.gossip_targets(ORIGIN_FAN_OUT) {
             self.outbox.send(node, message);
         }
     }
@@ -241,30 +242,30 @@
 
     /// Probes whom it is time to probe; returns the nodes that are gone.
     pub fn tick(&mut self, now: Timestamp) -> Vec<VmId> {
-        self.log_met();
-        self.greet(now);
+        self.log_new_nodes();
+        self.probe_seeds(now);
         self.size.observe(self.nodes(), now);
         let mut actions = self.membership.tick(now);
         let late: Vec<ProbeId> =
             self.probes.iter().filter(|(_, (_, until))| *until <= now).map(|(id, _)| *id).collect();
         for id in late {
             match self.probes.remove(&id) {
-                Some((Awaited::Direct(target), _)) => {
+                Some((ProbePurpose::Direct(target), _)) => {
                     actions.extend(self.membership.on_probe(&target, false, now))
                 }
-                Some((Awaited::Indirect(target), _)) if !self.awaits(&target) => {
+                Some((ProbePurpose::Indirect(target), _)) if !self.awaits_indirect(&target) => {
                     actions.extend(self.membership.on_indirect(&target, false, now))
                 }
                 _ => {}
             }
         }
-        self.act(actions, now)
+        self.run_actions(actions, now)
     }
 
     /// One line for all nodes that were met since the last tick: of a thousand that start at once each would else
     /// write a thousand lines.
-    fn log_met(&mut self) {
-        let met = std::mem::take(&mut self.met);
+    fn log_new_nodes(&mut self) {
+        let met = std::mem::take(&mut self.new_nodes);
         if met > 0 {
             info!(event = "nodes_met", met, known = self.known.len(); "other nodes are known");
         }
@@ -272,16 +273,17 @@
 
     /// Probes one seed after the other until another node was heard from, and one once more a little
     /// later: of a fleet that starts at once, seeds know most by then.
-    fn greet(&mut self, now: Timestamp) {
-        let asks_again = self.greeting.met && !self.greeting.asked_again && now >= GREETS_AGAIN_AT;
-        if self.seeds.is_empty() || (self.greeting.met && !asks_again) {
+    fn probe_seeds(&mut self, now: Timestamp) {
+        let probes_again =
+            self.seed_contact.has_contact && !self.seed_contact.probed_again && now >= SECOND_SEED_PROBE_AT;
+        if self.seeds.is_empty() || (self.seed_contact.has_contact && !probes_again) {
             return;
         }
-        self.greeting.asked_again = asks_again;
-        let seed = self.seeds.iter().nth(self.greeting.greeted % self.seeds.len()).copied();
-        self.greeting.greeted += 1;
+        self.seed_contact.probed_again = probes_again;
+        let seed = self.seeds.iter().nth(self.seed_contact.probes_sent % self.seeds.len()).copied();
+        self.seed_contact.probes_sent += 1;
         if let Some(seed) = seed {
-            self.probe(seed, Awaited::Greeted, now);
+            self.probe(seed, ProbePurpose::Seed, now);
         }
     }
 
@@ -292,12 +294,12 @@
 
     /// A message came from a node.
     pub fn heard_from(&mut self, from: SocketAddr, now: Timestamp) -> Vec<VmId> {
-        self.greeting.met |= from != self.own_address;
-        if from != self.own_address && self.list(from, now) {
-            self.met += 1;
+        self.seed_contact.has_contact |= from != self.own_address;
+        if from != self.own_address && self.add_known(from, now) {
+            self.new_nodes += 1;
         }
         let actions = self.membership.heard_from(&node_id(from), now);
-        self.act(actions, now)
+        self.run_actions(actions, now)
     }
 
     /// A probe came.
@@ -310,22 +312,22 @@
     /// A probe was answered.
     pub fn on_answer(&mut self, from: SocketAddr, id: ProbeId, gossip: Gossip, now: Timestamp) -> Vec<VmId> {
         let actions = match self.probes.remove(&id) {
-            Some((Awaited::Direct(target), _)) => self.membership.on_probe(&target, true, now),
-            Some((Awaited::Indirect(target), _)) => self.membership.on_indirect(&target, true, now),
-            Some((Awaited::ForOther(asker, their_id), _)) => {
-                self.outbox.send(asker, &PeerMessage::ProbeAnswer(their_id, Gossip::default()));
+            Some((ProbePurpose::Direct(target), _)) => self.membership.on_probe(&target, true, now),
+            Some((ProbePurpose::Indirect(target), _)) => self.membership.on_indirect(&target, true, now),
+            Some((ProbePurpose::ForOther(requester, requester_probe_id), _)) => {
+                self.outbox.send(requester, &PeerMessage::ProbeAnswer(requester_probe_id, Gossip::default()));
                 Vec::new()
             }
-            Some((Awaited::Greeted, _)) | None => Vec::new(),
+            Some((ProbePurpose::Seed, _)) | None => Vec::new(),
         };
-        let mut gone = self.act(actions, now);
+        let mut gone = self.run_actions(actions, now);
         gone.extend(self.on_gossip(&node_id(from), gossip, now));
         gone
     }
 
     /// A node wants another one probed.
-    pub fn on_probe_for(&mut self, asker: SocketAddr, id: ProbeId, target: SocketAddr, now: Timestamp) {
-        self.probe(target, Awaited::ForOther(asker, id), now);
+    pub fn on_probe_for(&mut self, requester: SocketAddr, id: ProbeId, target: SocketAddr, now: Timestamp) {
+        self.probe(target, ProbePurpose::ForOther(requester, id), now);
     }
 
     /// Tells some nodes that this one stops.
@@ -337,12 +339,12 @@
         }
     }
 
-    fn awaits(&self, target: &VmId) -> bool {
-        self.probes.values().any(|(awaited, _)| matches!(awaited, Awaited::Indirect(t) if t == target))
+    fn awaits_indirect(&self, target: &VmId) -> bool {
+        self.probes.values().any(|(purpose, _)| matches!(purpose, ProbePurpose::Indirect(t) if t == target))
     }
 
     /// A node is known; returns whether that is new.
-    fn list(&mut self, address: SocketAddr, now: Timestamp) -> bool {
+    fn add_known(&mut self, address: SocketAddr, now: Timestamp) -> bool {
         let is_new = self.known.insert(address);
         if is_new {
             let node = node_id(address);
@@ -359,14 +361,14 @@
         if let Some(hall) = gossip.hall {
             self.peers.on_hall(from, hall);
             if gossip.has_wide_link {
-                self.wide.insert(from.clone());
+                self.wide_nodes.insert(from.clone());
             }
         }
         for node in gossip.known {
             self.on_known(node, now);
         }
         let actions = self.membership.on_news(&gossip.news, now);
-        self.act(actions, now)
+        self.run_actions(actions, now)
     }
 
     fn on_known(&mut self, node: KnownNode, now: Timestamp) {
@@ -375,17 +377,17 @@
         if node.address == self.own_address || is_gone {
             return;
         }
-        self.list(node.address, now);
+        self.add_known(node.address, now);
         if let Some(hall) = node.hall {
             self.peers.on_hall(&id, hall);
         }
         if node.has_wide_link {
-            self.wide.insert(id);
+            self.wide_nodes.insert(id);
         }
     }
 
     fn gossip(&mut self) -> Gossip {
-        let known = self.sample(KNOWN_PER_MESSAGE).into_iter();
+        let known = self.sample(MAX_KNOWN_PER_MESSAGE).into_iter();
         let known = known.map(|address| {
             let hall = self.peers.hall(&node_id(address)).cloned();
             KnownNode { address, hall, has_wide_link: self.has_wide_link(address) }
@@ -400,13 +402,13 @@
         }
     }
 
-    fn act(&mut self, actions: Vec<MembershipAction>, now: Timestamp) -> Vec<VmId> {
+    fn run_actions(&mut self, actions: Vec<MembershipAction>, now: Timestamp) -> Vec<VmId> {
         let mut gone = Vec::new();
         for action in actions {
             match action {
                 MembershipAction::Probe { target } => {
                     if let Some(address) = address_of(&target) {
-                        self.probe(address, Awaited::Direct(target), now);
+                        self.probe(address, ProbePurpose::Direct(target), now);
                     }
                 }
                 MembershipAction::ProbeVia { via, target } => self.probe_via(&via, target, now),
@@ -427,7 +429,7 @@
     /// A node that is gone is not named to others; seeds are tried again for ever.
     fn forget(&mut self, node: &VmId) {
         self.peers.on_gone(node);
-        self.wide.remove(node);
+        self.wide_nodes.remove(node);
         if let Some(address) = address_of(node)
             && !self.seeds.contains(&address)
         {
@@ -436,9 +438,9 @@
         }
     }
 
-    fn probe(&mut self, target: SocketAddr, awaited: Awaited, now: Timestamp) {
+    fn probe(&mut self, target: SocketAddr, purpose: ProbePurpose, now: Timestamp) {
         self.last_probe += 1;
-        self.probes.insert(self.last_probe, (awaited, now + PROBE_LIMIT));
+        self.probes.insert(self.last_probe, (purpose, now + PROBE_TIMEOUT));
         let gossip = self.gossip();
         self.outbox.send(target, &PeerMessage::Probe(self.last_probe, gossip));
     }
@@ -448,7 +450,7 @@
             return;
         };
         self.last_probe += 1;
-        self.probes.insert(self.last_probe, (Awaited::Indirect(target), now + 2 * PROBE_LIMIT));
+        self.probes.insert(self.last_probe, (ProbePurpose::Indirect(target), now + 2 * PROBE_TIMEOUT));
         self.outbox.send(via, &PeerMessage::ProbeFor(self.last_probe, address));
     }
 }
--- a/node/src/gateway/peers/outbox.rs
+++ b/node/src/gateway/peers/outbox.rs
@@ -11,7 +11,7 @@
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::metrics::PeerBytes;
 use crate::gateway::peers::peer_message::Datagram;
-use crate::gateway::peers::peer_message::MAX_DATAGRAM;
+use crate::gateway::peers::peer_message::MAX_DATAGRAM_BYTES;
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
@@ -59,7 +59,7 @@
             message,
         };
         match postcard::to_stdvec(&datagram) {
-            Ok(bytes) if bytes.len() <= MAX_DATAGRAM => match self.socket.try_send_to(&bytes, to) {
+            Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => match self.socket.try_send_to(&bytes, to) {
                 Ok(sent) => {
                     self.shared.metrics.on_peer_bytes(PeerBytes::DatagramsOut, sent);
                     self.shared.metrics.on_peer_sent(message.kind(), sent);
@@ -78,7 +78,7 @@
 
 /// Passes datagrams on to the control loop until the process ends.
 pub async fn receive(socket: Arc<UdpSocket>, shared: Arc<Shared>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let read = match socket.recv_from(&mut buf).await {
             Ok((read, _)) => read,
@@ -92,7 +92,7 @@
         shared.metrics.on_peer_bytes(PeerBytes::DatagramsIn, read);
         match postcard::from_bytes::<Datagram>(&buf[..read]) {
             Ok(datagram) => shared.tell(ToControl::Datagram(datagram)),
-            Err(err) => debug!(event = "datagram_unreadable", reason:% = err; "a datagram can't be read"),
+            Err(err) => debug!(event = "datagram_unreadable", reason:% = err; "a datagram can't be decoded"),
         }
     }
 }
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -38,7 +38,7 @@
 
 /// Bytes of a datagram at most. Nearly all fit into one packet; the inventory of a busy
 /// node takes a few.
-pub const MAX_DATAGRAM: usize = 18 << 10;
+pub const MAX_DATAGRAM_BYTES: usize = 18 << 10;
 /// Bytes of an inventory's requests in one datagram at most; what stands beside them takes less
 /// than 100, and closed halls 2,100 where their names are the longest.
 pub const MAX_INVENTORY: usize = 15 << 10;
--- a/node/src/gateway/peers/peer_port.rs
+++ b/node/src/gateway/peers/peer_port.rs
@@ -45,20 +45,20 @@
 /// which the asking node knows them.
 pub const REPLICAS_PATH: &str = "/replicas";
 /// What is no larger goes out at once, however many ask: a few packets.
-const SMALL_BYTES: usize = 4 << 10;
+const MAX_BYTES_WITHOUT_SLOT: usize = 4 << 10;
 /// A place for a transfer is given to another one when the transfer lasts longer than it takes at
 /// so many bits a second; the transfer goes on. The receiver may stand still.
-const LEAST_BITS_PER_SECOND: f64 = 1e6;
+const MIN_BITS_PER_SECOND: f64 = 1e6;
 /// A place is held at least so long.
-const LEAST_PLACE_TIME: Duration = Duration::from_secs(1);
+const MIN_SLOT_TIME: Duration = Duration::from_secs(1);
 
 /// A place for a large transfer.
-struct Place {
+struct SlotGuard {
     transfer_slots: Rc<RefCell<TransferSlots>>,
     since: Instant,
 }
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.transfer_slots.borrow_mut().release(self.since.elapsed());
     }
@@ -74,8 +74,8 @@
 
 /// Hands the configuration and the replicas out until the process ends.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
-    let most = transfer_slots::max_concurrent(shared.settings.link_bits_per_second());
-    let transfer_slots = Rc::new(RefCell::new(TransferSlots::new(most)));
+    let max_transfers = transfer_slots::max_concurrent(shared.settings.link_bits_per_second());
+    let transfer_slots = Rc::new(RefCell::new(TransferSlots::new(max_transfers)));
     loop {
         let stream = small_port::accept(&listener, "peer").await;
         let connection = Connection {
@@ -102,30 +102,30 @@
         let (res, kind) = match req.uri().path() {
             CONFIG_PATH => (self.configuration(req, known), MessageKind::ConfigHandedOut),
             REPLICAS_PATH => (self.replicas(known).await, MessageKind::ReplicasHandedOut),
-            _ => return status(StatusCode::NOT_FOUND),
+            _ => return empty_response(StatusCode::NOT_FOUND),
         };
         let bytes = res.body().size_hint().lower() as usize;
-        self.shared.metrics.on_peer_bytes(PeerBytes::FetchedOut, bytes);
+        self.shared.metrics.on_peer_bytes(PeerBytes::ServedOut, bytes);
         self.shared.metrics.on_peer_sent(kind, bytes);
         res
     }
 
     fn configuration(&self, req: &Request<Incoming>, known: ConfigVersion) -> Response<Full<Bytes>> {
         let Some(text) = self.shared.config_text() else {
-            return status(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         if text.version <= known {
-            return status(StatusCode::NOT_MODIFIED);
+            return empty_response(StatusCode::NOT_MODIFIED);
         }
         let (edition, bytes) = match text.encoded_for(known) {
             Ok(encoded) => encoded,
             Err(err) => {
                 warn!(event = "config_unwritable", version = text.version, reason:% = err; "the configuration can't be compressed");
-                return status(StatusCode::INTERNAL_SERVER_ERROR);
+                return empty_response(StatusCode::INTERNAL_SERVER_ERROR);
             }
         };
-        let from = continues_at(req.headers(), edition);
-        let mut res = self.hand_out(bytes.slice(from.unwrap_or(0)..));
+        let from = range_start(req.headers(), edition);
+        let mut res = self.serve_bytes(bytes.slice(from.unwrap_or(0)..));
         if res.status() == StatusCode::OK {
             let tag = HeaderValue::from_str(&edition.to_string()).expect("numbers are a valid value");
             res.headers_mut().insert(header::ETAG, tag);
@@ -140,47 +140,47 @@
         let (tx, rx) = oneshot::channel();
         self.shared.tell(ToControl::HandOut(known, tx));
         match rx.await {
-            Ok(packed) => self.hand_out(packed),
+            Ok(packed) => self.serve_bytes(packed),
             // The control loop has logged why.
-            Err(_) => status(StatusCode::INTERNAL_SERVER_ERROR),
+            Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 
     /// Answers with `bytes`, or says when to come back where too many nodes are being handed
     /// something large.
-    fn hand_out(&self, bytes: Bytes) -> Response<Full<Bytes>> {
-        if bytes.len() > SMALL_BYTES {
+    fn serve_bytes(&self, bytes: Bytes) -> Response<Full<Bytes>> {
+        if bytes.len() > MAX_BYTES_WITHOUT_SLOT {
             if let Err(after) = self.transfer_slots.borrow_mut().try_acquire() {
-                let mut res = status(StatusCode::SERVICE_UNAVAILABLE);
+                let mut res = empty_response(StatusCode::SERVICE_UNAVAILABLE);
                 let after = HeaderValue::from_str(&format!("{:.3}", after.as_secs_f64()));
                 res.headers_mut().insert(header::RETRY_AFTER, after.expect("a number is a valid value"));
                 return res;
             }
-            self.take_place(bytes.len());
+            self.hold_slot(bytes.len());
         }
         Response::new(Full::from(bytes))
     }
 
-    fn take_place(&self, bytes: usize) {
-        let place = Place { transfer_slots: self.transfer_slots.clone(), since: Instant::now() };
-        let longest = Duration::from_secs_f64(bytes as f64 * 8.0 / LEAST_BITS_PER_SECOND);
-        let holds = tokio::task::spawn_local(async move {
-            tokio::time::sleep(longest.max(LEAST_PLACE_TIME)).await;
-            drop(place);
+    fn hold_slot(&self, bytes: usize) {
+        let slot = SlotGuard { transfer_slots: self.transfer_slots.clone(), since: Instant::now() };
+        let max_time = Duration::from_secs_f64(bytes as f64 * 8.0 / MIN_BITS_PER_SECOND);
+        let holder = tokio::task::spawn_local(async move {
+            tokio::time::sleep(max_time.max(MIN_SLOT_TIME)).await;
+            drop(slot);
         });
-        self.transfer.replace(Some(AbortOnDropHandle::new(holds)));
+        self.transfer.replace(Some(AbortOnDropHandle::new(holder)));
     }
 }
 
 /// Where a node that has the beginning of an edition wants it from.
-fn continues_at(headers: &HeaderMap, edition: Edition) -> Option<usize> {
+fn range_start(headers: &HeaderMap, edition: Edition) -> Option<usize> {
     let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
     text(header::IF_RANGE).filter(|tag| *tag == edition.to_string())?;
     let from = text(header::RANGE)?.strip_prefix("bytes=")?.strip_suffix('-')?.parse().ok()?;
     (from <= edition.bytes).then_some(from)
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::default());
     *res.status_mut() = status;
     res
--- a/node/src/gateway/shared.rs
+++ b/node/src/gateway/shared.rs
@@ -336,8 +336,8 @@
 
     /// Time that is left to requests that come now, if a planned stop has begun.
     pub fn left_to_serve(&self) -> Option<Duration> {
-        let ends = *self.stop_began.get()? + self.bounds().stop_within;
-        Some(ends.saturating_sub(self.now()))
+        let deadline = *self.stop_began.get()? + self.bounds().stop_within;
+        Some(deadline.saturating_sub(self.now()))
     }
 
     /// Time since a planned stop began, if one has.
