--- a/node/src/gateway/observability/logging.rs
+++ b/node/src/gateway/observability/logging.rs
@@ -1,8 +1,8 @@
-//! Structured logs on standard output: one `key=value` line for each event, at most so many
-//! a second, written by a thread of its own so that no request waits for a reader.
+//! Structured logs on standard output: one `key=value` line for each event, with a limit on the lines
+//! per second, written by a thread of its own so that no request waits for a slow reader.
 //!
-//! Whoever ends the process calls [`flush`] before: the thread ends with the process, and what it has
-//! not written is lost.
+//! Code that ends the process calls [`flush`] first: the writer thread ends with the process, and
+//! lines that it has not written by then are lost.
 
 use std::collections::VecDeque;
 use std::io;
@@ -23,29 +23,30 @@
 use log::kv::Value;
 use log::kv::VisitSource;
 
-/// Lines that wait to be written at most; some seconds' worth of a busy node.
+/// Maximum number of lines that wait to be written; several seconds' worth on a busy node.
 const MAX_QUEUED_LINES: usize = 1_024;
-/// Lines written in a second at most, about 50 KB. A node of the sheets writes 20 to 60.
+/// Maximum number of lines written per second, about 50 KB. A node under the documented loads writes
+/// 20 to 60.
 const MAX_LINES_PER_SECOND: u32 = 300;
 
-/// Lines beyond that which are kept for the process's end, which may be in the same second: a node
-/// that had logged 500 lines in its last second did not tell that it stopped.
+/// Number of lines over that limit, the latest ones, that are kept in case the process ends in the same
+/// second: a node that had logged 500 lines in its last second did not log that it stopped.
 const MAX_DEFERRED_LINES: usize = 32;
-/// The end of a process waits so long for a reader that is slow, or does not read at all. Of twelve
-/// processes that failed at their start at once, beside a load of 28 on 12 cores, two had not got
-/// the thread that writes to run within 100 ms.
+/// How long the end of a process waits for a reader that is slow or does not read at all. Of twelve
+/// processes that failed at startup at the same time, with a load of 28 on 12 cores, two had
+/// not had their writer thread scheduled within 100 ms.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time between two tries to reach a thread whose queue is full.
+/// Time between two attempts to reach the writer thread while its queue is full.
 const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The way to the thread that writes.
+/// The channel to the writer thread.
 static QUEUE: OnceLock<SyncSender<Entry>> = OnceLock::new();
 
-/// What the thread that writes is sent.
+/// A message to the writer thread.
 enum Entry {
     /// A line to write.
     Line(Vec<u8>),
-    /// Tells when all lines before it are written.
+    /// Requests a signal once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
@@ -63,8 +64,8 @@
     Ok(())
 }
 
-/// Waits until all lines that were logged before are written, 200 ms at most. Does nothing where
-/// logging was not started.
+/// Waits until all lines logged so far are written, 200 ms at most. Does nothing if logging was not
+/// started.
 pub fn flush() {
     let Some(tx) = QUEUE.get() else {
         return;
@@ -77,11 +78,11 @@
         }
         std::thread::sleep(FLUSH_RETRY_INTERVAL);
     }
-    // Where the reader does not read there is nobody to tell that lines are lost.
+    // If standard output is not read, the loss of lines can't be reported anywhere.
     let _ = written.recv_timeout(deadline.saturating_duration_since(Instant::now()));
 }
 
-/// Takes formatted lines; never blocks.
+/// Passes formatted lines to the writer thread; never blocks.
 struct Queue {
     tx: SyncSender<Entry>,
     dropped: Arc<AtomicU64>,
@@ -100,15 +101,15 @@
     }
 }
 
-/// Writes lines until the process ends, and says how many were left out.
+/// Writes lines until the process ends, and reports how many were dropped.
 struct Writer {
-    /// When the second began in which lines are counted.
+    /// Start of the second in which lines are being counted.
     window_start: Instant,
-    /// Lines written in it.
+    /// Lines written in that second.
     written: u32,
-    /// The last lines that were not written in it.
+    /// The latest lines over the limit of that second, not written yet.
     deferred: VecDeque<Vec<u8>>,
-    /// Lines left out that were not reported yet.
+    /// Dropped lines that were not reported yet.
     dropped: Arc<AtomicU64>,
 }
 
@@ -123,7 +124,7 @@
                 Entry::Line(line) => self.line(line),
                 Entry::Flush(written) => {
                     self.write_deferred();
-                    // Who asked may have waited long enough.
+                    // The caller of `flush` may have timed out.
                     let _ = written.try_send(());
                 }
             }
@@ -167,12 +168,12 @@
     }
 }
 
-/// Without a reader there is nobody to tell of the failure.
+/// Ignores errors: if standard output can't be written, they can't be reported anywhere.
 fn write_line(line: &[u8]) {
     let _ = io::stdout().lock().write_all(line);
 }
 
-/// One line: time, level, the event's key-values, then the message.
+/// Formats one line: time, level, key-value pairs of the event, then the message.
 fn format_line(buf: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     write!(buf, "ts={} level={}", buf.timestamp_millis(), record.level())?;
     let mut formatter = PairFormatter { buf, result: Ok(()) };
--- a/node/src/gateway/observability/metrics.rs
+++ b/node/src/gateway/observability/metrics.rs
@@ -1,6 +1,5 @@
-//! The metrics of a gateway node. docs/OPERATIONS.md has the table, which a test checks.
-//! Label values are bounded: services of the configuration up to a limit, codes, and fixed
-//! words.
+//! The metrics of a gateway node. docs/OPERATIONS.md lists them in a table, which a test checks. The
+//! set of label values is bounded: routes of the configuration up to a limit, codes, and fixed words.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -19,12 +18,12 @@
 use crate::gateway::observability::peer_traffic::PeerTraffic;
 use crate::metrics::Instruments;
 
-/// Routes with a label value of their own; later ones share `other`.
+/// Maximum number of routes with a label value of their own; later ones share `other`.
 const MAX_ROUTE_LABELS: usize = 64;
-/// The label value of routes beyond that.
+/// The label value of routes over that limit.
 const OTHER_ROUTES_LABEL: &str = "other";
 
-/// The instruments.
+/// The metric instruments of a gateway node.
 pub struct GatewayMetrics {
     instruments: Instruments,
     routes: Mutex<HashSet<String>>,
@@ -42,7 +41,7 @@
     peer_bytes: Counter<u64>,
     peer_bytes_sum: AtomicU64,
     peer_sent: Counter<u64>,
-    /// What was sent to other nodes so far.
+    /// Messages and bytes sent to other nodes so far.
     pub peer_traffic: PeerTraffic,
     waiting: Gauge<u64>,
     open: Gauge<u64>,
@@ -59,7 +58,7 @@
 }
 
 impl GatewayMetrics {
-    /// Makes the instruments with a registry of their own.
+    /// Creates the instruments with a registry of their own.
     pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
         let instruments = Instruments::new()?;
         let counter = |name, what| instruments.counter(name, what);
@@ -137,23 +136,23 @@
         route.to_owned()
     }
 
-    /// A request was answered.
+    /// Counts a request that was answered with a status.
     pub fn on_answer(&self, route: &str, status: u16) {
         let route = KeyValue::new("route", self.route_label(route));
         self.requests.add(1, &[route, KeyValue::new("status", i64::from(status))]);
     }
 
-    /// A request was refused.
+    /// Counts a request that was refused.
     pub fn on_refusal(&self, code: Code) {
         self.refusals.add(1, &[KeyValue::new("code", i64::from(code.number()))]);
     }
 
-    /// A plain call was answered.
+    /// Records the duration of a plain call that was answered.
     pub fn on_call(&self, took: Duration) {
         self.call.record(took.as_secs_f64(), &[]);
     }
 
-    /// A stream ended.
+    /// Records the times of a stream that ended; one without any event is left out.
     pub fn on_stream(&self, first_event: Option<Duration>, longest_gap: Duration) {
         if let Some(first_event) = first_event {
             self.first_event.record(first_event.as_secs_f64(), &[]);
@@ -161,71 +160,71 @@
         }
     }
 
-    /// A step of a move ended so.
+    /// Counts a step of moving a generation, by its outcome.
     pub fn on_move(&self, step: &'static str, outcome: &'static str) {
         self.moves.add(1, &[KeyValue::new("step", step), KeyValue::new("outcome", outcome)]);
     }
 
-    /// A request was to be sent again.
+    /// Counts a retry that was due, by whether the retry budget allowed it.
     pub fn on_repeat(&self, allowed: bool) {
         self.repeats.add(1, &[KeyValue::new("allowed", allowed)]);
     }
 
-    /// A call asked for a grant at a replica that names a limit.
+    /// Counts a grant that a call requested for a replica with a limit.
     pub fn on_grant(&self, outcome: GrantOutcome) {
         self.grants.add(1, &[KeyValue::new("outcome", outcome.label())]);
     }
 
-    /// A request is sent to a replica that names a limit.
+    /// Counts a request that is sent to a replica with a limit.
     pub fn on_sent_to_limited(&self) {
         self.sent_to_limited.add(1, &[]);
     }
 
-    /// A connection to a replica was taken.
+    /// Counts a connection to a replica, new or reused, that a request takes.
     pub fn on_connection(&self, reused: bool) {
         self.connections.add(1, &[KeyValue::new("reused", reused)]);
     }
 
-    /// A call to the store was answered, or failed.
+    /// Counts a call to the store that was answered or failed.
     pub fn on_store_call(&self, purpose: StoreCall, answered: bool) {
         self.store_calls_sums[purpose as usize].fetch_add(1, Ordering::Relaxed);
         let answer = if answered { "answered" } else { "failed" };
         self.store_calls.add(1, &[KeyValue::new("kind", purpose.label()), KeyValue::new("answer", answer)]);
     }
 
-    /// Calls to the store so far, for each purpose.
+    /// Returns the number of calls to the store so far, for each purpose.
     pub fn store_calls_so_far(&self) -> StoreCalls {
         StoreCalls(self.store_calls_sums.each_ref().map(|sum| sum.load(Ordering::Relaxed)))
     }
 
-    /// A lead did not answer.
+    /// Counts a request to a lead that was not answered in time.
     pub fn on_lead_silence(&self) {
         self.lead_silences.add(1, &[]);
     }
 
-    /// Bytes were sent to another node, or came from one; headers of packets don't count.
+    /// Counts bytes sent to or received from another node, without packet headers.
     pub fn on_peer_bytes(&self, what: PeerBytes, bytes: usize) {
         self.peer_bytes_sum.fetch_add(bytes as u64, Ordering::Relaxed);
         self.peer_bytes.add(bytes as u64, &[KeyValue::new("what", what.label())]);
     }
 
-    /// A message of so many bytes was sent to another node.
+    /// Counts a message of this size that was sent to another node.
     pub fn on_peer_sent(&self, kind: MessageKind, bytes: usize) {
         self.peer_traffic.on_sent(kind, bytes);
         self.peer_sent.add(bytes as u64, &[KeyValue::new("kind", kind.label())]);
     }
 
-    /// Bytes from and to other nodes so far.
+    /// Returns the bytes received from and sent to other nodes so far.
     pub fn peer_bytes_so_far(&self) -> u64 {
         self.peer_bytes_sum.load(Ordering::Relaxed)
     }
 
-    /// A run broke at its replica.
+    /// Counts a run that broke at its replica, by whether it is held against its request.
     pub fn on_broken_run(&self, held_against_request: bool) {
         self.broken_runs.add(1, &[KeyValue::new("held", held_against_request)]);
     }
 
-    /// The levels at this time.
+    /// Records the current values of the gauges.
     pub fn on_levels(&self, levels: &Levels) {
         self.waiting.record(levels.waiting as u64, &[]);
         self.open.record(levels.open as u64, &[]);
@@ -238,25 +237,25 @@
         self.replicas_age.record(levels.replicas_age.as_secs_f64(), &[]);
     }
 
-    /// The Prometheus text.
+    /// Returns the metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.instruments.text()
     }
 }
 
-/// What came of asking for a grant.
+/// The outcome of a request for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// The request may be sent.
+    /// The request to the replica may be sent.
     Granted,
-    /// Not now.
+    /// The request to the replica may not be sent now.
     Denied,
-    /// No answer came in time.
+    /// The request for the grant was not answered in time.
     Silent,
 }
 
 impl GrantOutcome {
-    /// What an answer comes to.
+    /// The outcome that corresponds to an answer.
     pub fn of(grant: &Grant) -> Self {
         if grant.granted { GrantOutcome::Granted } else { GrantOutcome::Denied }
     }
@@ -270,25 +269,25 @@
     }
 }
 
-/// Why the store is called.
+/// The purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A node that has just started reads what may be some seconds old.
+    /// A node that has just started reads data that may be some seconds old.
     Start,
-    /// What other nodes have can't be fetched from them.
+    /// A node reads data that it could not fetch from other nodes.
     Read,
-    /// A follower begins anew.
+    /// A follower starts over with a full list.
     List,
     /// A follower waits for changes.
     Watch,
-    /// A follower asks whether the store answers.
+    /// A follower checks whether the store answers.
     Pulse,
-    /// A request under which replicas ended is kept, or no longer.
+    /// A request under which replicas ended is stored or deleted.
     Write,
 }
 
 impl StoreCall {
-    /// How many purposes there are.
+    /// Number of purposes.
     const COUNT: usize = 6;
 
     fn label(self) -> &'static str {
@@ -303,27 +302,27 @@
     }
 }
 
-/// Calls to the store, for each purpose.
+/// Numbers of calls to the store, for each purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreCalls([u64; StoreCall::COUNT]);
 
 impl StoreCalls {
-    /// The calls for one purpose.
+    /// Returns the number of calls for one purpose.
     pub fn of(&self, purpose: StoreCall) -> u64 {
         self.0[purpose as usize]
     }
 }
 
-/// What nodes send to each other.
+/// The direction and kind of bytes between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerBytes {
-    /// Datagrams that came.
+    /// Received datagrams.
     DatagramsIn,
-    /// Datagrams that went.
+    /// Sent datagrams.
     DatagramsOut,
-    /// Configurations and lists that were fetched.
+    /// Configurations and replica lists fetched from other nodes.
     FetchedIn,
-    /// Configurations and lists that were handed out.
+    /// Configurations and replica lists served to other nodes.
     ServedOut,
 }
 
@@ -338,25 +337,25 @@
     }
 }
 
-/// What is measured as a level.
+/// Values of the gauges at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Levels {
-    /// Generations that wait here for an engine.
+    /// Generations that wait on this node for an engine.
     pub waiting: usize,
-    /// Requests open.
+    /// Open requests.
     pub open: usize,
-    /// Bytes held for callers and replicas.
+    /// Bytes of requests and responses that are buffered for callers and replicas.
     pub held: usize,
-    /// Nodes taken to be alive.
+    /// Nodes considered alive, this one included.
     pub nodes: usize,
-    /// Requests under which replicas ended lately.
+    /// Requests under which replicas ended recently.
     pub suspects: usize,
-    /// Those of them that are sent to no replica.
+    /// Suspects in quarantine, which are sent to no replica.
     pub quarantined: usize,
-    /// Replicas that name a limit.
+    /// Replicas that announce a limit.
     pub limited: usize,
-    /// Time since the configuration came.
+    /// Time since the configuration was received.
     pub config_age: Duration,
-    /// Time since news of the replicas.
+    /// Time since the last update about the replicas.
     pub replicas_age: Duration,
 }
--- a/node/src/gateway/observability/metrics_port.rs
+++ b/node/src/gateway/observability/metrics_port.rs
@@ -1,4 +1,4 @@
-//! The port for operators: metrics and status.
+//! The port for operators, which serves metrics and status.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 use crate::gateway::shared::Shared;
 
-/// Answers operators.
+/// Answers a request of an operator.
 pub fn answer(shared: &Arc<Shared>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     match req.uri().path() {
         "/metrics" => respond("text/plain; version=0.0.4", shared.metrics.text()),
--- a/node/src/gateway/observability/peer_traffic.rs
+++ b/node/src/gateway/observability/peer_traffic.rs
@@ -1,40 +1,40 @@
-//! What this node has sent to others, by kind of message.
+//! Counts what this node has sent to other nodes, by kind of message.
 
 use std::fmt;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// What a message to another node is for.
+/// The purpose of a message to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Which nodes are alive.
+    /// Membership: which nodes are alive.
     Membership,
-    /// Places for generations: questions, answers, and what became of them.
+    /// Placement of generations: requests, answers, and what became of the generations.
     Placing,
-    /// All generations of the node, told to a lead.
+    /// The inventory of the node's generations, sent to a lead.
     Inventory,
-    /// News of the replicas.
+    /// Replica updates.
     Replicas,
-    /// Pulses of the store's watchers.
+    /// Pulses of watchers of the store.
     Pulse,
-    /// There is a newer configuration.
+    /// Announcements of a newer configuration.
     Config,
-    /// Halls were closed or opened.
+    /// Announcements that halls were closed or opened.
     Halls,
     /// Requests under which replicas ended.
     Suspects,
-    /// Limits that replicas name, and grants for them.
+    /// Limits that replicas announce, and grants for them.
     Limits,
-    /// Stages of upgrades, and how both versions answer.
+    /// Stages of upgrades, and counts of how both versions answer.
     Upgrades,
-    /// A configuration, or what differs, handed out.
+    /// A configuration, or the difference to an older one, served to another node.
     ConfigHandedOut,
-    /// A list of replicas, or what differs, handed out.
+    /// A list of replicas, or the changes to it, served to another node.
     ReplicasHandedOut,
 }
 
 impl MessageKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in declaration order.
     pub const ALL: [MessageKind; 12] = [
         MessageKind::Membership,
         MessageKind::Placing,
@@ -50,7 +50,7 @@
         MessageKind::ReplicasHandedOut,
     ];
 
-    /// Its name in logs and metrics.
+    /// The name of the kind in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             MessageKind::Membership => "membership",
@@ -69,7 +69,7 @@
     }
 }
 
-/// Messages and bytes since the start.
+/// Messages and bytes sent since the process started.
 #[derive(Debug, Default)]
 pub struct SentCounts {
     messages: AtomicU64,
@@ -89,17 +89,17 @@
     }
 }
 
-/// What was sent of each kind; bytes without the headers of packets.
+/// Messages and bytes sent, by kind; bytes don't include packet headers.
 #[derive(Debug, Default)]
 pub struct PeerTraffic([SentCounts; MessageKind::ALL.len()]);
 
 impl PeerTraffic {
-    /// A message was sent.
+    /// Counts a message that was sent.
     pub fn on_sent(&self, kind: MessageKind, bytes: usize) {
         self.0[kind as usize].add(bytes);
     }
 
-    /// What was sent of a kind.
+    /// Returns the counts of a kind.
     pub fn of(&self, kind: MessageKind) -> &SentCounts {
         &self.0[kind as usize]
     }
--- a/node/src/gateway/observability/status.rs
+++ b/node/src/gateway/observability/status.rs
@@ -12,11 +12,11 @@
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
 
-/// A gateway's pools span all halls.
+/// The hall shown for pools, as a gateway's pools span all halls.
 const ALL_HALLS: &str = "all";
 
-/// The status as it is now. `led` names the services that this node leads, `waiting` is
-/// how many generations wait here.
+/// Returns the current status. `led` are the services that this node leads, `waiting` is the number of
+/// generations that wait on this node.
 pub fn status(
     shared: &Shared,
     fleet: &Fleet,
@@ -60,7 +60,7 @@
     names
 }
 
-/// Engines of one service that are told at most.
+/// Maximum number of engines listed for one service.
 const MAX_ENGINES: usize = 200;
 
 fn readiness(phase: Phase) -> &'static str {
@@ -76,7 +76,7 @@
     let engines = if all_engines <= MAX_ENGINES {
         knowledge.replicas.of_service(service)
     } else {
-        // Those that have something to do.
+        // Only engines that run something.
         let busy = knowledge.book.busy_replicas().filter_map(|id| knowledge.replicas.get(id));
         busy.filter(|replica| replica.record.service == *service).take(MAX_ENGINES).collect()
     };
--- a/node/src/gateway/peers.rs
+++ b/node/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes: membership, datagrams, what is handed over whole.
+//! Communication with other nodes: membership, datagrams, and transfers of whole documents.
 
 pub mod fetching;
 pub mod fleet;
--- a/node/src/gateway/peers/fetching.rs
+++ b/node/src/gateway/peers/fetching.rs
@@ -1,4 +1,4 @@
-//! Fetches from other nodes what they hand out, see [`super::peer_port`].
+//! Fetches the configuration and the replica list from other nodes, see [`super::peer_port`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,16 +31,17 @@
 use crate::gateway::peers::peer_port::REPLICAS_PATH;
 use crate::gateway::shared::Shared;
 
-/// Time until an answer begins: some round trips, and the turns of a busy node with a small share
-/// of a core.
+/// Time until a response must begin: enough for some round trips and for the scheduling delays of a busy
+/// node with a small share of a core.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// When to come back to a busy node that does not say.
+/// When to retry at a busy node whose response has no valid `Retry-After`.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The longest that a busy node is left alone, whatever it says.
+/// Upper limit on the `Retry-After` of a busy node.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Fetches the configuration from another node, after the `part` of it that is here, and tells the
-/// control loop. What differs from `own` is enough, where there is one.
+/// Fetches the configuration from another node, continuing after the `part` that was received already,
+/// and sends the result to the control loop. If there is an `own` configuration, the difference to it is
+/// enough.
 pub async fn fetch_configuration(
     shared: Arc<Shared>,
     from: SocketAddr,
@@ -59,17 +60,17 @@
     let edition = part.edition;
     match ConfigText::decode(edition, &part.buf, own) {
         Ok(text) => {
-            info!(event = "config_fetched", from:% = from, edition:% = edition, bytes = edition.bytes, text = text.len(); "another node handed its configuration over");
+            info!(event = "config_fetched", from:% = from, edition:% = edition, bytes = edition.bytes, text = text.len(); "fetched the configuration from another node");
             HandedConfig::Text(edition.version, text)
         }
         Err(err) => {
-            info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, edition:% = edition, reason:% = err; "a node's configuration can't be read");
+            info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, edition:% = edition, reason:% = err; "the configuration from another node can't be decoded");
             HandedConfig::Unreadable
         }
     }
 }
 
-/// Asks a node; returns an edition that is whole, or what became of it otherwise.
+/// Requests the configuration from a node; returns a complete edition, or else the outcome to report.
 async fn request_configuration(
     shared: &Shared,
     from: SocketAddr,
@@ -97,17 +98,18 @@
             if status == StatusCode::SERVICE_UNAVAILABLE {
                 return Err(HandedConfig::Busy(retry_after(&headers), part));
             }
-            info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, status = status.as_u16(); "a node handed nothing out");
+            info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, status = status.as_u16(); "another node did not serve its configuration");
             Err(HandedConfig::Failed(part))
         }
         Err(err) => {
-            info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, had, has, reason:% = err; "a node did not hand its configuration over");
+            info!(event = "fetch_failed", from:% = from, path = CONFIG_PATH, had, has, reason:% = err; "the configuration could not be fetched from another node");
             Err(HandedConfig::Failed(part))
         }
     }
 }
 
-/// Where an answer's body goes: on to the part that is here, which `had` so many bytes, or to a new one.
+/// Returns the buffer for a response body: that of the part received so far, which `had` this many bytes,
+/// or that of a new part.
 fn body_buf<'p>(
     res: &Response<Incoming>,
     part: &'p mut Option<PartialConfig>,
@@ -130,8 +132,8 @@
     after.unwrap_or(DEFAULT_RETRY_AFTER).min(MAX_RETRY_AFTER)
 }
 
-/// Fetches from another node what changed of the replicas since the revision `known`, and
-/// tells the control loop.
+/// Fetches from another node the changes of the replicas since the revision `known`, and sends the result
+/// to the control loop.
 pub async fn fetch_replicas(shared: Arc<Shared>, from: SocketAddr, known: Revision) {
     let fetched = request_replicas(&shared, from, &format!("{REPLICAS_PATH}?{known}")).await;
     shared.tell(ToControl::Fetched(from, Fetched::Replicas(fetched)));
@@ -148,11 +150,11 @@
             HandedReplicas::Busy(retry_after(&response.headers))
         }
         Ok(response) => {
-            info!(event = "fetch_failed", from:% = from, path, status = response.status.as_u16(); "a node handed nothing out");
+            info!(event = "fetch_failed", from:% = from, path, status = response.status.as_u16(); "another node did not serve its replica list");
             HandedReplicas::Nothing
         }
         Err(err) => {
-            info!(event = "fetch_failed", from:% = from, path, reason:% = err; "a node did not answer");
+            info!(event = "fetch_failed", from:% = from, path, reason:% = err; "the replica list could not be fetched from another node");
             HandedReplicas::Nothing
         }
     }
@@ -162,7 +164,7 @@
     match ReplicaList::unpack(&body) {
         Ok(list) => HandedReplicas::List(list, body),
         Err(err) => {
-            info!(event = "fetch_failed", from:% = from, path = REPLICAS_PATH, reason:% = err; "a node's list can't be read");
+            info!(event = "fetch_failed", from:% = from, path = REPLICAS_PATH, reason:% = err; "the replica list from another node can't be decoded");
             HandedReplicas::Nothing
         }
     }
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -1,4 +1,4 @@
-//! The other nodes: drives [`leadstage_lib::membership`] over datagrams.
+//! This node's view of the other nodes; runs [`leadstage_lib::membership`] over datagrams.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -29,41 +29,42 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::shared::unix_millis;
 
-/// A probe that is not answered within this has failed: some round trips between halls,
+/// A probe that is not answered within this time has failed: it is enough for some round trips between halls
 /// and the time that a busy node with a small share of a core needs to answer.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Nodes named in one message.
+/// Maximum number of known nodes listed in one message.
 const MAX_KNOWN_PER_MESSAGE: usize = 8;
-/// When a node that has met others greets a seed once more, to learn of how many it is one.
+/// Time since the start at which a node that has contact with other nodes probes a seed once more, to learn
+/// the size of the fleet.
 const SECOND_SEED_PROBE_AT: Timestamp = Duration::from_millis(400);
-/// Nodes that are told by the one that has news: all of a small fleet, so that most news
-/// takes one way only.
+/// Number of nodes to which the origin of an update sends it: all of a small fleet, so that most updates
+/// take a single hop.
 const ORIGIN_FAN_OUT: usize = 8;
-/// Nodes that each node which hears of the news tells on: some 2 in 100 are missed by all,
-/// and notice from the next message that they lack something.
+/// Number of nodes to which each receiver of an update forwards it. Some 2 in 100 nodes are reached by none
+/// of them, and notice from the next message that they lack an update.
 const FAN_OUT: usize = 4;
 
-/// Whose answer to a probe is awaited, and why.
+/// The purpose of a probe whose answer is awaited.
 #[derive(Clone, Debug)]
 enum ProbePurpose {
-    /// For this node's own view.
+    /// Checks a node for this node's own view.
     Direct(VmId),
-    /// Another node probes it for this one.
+    /// Another node probes this target for this node.
     Indirect(VmId),
-    /// This node probes for another one, which named the probe so.
+    /// This node probes on behalf of the node at this address, which uses this id for the probe.
     ForOther(SocketAddr, ProbeId),
-    /// A seed's, by a node that has just started; it is asked again if it does not answer.
+    /// A node that has just started probes a seed; if it does not answer, seeds are probed again.
     Seed,
 }
 
-/// This node's view of the others.
+/// This node's view of the other nodes.
 pub struct Fleet {
     own: VmId,
     own_address: SocketAddr,
     own_hall: HallId,
     own_link_is_wide: bool,
     own_link_bits_per_second: f64,
-    /// Nodes that have wide links, as far as is known.
+    /// Nodes that are known to have wide links.
     wide_nodes: SampleSet<VmId>,
     peers: PeersByHall,
     seeds: BTreeSet<SocketAddr>,
@@ -75,12 +76,12 @@
     new_nodes: usize,
     size: FleetSize,
     seed_contact: SeedContact,
-    /// Whether this node hears of others that follow the store, which it tells with its probes.
+    /// Whether this node is notified of other nodes that follow the store; its probes report this.
     pub hears_watchers: bool,
     outbox: Outbox,
 }
 
-/// How a node that has just started makes itself known.
+/// How far a node that has just started is in contacting the fleet through its seeds.
 #[derive(Debug, Default)]
 struct SeedContact {
     /// A message from another node was received.
@@ -92,7 +93,7 @@
 }
 
 impl Fleet {
-    /// A view that knows the seeds only.
+    /// Creates a view that knows only the seeds.
     pub fn new(settings: &GatewaySettings, outbox: Outbox) -> Self {
         let own_address = settings.peer;
         let own = node_id(own_address);
@@ -122,7 +123,7 @@
         fleet
     }
 
-    /// The settings name other seeds.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr], now: Timestamp) {
         self.seeds = peer_addresses(seeds, self.own_address);
         for seed in self.seeds.clone() {
@@ -130,17 +131,17 @@
         }
     }
 
-    /// This node's id in the fleet.
+    /// Returns the id of this node in the fleet.
     pub fn own(&self) -> &VmId {
         &self.own
     }
 
-    /// The other nodes that are taken to be alive.
+    /// Returns the other nodes that are considered alive.
     pub fn alive(&self) -> impl Iterator<Item = &VmId> {
         self.membership.alive()
     }
 
-    /// Those of them that seem to be well, and how many nodes there were lately.
+    /// Returns the other nodes that are considered healthy, and the recent size of the fleet.
     pub fn census(&self) -> FleetView {
         FleetView { healthy: self.membership.healthy().cloned().collect(), size: self.size() }
     }
@@ -150,37 +151,37 @@
         is_known.then(|| self.size.recent_max())
     }
 
-    /// Whether there was no other node of late.
+    /// Whether this node is known to have been the only one recently.
     pub fn is_alone(&self) -> bool {
         self.size() == Some(1)
     }
 
-    /// Whether another node of this node's hall is taken to be alive.
+    /// Whether another node of this node's hall is considered alive.
     pub fn has_neighbour(&self) -> bool {
         self.peers.has_near()
     }
 
-    /// Rises when a node comes to those that are taken to be alive, or goes from them.
+    /// Returns a number that increases whenever the set of nodes considered alive changes.
     pub fn version(&self) -> u64 {
         self.membership.version()
     }
 
-    /// Whether the node at a peer address is known to be in this one's hall.
+    /// Whether the node at a peer address is known to be in this node's hall.
     pub fn is_near(&self, address: SocketAddr) -> bool {
         self.peers.is_near(&node_id(address))
     }
 
-    /// Whether this node knows enough others of its hall to fetch from them what it lacks.
+    /// Whether this node knows enough other nodes of its hall to fetch missing data from them.
     pub fn has_enough_in_hall(&self) -> bool {
         self.peers.has_enough_in_hall()
     }
 
-    /// A node says that it has a wide link.
+    /// Handles the announcement of a node that it has a wide link.
     pub fn on_wide_link(&mut self, node: &VmId) {
         self.wide_nodes.insert(node.clone());
     }
 
-    /// Whether a node, perhaps this one, is known to have a wide link.
+    /// Whether a node, which may be this one, is known to have a wide link.
     pub fn node_has_wide_link(&self, node: &VmId) -> bool {
         if *node == self.own { self.own_link_is_wide } else { self.wide_nodes.contains(node) }
     }
@@ -190,13 +191,13 @@
         self.node_has_wide_link(&node_id(address))
     }
 
-    /// Tells other nodes that this one has a newer configuration: as many as it can hand it to
-    /// soon, half of them with wide links, as those hand it on to many.
+    /// Announces to other nodes that this one has a newer configuration: to as many as it can soon serve it
+    /// to, half of them with wide links, as these can serve it to many more.
     pub fn announce_config(&self) {
         self.announce(&PeerMessage::NewConfig);
     }
 
-    /// The same of the replicas, which it has come to know.
+    /// Announces to as many nodes, chosen in the same way, that this one now knows the replicas.
     pub fn announce_replicas(&self) {
         self.announce(&PeerMessage::NewReplicas);
     }
@@ -213,34 +214,36 @@
         }
     }
 
-    /// Some other nodes, at random.
+    /// Returns some other nodes, chosen at random.
     fn sample(&self, count: usize) -> Vec<SocketAddr> {
         self.peers.sample(count, &mut rand::rng()).into_iter().filter_map(address_of).collect()
     }
 
-    /// Some other nodes to be told news, most of them of this one's hall.
+    /// Returns some other nodes to send an update to, most of them in this node's hall.
     fn gossip_targets(&self, count: usize) -> Vec<SocketAddr> {
         self.peers.gossip_targets(count, &mut rand::rng()).into_iter().filter_map(address_of).collect()
     }
 
-    /// Tells one node.
+    /// Sends a message to one node.
     pub fn send(&self, to: SocketAddr, message: &PeerMessage) {
         self.outbox.send(to, message);
     }
 
+    /// Sends an update that originates at this node to some other nodes.
     pub fn tell(&self, message: &PeerMessage) {
         for node in self.gossip_targets(ORIGIN_FAN_OUT) {
             self.outbox.send(node, message);
         }
     }
 
+    /// Forwards an update from another node to some other nodes.
     pub fn pass_on(&self, message: &PeerMessage) {
         for node in self.gossip_targets(FAN_OUT) {
             self.outbox.send(node, message);
         }
     }
 
-    /// Probes whom it is time to probe; returns the nodes that are gone.
+    /// Sends the probes that are due; returns the nodes that are gone.
     pub fn tick(&mut self, now: Timestamp) -> Vec<VmId> {
         self.log_new_nodes();
         self.probe_seeds(now);
@@ -262,8 +265,8 @@
         self.run_actions(actions, now)
     }
 
-    /// One line for all nodes that were met since the last tick: of a thousand that start at once each would else
-    /// write a thousand lines.
+    /// Logs one line for all nodes that became known since the last tick: otherwise each of a thousand nodes
+    /// that start at once would write a thousand lines.
     fn log_new_nodes(&mut self) {
         let met = std::mem::take(&mut self.new_nodes);
         if met > 0 {
@@ -271,8 +274,8 @@
         }
     }
 
-    /// Probes one seed after the other until another node was heard from, and one once more a little
-    /// later: of a fleet that starts at once, seeds know most by then.
+    /// Probes one seed after the other until a message from another node is received, and one seed once more
+    /// a little later: in a fleet whose nodes all start at once, the seeds know most nodes by then.
     fn probe_seeds(&mut self, now: Timestamp) {
         let probes_again =
             self.seed_contact.has_contact && !self.seed_contact.probed_again && now >= SECOND_SEED_PROBE_AT;
@@ -287,12 +290,12 @@
         }
     }
 
-    /// How many nodes there are, this one included, as far as it knows.
+    /// Returns the number of nodes considered alive, this one included.
     pub fn nodes(&self) -> usize {
         self.membership.count_alive() + 1
     }
 
-    /// A message came from a node.
+    /// Handles the receipt of any message from a node; returns the nodes that are gone.
     pub fn heard_from(&mut self, from: SocketAddr, now: Timestamp) -> Vec<VmId> {
         self.seed_contact.has_contact |= from != self.own_address;
         if from != self.own_address && self.add_known(from, now) {
@@ -302,14 +305,14 @@
         self.run_actions(actions, now)
     }
 
-    /// A probe came.
+    /// Handles a probe and answers it; returns the nodes that are gone.
     pub fn on_probe(&mut self, from: SocketAddr, id: ProbeId, gossip: Gossip, now: Timestamp) -> Vec<VmId> {
         let answer = PeerMessage::ProbeAnswer(id, self.gossip());
         self.outbox.send(from, &answer);
         self.on_gossip(&node_id(from), gossip, now)
     }
 
-    /// A probe was answered.
+    /// Handles the answer to a probe; returns the nodes that are gone.
     pub fn on_answer(&mut self, from: SocketAddr, id: ProbeId, gossip: Gossip, now: Timestamp) -> Vec<VmId> {
         let actions = match self.probes.remove(&id) {
             Some((ProbePurpose::Direct(target), _)) => self.membership.on_probe(&target, true, now),
@@ -325,12 +328,12 @@
         gone
     }
 
-    /// A node wants another one probed.
+    /// Handles the request of a node to probe another one on its behalf.
     pub fn on_probe_for(&mut self, requester: SocketAddr, id: ProbeId, target: SocketAddr, now: Timestamp) {
         self.probe(target, ProbePurpose::ForOther(requester, id), now);
     }
 
-    /// Tells some nodes that this one stops.
+    /// Announces to some nodes that this one is leaving the fleet.
     pub fn leave(&mut self) {
         self.membership.leave();
         for node in self.sample(FAN_OUT) {
@@ -343,7 +346,7 @@
         self.probes.values().any(|(purpose, _)| matches!(purpose, ProbePurpose::Indirect(t) if t == target))
     }
 
-    /// A node is known; returns whether that is new.
+    /// Adds a node to the known nodes; returns whether it is new.
     fn add_known(&mut self, address: SocketAddr, now: Timestamp) -> bool {
         let is_new = self.known.insert(address);
         if is_new {
@@ -426,7 +429,8 @@
         gone
     }
 
-    /// A node that is gone is not named to others; seeds are tried again for ever.
+    /// Forgets a node that is gone, so that it is no longer listed in messages. Seeds are kept, as they are
+    /// retried forever.
     fn forget(&mut self, node: &VmId) {
         self.peers.on_gone(node);
         self.wide_nodes.remove(node);
@@ -455,7 +459,7 @@
     }
 }
 
-/// The peer addresses of seeds, without this node's own. Seeds name another port of their
+/// Returns the peer addresses of the seeds other than this node. Seed addresses hold another port of their
 /// nodes; all nodes use the same peer port.
 fn peer_addresses(seeds: &[SocketAddr], own: SocketAddr) -> BTreeSet<SocketAddr> {
     let addresses = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), own.port()));
--- a/node/src/gateway/peers/outbox.rs
+++ b/node/src/gateway/peers/outbox.rs
@@ -15,31 +15,31 @@
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
-/// Sends this node's datagrams.
+/// Sends datagrams to other nodes.
 #[derive(Clone)]
 pub struct Outbox {
     socket: Arc<UdpSocket>,
     shared: Arc<Shared>,
 }
 
-/// The id under which membership and leads know a node: its peer address, as seeds tell
-/// nothing else.
+/// Returns the id of a node in membership and in the choice of leads: its peer address, as the list of
+/// seeds holds nothing else.
 pub fn node_id(address: SocketAddr) -> VmId {
     address.to_string().into()
 }
 
-/// A node's peer address.
+/// Returns the peer address of a node.
 pub fn address_of(node: &VmId) -> Option<SocketAddr> {
     node.parse().ok()
 }
 
 impl Outbox {
-    /// Sends through `socket`.
+    /// Creates an outbox that sends through `socket`.
     pub fn new(socket: Arc<UdpSocket>, shared: Arc<Shared>) -> Self {
         Outbox { socket, shared }
     }
 
-    /// Sends a message; like any datagram, it may be lost.
+    /// Sends a message to one node. Like any datagram, it may be lost.
     pub fn send(&self, to: SocketAddr, message: &PeerMessage) {
         let config = self.shared.config_version();
         let from = self.shared.settings.peer;
@@ -76,13 +76,13 @@
     }
 }
 
-/// Passes datagrams on to the control loop until the process ends.
+/// Passes received datagrams to the control loop until the process ends.
 pub async fn receive(socket: Arc<UdpSocket>, shared: Arc<Shared>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let read = match socket.recv_from(&mut buf).await {
             Ok((read, _)) => read,
-            // An earlier datagram met a closed port.
+            // The socket reports that an earlier datagram reached a closed port.
             Err(err) => {
                 debug!(event = "datagram_not_received", reason:% = err; "the peer socket reported an error");
                 tokio::task::yield_now().await;
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -1,7 +1,7 @@
-//! What nodes tell each other: one datagram each, encoded with postcard.
+//! Messages between nodes: one datagram each, encoded with postcard.
 //!
-//! Datagrams hold no connection that a cut could leave hanging, and every message may be
-//! lost: what must not be lost is told again.
+//! Datagrams need no connection, which a network cut could leave hanging. Every message may be lost, so
+//! what must arrive is sent again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,11 +36,11 @@
 
 use crate::gateway::observability::peer_traffic::MessageKind;
 
-/// Bytes of a datagram at most. Nearly all fit into one packet; the inventory of a busy
-/// node takes a few.
+/// Maximum size of a datagram. Nearly all fit into one packet; the inventory of a busy node takes a few
+/// packets.
 pub const MAX_DATAGRAM_BYTES: usize = 18 << 10;
-/// Bytes of an inventory's requests in one datagram at most; what stands beside them takes less
-/// than 100, and closed halls 2,100 where their names are the longest.
+/// Maximum size of the inventory entries in one datagram; other fields take less than 100 bytes, and closed
+/// halls 2,100 bytes if their names have the maximum length.
 pub const MAX_INVENTORY: usize = 15 << 10;
 
 /// A datagram; `M` is a message, or a reference to one that is sent to several nodes.
@@ -48,15 +48,15 @@
 pub struct Datagram<M = PeerMessage> {
     /// The sender's peer address.
     pub from: SocketAddr,
-    /// The sender's configuration; 0 without one.
+    /// The version of the sender's configuration; 0 without one.
     pub config: ConfigVersion,
     /// The store's revision up to which the sender knows the replicas.
     pub replicas_at: Revision,
     /// The halls that are closed, as far as the sender knows.
     pub closed_halls: ClosedHalls,
-    /// Stands for what the sender knows of requests under which replicas ended.
+    /// Digest of the suspects that the sender knows: requests under which replicas ended.
     pub crash_digest: u64,
-    /// Stands for the limits of replicas that the sender knows.
+    /// Digest of the limits of replicas that the sender knows.
     pub limits_digest: u64,
     /// The upgrades, as far as the sender knows.
     pub upgrades: AnnouncedUpgrades,
@@ -64,61 +64,61 @@
     pub message: M,
 }
 
-/// A message.
+/// A message to another node.
 #[derive(Debug, Deserialize, Serialize)]
 pub enum PeerMessage {
-    /// Are you there? Carries news of the fleet.
+    /// Checks whether the receiver is alive; carries gossip.
     Probe(ProbeId, Gossip),
-    /// Yes. Carries news back.
+    /// Answers a probe; carries gossip back.
     ProbeAnswer(ProbeId, Gossip),
-    /// Probe that node for me.
+    /// Requests that the receiver probe another node on behalf of the sender.
     ProbeFor(ProbeId, SocketAddr),
-    /// Place a generation.
+    /// Requests a place for a generation from its lead.
     Place(RemotePlace),
-    /// Where it goes; `None` if nowhere.
+    /// The replica where the generation is placed, or why there is no room.
     Placed(RunId, Result<ReplicaRecord, NoRoom>),
-    /// It waits at the lead until an engine has room.
+    /// The generation waits at the lead until an engine has room.
     Waits(RunId),
-    /// The generation's first event came.
+    /// The first event of the generation was received.
     FirstEvent(RunId),
     /// The generation is no longer at its engine.
     Ended(RunId),
-    /// An engine failed a generation of the sender.
+    /// A generation of the sender failed at this engine.
     EngineFailed(Incarnation),
-    /// The generation's copy is complete, or is not made after all.
+    /// The copy of the generation is complete, or was abandoned.
     Copied(RunId),
     /// The generation should move away from this engine.
     MoveAway(RunId, UpstreamId),
     /// The sender's requests at the replicas of services that the receiver leads, or a part of them.
     Inventory(Inventory),
-    /// What a watcher has learnt of the replicas; passed on unchanged.
+    /// A replica update from a watcher of the store; forwarded unchanged.
     Replicas(PackedUpdate),
-    /// A watcher of the store is there; passed on unchanged.
+    /// A sign of life from a watcher of the store; forwarded unchanged.
     Pulse(Pulse),
-    /// The sender has a newer configuration; its version stands in the datagram.
+    /// The sender has a newer configuration, whose version is in the datagram.
     NewConfig,
-    /// The sender has learnt that halls were closed or opened; they stand in the datagram.
+    /// Halls were closed or opened; the closed ones are in the datagram.
     HallsChanged,
-    /// Requests under which replicas ended. What is new is passed on.
+    /// Requests under which replicas ended. Receivers forward those that are new to them.
     Suspects(Vec<Suspect>),
-    /// Limits that replicas name, or take back. What is new is passed on.
+    /// Limits that replicas announce or withdraw. Receivers forward those that are new to them.
     Limits(Vec<AnnouncedLimit>),
-    /// May the sender send a request to a replica that names a limit?
+    /// Requests permission to send a request to a replica with a limit.
     AskGrant(AskGrant),
-    /// Whether it may.
+    /// Grants or denies that permission.
     Granted(GrantRequestId, Grant),
-    /// An upgrade has come to another stage; all stand in the datagram.
+    /// An upgrade has reached another stage; all upgrades are in the datagram.
     UpgradesChanged,
     /// How the replicas of both versions have answered the sender's requests.
     AnswerCounts(CountsReport),
-    /// The sender has come to know the replicas; up to which revision stands in the datagram.
+    /// The sender now knows the replicas, up to the revision in the datagram.
     NewReplicas,
-    /// The sender, who judges an upgrade, has a report of the receiver's.
+    /// The sender, which judges an upgrade, has received a report from the receiver.
     CountsTaken(ReportId),
 }
 
 impl PeerMessage {
-    /// What it is for.
+    /// Returns the purpose of the message.
     pub fn kind(&self) -> MessageKind {
         match self {
             PeerMessage::Probe(..) | PeerMessage::ProbeAnswer(..) | PeerMessage::ProbeFor(..) => {
@@ -148,23 +148,25 @@
     }
 }
 
-/// Names a probe of one node.
+/// Identifies a probe at the node that sent it.
 pub type ProbeId = u64;
 
-/// News of the fleet.
+/// Membership updates and other facts about the fleet, sent with probes and their answers.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub struct Gossip {
     /// The sender's hall; `None` in an answer on behalf of another node.
     pub hall: Option<HallId>,
     /// Whether the sender has a wide link.
     pub has_wide_link: bool,
-    /// What is thought of nodes; they are named by their peer addresses.
+    /// Membership updates about nodes, which are identified by their peer addresses.
     pub news: Vec<News>,
     /// Some nodes that the sender knows.
     pub known: Vec<KnownNode>,
-    /// How many it takes to be alive, itself included; 0 in an answer on behalf of another node.
+    /// Number of nodes that the sender considers alive, itself included; 0 in an answer on behalf of another
+    /// node.
     pub nodes: u32,
-    /// Whether it hears of nodes that follow the store; not said in an answer on behalf of another one.
+    /// Whether the sender is notified of nodes that follow the store; false in an answer on behalf of
+    /// another node.
     pub hears_watchers: bool,
 }
 
@@ -179,29 +181,29 @@
     pub has_wide_link: bool,
 }
 
-/// What a request wants of a replica.
+/// What a request requires of a replica.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Wanted {
     /// The service.
     pub service: ServiceId,
     /// Set for generations.
     pub size: Option<GenerationSize>,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub produced: u32,
-    /// The engine that it runs on, for a generation that moves.
+    /// For a generation that moves, the engine that it runs on.
     pub from: Option<UpstreamId>,
-    /// The hall where it came in; for a generation that moves, where it runs.
+    /// The hall that received the request; for a generation that moves, the hall where it runs.
     pub hall: HallId,
-    /// Replicas that are out of the question.
+    /// Replicas that must not be chosen.
     pub exclude: Vec<UpstreamId>,
-    /// Replicas that have asked the node of its caller for rest.
+    /// Replicas that have requested a back-off from the node that received the request.
     pub resting: Vec<UpstreamId>,
-    /// Where it may be served.
+    /// Regions where the request may be served.
     pub regions: AllowedRegions,
 }
 
 impl Wanted {
-    /// The request at a replica.
+    /// Returns the run of the request at a replica.
     pub fn at(&self, replica: &UpstreamId) -> Run {
         Run {
             replica: replica.clone(),
@@ -212,72 +214,72 @@
     }
 }
 
-/// A generation that a node wants placed.
+/// A request of a node to place a generation.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct RemotePlace {
-    /// Names it at the asking node.
+    /// Identifies the generation at the requesting node.
     pub run: RunId,
-    /// What it wants.
+    /// What the generation requires of a replica.
     pub wanted: Wanted,
-    /// Its urgency; 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// For a new generation, the time until its first event is due; for one that moves, how long
-    /// it may wait for its turn.
+    /// For a new generation, the time until its first event is due; for one that moves, the maximum wait
+    /// for its turn.
     pub patience: Duration,
-    /// For a new generation, the time until its caller leaves that has had no event; at least the
-    /// patience.
+    /// For a new generation, the time until its caller disconnects if it has received no event; at least
+    /// the patience.
     pub leaves_after: Duration,
 }
 
-/// A request that a node would send to a replica that names a limit.
+/// A request for permission to send one request to a replica with a limit.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct AskGrant {
-    /// Names the question at the asking node.
+    /// Identifies the grant request at the requesting node.
     pub question: GrantRequestId,
-    /// The replica's limit, as far as the asking node knows.
+    /// The replica's limit, as far as the requesting node knows.
     pub limit: AnnouncedLimit,
-    /// Its urgency; 0 goes first.
+    /// The urgency of the request; 0 is the highest.
     pub urgency: u8,
 }
 
-/// Names the trial of a new version.
+/// Identifies the trial of a new version.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct TrialId {
     /// The service that is being upgraded.
     pub service: ServiceId,
-    /// The store's revision when the order was first made.
+    /// The store's revision at which the upgrade order was created.
     pub made: Revision,
 }
 
-/// Names a report of a node.
+/// Identifies a report of a node about a trial.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct ReportId {
     /// The trial.
     pub trial: TrialId,
-    /// Samples that it counts.
+    /// Number of samples in the report.
     pub counted: SampleCount,
-    /// Time from the order to the report.
+    /// Time from the upgrade order to the report.
     pub as_of: Duration,
 }
 
-/// How a node's requests to a service that is being upgraded were answered so far.
+/// Report on how a node's requests to a service that is being upgraded were answered so far.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CountsReport {
-    /// Names it.
+    /// Identifies the report.
     pub id: ReportId,
     /// The report.
     pub report: TrialReport,
 }
 
-/// A watcher's pulse.
+/// A periodic sign of life of a watcher of the store.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Pulse {
     /// The watcher's peer address.
     pub watcher: SocketAddr,
     /// Whether the watcher has a wide link.
     pub has_wide_link: bool,
-    /// Numbers its pulses.
+    /// The sequence number of the pulse.
     pub number: PulseNumber,
-    /// Whether the store answers it.
+    /// Whether the store answers the watcher.
     pub store: StoreState,
 }
--- a/node/src/gateway/peers/peer_port.rs
+++ b/node/src/gateway/peers/peer_port.rs
@@ -1,5 +1,5 @@
-//! Where a node hands out what others lack that don't follow the store or missed some news: the
-//! configuration and the list of replicas.
+//! Serves the configuration and the list of replicas to nodes that don't follow the store or have missed
+//! updates.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -38,21 +38,21 @@
 use crate::gateway::shared::Shared;
 use crate::gateway::small_port;
 
-/// Where a node hands its configuration out, see [`leadstage_lib::gateway::config_text`]. The query is the
-/// version that the asking node has.
+/// Path of the configuration, see [`leadstage_lib::gateway::config_text`]. The query is the version that
+/// the requesting node has.
 pub const CONFIG_PATH: &str = "/config";
-/// Where a node hands out what it knows of the replicas; the query is the revision up to
-/// which the asking node knows them.
+/// Path of the replicas that a node knows. The query is the revision up to which the requesting node
+/// knows them.
 pub const REPLICAS_PATH: &str = "/replicas";
-/// What is no larger goes out at once, however many ask: a few packets.
+/// Responses up to this size, a few packets, need no transfer slot.
 const MAX_BYTES_WITHOUT_SLOT: usize = 4 << 10;
-/// A place for a transfer is given to another one when the transfer lasts longer than it takes at
-/// so many bits a second; the transfer goes on. The receiver may stand still.
+/// The slot of a transfer that is slower than this is freed for another transfer, as its receiver may have
+/// stalled; the slow transfer continues.
 const MIN_BITS_PER_SECOND: f64 = 1e6;
-/// A place is held at least so long.
+/// The slot of a transfer is not freed for slowness before this time.
 const MIN_SLOT_TIME: Duration = Duration::from_secs(1);
 
-/// A place for a large transfer.
+/// A slot for a large transfer, released on drop.
 struct SlotGuard {
     transfer_slots: Rc<RefCell<TransferSlots>>,
     since: Instant,
@@ -64,15 +64,15 @@
     }
 }
 
-/// What one connection needs to answer.
+/// The state that one connection needs to answer requests.
 struct Connection {
     shared: Arc<Shared>,
     transfer_slots: Rc<RefCell<TransferSlots>>,
-    /// Holds the place until the connection ends: the receiver closes it when it has all.
+    /// Task that holds the slot until the connection ends, which the receiver closes when it has everything.
     transfer: RefCell<Option<AbortOnDropHandle<()>>>,
 }
 
-/// Hands the configuration and the replicas out until the process ends.
+/// Serves the configuration and the replicas until the process ends.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     let max_transfers = transfer_slots::max_concurrent(shared.settings.link_bits_per_second());
     let transfer_slots = Rc::new(RefCell::new(TransferSlots::new(max_transfers)));
@@ -93,7 +93,7 @@
             let this = &self;
             async move { Ok::<_, Infallible>(this.answer(&req).await) }
         });
-        // Whoever asked asks again.
+        // After an error, the requesting node retries.
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
@@ -141,13 +141,12 @@
         self.shared.tell(ToControl::HandOut(known, tx));
         match rx.await {
             Ok(packed) => self.serve_bytes(packed),
-            // The control loop has logged why.
+            // The control loop has logged the reason.
             Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 
-    /// Answers with `bytes`, or says when to come back where too many nodes are being handed
-    /// something large.
+    /// Responds with `bytes`, or with a `Retry-After` if too many large transfers are in progress.
     fn serve_bytes(&self, bytes: Bytes) -> Response<Full<Bytes>> {
         if bytes.len() > MAX_BYTES_WITHOUT_SLOT {
             if let Err(after) = self.transfer_slots.borrow_mut().try_acquire() {
@@ -172,7 +171,7 @@
     }
 }
 
-/// Where a node that has the beginning of an edition wants it from.
+/// Returns the offset at which a node that has the beginning of an edition wants to continue.
 fn range_start(headers: &HeaderMap, edition: Edition) -> Option<usize> {
     let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
     text(header::IF_RANGE).filter(|tag| *tag == edition.to_string())?;
--- a/node/src/gateway/shared.rs
+++ b/node/src/gateway/shared.rs
@@ -1,4 +1,4 @@
-//! What both threads of a gateway node read.
+//! State shared by the two threads of a gateway node.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -39,31 +39,31 @@
 use crate::gateway::settings::Bounds;
 use crate::gateway::settings::GatewaySettings;
 
-/// How far a node is between its start and its end.
+/// The phases of a node from its start to its end, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It lacks the configuration or the list of replicas.
+    /// The node lacks the configuration or the list of replicas.
     Starting,
-    /// It serves.
+    /// The node serves requests.
     Serving,
     /// A planned stop has begun; callers are still served.
     Stopping,
-    /// No request is taken any more; those that have been read are served to their end.
+    /// No new requests are accepted; requests that have been read are served to their end.
     Closing,
-    /// All connections of callers are closed.
+    /// All connections from callers are closed.
     Closed,
 }
 
-/// State between the threads.
+/// State shared by the threads.
 pub struct Shared {
     /// The node's settings.
     pub settings: GatewaySettings,
-    /// The metrics' instruments.
+    /// The metric instruments.
     pub metrics: GatewayMetrics,
-    /// What the node holds for callers and replicas.
+    /// Accounts for the bytes that the node buffers for callers and replicas.
     pub held: Arc<HeldBytes>,
     status: RwLock<NodeStatus>,
-    /// Time from the VM's start to the process's.
+    /// Time from the start of the VM to the start of the process.
     started: Timestamp,
     control: UnboundedSender<ToControl>,
     table: RwLock<Option<(Arc<RoutingTable>, Arc<ConfigText>)>>,
@@ -88,7 +88,7 @@
 }
 
 impl Shared {
-    /// The state of a node that has just started.
+    /// Creates the state of a node that has just started.
     pub fn new(
         settings: GatewaySettings,
         control: UnboundedSender<ToControl>,
@@ -123,37 +123,38 @@
         }
     }
 
-    /// Time since the process began, suspensions of the VM included.
+    /// Returns the time since the process started, suspensions of the VM included.
     pub fn now(&self) -> Timestamp {
         clock::since_boot().saturating_sub(self.started)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<Arc<RoutingTable>> {
         self.table.read().expect("no holder panics").as_ref().map(|(table, _)| table.clone())
     }
 
-    /// The number of the configuration in force; 0 before there is one.
+    /// Returns the version of the configuration in force; 0 before there is one.
     pub fn config_version(&self) -> ConfigVersion {
         self.table().map_or(0, |table| table.version)
     }
 
-    /// Whether another node has a newer configuration: what this one does not allow may be allowed.
+    /// Whether another node has a newer configuration, which may allow what this node's does not.
     pub fn lacks_newer_config(&self) -> bool {
         self.newest_config.load(Ordering::Relaxed) > self.config_version()
     }
 
-    /// Publishes the newest version that another node has.
+    /// Publishes the newest configuration version of any other node.
     pub fn set_newest_config(&self, version: ConfigVersion) {
         self.newest_config.store(version, Ordering::Relaxed);
     }
 
-    /// The text of the configuration in force, to be handed to other nodes.
+    /// Returns the text of the configuration in force, to be served to other nodes.
     pub fn config_text(&self) -> Option<Arc<ConfigText>> {
         self.table.read().expect("no holder panics").as_ref().map(|(_, text)| text.clone())
     }
 
-    /// Puts a configuration in force; an older or equal one is not taken.
+    /// Puts a configuration in force unless it is older than or equal to the current one. Returns whether it
+    /// was newer.
     pub fn set_table(&self, new: RoutingTable, text: Bytes) -> bool {
         let mut table = self.table.write().expect("no holder panics");
         let version = new.version;
@@ -162,54 +163,56 @@
             let text = ConfigText::new(version, text, table.as_ref().map(|(_, text)| &**text));
             let old = table.replace((Arc::new(new), text));
             drop(table);
-            // A large one takes some milliseconds to free; requests need not wait for that.
+            // Freed after the lock is released: a large table takes some milliseconds to free, and requests
+            // need not wait for that.
             drop(old);
             self.config_versions.send_replace(version);
         }
         newer
     }
 
-    /// Told of each new configuration.
+    /// Returns a receiver that is notified of each new configuration.
     pub fn config_versions(&self) -> watch::Receiver<ConfigVersion> {
         self.config_versions.subscribe()
     }
 
-    /// Bounds that hold for the whole fleet.
+    /// Returns the bounds that hold for the whole fleet.
     pub fn bounds(&self) -> Bounds {
         self.bounds.read().expect("no holder panics").clone()
     }
 
-    /// Replaces them.
+    /// Replaces the bounds.
     pub fn set_bounds(&self, new: Bounds) {
         *self.bounds.write().expect("no holder panics") = new;
     }
 
-    /// Nodes of the fleet that are taken to be alive, this one included.
+    /// Returns the number of nodes in the fleet that are considered alive, this one included.
     pub fn nodes(&self) -> usize {
         self.nodes.load(Ordering::Relaxed)
     }
 
-    /// The most nodes that this one or another has taken to be alive, as far as it was told.
+    /// Returns the largest number of nodes that this node, or another one in its messages, has considered
+    /// alive.
     pub fn fleet_size(&self) -> usize {
         self.fleet_size.load(Ordering::Relaxed)
     }
 
-    /// Notes how many there are by a node.
+    /// Records the number of nodes that this node or another one considers alive.
     pub fn note_fleet_size(&self, nodes: usize) {
         self.fleet_size.fetch_max(nodes, Ordering::Relaxed);
     }
 
-    /// Whether another node of this node's hall is taken to be alive.
+    /// Whether another node of this node's hall is considered alive.
     pub fn has_neighbour(&self) -> bool {
         self.has_neighbour.load(Ordering::Relaxed)
     }
 
-    /// Publishes that.
+    /// Publishes whether another node of this node's hall is considered alive.
     pub fn set_has_neighbour(&self, has_neighbour: bool) {
         self.has_neighbour.store(has_neighbour, Ordering::Relaxed);
     }
 
-    /// Publishes how many nodes are taken to be alive.
+    /// Publishes the number of nodes that are considered alive.
     pub fn set_nodes(&self, nodes: usize) {
         self.nodes.store(nodes, Ordering::Relaxed);
     }
@@ -219,107 +222,107 @@
         self.store_answers.load(Ordering::Relaxed)
     }
 
-    /// The store's revision up to which this node knows the replicas.
+    /// Returns the store's revision up to which this node knows the replicas.
     pub fn replicas_at(&self) -> Revision {
         self.replicas_at.load(Ordering::Relaxed)
     }
 
-    /// Publishes that revision.
+    /// Publishes the store's revision up to which this node knows the replicas.
     pub fn set_replicas_at(&self, at: Revision) {
         self.replicas_at.store(at, Ordering::Relaxed);
     }
 
-    /// The halls that are closed, as far as this node knows.
+    /// Returns the halls that are closed, as far as this node knows.
     pub fn closed_halls(&self) -> Arc<ClosedHalls> {
         self.closed_halls.read().expect("no holder panics").clone()
     }
 
-    /// Publishes them.
+    /// Publishes the closed halls.
     pub fn set_closed_halls(&self, halls: ClosedHalls) {
         *self.closed_halls.write().expect("no holder panics") = Arc::new(halls);
     }
 
-    /// The limits that replicas name, as far as this node knows.
+    /// Returns the limits that replicas announce, as far as this node knows.
     pub fn limits(&self) -> Arc<LimitsInForce> {
         self.limits.read().expect("no holder panics").clone()
     }
 
-    /// Stands for the limits that this node knows.
+    /// Returns the digest of the limits that this node knows.
     pub fn limits_digest(&self) -> u64 {
         self.limits_digest.load(Ordering::Relaxed)
     }
 
-    /// Publishes them, with what stands for them in messages to other nodes.
+    /// Publishes the limits, with their digest for messages to other nodes.
     pub fn set_limits(&self, limits: LimitsInForce, digest: u64) {
         self.limits_digest.store(digest, Ordering::Relaxed);
         *self.limits.write().expect("no holder panics") = Arc::new(limits);
     }
 
-    /// The upgrades of services, as far as this node knows.
+    /// Returns the upgrades of services, as far as this node knows.
     pub fn upgrades(&self) -> Arc<Upgrades> {
         self.upgrades.read().expect("no holder panics").clone()
     }
 
-    /// Publishes them.
+    /// Publishes the upgrades.
     pub fn set_upgrades(&self, upgrades: Upgrades) {
         *self.upgrades.write().expect("no holder panics") = Arc::new(upgrades);
     }
 
-    /// The requests that anything speaks against, as replicas ended under them.
+    /// Returns the suspects: requests with evidence against them, as replicas ended under them.
     pub fn crashes(&self) -> Arc<CrashTable> {
         self.crashes.borrow().clone()
     }
 
-    /// Told of each change of these.
+    /// Returns a receiver that is notified of each change of the suspects.
     pub fn crash_changes(&self) -> watch::Receiver<Arc<CrashTable>> {
         self.crashes.subscribe()
     }
 
-    /// Publishes them, with what stands for them in messages to other nodes.
+    /// Publishes the suspects, with their digest for messages to other nodes.
     pub fn set_crashes(&self, crashes: CrashTable, digest: u64) {
         self.crash_digest.store(digest, Ordering::Relaxed);
         self.crashes.send_replace(Arc::new(crashes));
     }
 
-    /// Stands for what all nodes must know of these requests.
+    /// Returns the digest of what all nodes must know about the suspects.
     pub fn crash_digest(&self) -> u64 {
         self.crash_digest.load(Ordering::Relaxed)
     }
 
-    /// Tokens that a generation of a service makes in a second, as far as this node knows.
+    /// Returns the tokens per second of a generation of a service, as far as this node knows.
     pub fn tokens_per_second(&self, service: &ServiceId) -> f64 {
         let paces = self.paces.read().expect("no holder panics");
         paces.get(service).copied().unwrap_or(DEFAULT_TOKENS_PER_SECOND)
     }
 
-    /// Publishes them.
+    /// Publishes the tokens per second of each service.
     pub fn set_paces(&self, paces: HashMap<ServiceId, f64>) {
         *self.paces.write().expect("no holder panics") = paces;
     }
 
-    /// Notes whether the store answered; returns whether that is news.
+    /// Publishes whether the store answers this node; returns whether that has changed.
     pub fn set_store_answers(&self, answers: bool) -> bool {
         self.store_answers.swap(answers, Ordering::Relaxed) != answers
     }
 
-    /// How far the node is.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Waits until the node is at least as far as `phase`.
+    /// Waits until the node has reached `phase` or a later one.
     pub async fn reached(&self, phase: Phase) {
         // The sender lives as long as the process.
         let _ = self.phase.subscribe().wait_for(|now| *now >= phase).await;
     }
 
-    /// Waits up to `limit` while the node lacks the configuration or the list of replicas. Returns
-    /// whether it has both.
+    /// Waits up to `limit` while the node lacks the configuration or the list of replicas. Returns whether
+    /// it has both.
     pub async fn started(&self, limit: Duration) -> bool {
         tokio::time::timeout(limit, self.reached(Phase::Serving)).await.is_ok()
     }
 
-    /// Moves on to a later phase; returns whether it was a change.
+    /// Advances to a phase unless it is already reached; returns whether the phase has changed.
     pub fn advance(&self, to: Phase) -> bool {
         self.phase.send_if_modified(|phase| {
             let later = *phase < to;
@@ -334,18 +337,19 @@
         self.advance(Phase::Stopping);
     }
 
-    /// Time that is left to requests that come now, if a planned stop has begun.
+    /// Returns the time within which a request that arrives now must be finished, if a planned stop has
+    /// begun.
     pub fn left_to_serve(&self) -> Option<Duration> {
         let deadline = *self.stop_began.get()? + self.bounds().stop_within;
         Some(deadline.saturating_sub(self.now()))
     }
 
-    /// Time since a planned stop began, if one has.
+    /// Returns the time since a planned stop began, if one has.
     pub fn stopping_for(&self) -> Option<Duration> {
         Some(self.now().saturating_sub(*self.stop_began.get()?))
     }
 
-    /// The latest status.
+    /// Returns the latest published status.
     pub fn status(&self) -> NodeStatus {
         self.status.read().expect("no holder panics").clone()
     }
@@ -361,17 +365,17 @@
         OpenGuard(self.clone())
     }
 
-    /// Requests that are open.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Tells the control loop; it lives as long as the process.
+    /// Sends a message to the control loop, which lives as long as the process.
     pub fn tell(&self, message: ToControl) {
         let _ = self.control.send(message);
     }
 
-    /// Tells the control loop after some time; only from the control thread.
+    /// Sends a message to the control loop after a pause; to be called only on the control thread.
     pub fn tell_after(self: &Arc<Self>, pause: Duration, message: ToControl) {
         let shared = self.clone();
         tokio::task::spawn_local(async move {
@@ -380,7 +384,7 @@
         });
     }
 
-    /// Asks the control loop for a replica.
+    /// Requests a place at a replica from the control loop.
     pub async fn place(self: &Arc<Self>, request: PlaceRequest) -> Result<RunGuard, NoRoom> {
         let (tx, rx) = oneshot::channel();
         self.tell(ToControl::Place(request, tx));
@@ -389,18 +393,18 @@
     }
 }
 
-/// A request's place at a replica; tells the control loop when it is given up.
+/// A request's place at a replica; notifies the control loop when it is dropped.
 pub struct RunGuard {
     shared: Arc<Shared>,
     /// The place.
     pub placed: Placed,
-    /// When it was given.
+    /// When the place was assigned.
     pub placed_at: Instant,
     outcome: Outcome,
 }
 
 impl RunGuard {
-    /// Gives the place up with an outcome.
+    /// Releases the place with an outcome.
     pub fn end(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -412,7 +416,7 @@
     }
 }
 
-/// Counts one request as open.
+/// Counts one request as open until it is dropped.
 pub struct OpenGuard(Arc<Shared>);
 
 impl Drop for OpenGuard {
