--- a/node/src/gateway/control/config_intake.rs
+++ b/node/src/gateway/control/config_intake.rs
@@ -204,7 +204,7 @@
             let shared = self.shared.clone();
             tokio::task::spawn_local(async move {
                 let answered = read(&shared, Age::Newest).await;
-                shared.tell(ToControl::ConfigurationRead(answered));
+                shared.notify(ToControl::ConfigurationRead(answered));
             });
         }
         self.fetch_next();
@@ -215,7 +215,7 @@
             return;
         }
         self.due = Some(until);
-        self.shared.tell_after(pause, ToControl::ConfigurationDue);
+        self.shared.notify_after(pause, ToControl::ConfigurationDue);
     }
 
     /// Puts a configuration in force if it is newer; returns whether it can be read.
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -25,7 +25,7 @@
 use crate::gateway::control::watching::Watching;
 use crate::gateway::messages::Fetched;
 use crate::gateway::messages::ToControl;
-use crate::gateway::observability::metrics::Levels;
+use crate::gateway::observability::metrics::GaugeValues;
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::observability::metrics::StoreCalls;
 use crate::gateway::observability::peer_traffic::MessageKind;
@@ -156,7 +156,7 @@
         let gone = self.fleet.tick(now);
         self.on_gone(gone);
         self.shared.set_nodes(self.fleet.nodes());
-        self.shared.note_fleet_size(self.fleet.nodes());
+        self.shared.observe_fleet_size(self.fleet.nodes());
         self.shared.set_has_neighbour(self.fleet.has_neighbour());
         self.placing.tell_leads(&self.fleet);
         self.placing.lead(&self.fleet);
@@ -195,7 +195,7 @@
         self.placing.publish_paces();
         self.shared.set_status(self.placing.status(&self.fleet));
         let crashes = self.shared.crashes();
-        let levels = Levels {
+        let levels = GaugeValues {
             waiting: self.placing.waiting(),
             open: self.shared.open_requests(),
             held: self.shared.held.held(),
@@ -206,7 +206,7 @@
             config_age: now.saturating_sub(self.configs.heard()),
             replicas_age: now.saturating_sub(self.replicas.heard()),
         };
-        self.shared.metrics.on_levels(&levels);
+        self.shared.metrics.record_gauges(&levels);
         if now >= self.last_levels_line + LEVELS_LINE_INTERVAL {
             self.last_levels_line = now;
             let replicas_at = self.shared.replicas_at();
@@ -220,7 +220,7 @@
     fn log_peer_traffic(&self) {
         let traffic = &self.shared.metrics.peer_traffic;
         let of = |kind| traffic.of(kind);
-        info!(event = "peer_traffic", membership:% = of(MessageKind::Membership), placing:% = of(MessageKind::Placing), inventory:% = of(MessageKind::Inventory), replicas:% = of(MessageKind::Replicas), pulse:% = of(MessageKind::Pulse), config:% = of(MessageKind::Config), halls:% = of(MessageKind::Halls), suspects:% = of(MessageKind::Suspects), limits:% = of(MessageKind::Limits), upgrades:% = of(MessageKind::Upgrades), config_handed_out:% = of(MessageKind::ConfigHandedOut), replicas_handed_out:% = of(MessageKind::ReplicasHandedOut); "sent to other nodes so far");
+        info!(event = "peer_traffic", membership:% = of(MessageKind::Membership), placing:% = of(MessageKind::Placing), inventory:% = of(MessageKind::Inventory), replicas:% = of(MessageKind::Replicas), pulse:% = of(MessageKind::Pulse), config:% = of(MessageKind::Config), halls:% = of(MessageKind::Halls), suspects:% = of(MessageKind::Suspects), limits:% = of(MessageKind::Limits), upgrades:% = of(MessageKind::Upgrades), config_handed_out:% = of(MessageKind::ConfigServed), replicas_handed_out:% = of(MessageKind::ReplicasServed); "sent to other nodes so far");
     }
 
     /// Tells the calls to the store so far, if there are more.
@@ -237,7 +237,7 @@
     fn on_datagram(&mut self, datagram: Datagram) {
         let now = self.shared.now();
         let from = datagram.from;
-        let mut gone = self.fleet.heard_from(from, now);
+        let mut gone = self.fleet.on_message_from(from, now);
         self.watchers.on_contact(now);
         let how = match datagram.message {
             PeerMessage::NewConfig => VersionNotice::Announced,
@@ -256,7 +256,7 @@
             }
             PeerMessage::ProbeAnswer(id, gossip) => {
                 self.watchers.on_node_count(gossip.nodes as usize);
-                self.shared.note_fleet_size(gossip.nodes as usize);
+                self.shared.observe_fleet_size(gossip.nodes as usize);
                 gone.extend(self.fleet.on_answer(from, id, gossip, now));
             }
             PeerMessage::ProbeFor(id, target) => self.fleet.on_probe_for(from, id, target, now),
@@ -305,7 +305,7 @@
         self.look_out(now);
         let settings = &self.shared.settings;
         let (watcher, has_wide_link) = (settings.peer, settings.has_wide_link());
-        self.fleet.tell(&PeerMessage::Pulse(Pulse { watcher, has_wide_link, number, store }));
+        self.fleet.notify(&PeerMessage::Pulse(Pulse { watcher, has_wide_link, number, store }));
     }
 
     /// A node probes this one. One that hears of no watcher, as it has just started or was cut off, is
@@ -331,7 +331,7 @@
         }
         if self.watchers.on_pulse(&watcher, pulse.number, pulse.store, now) {
             self.look_out(now);
-            self.fleet.pass_on(&PeerMessage::Pulse(pulse));
+            self.fleet.forward(&PeerMessage::Pulse(pulse));
         }
     }
 
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -109,7 +109,7 @@
             .filter_map(|of| self.ledger.get(of))
             .collect();
         if !told.is_empty() {
-            fleet.pass_on(&PeerMessage::Suspects(told));
+            fleet.forward(&PeerMessage::Suspects(told));
         }
     }
 
@@ -174,7 +174,7 @@
     fn tell_news(&mut self, fleet: &Fleet, news: Vec<Suspect>) {
         if !news.is_empty() {
             self.on_change(&news);
-            fleet.tell(&PeerMessage::Suspects(news));
+            fleet.notify(&PeerMessage::Suspects(news));
         }
     }
 
@@ -196,7 +196,7 @@
         let news = self.ledger.take(told, unix_millis());
         if !news.is_empty() {
             self.on_change(&news);
-            fleet.pass_on(&PeerMessage::Suspects(news));
+            fleet.forward(&PeerMessage::Suspects(news));
         }
     }
 
@@ -294,5 +294,5 @@
         Health::Closed => Shown::PortClosed,
         Health::Silent => Shown::Silent,
     };
-    shared.tell(ToControl::AskedAfterBreak(replica.incarnation(), shown));
+    shared.notify(ToControl::AskedAfterBreak(replica.incarnation(), shown));
 }
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -70,7 +70,7 @@
     match store.list::<K>(age, note_unreadable::<K>).await {
         Ok(list) => {
             shared.metrics.on_store_call(purpose, true);
-            shared.tell(wrap(News::Listed { list, after_outage: true }));
+            shared.notify(wrap(News::Listed { list, after_outage: true }));
             true
         }
         Err(err) => {
@@ -142,7 +142,7 @@
         self.age = Age::Newest;
         self.is_new = true;
         let after_outage = self.on_answer(list.at);
-        self.shared.tell((self.wrap)(News::Listed { list, after_outage }));
+        self.shared.notify((self.wrap)(News::Listed { list, after_outage }));
         Ok(())
     }
 
@@ -154,7 +154,7 @@
         self.note_undecided(&changes.undecided);
         self.is_new = false;
         self.on_answer(changes.at);
-        self.shared.tell((self.wrap)(News::Changed(changes)));
+        self.shared.notify((self.wrap)(News::Changed(changes)));
         let pause = self.pace.batch_delay();
         if !pause.is_zero() {
             tokio::time::sleep(pause).await;
--- a/node/src/gateway/control/grant_questions.rs
+++ b/node/src/gateway/control/grant_questions.rs
@@ -60,7 +60,7 @@
         let ask = AskGrant { question: id, limit, urgency: urgency(&question.ask) };
         self.outbox.send(address, &PeerMessage::AskGrant(ask));
         self.open.insert(id, question, self.shared.now() + GRANT_LIMIT);
-        self.shared.tell_after(GRANT_LIMIT, ToControl::GrantSilent(id));
+        self.shared.notify_after(GRANT_LIMIT, ToControl::GrantSilent(id));
     }
 
     /// Takes a question out, as its answer came.
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -64,14 +64,14 @@
             }
         };
         if self.take(placing, told, Source::Store) {
-            fleet.tell(&PeerMessage::HallsChanged);
+            fleet.notify(&PeerMessage::HallsChanged);
         }
     }
 
     /// Another node told of them.
     pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: ClosedHalls) {
         if self.take(placing, told, Source::Node) {
-            fleet.pass_on(&PeerMessage::HallsChanged);
+            fleet.forward(&PeerMessage::HallsChanged);
         }
     }
 
@@ -80,7 +80,7 @@
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet) {
         self.publish(placing, Source::Store);
         if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
-            fleet.pass_on(&PeerMessage::HallsChanged);
+            fleet.forward(&PeerMessage::HallsChanged);
         }
     }
 
--- a/node/src/gateway/control/lead_questions.rs
+++ b/node/src/gateway/control/lead_questions.rs
@@ -58,13 +58,13 @@
         };
         self.outbox.send(address, &PeerMessage::Place(remote));
         self.open.insert(run, Question { ask, lead }, self.shared.now() + LEAD_LIMIT);
-        self.shared.tell_after(LEAD_LIMIT, ToControl::LeadSilent(run));
+        self.shared.notify_after(LEAD_LIMIT, ToControl::LeadSilent(run));
     }
 
     /// The lead lets the generation wait; returns the lead.
     pub fn on_waits(&mut self, run: RunId) -> Option<&VmId> {
         let within = self.open.get(run)?.ask.leaves_after + WAIT_SLACK;
-        self.shared.tell_after(within, ToControl::LeadSilent(run));
+        self.shared.notify_after(within, ToControl::LeadSilent(run));
         let question = self.open.extend(run, self.shared.now() + within)?;
         Some(&question.lead)
     }
--- a/node/src/gateway/control/limit_intake.rs
+++ b/node/src/gateway/control/limit_intake.rs
@@ -48,7 +48,7 @@
         let limit = limits.limit(&of.id);
         let asked_ms_ago = now.saturating_sub(times.sent).as_millis() as u64;
         info!(event = "limit_named", upstream = &*of.id, limit:? = limit, asked_ms_ago; "a replica named another limit, or none");
-        fleet.tell(&PeerMessage::Limits(limits.announced(&of.id, now).into_iter().collect()));
+        fleet.notify(&PeerMessage::Limits(limits.announced(&of.id, now).into_iter().collect()));
         self.publish(knowledge);
     }
 
@@ -60,7 +60,7 @@
             info!(event = "limit_told", upstream = &*told.replica.id, limit:? = told.limit, said_ms_ago = told.age.as_millis() as u64; "another node told a replica's limit");
         }
         if !news.is_empty() {
-            fleet.pass_on(&PeerMessage::Limits(news));
+            fleet.forward(&PeerMessage::Limits(news));
         }
     }
 
--- a/node/src/gateway/control/lookout.rs
+++ b/node/src/gateway/control/lookout.rs
@@ -52,5 +52,5 @@
 
 async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
     let health = health::ask(&replica, &path, HEALTH_TIMEOUT).await;
-    shared.tell(ToControl::Health(replica.incarnation(), health));
+    shared.notify(ToControl::Health(replica.incarnation(), health));
 }
--- a/node/src/gateway/control/placing.rs
+++ b/node/src/gateway/control/placing.rs
@@ -43,7 +43,7 @@
 use crate::gateway::peers::outbox::Outbox;
 use crate::gateway::peers::outbox::address_of;
 use crate::gateway::peers::outbox::node_id;
-use crate::gateway::peers::peer_message::MAX_INVENTORY;
+use crate::gateway::peers::peer_message::MAX_INVENTORY_BYTES;
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::peers::peer_message::RemotePlace;
 use crate::gateway::shared::Shared;
@@ -206,7 +206,7 @@
             return;
         };
         info!(event = "lead_silent", lead = &*lead, service = &*ask.wanted.service, run; "the lead did not answer: places alone");
-        self.shared.metrics.on_lead_silence();
+        self.shared.metrics.on_lead_timeout();
         self.leads.on_silence(&lead, self.shared.now());
         self.decide_here(ask);
     }
@@ -452,7 +452,7 @@
         let mut inventories = std::mem::take(&mut self.inventories);
         let lead_of = |service: &ServiceId| self.other_lead(fleet, service).map(|(_, address)| address);
         for (lead, runs) in inventories.take(&self.knowledge, &self.own, now, lead_of) {
-            for part in Inventory::parts(runs, last, MAX_INVENTORY) {
+            for part in Inventory::parts(runs, last, MAX_INVENTORY_BYTES) {
                 self.outbox.send(lead, &PeerMessage::Inventory(part));
             }
         }
--- a/node/src/gateway/control/placing/plain_calls.rs
+++ b/node/src/gateway/control/placing/plain_calls.rs
@@ -101,7 +101,7 @@
             return;
         };
         info!(event = "grant_silent", node = &*question.granter, upstream = &*question.replica.id, run = id.run; "a node that grants did not answer");
-        self.shared.metrics.on_grant(GrantOutcome::Silent);
+        self.shared.metrics.on_grant(GrantOutcome::Unanswered);
         self.granters.on_silence(&question.granter, self.shared.now());
         self.place_without(fleet, question);
     }
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -126,7 +126,7 @@
         let count = leaving.len();
         let news = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
         match news.into_parts(placing.knowledge.replicas.len()) {
-            Some(parts) => parts.iter().for_each(|part| self.tell(fleet, part)),
+            Some(parts) => parts.iter().for_each(|part| self.notify(fleet, part)),
             None => {
                 info!(event = "news_not_told", added = 0, leaving = count, at = 0; "more has changed than is told")
             }
@@ -179,7 +179,7 @@
         }
         let change = ListChange { leaving: vec![of.id.clone()], ..ListChange::default() };
         self.after_news(placing, &change, 0);
-        self.tell(fleet, &ReplicaUpdate { leaving: vec![of.clone()], ..ReplicaUpdate::default() });
+        self.notify(fleet, &ReplicaUpdate { leaving: vec![of.clone()], ..ReplicaUpdate::default() });
     }
 
     /// A replica was asked for its health.
@@ -269,7 +269,7 @@
     fn gather(&mut self, placing: &Placing, fleet: &Fleet, news: ReplicaUpdate) {
         match self.gathering.add(news, self.shared.now()) {
             Some(Duration::ZERO) => self.tell_gathered(placing, fleet),
-            Some(pause) => self.shared.tell_after(pause, ToControl::TellReplicas),
+            Some(pause) => self.shared.notify_after(pause, ToControl::TellReplicas),
             None => {}
         }
     }
@@ -297,16 +297,16 @@
         let Some(part) = self.parts.pop_front() else {
             return;
         };
-        self.tell(fleet, &part);
+        self.notify(fleet, &part);
         if !self.parts.is_empty() {
             let link = self.shared.settings.link_bits_per_second() * PART_OF_LINK;
-            self.shared.tell_after(Duration::from_secs_f64(PART_BITS / link), ToControl::TellPart);
+            self.shared.notify_after(Duration::from_secs_f64(PART_BITS / link), ToControl::TellPart);
         }
     }
 
-    fn tell(&self, fleet: &Fleet, news: &ReplicaUpdate) {
+    fn notify(&self, fleet: &Fleet, news: &ReplicaUpdate) {
         match news.pack() {
-            Ok(packed) => fleet.tell(&PeerMessage::Replicas(packed)),
+            Ok(packed) => fleet.notify(&PeerMessage::Replicas(packed)),
             Err(err) => {
                 warn!(event = "replicas_unwritable", reason:% = err; "news of the replicas can't be packed")
             }
@@ -350,7 +350,7 @@
         }
         self.after_news(placing, &change, news.at);
         if self.relay.should_forward(&news, is_news) {
-            fleet.pass_on(&PeerMessage::Replicas(packed));
+            fleet.forward(&PeerMessage::Replicas(packed));
         }
     }
 
@@ -377,7 +377,7 @@
                 let known = shared.replicas_at();
                 fetching::fetch_replicas(shared, from, known).await;
             } else {
-                shared.tell(ToControl::Fetched(from, Fetched::Replicas(HandedReplicas::Nothing)));
+                shared.notify(ToControl::Fetched(from, Fetched::Replicas(HandedReplicas::Nothing)));
             }
         });
     }
--- a/node/src/gateway/control/suspect_store.rs
+++ b/node/src/gateway/control/suspect_store.rs
@@ -34,7 +34,7 @@
         info!(event = "suspect_not_stored", fingerprint:% = fingerprint, reason:% = err; "the store did not take a request under which replicas ended");
         None
     });
-    shared.tell(ToControl::SuspectStored(fingerprint, stored));
+    shared.notify(ToControl::SuspectStored(fingerprint, stored));
 }
 
 struct SuspectStore<'a> {
--- a/node/src/gateway/control/trial.rs
+++ b/node/src/gateway/control/trial.rs
@@ -137,7 +137,7 @@
     /// How much of the fleet it has heard of late.
     pub fn coverage(&self, fleet: &Fleet, upgrade: &Upgrade, now: Timestamp) -> Coverage {
         let since = upgrade_judge::report_cutoff(upgrade, fleet.nodes(), now);
-        self.evidence.coverage(&fleet.census(), since)
+        self.evidence.coverage(&fleet.fleet_view(), since)
     }
 
     /// Nodes that it has heard, itself included.
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -119,7 +119,7 @@
             }
         }
         if self.merge(placing, told, Source::Store) {
-            fleet.tell(&PeerMessage::UpgradesChanged);
+            fleet.notify(&PeerMessage::UpgradesChanged);
         }
     }
 
@@ -154,7 +154,7 @@
             return;
         }
         if self.merge(placing, told, Source::Node) {
-            fleet.pass_on(&PeerMessage::UpgradesChanged);
+            fleet.forward(&PeerMessage::UpgradesChanged);
         }
     }
 
@@ -259,7 +259,7 @@
     ) {
         self.pauses.tick(self.shared.now());
         if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
-            fleet.pass_on(&PeerMessage::UpgradesChanged);
+            fleet.forward(&PeerMessage::UpgradesChanged);
         }
         for service in self.trials.keys().cloned().collect::<Vec<_>>() {
             self.report_and_judge(placing, fleet, &service, store_answers);
@@ -316,7 +316,7 @@
         let order = upgrade.order.clone();
         upgrades.advance(service, &order, stage, now);
         self.publish(placing, upgrades, std::slice::from_ref(service), Source::Judge);
-        fleet.tell(&PeerMessage::UpgradesChanged);
+        fleet.notify(&PeerMessage::UpgradesChanged);
     }
 
     /// Tells the operator what became of orders, where the store says otherwise. Each write names the revision that it
@@ -359,7 +359,7 @@
         let mut upgrades = (*self.shared.upgrades()).clone();
         if upgrades.advance(&written.service, &order, stage, now) {
             self.publish(placing, upgrades, &[written.service], Source::Store);
-            fleet.tell(&PeerMessage::UpgradesChanged);
+            fleet.notify(&PeerMessage::UpgradesChanged);
         }
     }
 }
--- a/node/src/gateway/control/upgrade_store.rs
+++ b/node/src/gateway/control/upgrade_store.rs
@@ -66,5 +66,5 @@
             None
         }
     };
-    shared.tell(ToControl::UpgradeWritten(StoredWord { service, held }));
+    shared.notify(ToControl::UpgradeWritten(StoredWord { service, held }));
 }
--- a/node/src/gateway/control/watching.rs
+++ b/node/src/gateway/control/watching.rs
@@ -121,7 +121,7 @@
     loop {
         let mut tell = |state| {
             number += 1;
-            shared.tell(ToControl::OwnPulse(number, state));
+            shared.notify(ToControl::OwnPulse(number, state));
         };
         let Glance { answers, listed } = {
             let glance = store.glance::<Evacuations>(PULSE_LIMIT, follow::note_unreadable::<Evacuations>);
@@ -135,7 +135,7 @@
             }
         };
         if let Some(list) = listed {
-            shared.tell(ToControl::ClosedHalls(News::Listed { list, after_outage: false }));
+            shared.notify(ToControl::ClosedHalls(News::Listed { list, after_outage: false }));
         }
         tell(if answers { StoreState::Answers } else { StoreState::Away });
         shared.metrics.on_store_call(StoreCall::Pulse, answers);
--- a/node/src/gateway/ingress/caller_port.rs
+++ b/node/src/gateway/ingress/caller_port.rs
@@ -57,7 +57,7 @@
     let traffic = Traffic::new(shared.clone());
     tokio::task::spawn_local(sweep(traffic.clone()));
     let connections = TaskTracker::new();
-    let mut closing = std::pin::pin!(shared.reached(Phase::Closing));
+    let mut closing = std::pin::pin!(shared.wait_for_phase(Phase::Closing));
     loop {
         tokio::select! {
             biased;
--- a/node/src/gateway/observability/metrics.rs
+++ b/node/src/gateway/observability/metrics.rs
@@ -166,7 +166,7 @@
     }
 
     /// Counts a retry that was due, by whether the retry budget allowed it.
-    pub fn on_repeat(&self, allowed: bool) {
+    pub fn on_retry(&self, allowed: bool) {
         self.repeats.add(1, &[KeyValue::new("allowed", allowed)]);
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Counts a request to a lead that was not answered in time.
-    pub fn on_lead_silence(&self) {
+    pub fn on_lead_timeout(&self) {
         self.lead_silences.add(1, &[]);
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Records the current values of the gauges.
-    pub fn on_levels(&self, levels: &Levels) {
+    pub fn record_gauges(&self, levels: &GaugeValues) {
         self.waiting.record(levels.waiting as u64, &[]);
         self.open.record(levels.open as u64, &[]);
         self.held.record(levels.held as u64, &[]);
@@ -251,7 +251,7 @@
     /// The request to the replica may not be sent now.
     Denied,
     /// The request for the grant was not answered in time.
-    Silent,
+    Unanswered,
 }
 
 impl GrantOutcome {
@@ -264,7 +264,7 @@
         match self {
             GrantOutcome::Granted => "granted",
             GrantOutcome::Denied => "denied",
-            GrantOutcome::Silent => "silent",
+            GrantOutcome::Unanswered => "silent",
         }
     }
 }
@@ -339,7 +339,7 @@
 
 /// Values of the gauges at one time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Levels {
+pub struct GaugeValues {
     /// Generations that wait on this node for an engine.
     pub waiting: usize,
     /// Open requests.
--- a/node/src/gateway/observability/peer_traffic.rs
+++ b/node/src/gateway/observability/peer_traffic.rs
@@ -28,9 +28,9 @@
     /// Stages of upgrades, and counts of how both versions answer.
     Upgrades,
     /// A configuration, or the difference to an older one, served to another node.
-    ConfigHandedOut,
+    ConfigServed,
     /// A list of replicas, or the changes to it, served to another node.
-    ReplicasHandedOut,
+    ReplicasServed,
 }
 
 impl MessageKind {
@@ -46,8 +46,8 @@
         MessageKind::Suspects,
         MessageKind::Limits,
         MessageKind::Upgrades,
-        MessageKind::ConfigHandedOut,
-        MessageKind::ReplicasHandedOut,
+        MessageKind::ConfigServed,
+        MessageKind::ReplicasServed,
     ];
 
     /// The name of the kind in logs and metrics.
@@ -63,8 +63,8 @@
             MessageKind::Suspects => "suspects",
             MessageKind::Limits => "limits",
             MessageKind::Upgrades => "upgrades",
-            MessageKind::ConfigHandedOut => "config_handed_out",
-            MessageKind::ReplicasHandedOut => "replicas_handed_out",
+            MessageKind::ConfigServed => "config_handed_out",
+            MessageKind::ReplicasServed => "replicas_handed_out",
         }
     }
 }
--- a/node/src/gateway/peers/fetching.rs
+++ b/node/src/gateway/peers/fetching.rs
@@ -53,7 +53,7 @@
         Ok(part) => decode_edition(&part, own.as_deref(), from),
         Err(fetched) => fetched,
     };
-    shared.tell(ToControl::Fetched(from, Fetched::Configuration(fetched)));
+    shared.notify(ToControl::Fetched(from, Fetched::Configuration(fetched)));
 }
 
 fn decode_edition(part: &PartialConfig, own: Option<&ConfigText>, from: SocketAddr) -> HandedConfig {
@@ -136,7 +136,7 @@
 /// to the control loop.
 pub async fn fetch_replicas(shared: Arc<Shared>, from: SocketAddr, known: Revision) {
     let fetched = request_replicas(&shared, from, &format!("{REPLICAS_PATH}?{known}")).await;
-    shared.tell(ToControl::Fetched(from, Fetched::Replicas(fetched)));
+    shared.notify(ToControl::Fetched(from, Fetched::Replicas(fetched)));
 }
 
 async fn request_replicas(shared: &Shared, from: SocketAddr, path: &str) -> HandedReplicas {
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -142,7 +142,7 @@
     }
 
     /// Returns the other nodes that are considered healthy, and the recent size of the fleet.
-    pub fn census(&self) -> FleetView {
+    pub fn fleet_view(&self) -> FleetView {
         FleetView { healthy: self.membership.healthy().cloned().collect(), size: self.size() }
     }
 
@@ -230,14 +230,14 @@
     }
 
     /// Sends an update that originates at this node to some other nodes.
-    pub fn tell(&self, message: &PeerMessage) {
+    pub fn notify(&self, message: &PeerMessage) {
         for node in self.gossip_targets(ORIGIN_FAN_OUT) {
             self.outbox.send(node, message);
         }
     }
 
     /// Forwards an update from another node to some other nodes.
-    pub fn pass_on(&self, message: &PeerMessage) {
+    pub fn forward(&self, message: &PeerMessage) {
         for node in self.gossip_targets(FAN_OUT) {
             self.outbox.send(node, message);
         }
@@ -296,7 +296,7 @@
     }
 
     /// Handles the receipt of any message from a node; returns the nodes that are gone.
-    pub fn heard_from(&mut self, from: SocketAddr, now: Timestamp) -> Vec<VmId> {
+    pub fn on_message_from(&mut self, from: SocketAddr, now: Timestamp) -> Vec<VmId> {
         self.seed_contact.has_contact |= from != self.own_address;
         if from != self.own_address && self.add_known(from, now) {
             self.new_nodes += 1;
--- a/node/src/gateway/peers/outbox.rs
+++ b/node/src/gateway/peers/outbox.rs
@@ -91,7 +91,7 @@
         };
         shared.metrics.on_peer_bytes(PeerBytes::DatagramsIn, read);
         match postcard::from_bytes::<Datagram>(&buf[..read]) {
-            Ok(datagram) => shared.tell(ToControl::Datagram(datagram)),
+            Ok(datagram) => shared.notify(ToControl::Datagram(datagram)),
             Err(err) => debug!(event = "datagram_unreadable", reason:% = err; "a datagram can't be decoded"),
         }
     }
--- a/node/src/gateway/peers/peer_message.rs
+++ b/node/src/gateway/peers/peer_message.rs
@@ -41,7 +41,7 @@
 pub const MAX_DATAGRAM_BYTES: usize = 18 << 10;
 /// Maximum size of the inventory entries in one datagram; other fields take less than 100 bytes, and closed
 /// halls 2,100 bytes if their names have the maximum length.
-pub const MAX_INVENTORY: usize = 15 << 10;
+pub const MAX_INVENTORY_BYTES: usize = 15 << 10;
 
 /// A datagram; `M` is a message, or a reference to one that is sent to several nodes.
 #[derive(Debug, Deserialize, Serialize)]
--- a/node/src/gateway/peers/peer_port.rs
+++ b/node/src/gateway/peers/peer_port.rs
@@ -100,8 +100,8 @@
     async fn answer(&self, req: &Request<Incoming>) -> Response<Full<Bytes>> {
         let known = req.uri().query().and_then(|known| known.parse().ok()).unwrap_or(0);
         let (res, kind) = match req.uri().path() {
-            CONFIG_PATH => (self.configuration(req, known), MessageKind::ConfigHandedOut),
-            REPLICAS_PATH => (self.replicas(known).await, MessageKind::ReplicasHandedOut),
+            CONFIG_PATH => (self.configuration(req, known), MessageKind::ConfigServed),
+            REPLICAS_PATH => (self.replicas(known).await, MessageKind::ReplicasServed),
             _ => return empty_response(StatusCode::NOT_FOUND),
         };
         let bytes = res.body().size_hint().lower() as usize;
@@ -138,7 +138,7 @@
 
     async fn replicas(&self, known: Revision) -> Response<Full<Bytes>> {
         let (tx, rx) = oneshot::channel();
-        self.shared.tell(ToControl::HandOut(known, tx));
+        self.shared.notify(ToControl::HandOut(known, tx));
         match rx.await {
             Ok(packed) => self.serve_bytes(packed),
             // The control loop has logged the reason.
--- a/node/src/gateway/reload.rs
+++ b/node/src/gateway/reload.rs
@@ -54,7 +54,7 @@
             let restart = !new.same_addresses(&shared.settings);
             info!(event = "reload", changed = true, needs_restart = restart; "settings taken in");
             shared.set_bounds(new.bounds.clone());
-            shared.tell(ToControl::Seeds(new.seeds));
+            shared.notify(ToControl::Seeds(new.seeds));
         }
         Err(problems) => {
             for problem in problems {
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -209,7 +209,7 @@
 pub async fn admit(shared: &Shared, req: Request<Incoming>) -> Result<CallerRequest, Refusal> {
     let (came, came_at) = (Instant::now(), clock::since_boot());
     let not_ready = Refusal { code: Code::NotReady, retry_after: Some(STARTS_WITHIN) };
-    if !shared.started(START_PATIENCE).await {
+    if !shared.wait_until_serving(START_PATIENCE).await {
         return Err(not_ready);
     }
     let table = shared.table().ok_or(not_ready)?;
--- a/node/src/gateway/shared.rs
+++ b/node/src/gateway/shared.rs
@@ -198,7 +198,7 @@
     }
 
     /// Records the number of nodes that this node or another one considers alive.
-    pub fn note_fleet_size(&self, nodes: usize) {
+    pub fn observe_fleet_size(&self, nodes: usize) {
         self.fleet_size.fetch_max(nodes, Ordering::Relaxed);
     }
 
@@ -311,15 +311,15 @@
     }
 
     /// Waits until the node has reached `phase` or a later one.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         // The sender lives as long as the process.
         let _ = self.phase.subscribe().wait_for(|now| *now >= phase).await;
     }
 
     /// Waits up to `limit` while the node lacks the configuration or the list of replicas. Returns whether
     /// it has both.
-    pub async fn started(&self, limit: Duration) -> bool {
-        tokio::time::timeout(limit, self.reached(Phase::Serving)).await.is_ok()
+    pub async fn wait_until_serving(&self, limit: Duration) -> bool {
+        tokio::time::timeout(limit, self.wait_for_phase(Phase::Serving)).await.is_ok()
     }
 
     /// Advances to a phase unless it is already reached; returns whether the phase has changed.
@@ -339,13 +339,13 @@
 
     /// Returns the time within which a request that arrives now must be finished, if a planned stop has
     /// begun.
-    pub fn left_to_serve(&self) -> Option<Duration> {
+    pub fn remaining_serving_time(&self) -> Option<Duration> {
         let deadline = *self.stop_began.get()? + self.bounds().stop_within;
         Some(deadline.saturating_sub(self.now()))
     }
 
     /// Returns the time since a planned stop began, if one has.
-    pub fn stopping_for(&self) -> Option<Duration> {
+    pub fn time_since_stop(&self) -> Option<Duration> {
         Some(self.now().saturating_sub(*self.stop_began.get()?))
     }
 
@@ -371,23 +371,23 @@
     }
 
     /// Sends a message to the control loop, which lives as long as the process.
-    pub fn tell(&self, message: ToControl) {
+    pub fn notify(&self, message: ToControl) {
         let _ = self.control.send(message);
     }
 
     /// Sends a message to the control loop after a pause; to be called only on the control thread.
-    pub fn tell_after(self: &Arc<Self>, pause: Duration, message: ToControl) {
+    pub fn notify_after(self: &Arc<Self>, pause: Duration, message: ToControl) {
         let shared = self.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(pause).await;
-            shared.tell(message);
+            shared.notify(message);
         });
     }
 
     /// Requests a place at a replica from the control loop.
     pub async fn place(self: &Arc<Self>, request: PlaceRequest) -> Result<RunGuard, NoRoom> {
         let (tx, rx) = oneshot::channel();
-        self.tell(ToControl::Place(request, tx));
+        self.notify(ToControl::Place(request, tx));
         let placed = rx.await.unwrap_or(Err(NoRoom::default()))?;
         Ok(RunGuard { shared: self.clone(), placed, placed_at: Instant::now(), outcome: Outcome::Withdrawn })
     }
@@ -412,7 +412,7 @@
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.shared.tell(ToControl::Ended(self.placed.run, self.outcome));
+        self.shared.notify(ToControl::Ended(self.placed.run, self.outcome));
     }
 }
 
--- a/node/src/gateway/stop.rs
+++ b/node/src/gateway/stop.rs
@@ -46,7 +46,7 @@
 /// When a caller comes back that a stopping node refuses. Where no other node of the hall is alive
 /// the balancer sends it here again until it has noticed.
 fn come_back_after(shared: &Shared) -> Duration {
-    let stopping_for = shared.stopping_for().unwrap_or_default();
+    let stopping_for = shared.time_since_stop().unwrap_or_default();
     if shared.has_neighbour() {
         COME_BACK_AFTER
     } else {
@@ -62,7 +62,7 @@
 /// Whether a node that may be stopping still takes a request: one that it can be expected to serve
 /// to its end.
 pub fn takes(shared: &Shared, req: &CallerRequest) -> bool {
-    let Some(left) = shared.left_to_serve() else {
+    let Some(left) = shared.remaining_serving_time() else {
         return true;
     };
     let needs = match req.route.repeat {
@@ -76,7 +76,7 @@
 /// than it can still be served to its end.
 pub fn may_wait(shared: &Shared, req: &CallerRequest) -> Duration {
     let until_caller_leaves = req.caller_leaves();
-    let Some(left) = shared.left_to_serve() else {
+    let Some(left) = shared.remaining_serving_time() else {
         return until_caller_leaves;
     };
     until_caller_leaves.min(left.saturating_sub(stream_time(shared, req))).max(req.first_event_due())
@@ -90,7 +90,7 @@
 /// come, and the most tokens count that a stream may make: with the expected ones, stops in series
 /// that overlap cut a stream each on 3 of 18 days of simulated fleets of 6 to 62 nodes.
 fn stream_time(shared: &Shared, req: &CallerRequest) -> Duration {
-    let balancer_noticed = shared.stopping_for().is_some_and(|stopping| stopping >= BALANCER_NOTICES);
+    let balancer_noticed = shared.time_since_stop().is_some_and(|stopping| stopping >= BALANCER_NOTICES);
     let tokens = if balancer_noticed { req.most_tokens() } else { req.generation_size().expected };
     req.route.objective + Duration::from_secs_f64(f64::from(tokens) / shared.tokens_per_second(&req.service))
 }
@@ -98,9 +98,9 @@
 /// Waits until connections of callers should be closed as soon as no request is open on them: the
 /// balancer makes no new ones, or the node takes nothing more.
 pub async fn close_unused(shared: &Shared) {
-    shared.reached(Phase::Stopping).await;
+    shared.wait_for_phase(Phase::Stopping).await;
     // Whichever comes first.
-    let _ = tokio::time::timeout(BALANCER_NOTICES, shared.reached(Phase::Closing)).await;
+    let _ = tokio::time::timeout(BALANCER_NOTICES, shared.wait_for_phase(Phase::Closing)).await;
 }
 
 /// Waits for the signal to stop, then until the node has nothing more to do.
@@ -110,7 +110,7 @@
 pub async fn wait(shared: &Arc<Shared>) -> std::io::Result<()> {
     signal(SignalKind::terminate())?.recv().await;
     shared.stop();
-    shared.tell(ToControl::Stopping);
+    shared.notify(ToControl::Stopping);
     let began = shared.now();
     info!(event = "stop", open = shared.open_requests(); "planned stop begins");
     let closes = began + shared.bounds().stop_within.saturating_sub(END_MARGIN + PORT_CLOSES_WITHIN);
@@ -131,7 +131,7 @@
 async fn close_port(shared: &Shared, last: Timestamp) {
     shared.advance(Phase::Closing);
     let closed = async {
-        shared.reached(Phase::Closed).await;
+        shared.wait_for_phase(Phase::Closed).await;
         none_open(shared).await;
     };
     tokio::select! {
--- a/node/src/gateway/upstream/copying.rs
+++ b/node/src/gateway/upstream/copying.rs
@@ -231,7 +231,7 @@
         self.traffic.shared.metrics.on_move("copy", outcome_word(&called));
         match called {
             Ok(CopyOutcome::Done { handle, .. }) => {
-                self.traffic.shared.tell(ToControl::Copied(target.placed.run));
+                self.traffic.shared.notify(ToControl::Copied(target.placed.run));
                 Ok(Copied { target, handle: Some(handle), stays: false, stop_is_known: false })
             }
             Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) => Err(NotCopied::Later),
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -218,7 +218,7 @@
         self.stall.on_event(&self.req.route);
         if std::mem::take(&mut self.is_reading) {
             let run = &self.leg.run;
-            self.traffic.shared.tell(ToControl::FirstEvent(run.placed.run));
+            self.traffic.shared.notify(ToControl::FirstEvent(run.placed.run));
             let took = run.placed_at.elapsed();
             self.traffic.sample_answer(&self.req, &run.placed.replica, false, took);
         }
--- a/node/src/gateway/upstream/replica_words.rs
+++ b/node/src/gateway/upstream/replica_words.rs
@@ -103,7 +103,7 @@
     fn on_said_leaving(&self, req: &CallerRequest, replica: &ReplicaRecord) {
         if self.leaving_announcements.borrow_mut().on_announced(&replica.incarnation(), self.shared.now()) {
             info!(event = "leaving_said", request = req.id(), upstream = &*replica.id; "a replica says in an answer that it leaves");
-            self.shared.tell(ToControl::Sign(replica.incarnation(), LeavingSign::Announced));
+            self.shared.notify(ToControl::Sign(replica.incarnation(), LeavingSign::Announced));
         }
     }
 
@@ -132,7 +132,7 @@
         };
         if may_change {
             let times = ResponseTimes { sent, received: self.shared.now() };
-            self.shared.tell(ToControl::LimitReport(replica.incarnation(), word, times));
+            self.shared.notify(ToControl::LimitReport(replica.incarnation(), word, times));
         }
     }
 
@@ -142,7 +142,7 @@
         info!(event = "turned_away", request = req.id(), upstream = &*replica.id, status = status.as_u16(); "a replica did not run a request");
         if status == StatusCode::MISDIRECTED_REQUEST {
             let sign = LeavingSign::Replaced;
-            self.shared.tell(ToControl::Sign(replica.incarnation(), sign));
+            self.shared.notify(ToControl::Sign(replica.incarnation(), sign));
         }
     }
 }
--- a/node/src/gateway/upstream/sampling.rs
+++ b/node/src/gateway/upstream/sampling.rs
@@ -47,6 +47,6 @@
         let is_target = replica.version == upgrade.order.target;
         let side = if is_target { Side::Target } else { Side::Present };
         let (service, route) = (req.service.clone(), req.route.name.clone());
-        self.shared.tell(ToControl::Sampled(AnswerSample { service, route, side, sample }));
+        self.shared.notify(ToControl::Sampled(AnswerSample { service, route, side, sample }));
     }
 }
--- a/node/src/gateway/upstream/stall.rs
+++ b/node/src/gateway/upstream/stall.rs
@@ -75,7 +75,7 @@
     info!(event = "silence_doubted", request = req.id(), upstream = &*engine.id, health:? = health; "an engine is silent");
     let is_gone = matches!(health, Health::Silent | Health::Closed | Health::Other);
     if is_gone {
-        traffic.shared.tell(ToControl::Health(engine.incarnation(), health));
+        traffic.shared.notify(ToControl::Health(engine.incarnation(), health));
     }
     is_gone
 }
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -41,7 +41,7 @@
         if is_held {
             req.broken_at.lock().expect("no holder panics").push(replica.clone());
             let run = BrokenRun { fingerprint: req.fingerprint(), replica: replica.incarnation() };
-            self.shared.tell(ToControl::RunBroke(run));
+            self.shared.notify(ToControl::RunBroke(run));
         }
     }
 
@@ -56,7 +56,7 @@
         let name = sound.name(&req.parts());
         sound.on_sound(name, self.shared.now());
         if self.standing(req).is_some() {
-            self.shared.tell(ToControl::RanWell(req.fingerprint()));
+            self.shared.notify(ToControl::RanWell(req.fingerprint()));
         }
     }
 
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -78,7 +78,7 @@
             slack: bounds.retry_slack / self.shared.nodes().max(LEAST_NODES) as f64,
         };
         let allowed = self.with_window(service, |window| window.take(now, &share));
-        self.shared.metrics.on_repeat(allowed);
+        self.shared.metrics.on_retry(allowed);
         allowed
     }
 
