--- a/node/src/gateway/observability/metrics.rs
+++ b/node/src/gateway/observability/metrics.rs
@@ -61,8 +61,8 @@
     /// Creates the instruments with a registry of their own.
     pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
         let instruments = Instruments::new()?;
-        let counter = |name, what| instruments.counter(name, what);
-        let seconds = |name, what| instruments.seconds(name, what);
+        let counter = |name, description| instruments.counter(name, description);
+        let seconds = |name, description| instruments.seconds(name, description);
         Ok(GatewayMetrics {
             requests: counter("leadstage.gateway.requests", "Requests answered, by route and status"),
             refusals: counter("leadstage.gateway.refusals", "Requests refused here, by result code"),
@@ -203,9 +203,9 @@
     }
 
     /// Counts bytes sent to or received from another node, without packet headers.
-    pub fn on_peer_bytes(&self, what: PeerBytes, bytes: usize) {
+    pub fn on_peer_bytes(&self, kind: PeerBytes, bytes: usize) {
         self.peer_bytes_sum.fetch_add(bytes as u64, Ordering::Relaxed);
-        self.peer_bytes.add(bytes as u64, &[KeyValue::new("what", what.label())]);
+        self.peer_bytes.add(bytes as u64, &[KeyValue::new("what", kind.label())]);
     }
 
     /// Counts a message of this size that was sent to another node.
--- a/node/src/gateway/peers/fleet.rs
+++ b/node/src/gateway/peers/fleet.rs
@@ -415,13 +415,13 @@
                     }
                 }
                 MembershipAction::ProbeVia { via, target } => self.probe_via(&via, target, now),
-                MembershipAction::Changed(news) => {
-                    info!(event = "node_changed", node = &*news.vm, liveness:? = news.liveness, incarnation = news.incarnation; "another node's state changed");
-                    if matches!(news.liveness, Liveness::Dead | Liveness::Left) {
-                        self.forget(&news.vm);
-                        gone.push(news.vm);
+                MembershipAction::Changed(update) => {
+                    info!(event = "node_changed", node = &*update.vm, liveness:? = update.liveness, incarnation = update.incarnation; "another node's state changed");
+                    if matches!(update.liveness, Liveness::Dead | Liveness::Left) {
+                        self.forget(&update.vm);
+                        gone.push(update.vm);
                     } else {
-                        self.peers.on_up(&news.vm);
+                        self.peers.on_up(&update.vm);
                     }
                 }
             }
