--- a/node/src/gateway/upstream/connections.rs
+++ b/node/src/gateway/upstream/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to replicas: each carries one request at a time, and is used again only if
-//! nothing about it is in doubt.
+//! Connections to replicas. A connection carries one request at a time and is reused only if nothing
+//! about its state is in doubt.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,32 +25,32 @@
 
 use crate::clock;
 
-/// An answered connection rests this long before it is used again: a surplus answer that
-/// follows shows within some ms, and the connection is dropped.
+/// Minimum idle time before a connection is reused. A surplus response after the expected one arrives
+/// within a few milliseconds, and the connection is then dropped.
 const LEAST_REST: Duration = Duration::from_millis(20);
-/// A connection is not used again when its peer may close it within this.
+/// A connection is not reused if its peer may close it within this time.
 const CLOSE_MARGIN: Duration = Duration::from_millis(500);
-/// How long an unused connection is kept if the replica does not say.
+/// How long an idle connection is kept if the replica does not say.
 const DEFAULT_KEEP: Duration = Duration::from_secs(5);
-/// Bytes that are read ahead on a connection at most; the library's own bound is 25 times as much, which a hundred
-/// large answers at once would all use.
+/// Maximum size of a connection's read buffer. The default of hyper is 25 times as large, and a hundred
+/// large responses at once would use all of it.
 const MOST_READ_AHEAD: usize = 16 << 10;
-/// Unused connections kept for one replica: what a node needs at once at the busiest, as
-/// replicas count the connections of all nodes together.
+/// Maximum number of idle connections per replica: as many as one node needs at peak load, because a
+/// replica's connection count covers all nodes.
 const MOST_UNUSED: usize = 4;
 
-/// A connection that broke when it was used again shows that replicas forget unused ones
-/// without a word: then only this part of its rest is trusted.
+/// A reused connection that breaks shows that replicas drop idle connections without notice. Connections
+/// are then reused only up to this fraction of the idle time of the broken one.
 const TRUST_AFTER_BREAK: f64 = 0.6;
-/// The trusted rest doubles after this time without such a break.
+/// The idle limit doubles each time this passes without such a break.
 const TRUST_DOUBLES_IN: Duration = Duration::from_secs(10);
 
-/// Which connection to a replica a request gets.
+/// Which connection to a replica a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// The unused one that rested longest, or a new one.
+    /// The connection that has been idle longest, or a new one.
     Any,
-    /// A new one: what is in doubt about the unused ones must not strike twice.
+    /// A new connection, so that a fault of the idle ones can't affect the request twice.
     New,
 }
 
@@ -59,16 +59,16 @@
     /// Sends requests.
     pub sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
-    /// How long it had rested, if it carried a request before.
+    /// How long the connection was idle before this request, if it carried a request before.
     pub rested: Option<Duration>,
 }
 
-/// No connection came up: nothing was sent.
+/// Opening a connection failed: nothing was sent.
 #[derive(Debug, Display, Error, From)]
 pub enum ConnectError {
-    /// The socket.
+    /// The TCP connection could not be opened.
     Socket(io::Error),
-    /// The client.
+    /// The HTTP handshake failed.
     Client(hyper::Error),
 }
 
@@ -78,7 +78,7 @@
     until: Timestamp,
 }
 
-/// How long a rest of connections is trusted.
+/// How long a connection may be idle and still be reused.
 #[derive(Clone, Copy, Debug)]
 struct Trust {
     rest: Duration,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The unused connections of the traffic thread.
+/// The idle connections of the traffic thread.
 #[derive(Default)]
 pub struct Connections {
     unused: RefCell<HashMap<Incarnation, VecDeque<Unused>>>,
@@ -100,7 +100,7 @@
 }
 
 impl Connections {
-    /// A connection to a replica.
+    /// Returns a connection to a replica.
     pub async fn take(&self, replica: &ReplicaRecord, choice: Choice) -> Result<Connection, ConnectError> {
         let unused = (choice == Choice::Any).then(|| self.take_unused(&replica.incarnation())).flatten();
         match unused {
@@ -124,14 +124,15 @@
         Some(connection)
     }
 
-    /// Drops the unused connections to a replica that have rested since before `moment`.
+    /// Drops the idle connections to a replica that have been idle since before `moment`.
     pub fn drop_unused_since_before(&self, replica: &ReplicaRecord, moment: Timestamp) {
         if let Some(queue) = self.unused.borrow_mut().get_mut(&replica.incarnation()) {
             queue.retain(|u| u.since >= moment);
         }
     }
 
-    /// A connection that had rested so long broke when it was used again.
+    /// Lowers the idle limit after a connection broke that was reused after it had been idle for
+    /// `idle_time`.
     pub fn on_break(&self, rested: Duration) {
         let known = self.trust.get().map_or(Duration::MAX, |trust| trust.rest());
         let rest = rested.mul_f64(TRUST_AFTER_BREAK).min(known);
@@ -139,7 +140,7 @@
         self.trust.set(Some(Trust { rest, since: clock::since_boot() }));
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Keeps a connection whose response was read to its end.
     pub fn put(&self, replica: &ReplicaRecord, connection: Connection, keeps_for: Option<Duration>) {
         let now = clock::since_boot();
         let keep = keeps_for.unwrap_or(DEFAULT_KEEP).saturating_sub(CLOSE_MARGIN);
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Closes what is no longer of use.
+    /// Closes idle connections that can't be reused any more.
     pub fn sweep(&self) {
         let now = clock::since_boot();
         let mut unused = self.unused.borrow_mut();
@@ -168,7 +169,7 @@
     builder.max_buf_size(MOST_READ_AHEAD);
     let (sender, driver) = builder.handshake(TokioIo::new(stream)).await?;
     let driver = tokio::task::spawn_local(async move {
-        // What breaks the connection reaches the request on it.
+        // The request on the connection gets the error that ends the connection.
         let _ = driver.await;
     });
     Ok(Connection { sender, _driver: AbortOnDropHandle::new(driver), rested: None })
--- a/node/src/gateway/upstream/copying.rs
+++ b/node/src/gateway/upstream/copying.rs
@@ -24,26 +24,27 @@
 use crate::gateway::shared::RunGuard;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Pause before a copy is asked for again: a generation that waits can't be copied yet.
+/// Delay before a copy is retried: a generation that is still queued can't be copied yet.
 const COPY_PAUSE: Duration = Duration::from_millis(40);
-/// Time for one copy: some times that of the largest generation over a busy link.
+/// Timeout of one copy: several times what the largest generation takes over a busy link.
 const COPY_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// A generation that goes on after a stop: its memory is at another engine, or is there once it has
-/// stopped.
+/// Where a generation resumes after it is stopped: its KV cache memory is at another engine, or will be
+/// once it has stopped.
 pub struct Copied {
-    /// The engine, and the generation's place there.
+    /// The other engine and the run that is reserved there.
     pub target: RunGuard,
-    /// Names the copy; `None` until the stop is answered, if nothing was copied before.
+    /// Identifies the copy; `None` until the stop is answered, if nothing was copied before.
     pub handle: Option<CopyHandle>,
-    /// Whether the generation is to go on where it stopped, on a new connection, if it can.
+    /// Whether the generation is to resume at the engine where it stopped, on a new connection, if
+    /// possible.
     pub stays: bool,
-    /// Whether the stop of the generation was answered.
+    /// Whether the call that stops the generation was answered.
     pub stop_is_known: bool,
 }
 
 impl Copied {
-    /// Takes the answer to the stop in.
+    /// Records the answer to the stop.
     pub fn note_stop(&mut self, answer: StopAnswer) -> Stop {
         self.stop_is_known = true;
         match answer {
@@ -57,23 +58,24 @@
     }
 }
 
-/// The answer to a call that is to stop a generation.
+/// The answer to a call that stops a generation.
 pub type StopAnswer = Result<CopyOutcome, CallError>;
 
-/// What a call that is to stop a generation came to.
+/// The outcome of a call that stops a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stop {
     /// The generation stopped.
     Stopped,
-    /// It did not stop: it runs on, waits, or has just ended by itself.
+    /// The generation did not stop: it is still running or queued, or has just ended by itself.
     RunsOn,
-    /// It may have stopped: if so, its stream breaks.
+    /// The generation may have stopped: if so, its stream breaks.
     Unknown,
 }
 
-/// Stops a generation at its engine; the call also copies the rest, behind all other copies on
-/// these links. A call that found no connection is made again, as nothing was sent: beside a
-/// configuration of 282 kB on a link of 10 Mbit/s none came up for 0.6 s, by the log of one stream.
+/// Stops a generation at its engine. The call also copies the remaining memory, queued behind all other
+/// copies on these links. A call that could not connect is retried, as nothing was sent: next to a
+/// transfer of a configuration of 282 kB on a link of 10 Mbit/s, no connection could be opened for 0.6 s,
+/// by the log of one stream.
 pub async fn stop(source: &ReplicaRecord, id: &str, target: SocketAddr) -> StopAnswer {
     let until = Instant::now() + COPY_LIMIT;
     loop {
@@ -89,28 +91,29 @@
     }
 }
 
-/// What a task beside a stream has come to: one that moves its generation, or asks its engine.
+/// The result of a task that runs next to a stream and moves its generation or queries its engine.
 pub enum Step {
-    /// A copy was made while the generation ran on.
+    /// A copy was made while the generation kept running.
     Copied(Copied),
-    /// The call that stops the generation was answered, or got no answer.
+    /// The call that stops the generation was answered or failed.
     StopAnswered(StopAnswer),
-    /// A generation whose connection is silent can be stopped, to go on where it stopped.
+    /// A target was found, so a generation whose connection is silent can be stopped and resumed where it
+    /// stopped.
     CanStop(Copied),
     /// No copy could be made.
     GaveUp(NotCopied),
-    /// The engine was silent, and is gone.
+    /// The engine was silent and is gone.
     EngineGone(UpstreamId),
-    /// The engine had made more events than the `came` that its connection passed on.
+    /// The engine has produced more events than the `received` ones that its connection delivered.
     ConnectionSilent {
         /// The engine.
         engine: UpstreamId,
-        /// Events that had come when it was asked.
+        /// Number of events that had been received when the engine was queried.
         came: u64,
     },
 }
 
-/// The outcome of a call to copy, as a label.
+/// The outcome of a copy call as a metric label.
 fn outcome_word(called: &Result<CopyOutcome, CallError>) -> &'static str {
     match called {
         Ok(CopyOutcome::Done { .. }) => "done",
@@ -125,32 +128,32 @@
 /// Why there is no copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotCopied {
-    /// The engine that it runs on is gone.
+    /// The engine that runs the generation is gone.
     SourceGone,
-    /// The target has no room, or can't be reached.
+    /// The target has no room or can't be reached.
     Elsewhere(UpstreamId),
-    /// It does not run yet, another call is under way, or its engine was not reached.
+    /// The generation is not running yet, another call is in progress, or its engine was not reached.
     Later,
 }
 
-/// Copies a generation away from an engine that leaves.
+/// Copies a generation away from an engine that is leaving or overloaded.
 pub struct Copying {
-    /// The traffic side.
+    /// The state shared by the requests of the traffic thread.
     pub traffic: Traffic,
-    /// The request.
+    /// The request of the generation.
     pub req: Arc<CallerRequest>,
-    /// The stream.
+    /// The stream of the generation.
     pub handle: StreamHandle,
-    /// The engine that it runs on.
+    /// The engine that runs the generation.
     pub source: Arc<ReplicaRecord>,
-    /// Engines that it can't go on at.
+    /// Engines that can't resume the generation.
     pub avoid: Vec<UpstreamId>,
-    /// How long to go on trying.
+    /// How long to keep retrying.
     pub insist: Duration,
 }
 
 impl Copying {
-    /// Copies to some engine with room.
+    /// Copies the generation to an engine with room.
     pub async fn copy(self) -> Step {
         if !self.insist.is_zero() {
             let produced = self.handle.produced.load(Ordering::Relaxed);
@@ -181,8 +184,9 @@
         }
     }
 
-    /// Finds an engine that the call to stop the generation can name. It is not asked for room by its
-    /// load, as the generation goes on where it stopped; one that is full says so.
+    /// Finds an engine that the call to stop the generation can name as its target. The engine is chosen
+    /// without regard to its load, as the generation resumes where it stopped; an engine without room
+    /// refuses.
     pub async fn prepare_stop(self) -> Step {
         let mut exclude = vec![self.source.id.clone()];
         exclude.extend(self.avoid.iter().cloned());
@@ -196,8 +200,8 @@
         self.place(Some(self.req.generation_size()), exclude).await
     }
 
-    /// Places the generation at an engine when it is the turn of a copy from its own one; without its
-    /// size, whether there is room or not.
+    /// Reserves a run at another engine once copies from the current engine may start. Without `size`,
+    /// the engine need not have room.
     async fn place(&self, size: Option<GenerationSize>, exclude: &[UpstreamId]) -> Option<RunGuard> {
         let produced = self.handle.produced.load(Ordering::Relaxed);
         let patience = if self.insist.is_zero() { Duration::ZERO } else { evacuation::COPY_START_TIMEOUT };
@@ -239,8 +243,9 @@
                 Err(NotCopied::Elsewhere(to.id.clone()))
             }
             Err(CallError::Broken(_)) => Err(NotCopied::SourceGone),
-            // What shows that the engine is gone is its stream: a link that other traffic fills lets
-            // no connection come up either, beside a large configuration for 0.6 s.
+            // A failed connection does not show that the engine is gone; its stream does. A link that is
+            // full of other traffic lets no connection through either, for 0.6 s next to a transfer of a
+            // large configuration.
             Err(
                 CallError::Connect(_)
                 | CallError::TimedOut(_)
--- a/node/src/gateway/upstream/event_stream.rs
+++ b/node/src/gateway/upstream/event_stream.rs
@@ -1,26 +1,26 @@
-//! Splits a stream into whole events, so that only those reach the caller: at a break, a
-//! part of an event is dropped and comes again from where the generation goes on.
+//! Splits a stream into whole events, so that only whole events reach the caller. When the stream breaks,
+//! a partial event is discarded; it is sent again by the engine that resumes the generation.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use derive_more::Display;
 
-/// Bytes of one event at most; the largest that the sheets name have some kilobytes.
+/// Maximum size of one event; the largest specified events have some kilobytes.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Why a stream is of no use any more.
+/// Why a stream is unusable.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Unusable {
-    /// An event is larger than any may be.
+    /// An event exceeds the maximum size.
     #[display("an event is too large")]
     TooLarge,
-    /// An event's id is not above that of the event before: the engine did not go on where it was
+    /// An event's id is not greater than that of the event before: the engine did not resume where it was
     /// asked to, and the caller would get events twice.
     #[display("ids of events do not rise")]
     NotRising,
 }
 
-/// Takes bytes in and gives whole events out.
+/// Splits received bytes into whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
@@ -31,12 +31,12 @@
 }
 
 impl EventSplitter {
-    /// For a stream that goes on after the event `last_id`, or begins.
+    /// Returns a splitter for a stream that resumes after the event `last_id`, or for a new stream.
     pub fn after(last_id: Option<&str>) -> Self {
         EventSplitter { last_id: last_id.map(str::to_owned), ..EventSplitter::default() }
     }
 
-    /// Takes bytes in; returns all events that are whole now, as they came.
+    /// Appends bytes; returns all events that are complete now, unchanged.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.buf.extend_from_slice(bytes);
         let mut whole = 0;
@@ -52,7 +52,7 @@
             at = end;
         }
         let out = self.buf.split_to(whole).freeze();
-        // An event's end may be split between two reads.
+        // The end of an event may be split between two reads.
         self.searched = self.buf.len().saturating_sub(3);
         if self.buf.len() > MAX_EVENT_BYTES {
             self.unusable.get_or_insert(Unusable::TooLarge);
@@ -60,35 +60,35 @@
         out
     }
 
-    /// Set once the stream is of no use any more.
+    /// Returns why the stream is unusable, if it is.
     pub fn unusable(&self) -> Option<Unusable> {
         self.unusable
     }
 
-    /// Drops the part of an event that is there.
+    /// Discards a partial event.
     pub fn drop_part(&mut self) {
         self.buf.clear();
         self.searched = 0;
         self.unusable = None;
     }
 
-    /// What is left at a stream's regular end.
+    /// Returns the bytes that are left at a stream's regular end.
     pub fn rest(&mut self) -> Bytes {
         self.searched = 0;
         self.buf.split().freeze()
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whole events so far.
+    /// Number of complete events that had an id.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Notes a whole event; returns whether its id, if it has one, is above the one before.
+    /// Records a complete event; returns false if its id is not greater than the id before.
     fn note_event(&mut self, start: usize, end: usize) -> bool {
         let event = &self.buf[start..end];
         let mut lines = event.split(|byte| *byte == b'\n');
@@ -105,7 +105,7 @@
     }
 }
 
-/// Whether an id may follow another one; what is no number is not compared.
+/// Whether an id may follow another one; ids that are not numbers are not compared.
 fn rises(last: Option<&str>, next: &str) -> bool {
     let number = |id: &str| id.parse::<u64>().ok();
     match (last.and_then(number), number(next)) {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Where the first event that ends at or after `from` ends: behind an empty line.
+/// Returns where the first event that ends at or after `from` ends: after an empty line.
 fn event_end(buf: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(offset) = buf[at..].iter().position(|byte| *byte == b'\n') {
--- a/node/src/gateway/upstream/exchange.rs
+++ b/node/src/gateway/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one replica, and the head of its answer.
+//! Sends one request to one replica and receives the head of its response.
 
 use std::sync::Arc;
 
@@ -33,52 +33,51 @@
 use crate::gateway::upstream::stall;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Bytes of a plain answer at most, as it is held until it is whole.
+/// Maximum size of the body of a response that is not streamed, as all of it is buffered.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Why a replica gave no usable answer.
+/// Why a replica gave no usable response.
 #[derive(Debug, Display, Error)]
 pub enum SendError {
     /// The replica's hall is closed: nothing was sent.
     #[display("its hall is closed")]
     HallClosed,
-    /// The replica asked this node for rest: nothing was sent.
+    /// The replica requested a back-off from this node: nothing was sent.
     #[display("it asked for rest")]
     Resting,
-    /// The replica's version was given up: nothing was sent.
+    /// The replica's version was rolled back: nothing was sent.
     #[display("its version was given up")]
     VersionReverted,
-    /// Replicas end under the request: nothing was sent.
+    /// The request is quarantined because replicas end while they run it: nothing was sent.
     #[display("it is quarantined")]
     Quarantined,
-    /// It turned out that replicas end under the request, and the replica had not answered yet.
+    /// The request was quarantined while it waited for the replica's response.
     #[display("it was quarantined meanwhile")]
     Withdrawn,
-    /// Not a byte of the request was sent.
+    /// The request could not be sent: not a byte of it left this node.
     #[display("not sent: {_0}")]
     NotSent(ConnectError),
     /// The connection broke after the request may have been sent.
     #[display("connection broke: {_0}")]
     Broken(hyper::Error),
-    /// No answer in time.
+    /// The deadline passed without a response.
     #[display("no answer in time")]
     TimedOut,
-    /// The replica stayed silent for too long, and the request may go on elsewhere.
+    /// The replica was silent for too long, and the request may be sent to another replica.
     #[display("silent for too long")]
     Stalled,
-    /// A kept connection stayed silent for too long. That the request is sent again is taken from
-    /// the retry budget.
+    /// A reused connection was silent for too long. The retry was taken from the retry budget already.
     #[display("kept connection silent for too long")]
     ConnectionSilent,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     #[display("answer to another request")]
     Foreign,
-    /// The answer ended early or was too large.
+    /// The body ended early or was too large.
     #[display("answer cut short: {_0}")]
     Cut(#[error(not(source))] String),
 }
 
-/// Ends a request's place at a replica that failed it. Returns the code for its caller, unless
+/// Ends the run of a request that failed at a replica. Returns the code for the caller, or `None` if
 /// nothing was sent.
 pub fn failed(req: &CallerRequest, run: RunGuard, err: &SendError) -> Option<Code> {
     info!(event = "attempt_failed", request = req.id(), upstream = &*run.placed.replica.id, reason:% = err; "attempt failed");
@@ -104,7 +103,7 @@
     }
 }
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub struct Exchange {
     /// The status.
     pub status: StatusCode,
@@ -112,12 +111,12 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Incoming,
-    /// When the head came: an engine begins its answer when it begins to run the request.
+    /// When the head was received: an engine sends the head when it starts to run the request.
     pub head_came: Instant,
     connection: Connection,
 }
 
-/// An answer read to its end.
+/// A response whose body was read to its end.
 pub struct WholeAnswer {
     /// The status.
     pub status: StatusCode,
@@ -125,12 +124,12 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What it takes of the node's memory.
+    /// The node memory that the body is accounted for with.
     pub held: Held,
 }
 
-/// Sends a request that was sent to `sent` replicas before to one more, on a connection of
-/// `choice`, and waits for the head of the answer as long as its caller does.
+/// Sends a request that was sent to `sent` replicas before to one more, on a connection of `choice`, and
+/// waits for the head of the response until the request's deadline.
 pub async fn send(
     traffic: &Traffic,
     replica: &ReplicaRecord,
@@ -139,7 +138,7 @@
     choice: Choice,
     sent: u32,
 ) -> Result<Exchange, SendError> {
-    // Whatever chose the replica, and however long ago: this is the last look before the send.
+    // However the replica was chosen, and however long ago: these are the last checks before sending.
     if traffic.is_quarantined(req) {
         return Err(SendError::Quarantined);
     }
@@ -181,8 +180,8 @@
     Ok(Exchange { status: head.status, headers: head.headers, body, head_came: Instant::now(), connection })
 }
 
-/// Waits no longer than until the request is quarantined: it may wait at the replica for its turn, and that
-/// one does not begin it once it is hung up on.
+/// Stops waiting when the request is quarantined: it may still be queued at the replica, which does not
+/// start it once the connection is closed.
 async fn unless_quarantined<T>(
     traffic: &Traffic,
     req: &CallerRequest,
@@ -204,18 +203,18 @@
 }
 
 impl Exchange {
-    /// Whether the replica says that it did not run the request.
+    /// Whether the replica reports that it did not run the request.
     pub fn says_not_run(&self) -> bool {
         headers::says_not_run(self.status, &self.headers)
     }
 
-    /// Whether the body's end can be told from a connection that just closes.
+    /// Whether the end of the body can be told apart from a connection that just closes.
     pub fn is_framed(&self) -> bool {
         let framing = [header::TRANSFER_ENCODING, header::CONTENT_LENGTH];
         framing.iter().any(|name| self.headers.contains_key(name))
     }
 
-    /// Reads the answer to a request to its end; one that is cut short is a run that broke.
+    /// Reads the response to its end. A truncated response counts as a broken run.
     pub async fn whole(
         self,
         traffic: &Traffic,
@@ -229,7 +228,7 @@
         answer
     }
 
-    /// Reads it until `until`, and keeps the connection if it can be used again.
+    /// Reads the body until `until`, and keeps the connection if it can be reused.
     async fn read(
         self,
         node: &Arc<HeldBytes>,
@@ -254,8 +253,8 @@
 }
 
 impl WholeAnswer {
-    /// Whether its status tells a caller "not run": it is passed on only when the replica
-    /// says the same.
+    /// Whether the status tells a caller that the request was not run. Such a response is passed on only
+    /// if the replica itself reports that.
     pub fn promises_not_run(&self) -> bool {
         matches!(self.status.as_u16(), 408 | 421 | 429 | 503)
     }
--- a/node/src/gateway/upstream/leg.rs
+++ b/node/src/gateway/upstream/leg.rs
@@ -1,4 +1,4 @@
-//! A generation at one engine.
+//! The stream of a generation from one engine.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -7,16 +7,17 @@
 use crate::gateway::shared::RunGuard;
 use crate::gateway::upstream::exchange::Exchange;
 
-/// A generation at one engine.
+/// The stream of a generation from one engine.
 pub struct Leg {
-    /// Its place there.
+    /// The run at the engine.
     pub run: RunGuard,
-    /// Its answer; `None` once this node has hung up.
+    /// The response of the engine; `None` once this node has closed the connection.
     pub exchange: Option<Exchange>,
 }
 
 impl Leg {
-    /// The next part of the answer's body; never comes once this node has hung up.
+    /// Returns the next frame of the response body; never completes once this node has closed the
+    /// connection.
     pub async fn frame(&mut self) -> Option<Result<Frame<Bytes>, hyper::Error>> {
         match &mut self.exchange {
             Some(exchange) => exchange.body.frame().await,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Whether the answer's end can be told from a connection that just closes.
+    /// Whether the end of the response can be told apart from a connection that just closes.
     pub fn is_framed(&self) -> bool {
         self.exchange.as_ref().is_some_and(Exchange::is_framed)
     }
--- a/node/src/gateway/upstream/pace.rs
+++ b/node/src/gateway/upstream/pace.rs
@@ -1,13 +1,13 @@
-//! How regularly a stream's events came.
+//! Measures the intervals between a stream's events.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// When a stream's events came.
+/// The intervals between a stream's events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
-    /// From the request to the first event.
+    /// Time from the request to the first event.
     pub first: Option<Duration>,
     last: Option<Instant>,
     /// The longest time between two events.
@@ -15,7 +15,7 @@
 }
 
 impl Pace {
-    /// An event came, of a request that came at `came`.
+    /// Records an event of a request that was received at `request_received`.
     pub fn on_event(&mut self, came: Instant) {
         let now = Instant::now();
         self.first.get_or_insert(now - came);
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -1,8 +1,9 @@
-//! Passes one stream on to its caller, from one engine after the other.
+//! Relays one stream to its caller, from one engine after another.
 //!
-//! `moving` takes the generation away from engines that leave or are crowded, with a copy of its
-//! memory; `after_stop` has it go on once it has stopped; `going_on` has another engine go on after
-//! the last event when one is lost; `silent_connection` takes it off connections that pass nothing on.
+//! `moving` moves the generation away from engines that are leaving or overloaded, with a copy of its KV
+//! cache memory; `after_stop` resumes it once it has stopped; `after_loss` resumes it at another engine
+//! after the last event when its engine is lost; `silent_connection` takes it off connections that
+//! deliver nothing.
 
 mod after_stop;
 mod going_on;
@@ -39,7 +40,7 @@
 use crate::gateway::upstream::stall::StallWatch;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Pauses between events that tell how fast an engine makes them, at least.
+/// Minimum number of intervals between events for a sample of an engine's pace.
 const LEAST_PAUSES: u64 = 4;
 
 /// How a relay ended.
@@ -55,7 +56,7 @@
     EngineLost,
 }
 
-/// Passes one stream on to its caller.
+/// Relays one stream to its caller.
 pub struct Relay {
     traffic: Traffic,
     req: Arc<CallerRequest>,
@@ -68,29 +69,29 @@
     steps: UnboundedReceiver<Step>,
     /// The task that moves the generation.
     moving: Option<AbortOnDropHandle<()>>,
-    /// The task that asks a silent engine for its health.
+    /// The task that queries a silent engine.
     asking: Option<AbortOnDropHandle<()>>,
-    /// Where the generation goes on once it has stopped.
+    /// Where the generation resumes once it has stopped.
     stopping: Option<Copied>,
-    /// Engines that leave, of those that the generation ran or was to run on.
+    /// Engines that are leaving, among those that the generation ran on or was to run on.
     leaving: Vec<UpstreamId>,
-    /// Engines that could not go on with it.
+    /// Engines that failed to run or resume the generation.
     failing: Vec<UpstreamId>,
-    /// Engines that a stop of the silent generation could not name.
+    /// Engines that refused to be the target of a stop of the silent generation.
     unfit: Vec<UpstreamId>,
     moves: u32,
     pace: Pace,
-    /// The engine has read the prompt or still does, and has made no event.
+    /// No event has been received from the engine yet: it may still be in prefill.
     is_reading: bool,
-    /// Engines that the request was sent to, those that went on from a copy aside.
+    /// Number of engines that the request was sent to, not counting those that resumed from a copy.
     sent: u32,
     stall: StallWatch,
-    /// Whether the stream could go on elsewhere if it is silent for too long.
+    /// Whether the stream is checked for silence: only if it could be resumed or moved.
     is_watched: bool,
 }
 
 impl Relay {
-    /// A relay that begins at its first engine.
+    /// Returns a relay that starts at its first engine.
     pub fn new(
         traffic: Traffic,
         req: CallerRequest,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Passes events on until the stream ends.
+    /// Relays events until the stream ends.
     pub async fn run(mut self, mut orders: UnboundedReceiver<Order>) {
         let end = self.relay(&mut orders).await;
         let took = self.req.came.elapsed().as_millis() as u64;
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Tells how fast its engine made events, where it was one alone.
+    /// Reports how fast the engine produced events, if a single engine produced all of them.
     fn sample_pace(&self) {
         let (first, pauses) = (self.pace.first.unwrap_or_default(), self.events.events().saturating_sub(1));
         if self.moves == 0 && pauses >= LEAST_PAUSES {
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Leaves the engine and ends what is under way, so that neither waits for the caller to take the
-    /// rest.
+    /// Closes the connection to the engine and ends the tasks in progress, so that neither waits for the
+    /// caller to read the remaining events.
     fn hang_up(self, outcome: Outcome) {
         drop(self.leg.exchange);
         self.leg.run.end(outcome);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Does what comes next; an error if the stream cannot go on by itself.
+    /// Handles what happens next; returns an error if the stream can't continue by itself.
     async fn next(&mut self, orders: &mut UnboundedReceiver<Order>) -> Result<(), End> {
         let tx = self.tx.clone();
         tokio::select! {
@@ -228,9 +229,9 @@
         self.hand_over(whole).await
     }
 
-    /// Hands events to the caller's connection, as long as there is time: a caller that takes 40 kB a
-    /// second of large events held its engine for 20.6 s instead of the 3 s that it waits, by the
-    /// test of such a caller.
+    /// Sends events to the caller's connection until the deadline. Without the timeout, a caller that
+    /// reads large events at 40 kB a second held its engine for 20.6 s instead of the 3 s that it waits,
+    /// by the test of such a caller.
     async fn hand_over(&self, events: Bytes) -> Result<(), End> {
         let sending = tokio::time::timeout_at(self.req.until(), self.tx.send(events));
         sending.await.map_err(|_| End::OutOfTime)?.map_err(|_| End::CallerLeft)
@@ -244,14 +245,14 @@
         self.hand_over(rest).await.err().unwrap_or(End::Done)
     }
 
-    /// Drops what is under way beside the stream, and what it has come to but nobody has read: that
-    /// concerns an engine or a move that is over.
+    /// Drops the tasks next to the stream and their unread results: they concern an engine or a move that
+    /// is over.
     fn drop_tasks(&mut self) {
         (self.moving, self.stopping, self.asking) = (None, None, None);
         (self.steps_tx, self.steps) = mpsc::unbounded_channel();
     }
 
-    /// The stream goes on at another engine.
+    /// Continues the stream at another engine.
     fn move_to(&mut self, leg: Leg, before: Outcome) {
         info!(event = "moved", request = self.req.id(), from = &*self.leg.run.placed.replica.id, upstream = &*leg.run.placed.replica.id, events = self.events.events(); "generation moved");
         let old = std::mem::replace(&mut self.leg, leg);
@@ -259,7 +260,7 @@
         self.moves += 1;
     }
 
-    /// Sends the request to an engine where the generation is to go on.
+    /// Sends the request to an engine that is to resume the generation.
     async fn resume(
         &self,
         engine: &ReplicaRecord,
--- a/node/src/gateway/upstream/relay/after_stop.rs
+++ b/node/src/gateway/upstream/relay/after_stop.rs
@@ -1,4 +1,4 @@
-//! Has a stopped generation go on: at the engine with its copy, or where it stopped.
+//! Resumes a stopped generation: at the engine with its copy, or where it stopped.
 
 use std::time::Duration;
 
@@ -18,25 +18,25 @@
 use crate::gateway::upstream::relay::Relay;
 use crate::gateway::upstream::resuming::NotResumed;
 
-/// Time for the answer to a stop, once the stream has ended.
+/// Timeout of the answer to a stop, once the stream has ended.
 pub(super) const STOP_ANSWER_LIMIT: Duration = Duration::from_millis(600);
-/// How long engines that turn a stopped generation away are asked to go on with it.
+/// How long resuming is retried at engines that refuse a stopped generation.
 const ASK_WITHIN: Duration = Duration::from_millis(1_500);
-/// The part of its caller's patience in which engines that are out of reach are tried: they have
-/// refused nothing, and a full link lets connections through again.
+/// Fraction of the caller's patience for which unreachable engines are retried: they have refused
+/// nothing, and a full link recovers.
 const REACH_WITHIN: f64 = 0.75;
-/// The pause before both engines are asked again. Engines that turn requests away answer within
-/// 8 ms, and most take the next one.
+/// Delay before both engines are tried again. Engines that refuse requests answer within 8 ms, and most
+/// accept the next one.
 const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// Each pause is so many times the one before: six pauses for engines that refuse, as what is sent
-/// again counts against the retry budget.
+/// Factor from one delay to the next: engines that refuse are tried again after six delays at most, as
+/// each retry counts against the retry budget.
 const PAUSE_GROWTH: u32 = 3;
-/// The longest pause.
+/// The longest delay.
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 
 impl Relay {
-    /// Goes on with a stopped generation. Two engines have its memory, so that it is lost only if
-    /// neither takes it for as long as its caller waits.
+    /// Resumes a stopped generation. Two engines hold its KV cache memory, so it is lost only if neither
+    /// of them accepts it for as long as its caller waits.
     pub(super) async fn go_on_after_stop(&mut self) -> Result<(), End> {
         self.events.drop_part();
         let copied = self.stopping.take().ok_or(End::EngineLost)?;
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// A stream that ends with its connection ended while it was to be stopped. Only the answer to
-    /// the stop tells whether that was its own end.
+    /// Handles the end of an unframed stream whose generation was to be stopped. Only the answer to the
+    /// stop shows whether the stream ended regularly.
     pub(super) async fn on_unframed_end(&mut self) -> Result<(), End> {
         let mut copied = self.stopping.take().ok_or(End::EngineLost)?;
         if self.await_stop(&mut copied).await == Some(Stop::RunsOn) {
@@ -62,8 +62,8 @@
         self.on_break("closed").await
     }
 
-    /// Asks the engine with the copy, then the one where the generation stopped, until one goes on.
-    /// For a generation that is to stay, the copy is the second way.
+    /// Tries the engine with the copy, then the one where the generation stopped, until one of them
+    /// resumes it. A generation that is to stay at its engine is tried there first.
     async fn ask_in_turn(&mut self, mut copied: Copied) -> Result<(), End> {
         let began = Instant::now();
         let mut pause = FIRST_PAUSE;
@@ -98,8 +98,8 @@
         }
     }
 
-    /// How long the engines are asked, by why they did not go on. A stream that may be resumed is
-    /// asked for once, as any other engine can go on with it.
+    /// How long the engines are tried, by why they did not resume the generation. A stream that may be
+    /// resumed anywhere is tried only once, as any other engine can continue it.
     fn ask_within(&self, mut why: impl Iterator<Item = NotResumed>) -> Duration {
         if self.req.route.resumable {
             Duration::ZERO
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Asks the engine with the copy to go on. It reads again what the copy lacks, so the end of
-    /// the last copy is not waited for unless that engine wants it.
+    /// Requests the engine with the copy to resume the generation. That engine computes again what the
+    /// copy lacks, so the end of the last copy is awaited only if the engine refuses without it.
     async fn ask_copy(&mut self, copied: &mut Copied) -> Result<Exchange, NotResumed> {
         let target = copied.target.placed.replica.clone();
         let resumed = self.resume_copy(&target, copied).await;
@@ -122,15 +122,15 @@
         resumed
     }
 
-    /// Asks the engine where the generation stopped, which keeps its memory, to go on.
+    /// Requests the engine where the generation stopped, which keeps its memory, to resume it.
     async fn ask_source(&mut self, copied: &mut Copied) -> Result<Exchange, NotResumed> {
         let here = self.leg.run.placed.replica.clone();
         self.await_stop(copied).await;
         self.resume_copy(&here, copied).await
     }
 
-    /// The generation goes on where it stopped, as it was to, or as the engine with the copy did not
-    /// take it.
+    /// Continues the generation where it stopped, because it was to stay there or the engine with the
+    /// copy did not accept it.
     fn go_back(&mut self, copied: Copied, exchange: Exchange, at_copy: Option<NotResumed>) {
         self.leg.exchange = Some(exchange);
         let Some(why) = at_copy else {
@@ -145,13 +145,14 @@
         self.failing.push(failing);
     }
 
-    /// Waits for the answer to the stop, if it has not come yet. Returns what it tells if it came
-    /// now.
+    /// Waits for the answer to the stop, if it is not known yet. Returns the outcome if the answer was
+    /// received now.
     async fn await_stop(&mut self, copied: &mut Copied) -> Option<Stop> {
         if copied.stop_is_known {
             return None;
         }
-        // An answer about a stream that has stopped would be taken for the stop's.
+        // The result of a query of the stopped stream's engine would be mistaken for the answer to the
+        // stop.
         self.asking = None;
         match tokio::time::timeout(STOP_ANSWER_LIMIT, self.steps.recv()).await {
             Ok(Some(Step::StopAnswered(answer))) => Some(copied.note_stop(answer)),
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Goes on at `engine` with a copy of the generation's memory.
+    /// Resumes the generation at `engine` from a copy of its memory.
     async fn resume_copy(&self, engine: &ReplicaRecord, copied: &Copied) -> Result<Exchange, NotResumed> {
         let Some(handle) = copied.handle.clone() else {
             return Err(NotResumed::Refused);
--- a/node/src/gateway/upstream/relay/going_on.rs
+++ b/node/src/gateway/upstream/relay/going_on.rs
@@ -1,5 +1,5 @@
-//! Goes on with a stream that may be resumed at another engine, after the last event that its caller
-//! has, when the engine that made it is lost or silent.
+//! Resumes a stream of a resumable route at another engine, after the last event that its caller has,
+//! when its engine is lost or silent.
 
 use leadstage_platform::engine::Resume;
 use tokio_util::task::AbortOnDropHandle;
@@ -15,7 +15,7 @@
 use crate::gateway::upstream::stall::StallWatch;
 
 impl Relay {
-    /// The engine has been silent for too long.
+    /// Handles an engine that has been silent for too long.
     pub(super) async fn on_silence(&mut self) -> Result<(), End> {
         let silence = self.stall.on_due();
         if !self.req.route.resumable {
@@ -36,8 +36,9 @@
         Ok(())
     }
 
-    /// The engine is lost, and so is the generation's memory. Where the route allows it, another
-    /// engine reads the prompt again and goes on after the last event that the caller has.
+    /// Resumes the stream after its engine was lost together with the generation's memory. If the route
+    /// allows it, another engine repeats the prefill and continues after the last event that the caller
+    /// has.
     pub(super) async fn go_on_after_last_event(&mut self) -> Result<(), End> {
         self.give_up_leg();
         while self.traffic.may_send_again(&self.req, self.sent).await {
@@ -54,8 +55,8 @@
         Err(End::EngineLost)
     }
 
-    /// Hangs up, so that the lost engine does not work beside the next one, and drops what was
-    /// under way for it.
+    /// Closes the connection, so that the lost engine does not run the generation in parallel with the
+    /// next one, and drops the tasks in progress for it.
     fn give_up_leg(&mut self) {
         self.leg.exchange = None;
         self.events.drop_part();
@@ -63,7 +64,7 @@
         self.failing.push(self.leg.run.placed.replica.id.clone());
     }
 
-    /// Sends the request to one more engine; returns whether the stream goes on there.
+    /// Sends the request to one more engine; returns whether the stream is resumed there.
     async fn begin_again(&mut self) -> Result<bool, End> {
         let placed = self.traffic.place_generation(&self.req, &self.handle, &self.failing).await;
         let run = placed.map_err(|_| End::EngineLost)?;
--- a/node/src/gateway/upstream/relay/moving.rs
+++ b/node/src/gateway/upstream/relay/moving.rs
@@ -1,4 +1,4 @@
-//! Moves a stream's generation to another engine, with a copy of its memory.
+//! Moves a stream's generation to another engine, with a copy of its KV cache memory.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::gateway::upstream::relay::Relay;
 use crate::gateway::upstream::relay::after_stop::STOP_ANSWER_LIMIT;
 
-/// How long an engine that is leaving is asked for copies: the longest that one serves on.
+/// How long copies from a leaving engine are retried: the longest time that one keeps serving.
 const EVACUATE_WITHIN: Duration = Duration::from_secs(12);
-/// Engines without room that are named to stop a silent generation, one after the other, before it
-/// waits to be doubted again: where all are full, each node would ask for each of its generations
-/// at each engine.
+/// Maximum number of engines without room that are tried as the target of a stop of a silent generation,
+/// before the connection has to be found silent again: where all engines are full, each node would query
+/// every engine for each of its generations.
 const MOST_UNFIT: usize = 3;
-/// Time for the rest of a stopped generation's events to arrive.
+/// Timeout of the remaining events of a stopped generation.
 const DRAIN_LIMIT: Duration = Duration::from_millis(80);
 
 impl Relay {
@@ -47,8 +47,8 @@
         Ok(())
     }
 
-    /// Starts to move the generation if its engine leaves and no move is under way. One that
-    /// is under way goes on, even to an engine that leaves as well: that is still later.
+    /// Starts to move the generation if its engine is leaving and no move is in progress. A move in
+    /// progress continues even if its target is leaving as well, as that engine leaves later.
     pub(super) fn leave(&mut self) {
         if self.moving.is_none() && self.leaving.contains(&self.leg.run.placed.replica.id) {
             self.start_copy(EVACUATE_WITHIN);
@@ -60,8 +60,8 @@
         self.start_move(copying.copy());
     }
 
-    /// Stops the generation at once, so that it goes on here, on a new connection. In a hall that is
-    /// closed it could not: there a copy is made elsewhere while it runs on.
+    /// Stops the generation at once, so that it resumes at the same engine on a new connection. In a
+    /// closed hall it could not resume: there it is copied elsewhere while it keeps running.
     pub(super) fn stop_and_go_on_here(&mut self) {
         if !self.traffic.shared.closed_halls().is_open(&self.leg.run.placed.replica.hall) {
             return self.start_copy(Duration::ZERO);
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Does a part of a move beside the stream.
+    /// Runs a part of a move next to the stream.
     fn start_move(&mut self, part: impl Future<Output = Step> + 'static) {
         let steps = self.steps_tx.clone();
         self.moving = Some(AbortOnDropHandle::new(tokio::task::spawn_local(async move {
-            // The stream may be over by now.
+            // The stream may have ended by now.
             let _ = steps.send(part.await);
         })));
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Stops the generation at its engine, beside its stream.
+    /// Stops the generation at its engine, next to its stream.
     fn start_stop(&mut self, copied: Copied) {
         let source = self.leg.run.placed.replica.clone();
         let target = copied.target.placed.replica.address;
@@ -132,8 +132,8 @@
         self.start_move(async move { Step::StopAnswered(copying::stop(&source, req.id(), target).await) });
     }
 
-    /// Nobody is asked to go on with a generation that may still run: the engine that runs it would
-    /// refuse, and its stream, which is sound, would end.
+    /// Handles the answer to a stop. No engine is requested to resume a generation that may still be
+    /// running: the engine that runs it would refuse, and its healthy stream would end.
     async fn on_stop_answer(&mut self, answer: StopAnswer) -> Result<(), End> {
         let is_refused = matches!(answer, Ok(CopyOutcome::NoRoom { handle: None }));
         info!(event = "stop", request = self.req.id(), upstream = &*self.leg.run.placed.replica.id, outcome:? = answer; "a generation was to stop");
@@ -146,7 +146,8 @@
         }
         self.moving = None;
         if let Some(copied) = self.stopping.take_if(|copied| copied.stays) {
-            // It runs on, its connection as silent as before: another engine may be named.
+            // The generation is still running, and its connection is as silent as before: another engine
+            // may be the target.
             if is_refused && self.unfit.len() < MOST_UNFIT {
                 self.unfit.push(copied.target.placed.replica.id.clone());
                 self.stop_and_go_on_here();
@@ -162,8 +163,8 @@
         Ok(())
     }
 
-    /// Passes on what a stopped generation still sends. Returns an end if the generation
-    /// had ended by itself.
+    /// Relays the remaining events of a stopped generation. Returns how the stream ended if the
+    /// generation had already ended by itself.
     async fn drain(&mut self) -> Option<End> {
         let until = Instant::now() + DRAIN_LIMIT;
         loop {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The engine's stream broke. The generation goes on where its copy is.
+    /// Handles a broken stream. The generation resumes at the engine that has its copy.
     pub(super) async fn on_break(&mut self, reason: impl Display) -> Result<(), End> {
         let replica = self.leg.run.placed.replica.id.clone();
         info!(event = "stream_broke", request = self.req.id(), upstream = &*replica, moving = self.moving.is_some(), stopping = self.stopping.is_some(), events = self.events.events(), reason:% = reason; "an engine's stream broke");
@@ -194,10 +195,10 @@
         self.go_on_after_stop().await
     }
 
-    /// Waits a little for a copy that was being made when the stream broke.
+    /// Waits briefly for a copy that was in progress when the stream broke.
     async fn await_copy(&mut self) -> Option<Copied> {
         self.moving.as_ref()?;
-        // An answer about a stream that has broken would be taken for the copy's.
+        // The result of a query of the broken stream's engine would be mistaken for the copy's.
         self.asking = None;
         match tokio::time::timeout(STOP_ANSWER_LIMIT, self.steps.recv()).await {
             Ok(Some(Step::Copied(copied))) => Some(copied),
--- a/node/src/gateway/upstream/relay/silent_connection.rs
+++ b/node/src/gateway/upstream/relay/silent_connection.rs
@@ -1,15 +1,15 @@
-//! Takes a stream that may not be resumed off a connection that has fallen silent while its engine
-//! goes on.
+//! Takes a stream of a route that is not resumable off a connection that has fallen silent while its
+//! engine keeps producing events.
 //!
-//! Its memory is all that it can go on from, and that is gone soon after the engine has made the
-//! rest. The kernel notices such a connection after 3 s, and never where a box between the networks
-//! acknowledges what it drops: of 200 events 19 reached a caller whose stream fell silent midway,
-//! and all 200 with this, by the test of such a stream.
+//! Such a stream can be resumed only from its KV cache memory, which the engine frees soon after it has
+//! produced the last event. The kernel notices such a connection after 3 s, and never if a middlebox
+//! between the networks acknowledges what it drops: of 200 events, 19 reached a caller whose stream fell
+//! silent midway, and all 200 with this module, by the test of such a stream.
 //!
-//! The generation is stopped at once, and goes on where it stopped, on a new connection: that engine
-//! has room for it. With a copy made elsewhere while it ran on, 373 of 2,456 streams failed instead
-//! of 255, over 15 plays with two silences of all connections: other engines were full, or it
-//! ended before the copy did.
+//! The generation is stopped at once and resumed at the same engine on a new connection: that engine has
+//! room for it. When it was copied to another engine while it kept running, 373 of 2,456 streams failed
+//! instead of 255, over 15 test runs with two silences of all connections: other engines were full,
+//! or the generation ended before the copy did.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,17 +23,17 @@
 use crate::gateway::upstream::copying::Step;
 use crate::gateway::upstream::relay::Relay;
 
-/// Time for an engine to tell of its generations.
+/// Timeout of an engine's report of its generations.
 const REPORT_LIMIT: Duration = Duration::from_millis(300);
-/// Events that an engine made beyond those that came, from which on its connection counts as silent.
-/// An engine that is slow, or has put the generation behind others, is not ahead; one event may be
-/// on its way.
+/// A connection counts as silent if its engine has produced at least this many events more than were
+/// received. An engine that is slow, or that runs other generations first, is not ahead; one event may be
+/// in transit.
 const EVENTS_AHEAD: u64 = 2;
 
 impl Relay {
-    /// Nothing has come for a while. Whether the engine makes no events, or its connection passes
-    /// none on, shows in what it tells on a new connection: to stop a generation that is just slow
-    /// costs its caller time, and a copy that nobody uses.
+    /// Queries the engine on a new connection after nothing was received for a while. The answer shows
+    /// whether the engine produces no events or its connection delivers none: stopping a generation that
+    /// is merely slow costs its caller time, and makes a copy that is never used.
     pub(super) fn doubt_connection(&mut self) {
         if self.moving.is_some() || self.is_reading {
             return;
@@ -44,13 +44,14 @@
         let came = self.events.events();
         self.asking = Some(AbortOnDropHandle::new(tokio::task::spawn_local(async move {
             if is_ahead(&req, &engine, came).await {
-                // The stream may be over by now.
+                // The stream may have ended by now.
                 let _ = steps.send(Step::ConnectionSilent { engine: engine.id.clone(), came });
             }
         })));
     }
 
-    /// The engine has made more than came. What came while it was asked shows a sound connection.
+    /// Handles an engine that has produced more events than were received. Events received during the
+    /// query show that the connection is healthy.
     pub(super) fn on_silent_connection(&mut self, came: u64) {
         if self.moving.is_none() && self.events.events() == came {
             self.stop_and_go_on_here();
@@ -58,7 +59,8 @@
     }
 }
 
-/// Whether the engine has made clearly more events than the `came` that its connection passed on.
+/// Whether the engine has produced clearly more events than the `received` ones that its connection
+/// delivered.
 async fn is_ahead(req: &Arc<CallerRequest>, engine: &ReplicaRecord, came: u64) -> bool {
     let made = engine::events_made(engine.address, req.id(), REPORT_LIMIT).await;
     let is_ahead = matches!(made, Ok(Some(made)) if made >= came + EVENTS_AHEAD);
--- a/node/src/gateway/upstream/replica_words.rs
+++ b/node/src/gateway/upstream/replica_words.rs
@@ -1,5 +1,5 @@
-//! What replicas say of themselves in their answers: that they leave, want rest, or take no more than so much. And what
-//! is still sent to them, for the log.
+//! Reads what replicas report in their responses: that they are leaving, request a back-off, or have a
+//! limit. Logs requests that are sent to such replicas all the same.
 
 use std::time::Duration;
 
@@ -24,22 +24,23 @@
 use crate::gateway::shared::RunGuard;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Resting replicas that whoever places a request is told of at most: a message has room for some hundreds, and one
-/// that is chosen all the same is not sent to.
+/// Maximum number of backing-off replicas that are listed in a placement request: a message has room for
+/// some hundreds, and if another one is chosen all the same, the request is not sent to it.
 const MOST_RESTING_TOLD: usize = 100;
 
-/// Names of headers that are remembered at most.
+/// Maximum number of header names that are remembered.
 const MOST_HEADERS_SEEN: usize = 64;
 
 impl Traffic {
-    /// Replicas of a service that asked this node for rest, and for how much longer.
+    /// Returns the replicas of a service that requested a back-off from this node, and the time left of
+    /// each.
     fn resting(&self, service: &str) -> Vec<(UpstreamId, Duration)> {
         let rests = self.rests.borrow();
         let of_service = rests.of_service(service, self.shared.now()).take(MOST_RESTING_TOLD);
         of_service.map(|(id, left)| (id.clone(), left)).collect()
     }
 
-    /// Asks for a replica that has not asked this node for rest.
+    /// Requests a placement at a replica that has not requested a back-off from this node.
     pub async fn place(&self, mut request: PlaceRequest) -> Result<RunGuard, NoRoom> {
         let (resting, left): (Vec<UpstreamId>, Vec<Duration>) =
             self.resting(&request.wanted.service).into_iter().unzip();
@@ -49,15 +50,16 @@
         placed.map_err(|no_room| NoRoom { expected: no_room.expected.into_iter().chain(soonest).min() })
     }
 
-    /// Whether a request may be sent to a replica, which may have asked for rest since it was chosen. `goes_on` is set
-    /// for a generation whose memory is there.
+    /// Whether a request must not be sent to a replica because of a back-off, which the replica may have
+    /// requested after it was chosen. `has_copy` is set for a generation whose KV cache memory is at that
+    /// replica.
     pub fn lets_rest(&self, replica: &ReplicaRecord, goes_on: bool) -> bool {
         let (of, now) = (replica.incarnation(), self.shared.now());
         let mut rests = self.rests.borrow_mut();
         if goes_on { !rests.may_resume(&of, now) } else { rests.remaining(&of, now).is_some() }
     }
 
-    /// A request that was sent to `sent` replicas before is about to be sent to one more.
+    /// Called before a request that was sent to `sent` replicas before is sent to one more.
     pub fn on_sending(&self, req: &CallerRequest, replica: &ReplicaRecord, sent: u32) {
         if let Some(limit) = self.shared.limits().get(&replica.id) {
             self.shared.metrics.on_sent_to_limited();
@@ -76,7 +78,7 @@
         rests.on_sending(&of, now);
     }
 
-    /// The head of an answer came to a request that was sent at `sent`.
+    /// Handles the head of a response to a request that was sent at `sent`.
     pub fn on_head(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
         self.note_headers(&head.headers);
         if headers::says_leaving(&head.headers) {
@@ -86,7 +88,7 @@
         self.on_limit_word(replica, headers::limit_word(head.status, &head.headers), sent);
     }
 
-    /// The replica asks for rest, or does not.
+    /// Records whether the replica requests a back-off.
     fn on_rest_word(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
         let mut rests = self.rests.borrow_mut();
         match headers::rest_asked(head.status, &head.headers) {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// A replica said in an answer that it leaves.
+    /// Handles a replica's announcement in a response that it is leaving.
     fn on_said_leaving(&self, req: &CallerRequest, replica: &ReplicaRecord) {
         if self.leaving_announcements.borrow_mut().on_announced(&replica.incarnation(), self.shared.now()) {
             info!(event = "leaving_said", request = req.id(), upstream = &*replica.id; "a replica says in an answer that it leaves");
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Logs each header of replicas' answers once that nobody has decided on: a replica may ask for something
-    /// that is not built.
+    /// Logs once each response header of replicas whose handling is undecided: a replica may request
+    /// something that this node does not support.
     fn note_headers(&self, headers: &HeaderMap) {
         let mut seen = self.seen_headers.borrow_mut();
         for name in headers.keys() {
@@ -122,8 +124,7 @@
         }
     }
 
-    /// What a replica's answer says of its limit. The control loop hears of those only that may change what
-    /// is known.
+    /// Reports a replica's limit to the control loop, if the response may change what is known of it.
     fn on_limit_word(&self, replica: &ReplicaRecord, word: LimitReport, sent: Timestamp) {
         let may_change = match word {
             LimitReport::Named(_) => true,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// A replica turned a request away.
+    /// Handles a replica that did not run a request.
     pub fn on_not_run(&self, req: &CallerRequest, run: &RunGuard, status: StatusCode) {
         let replica = &run.placed.replica;
         info!(event = "turned_away", request = req.id(), upstream = &*replica.id, status = status.as_u16(); "a replica did not run a request");
--- a/node/src/gateway/upstream/resuming.rs
+++ b/node/src/gateway/upstream/resuming.rs
@@ -1,4 +1,4 @@
-//! Sends a generation's request again, to go on from a copy of its memory or after an event.
+//! Sends a generation's request again, to resume it from a copy of its KV cache memory or after an event.
 
 use derive_more::Display;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
@@ -12,22 +12,22 @@
 use crate::gateway::upstream::exchange::SendError;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Why a generation did not go on at an engine.
+/// Why a generation was not resumed at an engine.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("{}", self.label())]
 pub enum NotResumed {
-    /// The engine did not take the copy; nothing ran.
+    /// The engine did not accept the request: nothing ran.
     Refused,
     /// The engine could not be reached: nothing was sent.
     Unreached,
-    /// The engine answered with an error: the generation does not run there.
+    /// The engine answered with an error: the generation is not running there.
     Failed,
-    /// The engine did not answer: the generation may run there.
+    /// The engine did not answer: the generation may be running there.
     Unknown,
 }
 
 impl NotResumed {
-    /// The reason as a label of metrics.
+    /// The reason as a metric label.
     pub fn label(self) -> &'static str {
         match self {
             NotResumed::Refused => "refused",
@@ -38,7 +38,7 @@
     }
 }
 
-/// Goes on with a generation at `engine`.
+/// Resumes a generation at `engine`.
 pub async fn resume(
     traffic: &Traffic,
     req: &CallerRequest,
--- a/node/src/gateway/upstream/sampling.rs
+++ b/node/src/gateway/upstream/sampling.rs
@@ -1,4 +1,4 @@
-//! Tells the control loop how the replicas of services answer that are being upgraded.
+//! Reports to the control loop how replicas of services under upgrade respond.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::gateway::upstream::traffic::Traffic;
 
 impl Traffic {
-    /// A replica answered a request after this time, with an error of its own or not.
+    /// Records how long a replica took to answer a request, or that it answered with an error of its own.
     pub fn sample_answer(
         &self,
         req: &CallerRequest,
@@ -27,12 +27,12 @@
         self.sample(req, replica, sample);
     }
 
-    /// A replica made a stream's events at this pace.
+    /// Records the pace at which a replica produced a stream's events.
     pub fn sample_pace(&self, req: &CallerRequest, replica: &ReplicaRecord, pace: Duration) {
         self.sample(req, replica, Sample::Took(Measure::Pace, pace));
     }
 
-    /// Whether the version of a replica was given up, so that it gets nothing.
+    /// Whether the version of a replica was rolled back, so that it receives no requests.
     pub fn is_reverted(&self, req: &CallerRequest, replica: &ReplicaRecord) -> bool {
         let upgrades = self.shared.upgrades();
         let upgrade = upgrades.of(&req.service);
--- a/node/src/gateway/upstream/silence.rs
+++ b/node/src/gateway/upstream/silence.rs
@@ -1,9 +1,9 @@
-//! Notices that a kept connection to a replica may have fallen silent: without a reset, while new
+//! Detects that a reused connection to a replica may have fallen silent: without a reset, while new
 //! connections work.
 //!
-//! The kernel's timers don't show it in time: they end a connection after 1.5 s of bytes that are
-//! not acknowledged, callers of plain calls wait for 0.6 to 1.5 s, and a box between two networks
-//! may acknowledge what it drops.
+//! The kernel's timers are too slow for this: they end a connection after 1.5 s of unacknowledged bytes,
+//! while callers of plain calls wait for 0.6 to 1.5 s, and a middlebox between two networks may
+//! acknowledge what it drops.
 
 use std::future::Future;
 
@@ -16,17 +16,16 @@
 use crate::gateway::request::CallerRequest;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Part of the time that a call has left after which it is sent again on a new connection: a
-/// second attempt needs as long as the first. With two replicas whose kept connections had all
-/// fallen silent, and callers that wait for 1.5 s, 3 of 6 calls in a row failed without this, and
-/// none with it.
+/// Fraction of a call's remaining time after which it is retried on a new connection: the second attempt
+/// needs as long as the first. With two replicas whose idle connections had all fallen silent, and
+/// callers that wait for 1.5 s, 3 of 6 calls in a row failed without this, and none with it.
 const LEAVE_AFTER: f64 = 0.5;
 
-/// Waits for the head of a plain call's answer on a kept connection.
+/// Waits for the head of a plain call's response on a reused connection.
 ///
-/// Past the route's objective the replica's other kept connections are dropped: what silenced one
-/// has silenced those too, and a new one costs little if the replica is just slow. Returns `None`
-/// if the request is to be sent again, which is then taken from the retry budget.
+/// Once the route's objective has passed, the replica's other idle connections are dropped: what silenced
+/// one has silenced those too, and a new one costs little if the replica is merely slow. Returns `None`
+/// if the request is to be retried; the retry has then been taken from the retry budget.
 pub async fn head<T>(
     traffic: &Traffic,
     req: &CallerRequest,
--- a/node/src/gateway/upstream/stall.rs
+++ b/node/src/gateway/upstream/stall.rs
@@ -1,8 +1,7 @@
-//! Notices that an engine has fallen silent with a stream that may go on elsewhere.
+//! Detects that an engine has fallen silent while a stream of a resumable route waits for it.
 //!
-//! To read a prompt again costs the engines more than a short wait, so a silence is doubted first:
-//! the engine is asked for its health, and only one that does not answer, or that stays silent for
-//! as long again, is left.
+//! Repeating a prefill costs the engines more than a short wait. The engine's health is therefore checked
+//! first, and the engine is abandoned only if it does not answer, or stays silent for as long again.
 
 use std::future::Future;
 use std::time::Duration;
@@ -18,22 +17,22 @@
 use crate::gateway::request::CallerRequest;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// A stream that has begun is doubted after so many times its longest pause that counts as in
-/// time: moves and busy engines make some gaps longer than that one.
+/// A running stream is considered stalled after this many times its route's objective for the gap between
+/// events: moves and busy engines make some gaps longer than the objective.
 const DOUBTED_GAPS: u32 = 4;
-/// Time for an engine to answer when it is asked for its health.
+/// Timeout of an engine's answer to a health check.
 const HEALTH_LIMIT: Duration = Duration::from_millis(300);
 
 /// What to do about a silent engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silence {
-    /// Ask the engine for its health.
+    /// Check the engine's health.
     Doubt,
-    /// Leave it.
+    /// Abandon the engine.
     Leave,
 }
 
-/// The time since a stream's last event.
+/// Measures the time since a stream's last event.
 #[derive(Debug)]
 pub struct StallWatch {
     limit: Duration,
@@ -42,31 +41,31 @@
 }
 
 impl StallWatch {
-    /// Begins when an engine was asked for a stream.
+    /// Starts the measurement when a stream is requested from an engine.
     pub fn new(route: &Route) -> Self {
         StallWatch { limit: route.objective, due: Instant::now() + route.objective, doubted: false }
     }
 
-    /// An event came.
+    /// Records an event.
     pub fn on_event(&mut self, route: &Route) {
         self.limit = route.gap_objective * DOUBTED_GAPS;
         self.due = Instant::now() + self.limit;
         self.doubted = false;
     }
 
-    /// When the engine has been silent for too long.
+    /// Returns when the engine will have been silent for too long.
     pub fn due(&self) -> Instant {
         self.due
     }
 
-    /// The engine has been silent for too long.
+    /// Handles an engine that has been silent for too long.
     pub fn on_due(&mut self) -> Silence {
         self.due = Instant::now() + self.limit;
         if std::mem::replace(&mut self.doubted, true) { Silence::Leave } else { Silence::Doubt }
     }
 }
 
-/// Whether the engine is gone; the control thread learns of it.
+/// Whether the engine is gone; if so, the control loop is notified.
 pub async fn is_gone(traffic: &Traffic, req: &CallerRequest, engine: &ReplicaRecord) -> bool {
     let Some(service) = req.table.service(&req.service) else {
         return false;
@@ -80,7 +79,7 @@
     is_gone
 }
 
-/// Waits for the head of an answer; `None` if its engine is to be left.
+/// Waits for the head of a response; returns `None` if its engine is to be abandoned.
 pub async fn head<T>(
     traffic: &Traffic,
     req: &CallerRequest,
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -1,5 +1,5 @@
-//! Requests under which replicas end, as the traffic thread sees them: runs that break and runs that end
-//! well are told, and what is quarantined is sent nowhere.
+//! Detects requests that make replicas end, on the traffic thread: reports broken and successful runs to
+//! the control loop, and sends quarantined requests to no replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,14 @@
 use crate::gateway::upstream::traffic::Traffic;
 use crate::shared::unix_millis;
 
-/// Time for a replica to answer at which a run of this attempt broke: its caller waits meanwhile.
+/// Timeout of the health check of a replica at which a run of this attempt broke: the caller waits
+/// meanwhile.
 const HEALTH_LIMIT: Duration = Duration::from_millis(300);
 
 impl Traffic {
-    /// A request's run at a replica broke before its answer's end. `began` is when it began to run, if that
-    /// is known; `events` is what its caller has had of a stream. It is held against the request unless
-    /// another run of it ended well lately.
+    /// Records that a request's run at a replica broke before the end of the response. `began` is when
+    /// the run started, if that is known; `events` is the number of events that the caller has received
+    /// of a stream. The break counts against the request unless another run of it succeeded recently.
     pub fn on_broken_run(
         &self,
         req: &CallerRequest,
@@ -50,7 +51,7 @@
         sound.was_sound(sound.name(&req.parts()), self.shared.now())
     }
 
-    /// A replica answered a request to the end.
+    /// Records that a replica answered a request to the end.
     pub fn on_sound_run(&self, req: &CallerRequest) {
         let mut sound = self.sound_runs.borrow_mut();
         let name = sound.name(&req.parts());
@@ -60,15 +61,16 @@
         }
     }
 
-    /// What speaks against a request. Costs nothing where nothing speaks against any.
+    /// Returns the suspect status of a request. Costs nothing while there are no suspects.
     fn standing(&self, req: &CallerRequest) -> Option<Standing> {
         let crashes = self.shared.crashes();
         if crashes.is_empty() { None } else { crashes.get(&req.fingerprint()).copied() }
     }
 
-    /// Whether a request may cost one more replica after a run that broke. Of replicas that broke runs of this
-    /// attempt those that answer have not ended: with two that lived and did not count, a stream ended at its
-    /// second break instead of going on at a third engine, by the test of all faults.
+    /// Whether a request may be sent to one more replica after a run that broke, although it may end that
+    /// replica too. Replicas that broke runs of this attempt but answer a health check have not ended and
+    /// do not count: when two such replicas counted, a stream ended at its second break instead of being
+    /// resumed at a third engine, by the test of all faults.
     pub async fn may_risk_another(&self, req: &CallerRequest) -> bool {
         let ended = self.standing(req).map_or(0, |standing| standing.ends);
         let broken_at = req.broken_at.lock().expect("no holder panics").clone();
@@ -95,13 +97,13 @@
         health.is_answer()
     }
 
-    /// Whether a request is sent to no replica.
+    /// Whether a request must not be sent to any replica.
     pub fn is_quarantined(&self, req: &CallerRequest) -> bool {
         self.standing(req).is_some_and(|standing| standing.is_quarantined())
     }
 
-    /// Refuses a request that is sent to no replica. Its caller is told when that ends: until then each
-    /// attempt would come to the same.
+    /// Refuses a quarantined request. The caller is told when the quarantine ends: until then each
+    /// attempt would be refused again.
     pub fn refuse_quarantined(&self, req: &CallerRequest) -> Result<(), Refusal> {
         let Some(standing) = self.standing(req).filter(Standing::is_quarantined) else {
             return Ok(());
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -1,4 +1,4 @@
-//! What the requests of the traffic thread share.
+//! State shared by the requests of the traffic thread.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,30 +25,30 @@
 use crate::gateway::stop;
 use crate::gateway::upstream::connections::Connections;
 
-/// Nodes that share the retry budget at least: a node that is cut off from the others must
-/// not take all of it.
+/// The retry budget is divided among at least this many nodes: a node that is cut off from the others
+/// must not use all of it.
 const LEAST_NODES: usize = 6;
 
-/// What the requests of the traffic thread share.
+/// State shared by the requests of the traffic thread.
 #[derive(Clone)]
 pub struct Traffic {
-    /// What both threads share.
+    /// State shared by the traffic thread and the control thread.
     pub shared: Arc<Shared>,
-    /// Unused connections to replicas.
+    /// Idle connections to replicas.
     pub connections: Rc<Connections>,
     retries: Rc<RefCell<HashMap<ServiceId, RetryWindow>>>,
-    /// Requests that replicas answered lately.
+    /// Requests that replicas answered successfully in recent time.
     pub sound_runs: Rc<RefCell<SoundRuns>>,
-    /// Replicas that said in an answer to this node that they leave.
+    /// Replicas that announced in a response to this node that they are leaving.
     pub leaving_announcements: Rc<RefCell<LeavingAnnouncements>>,
-    /// Replicas that asked this node for rest.
+    /// Replicas that requested a back-off from this node.
     pub rests: Rc<RefCell<ReplicaBackoffs>>,
-    /// The headers of replicas' answers that have been looked at.
+    /// Names of response headers that have been checked already.
     pub seen_headers: Rc<RefCell<HashSet<HeaderName>>>,
 }
 
 impl Traffic {
-    /// Nothing is open yet.
+    /// Returns the initial state, without connections.
     pub fn new(shared: Arc<Shared>) -> Self {
         Traffic {
             shared,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether a request that was sent to `sent` replicas may be sent to one more; if so, that is
-    /// taken from the retry budget.
+    /// Whether a request that was sent to `sent` replicas may be sent to one more; if so, that is taken
+    /// from the retry budget.
     pub async fn may_send_again(&self, req: &CallerRequest, sent: u32) -> bool {
         let policy = self.shared.settings.policy;
         let is_on = if req.route.resumable { policy.resume_streams } else { policy.repeat };
@@ -82,7 +82,8 @@
         allowed
     }
 
-    /// Asks for an engine that reads a request's prompt, other than some.
+    /// Requests a placement at an engine that runs the prefill of a request, other than the excluded
+    /// ones.
     pub async fn place_generation(
         &self,
         req: &CallerRequest,
@@ -109,7 +110,7 @@
         self.place(request).await
     }
 
-    /// A request for a service came: it adds to the retry budget.
+    /// Counts a request for a service, which adds to the retry budget.
     pub fn on_request(&self, service: &ServiceId) {
         let now = self.shared.now();
         self.with_window(service, |window| window.on_request(now));
