--- a/node/src/gateway/ingress/plain.rs
+++ b/node/src/gateway/ingress/plain.rs
@@ -19,10 +19,10 @@
 use crate::gateway::reply_body::WholeBody;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::shared::RunGuard;
-use crate::gateway::upstream::connections::Choice;
+use crate::gateway::upstream::connections::ConnectionChoice;
 use crate::gateway::upstream::exchange;
+use crate::gateway::upstream::exchange::BufferedResponse;
 use crate::gateway::upstream::exchange::SendError;
-use crate::gateway::upstream::exchange::WholeAnswer;
 use crate::gateway::upstream::traffic::Traffic;
 
 /// Replicas that a request may fail to reach, beyond those that it was sent to.
@@ -31,7 +31,7 @@
 /// What one attempt came to.
 enum Attempt {
     /// The replica's answer, to be passed on.
-    Answer(WholeAnswer),
+    Answer(BufferedResponse),
     /// Nothing was sent.
     NotSent,
     /// The replica did not run it.
@@ -47,15 +47,15 @@
     let mut tried: Vec<UpstreamId> = Vec::new();
     let mut sent = 0;
     let mut unreached = 0;
-    let mut best: Result<WholeAnswer, Refusal> = Err(Refusal::new(Code::NoUpstream));
-    let mut choice = Choice::Any;
+    let mut best: Result<BufferedResponse, Refusal> = Err(Refusal::new(Code::NoUpstream));
+    let mut choice = ConnectionChoice::Any;
     let mut expected = None;
     loop {
         if sent == 0 {
             traffic.refuse_quarantined(req)?;
         }
         let mut placed = place(traffic, req, &tried).await;
-        if placed.is_err() && choice == Choice::New {
+        if placed.is_err() && choice == ConnectionChoice::New {
             // No other replica has room: the connection was in doubt, not the replica.
             placed = place(traffic, req, &[]).await;
         }
@@ -82,13 +82,13 @@
             Attempt::Unknown(code) => best = best.or(Err(Refusal::new(code))),
             Attempt::ConnectionSilent(code) => {
                 best = best.or(Err(Refusal::new(code)));
-                choice = Choice::New;
+                choice = ConnectionChoice::New;
                 sent += 1;
                 continue;
             }
         }
         sent += 1;
-        if !traffic.may_send_again(req, sent).await {
+        if !traffic.may_retry(req, sent).await {
             break;
         }
     }
@@ -126,7 +126,7 @@
     traffic: &Traffic,
     req: &CallerRequest,
     run: RunGuard,
-    choice: Choice,
+    choice: ConnectionChoice,
     sent: u32,
 ) -> Attempt {
     let replica = run.placed.replica.clone();
@@ -141,13 +141,13 @@
         run.end(Outcome::Refused);
         return Attempt::NotRun;
     }
-    match exchanged.whole(traffic, &replica, req).await {
-        Ok(answer) if answer.promises_not_run() => {
+    match exchanged.read_response(traffic, &replica, req).await {
+        Ok(answer) if answer.has_not_run_status() => {
             run.end(Outcome::Failed);
             Attempt::Unknown(Code::UpstreamLost)
         }
         Ok(answer) => {
-            traffic.on_sound_run(req);
+            traffic.on_successful_run(req);
             let is_error = answer.status.is_server_error();
             traffic.sample_answer(req, &replica, is_error, run.placed_at.elapsed());
             run.end(if is_error { Outcome::Errored } else { Outcome::Answered });
@@ -158,7 +158,7 @@
 }
 
 fn failed(req: &CallerRequest, run: RunGuard, err: SendError) -> Attempt {
-    match exchange::failed(req, run, &err) {
+    match exchange::end_failed_run(req, run, &err) {
         Some(code) if matches!(err, SendError::ConnectionSilent) => Attempt::ConnectionSilent(code),
         Some(code) => Attempt::Unknown(code),
         None => Attempt::NotSent,
@@ -166,7 +166,7 @@
 }
 
 /// A replica's answer as the caller gets it.
-pub fn reply(answer: WholeAnswer) -> Reply {
+pub fn reply(answer: BufferedResponse) -> Reply {
     let body = WholeBody::new(answer.body, Some(answer.held));
     let mut res = Response::new(ReplyBody::Whole(body));
     *res.status_mut() = answer.status;
--- a/node/src/gateway/ingress/streams.rs
+++ b/node/src/gateway/ingress/streams.rs
@@ -25,11 +25,11 @@
 use crate::gateway::shared::OpenGuard;
 use crate::gateway::shared::RunGuard;
 use crate::gateway::stop;
-use crate::gateway::upstream::connections::Choice;
+use crate::gateway::upstream::connections::ConnectionChoice;
+use crate::gateway::upstream::engine_stream::EngineStream;
 use crate::gateway::upstream::exchange;
+use crate::gateway::upstream::exchange::BufferedResponse;
 use crate::gateway::upstream::exchange::Exchange;
-use crate::gateway::upstream::exchange::WholeAnswer;
-use crate::gateway::upstream::leg::Leg;
 use crate::gateway::upstream::relay::Relay;
 use crate::gateway::upstream::traffic::Traffic;
 
@@ -55,8 +55,8 @@
     let mut res = Response::new(ReplyBody::Parts(body));
     *res.status_mut() = exchange.status;
     *res.headers_mut() = headers::for_caller(&exchange.headers);
-    let leg = Leg { run, exchange: Some(exchange) };
-    let relay = Relay::new(traffic.clone(), req, handle, leg, sent, tx);
+    let engine_stream = EngineStream { run, exchange: Some(exchange) };
+    let relay = Relay::new(traffic.clone(), req, handle, engine_stream, sent, tx);
     tokio::task::spawn_local(async move {
         relay.run(orders).await;
         drop((serving, open));
@@ -78,14 +78,14 @@
 enum Beginning {
     Begun(Begun),
     /// An engine answered with an error of its own.
-    Answered(WholeAnswer),
+    Answered(BufferedResponse),
 }
 
 /// What one engine did with the request.
 enum Attempt {
     Begun(RunGuard, Exchange),
     /// An error of its own.
-    Answered(WholeAnswer),
+    Answered(BufferedResponse),
     /// Nothing was sent.
     NotSent,
     /// The engine did not run it.
@@ -144,7 +144,7 @@
             Attempt::Unknown(code) => best = best.or(Err(Refusal::new(code))),
         }
         sent += 1;
-        if !traffic.may_send_again(req, sent).await {
+        if !traffic.may_retry(req, sent).await {
             break;
         }
         info!(event = "sent_again", request = req.id(), sent; "a stream that has not begun is sent to another engine");
@@ -161,7 +161,7 @@
     let replica = run.placed.replica.clone();
     let resume = Resume { copy: None, last_event: req.last_event().map(str::to_owned) };
     let added = req.added(&replica.id, Some(&resume));
-    match exchange::send(traffic, &replica, req, &added, Choice::Any, sent).await {
+    match exchange::send(traffic, &replica, req, &added, ConnectionChoice::Any, sent).await {
         Ok(exchanged) if exchanged.says_not_run() => {
             traffic.on_not_run(req, &run, exchanged.status);
             run.end(Outcome::Refused);
@@ -169,14 +169,14 @@
         }
         Ok(exchanged) if exchanged.status.is_success() => Attempt::Begun(run, exchanged),
         Ok(exchanged) => {
-            let answer = exchanged.whole(traffic, &replica, req).await;
+            let answer = exchanged.read_response(traffic, &replica, req).await;
             traffic.sample_answer(req, &replica, true, Duration::ZERO);
             run.end(Outcome::Failed);
             match answer {
-                Ok(answer) if !answer.promises_not_run() => Attempt::Answered(answer),
+                Ok(answer) if !answer.has_not_run_status() => Attempt::Answered(answer),
                 _ => Attempt::Unknown(Code::UpstreamLost),
             }
         }
-        Err(err) => exchange::failed(req, run, &err).map_or(Attempt::NotSent, Attempt::Unknown),
+        Err(err) => exchange::end_failed_run(req, run, &err).map_or(Attempt::NotSent, Attempt::Unknown),
     }
 }
--- a/node/src/gateway/upstream.rs
+++ b/node/src/gateway/upstream.rs
@@ -2,12 +2,12 @@
 
 pub mod connections;
 pub mod copying;
+pub mod engine_stream;
 pub mod event_stream;
 pub mod exchange;
-pub mod leg;
 pub mod pace;
 pub mod relay;
-pub mod replica_words;
+pub mod replica_headers;
 pub mod resuming;
 pub mod sampling;
 pub mod silence;
--- a/node/src/gateway/upstream/connections.rs
+++ b/node/src/gateway/upstream/connections.rs
@@ -27,27 +27,27 @@
 
 /// Minimum idle time before a connection is reused. A surplus response after the expected one arrives
 /// within a few milliseconds, and the connection is then dropped.
-const LEAST_REST: Duration = Duration::from_millis(20);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
 /// A connection is not reused if its peer may close it within this time.
 const CLOSE_MARGIN: Duration = Duration::from_millis(500);
 /// How long an idle connection is kept if the replica does not say.
-const DEFAULT_KEEP: Duration = Duration::from_secs(5);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(5);
 /// Maximum size of a connection's read buffer. The default of hyper is 25 times as large, and a hundred
 /// large responses at once would use all of it.
-const MOST_READ_AHEAD: usize = 16 << 10;
+const MAX_READ_BUFFER_BYTES: usize = 16 << 10;
 /// Maximum number of idle connections per replica: as many as one node needs at peak load, because a
 /// replica's connection count covers all nodes.
-const MOST_UNUSED: usize = 4;
+const MAX_IDLE_PER_REPLICA: usize = 4;
 
 /// A reused connection that breaks shows that replicas drop idle connections without notice. Connections
 /// are then reused only up to this fraction of the idle time of the broken one.
-const TRUST_AFTER_BREAK: f64 = 0.6;
+const IDLE_LIMIT_FACTOR_AFTER_BREAK: f64 = 0.6;
 /// The idle limit doubles each time this passes without such a break.
-const TRUST_DOUBLES_IN: Duration = Duration::from_secs(10);
+const IDLE_LIMIT_DOUBLES_IN: Duration = Duration::from_secs(10);
 
 /// Which connection to a replica a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum ConnectionChoice {
     /// The connection that has been idle longest, or a new one.
     Any,
     /// A new connection, so that a fault of the idle ones can't affect the request twice.
@@ -60,7 +60,7 @@
     pub sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
     /// How long the connection was idle before this request, if it carried a request before.
-    pub rested: Option<Duration>,
+    pub idle_time: Option<Duration>,
 }
 
 /// Opening a connection failed: nothing was sent.
@@ -72,7 +72,7 @@
     Client(hyper::Error),
 }
 
-struct Unused {
+struct IdleConnection {
     connection: Connection,
     since: Timestamp,
     until: Timestamp,
@@ -80,85 +80,91 @@
 
 /// How long a connection may be idle and still be reused.
 #[derive(Clone, Copy, Debug)]
-struct Trust {
-    rest: Duration,
+struct IdleLimit {
+    limit: Duration,
     since: Timestamp,
 }
 
-impl Trust {
-    fn rest(&self) -> Duration {
-        let doublings = (clock::since_boot() - self.since).as_secs_f64() / TRUST_DOUBLES_IN.as_secs_f64();
-        self.rest.mul_f64(2_f64.powf(doublings.min(16.0)))
+impl IdleLimit {
+    fn limit(&self) -> Duration {
+        let doublings =
+            (clock::since_boot() - self.since).as_secs_f64() / IDLE_LIMIT_DOUBLES_IN.as_secs_f64();
+        self.limit.mul_f64(2_f64.powf(doublings.min(16.0)))
     }
 }
 
 /// The idle connections of the traffic thread.
 #[derive(Default)]
-pub struct Connections {
-    unused: RefCell<HashMap<Incarnation, VecDeque<Unused>>>,
-    trust: Cell<Option<Trust>>,
+pub struct IdleConnections {
+    idle: RefCell<HashMap<Incarnation, VecDeque<IdleConnection>>>,
+    idle_limit: Cell<Option<IdleLimit>>,
 }
 
-impl Connections {
+impl IdleConnections {
     /// Returns a connection to a replica.
-    pub async fn take(&self, replica: &ReplicaRecord, choice: Choice) -> Result<Connection, ConnectError> {
-        let unused = (choice == Choice::Any).then(|| self.take_unused(&replica.incarnation())).flatten();
-        match unused {
+    pub async fn take(
+        &self,
+        replica: &ReplicaRecord,
+        choice: ConnectionChoice,
+    ) -> Result<Connection, ConnectError> {
+        let idle =
+            (choice == ConnectionChoice::Any).then(|| self.take_idle(&replica.incarnation())).flatten();
+        match idle {
             Some(connection) => Ok(connection),
             None => open(replica).await,
         }
     }
 
-    fn take_unused(&self, of: &Incarnation) -> Option<Connection> {
+    fn take_idle(&self, incarnation: &Incarnation) -> Option<Connection> {
         let now = clock::since_boot();
-        let mut unused = self.unused.borrow_mut();
-        let queue = unused.get_mut(of)?;
-        let trusted = self.trust.get().map_or(Duration::MAX, |trust| trust.rest());
-        queue.retain(|u| u.until > now && u.connection.sender.is_ready() && now - u.since < trusted);
-        let rested = now - queue.front()?.since;
-        if rested < LEAST_REST {
+        let mut idle = self.idle.borrow_mut();
+        let queue = idle.get_mut(incarnation)?;
+        let limit = self.idle_limit.get().map_or(Duration::MAX, |idle_limit| idle_limit.limit());
+        queue.retain(|c| c.until > now && c.connection.sender.is_ready() && now - c.since < limit);
+        let idle_time = now - queue.front()?.since;
+        if idle_time < MIN_IDLE_TIME {
             return None;
         }
         let mut connection = queue.pop_front()?.connection;
-        connection.rested = Some(rested);
+        connection.idle_time = Some(idle_time);
         Some(connection)
     }
 
     /// Drops the idle connections to a replica that have been idle since before `moment`.
-    pub fn drop_unused_since_before(&self, replica: &ReplicaRecord, moment: Timestamp) {
-        if let Some(queue) = self.unused.borrow_mut().get_mut(&replica.incarnation()) {
-            queue.retain(|u| u.since >= moment);
+    pub fn drop_idle_since_before(&self, replica: &ReplicaRecord, moment: Timestamp) {
+        if let Some(queue) = self.idle.borrow_mut().get_mut(&replica.incarnation()) {
+            queue.retain(|c| c.since >= moment);
         }
     }
 
     /// Lowers the idle limit after a connection broke that was reused after it had been idle for
     /// `idle_time`.
-    pub fn on_break(&self, rested: Duration) {
-        let known = self.trust.get().map_or(Duration::MAX, |trust| trust.rest());
-        let rest = rested.mul_f64(TRUST_AFTER_BREAK).min(known);
-        info!(event = "rest_not_trusted", rested_ms = rested.as_millis() as u64, trusted_ms = rest.as_millis() as u64; "a connection broke when it was used again");
-        self.trust.set(Some(Trust { rest, since: clock::since_boot() }));
+    pub fn on_break(&self, idle_time: Duration) {
+        let known = self.idle_limit.get().map_or(Duration::MAX, |idle_limit| idle_limit.limit());
+        let limit = idle_time.mul_f64(IDLE_LIMIT_FACTOR_AFTER_BREAK).min(known);
+        info!(event = "rest_not_trusted", rested_ms = idle_time.as_millis() as u64, trusted_ms = limit.as_millis() as u64; "a connection broke when it was used again");
+        self.idle_limit.set(Some(IdleLimit { limit, since: clock::since_boot() }));
     }
 
     /// Keeps a connection whose response was read to its end.
-    pub fn put(&self, replica: &ReplicaRecord, connection: Connection, keeps_for: Option<Duration>) {
+    pub fn put(&self, replica: &ReplicaRecord, connection: Connection, keep_alive: Option<Duration>) {
         let now = clock::since_boot();
-        let keep = keeps_for.unwrap_or(DEFAULT_KEEP).saturating_sub(CLOSE_MARGIN);
-        let mut unused = self.unused.borrow_mut();
-        let queue = unused.entry(replica.incarnation()).or_default();
-        if queue.len() < MOST_UNUSED {
-            queue.push_back(Unused { connection, since: now, until: now + keep });
+        let kept_for = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(CLOSE_MARGIN);
+        let mut idle = self.idle.borrow_mut();
+        let queue = idle.entry(replica.incarnation()).or_default();
+        if queue.len() < MAX_IDLE_PER_REPLICA {
+            queue.push_back(IdleConnection { connection, since: now, until: now + kept_for });
         }
     }
 
     /// Closes idle connections that can't be reused any more.
     pub fn sweep(&self) {
         let now = clock::since_boot();
-        let mut unused = self.unused.borrow_mut();
-        for queue in unused.values_mut() {
-            queue.retain(|u| u.until > now && !u.connection.sender.is_closed());
+        let mut idle = self.idle.borrow_mut();
+        for queue in idle.values_mut() {
+            queue.retain(|c| c.until > now && !c.connection.sender.is_closed());
         }
-        unused.retain(|_, queue| !queue.is_empty());
+        idle.retain(|_, queue| !queue.is_empty());
     }
 }
 
@@ -166,11 +172,11 @@
 pub async fn open(replica: &ReplicaRecord) -> Result<Connection, ConnectError> {
     let stream = connect::connect(replica.address, connect::CONNECT_LIMIT).await?;
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(MOST_READ_AHEAD);
+    builder.max_buf_size(MAX_READ_BUFFER_BYTES);
     let (sender, driver) = builder.handshake(TokioIo::new(stream)).await?;
     let driver = tokio::task::spawn_local(async move {
         // The request on the connection gets the error that ends the connection.
         let _ = driver.await;
     });
-    Ok(Connection { sender, _driver: AbortOnDropHandle::new(driver), rested: None })
+    Ok(Connection { sender, _driver: AbortOnDropHandle::new(driver), idle_time: None })
 }
--- a/node/src/gateway/upstream/copying.rs
+++ b/node/src/gateway/upstream/copying.rs
@@ -25,35 +25,39 @@
 use crate::gateway::upstream::traffic::Traffic;
 
 /// Delay before a copy is retried: a generation that is still queued can't be copied yet.
-const COPY_PAUSE: Duration = Duration::from_millis(40);
+const COPY_RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Timeout of one copy: several times what the largest generation takes over a busy link.
-const COPY_LIMIT: Duration = Duration::from_millis(2_500);
+const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Where a generation resumes after it is stopped: its KV cache memory is at another engine, or will be
 /// once it has stopped.
-pub struct Copied {
+pub struct MoveTarget {
     /// The other engine and the run that is reserved there.
     pub target: RunGuard,
     /// Identifies the copy; `None` until the stop is answered, if nothing was copied before.
     pub handle: Option<CopyHandle>,
     /// Whether the generation is to resume at the engine where it stopped, on a new connection, if
     /// possible.
-    pub stays: bool,
+    pub resumes_at_source: bool,
     /// Whether the call that stops the generation was answered.
-    pub stop_is_known: bool,
+    pub stop_answered: bool,
 }
 
-impl Copied {
+impl MoveTarget {
     /// Records the answer to the stop.
-    pub fn note_stop(&mut self, answer: StopAnswer) -> Stop {
-        self.stop_is_known = true;
+    pub fn record_stop(&mut self, answer: StopAnswer) -> StopOutcome {
+        self.stop_answered = true;
         match answer {
             Ok(CopyOutcome::Done { handle, .. } | CopyOutcome::NoRoom { handle: Some(handle) }) => {
                 self.handle = Some(handle);
-                Stop::Stopped
+                StopOutcome::Stopped
+            }
+            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) | Err(CallError::Connect(_)) => {
+                StopOutcome::NotStopped
+            }
+            Ok(CopyOutcome::NoRoom { handle: None } | CopyOutcome::Unexpected(_)) | Err(_) => {
+                StopOutcome::Unknown
             }
-            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) | Err(CallError::Connect(_)) => Stop::RunsOn,
-            Ok(CopyOutcome::NoRoom { handle: None } | CopyOutcome::Unexpected(_)) | Err(_) => Stop::Unknown,
         }
     }
 }
@@ -63,11 +67,11 @@
 
 /// The outcome of a call that stops a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopOutcome {
     /// The generation stopped.
     Stopped,
     /// The generation did not stop: it is still running or queued, or has just ended by itself.
-    RunsOn,
+    NotStopped,
     /// The generation may have stopped: if so, its stream breaks.
     Unknown,
 }
@@ -77,9 +81,9 @@
 /// transfer of a configuration of 282 kB on a link of 10 Mbit/s, no connection could be opened for 0.6 s,
 /// by the log of one stream.
 pub async fn stop(source: &ReplicaRecord, id: &str, target: SocketAddr) -> StopAnswer {
-    let until = Instant::now() + COPY_LIMIT;
+    let until = Instant::now() + COPY_TIMEOUT;
     loop {
-        let answer = engine::copy_generation(source.address, id, target, true, COPY_LIMIT).await;
+        let answer = engine::copy_generation(source.address, id, target, true, COPY_TIMEOUT).await;
         let Err(err) = &answer else {
             return answer;
         };
@@ -87,21 +91,21 @@
         if !matches!(err, CallError::Connect(_)) || Instant::now() >= until {
             return answer;
         }
-        tokio::time::sleep(COPY_PAUSE).await;
+        tokio::time::sleep(COPY_RETRY_DELAY).await;
     }
 }
 
 /// The result of a task that runs next to a stream and moves its generation or queries its engine.
-pub enum Step {
+pub enum TaskEvent {
     /// A copy was made while the generation kept running.
-    Copied(Copied),
+    Copied(MoveTarget),
     /// The call that stops the generation was answered or failed.
     StopAnswered(StopAnswer),
     /// A target was found, so a generation whose connection is silent can be stopped and resumed where it
     /// stopped.
-    CanStop(Copied),
+    ReadyToStop(MoveTarget),
     /// No copy could be made.
-    GaveUp(NotCopied),
+    CopyFailed(CopyFailure),
     /// The engine was silent and is gone.
     EngineGone(UpstreamId),
     /// The engine has produced more events than the `received` ones that its connection delivered.
@@ -109,13 +113,13 @@
         /// The engine.
         engine: UpstreamId,
         /// Number of events that had been received when the engine was queried.
-        came: u64,
+        received: u64,
     },
 }
 
 /// The outcome of a copy call as a metric label.
-fn outcome_word(called: &Result<CopyOutcome, CallError>) -> &'static str {
-    match called {
+fn outcome_label(result: &Result<CopyOutcome, CallError>) -> &'static str {
+    match result {
         Ok(CopyOutcome::Done { .. }) => "done",
         Ok(CopyOutcome::NotRunning) => "not running",
         Ok(CopyOutcome::Busy) => "busy",
@@ -127,17 +131,17 @@
 
 /// Why there is no copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NotCopied {
+pub enum CopyFailure {
     /// The engine that runs the generation is gone.
     SourceGone,
     /// The target has no room or can't be reached.
-    Elsewhere(UpstreamId),
+    TargetUnusable(UpstreamId),
     /// The generation is not running yet, another call is in progress, or its engine was not reached.
-    Later,
+    NotYet,
 }
 
 /// Copies a generation away from an engine that is leaving or overloaded.
-pub struct Copying {
+pub struct CopyTask {
     /// The state shared by the requests of the traffic thread.
     pub traffic: Traffic,
     /// The request of the generation.
@@ -147,39 +151,39 @@
     /// The engine that runs the generation.
     pub source: Arc<ReplicaRecord>,
     /// Engines that can't resume the generation.
-    pub avoid: Vec<UpstreamId>,
+    pub excluded_engines: Vec<UpstreamId>,
     /// How long to keep retrying.
-    pub insist: Duration,
+    pub retry_for: Duration,
 }
 
-impl Copying {
+impl CopyTask {
     /// Copies the generation to an engine with room.
-    pub async fn copy(self) -> Step {
-        if !self.insist.is_zero() {
+    pub async fn copy(self) -> TaskEvent {
+        if !self.retry_for.is_zero() {
             let produced = self.handle.produced.load(Ordering::Relaxed);
             let pace = self.traffic.shared.tokens_per_second(&self.req.service);
             let delay = evacuation::start_delay(self.req.generation_size(), produced, pace);
             tokio::time::sleep(delay).await;
         }
-        let until = Instant::now() + self.insist;
+        let until = Instant::now() + self.retry_for;
         let mut exclude = vec![self.source.id.clone()];
-        exclude.extend(self.avoid.iter().cloned());
-        let always = exclude.len();
+        exclude.extend(self.excluded_engines.iter().cloned());
+        let always_excluded = exclude.len();
         loop {
             match self.target(&exclude).await {
                 Some(target) => match self.copy_to(target).await {
-                    Ok(copied) => return Step::Copied(copied),
-                    Err(NotCopied::SourceGone) => return Step::GaveUp(NotCopied::SourceGone),
-                    Err(NotCopied::Elsewhere(refused)) => exclude.push(refused),
-                    Err(NotCopied::Later) => tokio::time::sleep(COPY_PAUSE).await,
+                    Ok(target) => return TaskEvent::Copied(target),
+                    Err(CopyFailure::SourceGone) => return TaskEvent::CopyFailed(CopyFailure::SourceGone),
+                    Err(CopyFailure::TargetUnusable(refused)) => exclude.push(refused),
+                    Err(CopyFailure::NotYet) => tokio::time::sleep(COPY_RETRY_DELAY).await,
                 },
                 None => {
-                    exclude.truncate(always);
-                    tokio::time::sleep(COPY_PAUSE).await;
+                    exclude.truncate(always_excluded);
+                    tokio::time::sleep(COPY_RETRY_DELAY).await;
                 }
             }
             if Instant::now() >= until {
-                return Step::GaveUp(NotCopied::Later);
+                return TaskEvent::CopyFailed(CopyFailure::NotYet);
             }
         }
     }
@@ -187,12 +191,17 @@
     /// Finds an engine that the call to stop the generation can name as its target. The engine is chosen
     /// without regard to its load, as the generation resumes where it stopped; an engine without room
     /// refuses.
-    pub async fn prepare_stop(self) -> Step {
+    pub async fn find_stop_target(self) -> TaskEvent {
         let mut exclude = vec![self.source.id.clone()];
-        exclude.extend(self.avoid.iter().cloned());
+        exclude.extend(self.excluded_engines.iter().cloned());
         match self.place(None, &exclude).await {
-            Some(target) => Step::CanStop(Copied { target, handle: None, stays: true, stop_is_known: false }),
-            None => Step::GaveUp(NotCopied::Later),
+            Some(target) => TaskEvent::ReadyToStop(MoveTarget {
+                target,
+                handle: None,
+                resumes_at_source: true,
+                stop_answered: false,
+            }),
+            None => TaskEvent::CopyFailed(CopyFailure::NotYet),
         }
     }
 
@@ -204,7 +213,7 @@
     /// the engine need not have room.
     async fn place(&self, size: Option<GenerationSize>, exclude: &[UpstreamId]) -> Option<RunGuard> {
         let produced = self.handle.produced.load(Ordering::Relaxed);
-        let patience = if self.insist.is_zero() { Duration::ZERO } else { evacuation::COPY_START_TIMEOUT };
+        let patience = if self.retry_for.is_zero() { Duration::ZERO } else { evacuation::COPY_START_TIMEOUT };
         let request = PlaceRequest {
             request: self.req.id().to_owned(),
             wanted: Wanted {
@@ -225,24 +234,30 @@
         self.traffic.place(request).await.ok()
     }
 
-    async fn copy_to(&self, target: RunGuard) -> Result<Copied, NotCopied> {
+    async fn copy_to(&self, target: RunGuard) -> Result<MoveTarget, CopyFailure> {
         let to = target.placed.replica.clone();
         let began = Instant::now();
-        let called =
-            engine::copy_generation(self.source.address, self.req.id(), to.address, false, COPY_LIMIT).await;
+        let result =
+            engine::copy_generation(self.source.address, self.req.id(), to.address, false, COPY_TIMEOUT)
+                .await;
         let took = began.elapsed().as_millis() as u64;
-        info!(event = "copy", request = self.req.id(), run = target.placed.run, from = &*self.source.id, to = &*to.id, took_ms = took, outcome:? = called; "copy of a generation");
-        self.traffic.shared.metrics.on_move("copy", outcome_word(&called));
-        match called {
+        info!(event = "copy", request = self.req.id(), run = target.placed.run, from = &*self.source.id, to = &*to.id, took_ms = took, outcome:? = result; "copy of a generation");
+        self.traffic.shared.metrics.on_move("copy", outcome_label(&result));
+        match result {
             Ok(CopyOutcome::Done { handle, .. }) => {
                 self.traffic.shared.tell(ToControl::Copied(target.placed.run));
-                Ok(Copied { target, handle: Some(handle), stays: false, stop_is_known: false })
+                Ok(MoveTarget {
+                    target,
+                    handle: Some(handle),
+                    resumes_at_source: false,
+                    stop_answered: false,
+                })
             }
-            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) => Err(NotCopied::Later),
+            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) => Err(CopyFailure::NotYet),
             Ok(CopyOutcome::NoRoom { .. } | CopyOutcome::Unexpected(_)) => {
-                Err(NotCopied::Elsewhere(to.id.clone()))
+                Err(CopyFailure::TargetUnusable(to.id.clone()))
             }
-            Err(CallError::Broken(_)) => Err(NotCopied::SourceGone),
+            Err(CallError::Broken(_)) => Err(CopyFailure::SourceGone),
             // A failed connection does not show that the engine is gone; its stream does. A link that is
             // full of other traffic lets no connection through either, for 0.6 s next to a transfer of a
             // large configuration.
@@ -252,7 +267,7 @@
                 | CallError::Stalled { .. }
                 | CallError::TooLarge { .. }
                 | CallError::Body(_),
-            ) => Err(NotCopied::Later),
+            ) => Err(CopyFailure::NotYet),
         }
     }
 }
--- a/node/src/gateway/upstream/leg.rs
+++ b/node/src/gateway/upstream/engine_stream.rs
@@ -8,14 +8,14 @@
 use crate::gateway::upstream::exchange::Exchange;
 
 /// The stream of a generation from one engine.
-pub struct Leg {
+pub struct EngineStream {
     /// The run at the engine.
     pub run: RunGuard,
     /// The response of the engine; `None` once this node has closed the connection.
     pub exchange: Option<Exchange>,
 }
 
-impl Leg {
+impl EngineStream {
     /// Returns the next frame of the response body; never completes once this node has closed the
     /// connection.
     pub async fn frame(&mut self) -> Option<Result<Frame<Bytes>, hyper::Error>> {
--- a/node/src/gateway/upstream/event_stream.rs
+++ b/node/src/gateway/upstream/event_stream.rs
@@ -17,14 +17,14 @@
     /// An event's id is not greater than that of the event before: the engine did not resume where it was
     /// asked to, and the caller would get events twice.
     #[display("ids of events do not rise")]
-    NotRising,
+    NotIncreasing,
 }
 
 /// Splits received bytes into whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
-    searched: usize,
+    scanned: usize,
     last_id: Option<String>,
     events: u64,
     unusable: Option<Unusable>,
@@ -32,28 +32,28 @@
 
 impl EventSplitter {
     /// Returns a splitter for a stream that resumes after the event `last_id`, or for a new stream.
-    pub fn after(last_id: Option<&str>) -> Self {
+    pub fn resuming_after(last_id: Option<&str>) -> Self {
         EventSplitter { last_id: last_id.map(str::to_owned), ..EventSplitter::default() }
     }
 
     /// Appends bytes; returns all events that are complete now, unchanged.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.buf.extend_from_slice(bytes);
-        let mut whole = 0;
-        let mut at = self.searched;
+        let mut complete = 0;
+        let mut at = self.scanned;
         while self.unusable.is_none()
             && let Some(end) = event_end(&self.buf, at)
         {
-            if !self.note_event(whole, end) {
-                self.unusable = Some(Unusable::NotRising);
+            if !self.record_event(complete, end) {
+                self.unusable = Some(Unusable::NotIncreasing);
                 break;
             }
-            whole = end;
+            complete = end;
             at = end;
         }
-        let out = self.buf.split_to(whole).freeze();
+        let out = self.buf.split_to(complete).freeze();
         // The end of an event may be split between two reads.
-        self.searched = self.buf.len().saturating_sub(3);
+        self.scanned = self.buf.len().saturating_sub(3);
         if self.buf.len() > MAX_EVENT_BYTES {
             self.unusable.get_or_insert(Unusable::TooLarge);
         }
@@ -66,15 +66,15 @@
     }
 
     /// Discards a partial event.
-    pub fn drop_part(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buf.clear();
-        self.searched = 0;
+        self.scanned = 0;
         self.unusable = None;
     }
 
     /// Returns the bytes that are left at a stream's regular end.
-    pub fn rest(&mut self) -> Bytes {
-        self.searched = 0;
+    pub fn take_remainder(&mut self) -> Bytes {
+        self.scanned = 0;
         self.buf.split().freeze()
     }
 
@@ -89,14 +89,14 @@
     }
 
     /// Records a complete event; returns false if its id is not greater than the id before.
-    fn note_event(&mut self, start: usize, end: usize) -> bool {
+    fn record_event(&mut self, start: usize, end: usize) -> bool {
         let event = &self.buf[start..end];
         let mut lines = event.split(|byte| *byte == b'\n');
         let id = lines.find_map(|line| line.strip_prefix(b"id:"));
         let Some(id) = id.and_then(|id| std::str::from_utf8(id).ok()).map(str::trim) else {
             return true;
         };
-        if !rises(self.last_id.as_deref(), id) {
+        if !is_increasing(self.last_id.as_deref(), id) {
             return false;
         }
         self.last_id = Some(id.to_owned());
@@ -106,7 +106,7 @@
 }
 
 /// Whether an id may follow another one; ids that are not numbers are not compared.
-fn rises(last: Option<&str>, next: &str) -> bool {
+fn is_increasing(last: Option<&str>, next: &str) -> bool {
     let number = |id: &str| id.parse::<u64>().ok();
     match (last.and_then(number), number(next)) {
         (Some(last), Some(next)) => next > last,
--- a/node/src/gateway/upstream/exchange.rs
+++ b/node/src/gateway/upstream/exchange.rs
@@ -25,10 +25,10 @@
 use crate::gateway::messages::Outcome;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::shared::RunGuard;
-use crate::gateway::upstream::connections::Choice;
 use crate::gateway::upstream::connections::ConnectError;
 use crate::gateway::upstream::connections::Connection;
-use crate::gateway::upstream::connections::Connections;
+use crate::gateway::upstream::connections::ConnectionChoice;
+use crate::gateway::upstream::connections::IdleConnections;
 use crate::gateway::upstream::silence;
 use crate::gateway::upstream::stall;
 use crate::gateway::upstream::traffic::Traffic;
@@ -44,7 +44,7 @@
     HallClosed,
     /// The replica requested a back-off from this node: nothing was sent.
     #[display("it asked for rest")]
-    Resting,
+    BackingOff,
     /// The replica's version was rolled back: nothing was sent.
     #[display("its version was given up")]
     VersionReverted,
@@ -53,7 +53,7 @@
     Quarantined,
     /// The request was quarantined while it waited for the replica's response.
     #[display("it was quarantined meanwhile")]
-    Withdrawn,
+    QuarantinedMeanwhile,
     /// The request could not be sent: not a byte of it left this node.
     #[display("not sent: {_0}")]
     NotSent(ConnectError),
@@ -71,35 +71,36 @@
     ConnectionSilent,
     /// The response belongs to another request.
     #[display("answer to another request")]
-    Foreign,
+    WrongRequest,
     /// The body ended early or was too large.
     #[display("answer cut short: {_0}")]
-    Cut(#[error(not(source))] String),
+    Truncated(#[error(not(source))] String),
 }
 
 /// Ends the run of a request that failed at a replica. Returns the code for the caller, or `None` if
 /// nothing was sent.
-pub fn failed(req: &CallerRequest, run: RunGuard, err: &SendError) -> Option<Code> {
+pub fn end_failed_run(req: &CallerRequest, run: RunGuard, err: &SendError) -> Option<Code> {
     info!(event = "attempt_failed", request = req.id(), upstream = &*run.placed.replica.id, reason:% = err; "attempt failed");
-    let says_nothing = matches!(
+    let is_replica_blameless = matches!(
         err,
         SendError::HallClosed
-            | SendError::Resting
+            | SendError::BackingOff
             | SendError::VersionReverted
             | SendError::Quarantined
-            | SendError::Withdrawn
+            | SendError::QuarantinedMeanwhile
     );
-    run.end(if says_nothing { Outcome::Withdrawn } else { Outcome::Failed });
+    run.end(if is_replica_blameless { Outcome::Withdrawn } else { Outcome::Failed });
     match err {
         SendError::HallClosed
-        | SendError::Resting
+        | SendError::BackingOff
         | SendError::VersionReverted
         | SendError::Quarantined
         | SendError::NotSent(_) => None,
         SendError::TimedOut | SendError::Stalled | SendError::ConnectionSilent => Some(Code::UpstreamTimeout),
-        SendError::Broken(_) | SendError::Foreign | SendError::Cut(_) | SendError::Withdrawn => {
-            Some(Code::UpstreamLost)
-        }
+        SendError::Broken(_)
+        | SendError::WrongRequest
+        | SendError::Truncated(_)
+        | SendError::QuarantinedMeanwhile => Some(Code::UpstreamLost),
     }
 }
 
@@ -112,12 +113,12 @@
     /// The body.
     pub body: Incoming,
     /// When the head was received: an engine sends the head when it starts to run the request.
-    pub head_came: Instant,
+    pub head_received: Instant,
     connection: Connection,
 }
 
 /// A response whose body was read to its end.
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -135,7 +136,7 @@
     replica: &ReplicaRecord,
     req: &CallerRequest,
     added: &Added<'_>,
-    choice: Choice,
+    choice: ConnectionChoice,
     sent: u32,
 ) -> Result<Exchange, SendError> {
     // However the replica was chosen, and however long ago: these are the last checks before sending.
@@ -145,8 +146,8 @@
     if !traffic.shared.closed_halls().is_open(&replica.hall) {
         return Err(SendError::HallClosed);
     }
-    if traffic.lets_rest(replica, added.resume.is_some_and(|resume| resume.copy.is_some())) {
-        return Err(SendError::Resting);
+    if traffic.is_backing_off(replica, added.resume.is_some_and(|resume| resume.copy.is_some())) {
+        return Err(SendError::BackingOff);
     }
     if traffic.is_reverted(req, replica) {
         return Err(SendError::VersionReverted);
@@ -154,30 +155,36 @@
     let mut connection = traffic.connections.take(replica, choice).await.map_err(SendError::NotSent)?;
     let sent_at = traffic.shared.now();
     traffic.on_sending(req, replica, sent);
-    traffic.shared.metrics.on_connection(connection.rested.is_some());
+    traffic.shared.metrics.on_connection(connection.idle_time.is_some());
     let sending = connection.sender.send_request(request(req, added));
-    let sending = stall::head(traffic, req, replica, sending);
+    let sending = stall::await_head(traffic, req, replica, sending);
     let waiting = async {
-        match connection.rested {
-            Some(_) => silence::head(traffic, req, replica, sent, sending).await,
+        match connection.idle_time {
+            Some(_) => silence::await_head(traffic, req, replica, sent, sending).await,
             None => Some(sending.await),
         }
     };
     let waiting = unless_quarantined(traffic, req, waiting);
     let answer = tokio::time::timeout_at(req.until(), waiting).await.map_err(|_| SendError::TimedOut)??;
     let answer = answer.ok_or(SendError::ConnectionSilent)?.ok_or(SendError::Stalled)?;
-    if let (Err(_), Some(rested)) = (&answer, connection.rested) {
-        traffic.connections.on_break(rested);
+    if let (Err(_), Some(idle_time)) = (&answer, connection.idle_time) {
+        traffic.connections.on_break(idle_time);
     }
     let (head, body) = answer
         .inspect_err(|_| traffic.on_broken_run(req, replica, None, 0))
         .map_err(SendError::Broken)?
         .into_parts();
     if head.headers.get(headers::REQUEST_ID) != req.headers.get(headers::REQUEST_ID) {
-        return Err(SendError::Foreign);
+        return Err(SendError::WrongRequest);
     }
-    traffic.on_head(req, replica, &head, sent_at);
-    Ok(Exchange { status: head.status, headers: head.headers, body, head_came: Instant::now(), connection })
+    traffic.on_response_head(req, replica, &head, sent_at);
+    Ok(Exchange {
+        status: head.status,
+        headers: head.headers,
+        body,
+        head_received: Instant::now(),
+        connection,
+    })
 }
 
 /// Stops waiting when the request is quarantined: it may still be queued at the replica, which does not
@@ -190,7 +197,7 @@
     tokio::select! {
         biased;
         answer = waiting => Ok(answer),
-        () = traffic.until_quarantined(req) => Err(SendError::Withdrawn),
+        () = traffic.until_quarantined(req) => Err(SendError::QuarantinedMeanwhile),
     }
 }
 
@@ -215,14 +222,14 @@
     }
 
     /// Reads the response to its end. A truncated response counts as a broken run.
-    pub async fn whole(
+    pub async fn read_response(
         self,
         traffic: &Traffic,
         replica: &ReplicaRecord,
         req: &CallerRequest,
-    ) -> Result<WholeAnswer, SendError> {
+    ) -> Result<BufferedResponse, SendError> {
         let answer = self.read(&traffic.shared.held, &traffic.connections, replica, req.until()).await;
-        if matches!(answer, Err(SendError::Cut(_))) {
+        if matches!(answer, Err(SendError::Truncated(_))) {
             traffic.on_broken_run(req, replica, None, 0);
         }
         answer
@@ -232,30 +239,30 @@
     async fn read(
         self,
         node: &Arc<HeldBytes>,
-        connections: &Connections,
+        connections: &IdleConnections,
         replica: &ReplicaRecord,
         until: Instant,
-    ) -> Result<WholeAnswer, SendError> {
+    ) -> Result<BufferedResponse, SendError> {
         let body = Limited::new(self.body, MAX_ANSWER_BYTES);
         let reading = held_bytes::collect(body, async |bytes| Some(node.take_when_free(bytes).await));
         let body = tokio::time::timeout_at(until, reading).await.map_err(|_| SendError::TimedOut)?;
         let (body, held) = match body {
-            Ok(Some(whole)) => whole,
-            Ok(None) => return Err(SendError::Cut("no room for it".to_owned())),
-            Err(err) => return Err(SendError::Cut(err.to_string())),
+            Ok(Some(collected)) => collected,
+            Ok(None) => return Err(SendError::Truncated("no room for it".to_owned())),
+            Err(err) => return Err(SendError::Truncated(err.to_string())),
         };
         let held = held.unwrap_or_else(|| node.nothing());
         if !headers::closes(&self.headers) {
             connections.put(replica, self.connection, headers::keeps_for(&self.headers));
         }
-        Ok(WholeAnswer { status: self.status, headers: self.headers, body, held })
+        Ok(BufferedResponse { status: self.status, headers: self.headers, body, held })
     }
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     /// Whether the status tells a caller that the request was not run. Such a response is passed on only
     /// if the replica itself reports that.
-    pub fn promises_not_run(&self) -> bool {
+    pub fn has_not_run_status(&self) -> bool {
         matches!(self.status.as_u16(), 408 | 421 | 429 | 503)
     }
 }
--- a/node/src/gateway/upstream/pace.rs
+++ b/node/src/gateway/upstream/pace.rs
@@ -16,9 +16,9 @@
 
 impl Pace {
     /// Records an event of a request that was received at `request_received`.
-    pub fn on_event(&mut self, came: Instant) {
+    pub fn on_event(&mut self, request_received: Instant) {
         let now = Instant::now();
-        self.first.get_or_insert(now - came);
+        self.first.get_or_insert(now - request_received);
         if let Some(last) = self.last.replace(now) {
             self.longest_gap = self.longest_gap.max(now - last);
         }
--- a/node/src/gateway/upstream/relay/silent_connection.rs
+++ b/node/src/gateway/upstream/relay/silent_connection.rs
@@ -20,50 +20,50 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::gateway::request::CallerRequest;
-use crate::gateway::upstream::copying::Step;
+use crate::gateway::upstream::copying::TaskEvent;
 use crate::gateway::upstream::relay::Relay;
 
 /// Timeout of an engine's report of its generations.
-const REPORT_LIMIT: Duration = Duration::from_millis(300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 /// A connection counts as silent if its engine has produced at least this many events more than were
 /// received. An engine that is slow, or that runs other generations first, is not ahead; one event may be
 /// in transit.
-const EVENTS_AHEAD: u64 = 2;
+const MIN_EVENTS_AHEAD: u64 = 2;
 
 impl Relay {
     /// Queries the engine on a new connection after nothing was received for a while. The answer shows
     /// whether the engine produces no events or its connection delivers none: stopping a generation that
     /// is merely slow costs its caller time, and makes a copy that is never used.
-    pub(super) fn doubt_connection(&mut self) {
-        if self.moving.is_some() || self.is_reading {
+    pub(super) fn check_connection(&mut self) {
+        if self.move_task.is_some() || self.awaits_first_event {
             return;
         }
-        self.unfit.clear();
-        let (req, steps) = (self.req.clone(), self.steps_tx.clone());
-        let engine = self.leg.run.placed.replica.clone();
-        let came = self.events.events();
-        self.asking = Some(AbortOnDropHandle::new(tokio::task::spawn_local(async move {
-            if is_ahead(&req, &engine, came).await {
+        self.rejected_targets.clear();
+        let (req, task_events) = (self.req.clone(), self.task_events_tx.clone());
+        let engine = self.engine_stream.run.placed.replica.clone();
+        let received = self.events.events();
+        self.probe_task = Some(AbortOnDropHandle::new(tokio::task::spawn_local(async move {
+            if is_ahead(&req, &engine, received).await {
                 // The stream may have ended by now.
-                let _ = steps.send(Step::ConnectionSilent { engine: engine.id.clone(), came });
+                let _ = task_events.send(TaskEvent::ConnectionSilent { engine: engine.id.clone(), received });
             }
         })));
     }
 
     /// Handles an engine that has produced more events than were received. Events received during the
     /// query show that the connection is healthy.
-    pub(super) fn on_silent_connection(&mut self, came: u64) {
-        if self.moving.is_none() && self.events.events() == came {
-            self.stop_and_go_on_here();
+    pub(super) fn on_silent_connection(&mut self, received: u64) {
+        if self.move_task.is_none() && self.events.events() == received {
+            self.stop_and_resume_here();
         }
     }
 }
 
 /// Whether the engine has produced clearly more events than the `received` ones that its connection
 /// delivered.
-async fn is_ahead(req: &Arc<CallerRequest>, engine: &ReplicaRecord, came: u64) -> bool {
-    let made = engine::events_made(engine.address, req.id(), REPORT_LIMIT).await;
-    let is_ahead = matches!(made, Ok(Some(made)) if made >= came + EVENTS_AHEAD);
-    info!(event = "connection_doubted", request = req.id(), upstream = &*engine.id, came = came, made:? = made, silent = is_ahead; "a stream is silent");
+async fn is_ahead(req: &Arc<CallerRequest>, engine: &ReplicaRecord, received: u64) -> bool {
+    let produced = engine::events_made(engine.address, req.id(), REPORT_TIMEOUT).await;
+    let is_ahead = matches!(produced, Ok(Some(produced)) if produced >= received + MIN_EVENTS_AHEAD);
+    info!(event = "connection_doubted", request = req.id(), upstream = &*engine.id, came = received, made:? = produced, silent = is_ahead; "a stream is silent");
     is_ahead
 }
--- a/node/src/gateway/upstream/replica_words.rs
+++ b/node/src/gateway/upstream/replica_headers.rs
@@ -26,25 +26,25 @@
 
 /// Maximum number of backing-off replicas that are listed in a placement request: a message has room for
 /// some hundreds, and if another one is chosen all the same, the request is not sent to it.
-const MOST_RESTING_TOLD: usize = 100;
+const MAX_LISTED_BACKOFFS: usize = 100;
 
 /// Maximum number of header names that are remembered.
-const MOST_HEADERS_SEEN: usize = 64;
+const MAX_SEEN_HEADERS: usize = 64;
 
 impl Traffic {
     /// Returns the replicas of a service that requested a back-off from this node, and the time left of
     /// each.
-    fn resting(&self, service: &str) -> Vec<(UpstreamId, Duration)> {
-        let rests = self.rests.borrow();
-        let of_service = rests.of_service(service, self.shared.now()).take(MOST_RESTING_TOLD);
+    fn backing_off_replicas(&self, service: &str) -> Vec<(UpstreamId, Duration)> {
+        let backoffs = self.backoffs.borrow();
+        let of_service = backoffs.of_service(service, self.shared.now()).take(MAX_LISTED_BACKOFFS);
         of_service.map(|(id, left)| (id.clone(), left)).collect()
     }
 
     /// Requests a placement at a replica that has not requested a back-off from this node.
     pub async fn place(&self, mut request: PlaceRequest) -> Result<RunGuard, NoRoom> {
-        let (resting, left): (Vec<UpstreamId>, Vec<Duration>) =
-            self.resting(&request.wanted.service).into_iter().unzip();
-        request.wanted.resting = resting;
+        let (backing_off, left): (Vec<UpstreamId>, Vec<Duration>) =
+            self.backing_off_replicas(&request.wanted.service).into_iter().unzip();
+        request.wanted.resting = backing_off;
         let soonest = left.into_iter().min();
         let placed = self.shared.place(request).await;
         placed.map_err(|no_room| NoRoom { expected: no_room.expected.into_iter().chain(soonest).min() })
@@ -53,10 +53,10 @@
     /// Whether a request must not be sent to a replica because of a back-off, which the replica may have
     /// requested after it was chosen. `has_copy` is set for a generation whose KV cache memory is at that
     /// replica.
-    pub fn lets_rest(&self, replica: &ReplicaRecord, goes_on: bool) -> bool {
+    pub fn is_backing_off(&self, replica: &ReplicaRecord, has_copy: bool) -> bool {
         let (of, now) = (replica.incarnation(), self.shared.now());
-        let mut rests = self.rests.borrow_mut();
-        if goes_on { !rests.may_resume(&of, now) } else { rests.remaining(&of, now).is_some() }
+        let mut backoffs = self.backoffs.borrow_mut();
+        if has_copy { !backoffs.may_resume(&of, now) } else { backoffs.remaining(&of, now).is_some() }
     }
 
     /// Called before a request that was sent to `sent` replicas before is sent to one more.
@@ -70,39 +70,45 @@
             info!(event = "sent_to_leaving", request = req.id(), upstream = &*replica.id, said_ms_ago, sent; "a request is sent to a replica that said that it leaves");
         }
         let (of, now) = (replica.incarnation(), self.shared.now());
-        let mut rests = self.rests.borrow_mut();
-        if let Some(left) = rests.remaining(&of, now) {
+        let mut backoffs = self.backoffs.borrow_mut();
+        if let Some(left) = backoffs.remaining(&of, now) {
             let left_ms = left.as_millis() as u64;
             info!(event = "sent_to_resting", request = req.id(), upstream = &*replica.id, left_ms, sent; "a request is sent to a replica that asked this node for rest");
         }
-        rests.on_sending(&of, now);
+        backoffs.on_sending(&of, now);
     }
 
     /// Handles the head of a response to a request that was sent at `sent`.
-    pub fn on_head(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
-        self.note_headers(&head.headers);
+    pub fn on_response_head(
+        &self,
+        req: &CallerRequest,
+        replica: &ReplicaRecord,
+        head: &Parts,
+        sent: Timestamp,
+    ) {
+        self.record_headers(&head.headers);
         if headers::says_leaving(&head.headers) {
-            self.on_said_leaving(req, replica);
+            self.on_leaving_announced(req, replica);
         }
-        self.on_rest_word(req, replica, head, sent);
-        self.on_limit_word(replica, headers::limit_word(head.status, &head.headers), sent);
+        self.record_backoff(req, replica, head, sent);
+        self.record_limit(replica, headers::limit_word(head.status, &head.headers), sent);
     }
 
     /// Records whether the replica requests a back-off.
-    fn on_rest_word(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
-        let mut rests = self.rests.borrow_mut();
+    fn record_backoff(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
+        let mut backoffs = self.backoffs.borrow_mut();
         match headers::rest_asked(head.status, &head.headers) {
-            Some(rest) => {
-                rests.on_retry_after(replica, rest, self.shared.now());
-                info!(event = "rest_asked", request = req.id(), upstream = &*replica.id, rest_ms = rest.as_millis() as u64; "a replica asks this node for rest");
+            Some(backoff) => {
+                backoffs.on_retry_after(replica, backoff, self.shared.now());
+                info!(event = "rest_asked", request = req.id(), upstream = &*replica.id, rest_ms = backoff.as_millis() as u64; "a replica asks this node for rest");
             }
             None if head.status == StatusCode::SERVICE_UNAVAILABLE => {}
-            None => rests.on_answer(&replica.incarnation(), sent),
+            None => backoffs.on_answer(&replica.incarnation(), sent),
         }
     }
 
     /// Handles a replica's announcement in a response that it is leaving.
-    fn on_said_leaving(&self, req: &CallerRequest, replica: &ReplicaRecord) {
+    fn on_leaving_announced(&self, req: &CallerRequest, replica: &ReplicaRecord) {
         if self.leaving_announcements.borrow_mut().on_announced(&replica.incarnation(), self.shared.now()) {
             info!(event = "leaving_said", request = req.id(), upstream = &*replica.id; "a replica says in an answer that it leaves");
             self.shared.tell(ToControl::Sign(replica.incarnation(), LeavingSign::Announced));
@@ -111,10 +117,10 @@
 
     /// Logs once each response header of replicas whose handling is undecided: a replica may request
     /// something that this node does not support.
-    fn note_headers(&self, headers: &HeaderMap) {
+    fn record_headers(&self, headers: &HeaderMap) {
         let mut seen = self.seen_headers.borrow_mut();
         for name in headers.keys() {
-            if seen.len() >= MOST_HEADERS_SEEN || seen.contains(name) {
+            if seen.len() >= MAX_SEEN_HEADERS || seen.contains(name) {
                 continue;
             }
             seen.insert(name.clone());
@@ -125,15 +131,15 @@
     }
 
     /// Reports a replica's limit to the control loop, if the response may change what is known of it.
-    fn on_limit_word(&self, replica: &ReplicaRecord, word: LimitReport, sent: Timestamp) {
-        let may_change = match word {
+    fn record_limit(&self, replica: &ReplicaRecord, report: LimitReport, sent: Timestamp) {
+        let may_change = match report {
             LimitReport::Named(_) => true,
             LimitReport::NotNamed => self.shared.limits().contains_key(&replica.id),
             LimitReport::Silent => false,
         };
         if may_change {
             let times = ResponseTimes { sent, received: self.shared.now() };
-            self.shared.tell(ToControl::LimitReport(replica.incarnation(), word, times));
+            self.shared.tell(ToControl::LimitReport(replica.incarnation(), report, times));
         }
     }
 
--- a/node/src/gateway/upstream/silence.rs
+++ b/node/src/gateway/upstream/silence.rs
@@ -19,14 +19,14 @@
 /// Fraction of a call's remaining time after which it is retried on a new connection: the second attempt
 /// needs as long as the first. With two replicas whose idle connections had all fallen silent, and
 /// callers that wait for 1.5 s, 3 of 6 calls in a row failed without this, and none with it.
-const LEAVE_AFTER: f64 = 0.5;
+const RETRY_AFTER_FRACTION: f64 = 0.5;
 
 /// Waits for the head of a plain call's response on a reused connection.
 ///
 /// Once the route's objective has passed, the replica's other idle connections are dropped: what silenced
 /// one has silenced those too, and a new one costs little if the replica is merely slow. Returns `None`
 /// if the request is to be retried; the retry has then been taken from the retry budget.
-pub async fn head<T>(
+pub async fn await_head<T>(
     traffic: &Traffic,
     req: &CallerRequest,
     replica: &ReplicaRecord,
@@ -38,16 +38,16 @@
         return Some(sending.await);
     }
     let (began, began_at) = (Instant::now(), clock::since_boot());
-    let doubted = began + req.route.objective;
-    let leave = (began + req.left().mul_f64(LEAVE_AFTER)).max(doubted);
-    if let Ok(answer) = tokio::time::timeout_at(doubted, &mut sending).await {
+    let objective_at = began + req.route.objective;
+    let retry_at = (began + req.left().mul_f64(RETRY_AFTER_FRACTION)).max(objective_at);
+    if let Ok(answer) = tokio::time::timeout_at(objective_at, &mut sending).await {
         return Some(answer);
     }
-    traffic.connections.drop_unused_since_before(replica, began_at);
-    if let Ok(answer) = tokio::time::timeout_at(leave, &mut sending).await {
+    traffic.connections.drop_idle_since_before(replica, began_at);
+    if let Ok(answer) = tokio::time::timeout_at(retry_at, &mut sending).await {
         return Some(answer);
     }
-    if traffic.may_send_again(req, sent + 1).await {
+    if traffic.may_retry(req, sent + 1).await {
         info!(event = "connection_silent", request = req.id(), upstream = &*replica.id, waited_ms = began.elapsed().as_millis() as u64; "no answer on a kept connection");
         return None;
     }
--- a/node/src/gateway/upstream/stall.rs
+++ b/node/src/gateway/upstream/stall.rs
@@ -19,17 +19,17 @@
 
 /// A running stream is considered stalled after this many times its route's objective for the gap between
 /// events: moves and busy engines make some gaps longer than the objective.
-const DOUBTED_GAPS: u32 = 4;
+const STALL_OBJECTIVE_GAPS: u32 = 4;
 /// Timeout of an engine's answer to a health check.
-const HEALTH_LIMIT: Duration = Duration::from_millis(300);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What to do about a silent engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Silence {
+pub enum StallAction {
     /// Check the engine's health.
-    Doubt,
+    CheckHealth,
     /// Abandon the engine.
-    Leave,
+    Abandon,
 }
 
 /// Measures the time since a stream's last event.
@@ -37,20 +37,20 @@
 pub struct StallWatch {
     limit: Duration,
     due: Instant,
-    doubted: bool,
+    health_checked: bool,
 }
 
 impl StallWatch {
     /// Starts the measurement when a stream is requested from an engine.
     pub fn new(route: &Route) -> Self {
-        StallWatch { limit: route.objective, due: Instant::now() + route.objective, doubted: false }
+        StallWatch { limit: route.objective, due: Instant::now() + route.objective, health_checked: false }
     }
 
     /// Records an event.
     pub fn on_event(&mut self, route: &Route) {
-        self.limit = route.gap_objective * DOUBTED_GAPS;
+        self.limit = route.gap_objective * STALL_OBJECTIVE_GAPS;
         self.due = Instant::now() + self.limit;
-        self.doubted = false;
+        self.health_checked = false;
     }
 
     /// Returns when the engine will have been silent for too long.
@@ -59,9 +59,13 @@
     }
 
     /// Handles an engine that has been silent for too long.
-    pub fn on_due(&mut self) -> Silence {
+    pub fn on_due(&mut self) -> StallAction {
         self.due = Instant::now() + self.limit;
-        if std::mem::replace(&mut self.doubted, true) { Silence::Leave } else { Silence::Doubt }
+        if std::mem::replace(&mut self.health_checked, true) {
+            StallAction::Abandon
+        } else {
+            StallAction::CheckHealth
+        }
     }
 }
 
@@ -70,7 +74,7 @@
     let Some(service) = req.table.service(&req.service) else {
         return false;
     };
-    let health = health::ask(engine, &service.health_path, HEALTH_LIMIT).await;
+    let health = health::ask(engine, &service.health_path, HEALTH_CHECK_TIMEOUT).await;
     info!(event = "silence_doubted", request = req.id(), upstream = &*engine.id, health:? = health; "an engine is silent");
     let is_gone = matches!(health, Health::Silent | Health::Closed | Health::Other);
     if is_gone {
@@ -80,7 +84,7 @@
 }
 
 /// Waits for the head of a response; returns `None` if its engine is to be abandoned.
-pub async fn head<T>(
+pub async fn await_head<T>(
     traffic: &Traffic,
     req: &CallerRequest,
     engine: &ReplicaRecord,
@@ -95,7 +99,7 @@
         if let Ok(answer) = tokio::time::timeout_at(watch.due(), &mut sending).await {
             return Some(answer);
         }
-        if watch.on_due() == Silence::Leave {
+        if watch.on_due() == StallAction::Abandon {
             return None;
         }
         tokio::select! {
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -22,7 +22,7 @@
 
 /// Timeout of the health check of a replica at which a run of this attempt broke: the caller waits
 /// meanwhile.
-const HEALTH_LIMIT: Duration = Duration::from_millis(300);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Traffic {
     /// Records that a request's run at a replica broke before the end of the response. `began` is when
@@ -35,11 +35,11 @@
         began: Option<Instant>,
         events: u64,
     ) {
-        let is_held = !self.was_sound(req);
+        let counts_against_request = !self.was_sound(req);
         let ran_ms = began.map_or(0, |began| began.elapsed().as_millis() as u64);
-        info!(event = "run_broke", request = req.id(), fingerprint:% = req.fingerprint(), route = &*req.route.name, upstream = &*replica.id, born = replica.born, began = began.is_some(), ran_ms, events, held = is_held; "a run broke at its replica");
-        self.shared.metrics.on_broken_run(is_held);
-        if is_held {
+        info!(event = "run_broke", request = req.id(), fingerprint:% = req.fingerprint(), route = &*req.route.name, upstream = &*replica.id, born = replica.born, began = began.is_some(), ran_ms, events, held = counts_against_request; "a run broke at its replica");
+        self.shared.metrics.on_broken_run(counts_against_request);
+        if counts_against_request {
             req.broken_at.lock().expect("no holder panics").push(replica.clone());
             let run = BrokenRun { fingerprint: req.fingerprint(), replica: replica.incarnation() };
             self.shared.tell(ToControl::RunBroke(run));
@@ -47,22 +47,22 @@
     }
 
     fn was_sound(&self, req: &CallerRequest) -> bool {
-        let sound = self.sound_runs.borrow();
-        sound.was_sound(sound.name(&req.parts()), self.shared.now())
+        let successes = self.sound_runs.borrow();
+        successes.was_sound(successes.name(&req.parts()), self.shared.now())
     }
 
     /// Records that a replica answered a request to the end.
-    pub fn on_sound_run(&self, req: &CallerRequest) {
-        let mut sound = self.sound_runs.borrow_mut();
-        let name = sound.name(&req.parts());
-        sound.on_sound(name, self.shared.now());
-        if self.standing(req).is_some() {
+    pub fn on_successful_run(&self, req: &CallerRequest) {
+        let mut successes = self.sound_runs.borrow_mut();
+        let hash = successes.name(&req.parts());
+        successes.on_sound(hash, self.shared.now());
+        if self.suspect_status(req).is_some() {
             self.shared.tell(ToControl::RanWell(req.fingerprint()));
         }
     }
 
     /// Returns the suspect status of a request. Costs nothing while there are no suspects.
-    fn standing(&self, req: &CallerRequest) -> Option<Standing> {
+    fn suspect_status(&self, req: &CallerRequest) -> Option<Standing> {
         let crashes = self.shared.crashes();
         if crashes.is_empty() { None } else { crashes.get(&req.fingerprint()).copied() }
     }
@@ -72,44 +72,45 @@
     /// do not count: when two such replicas counted, a stream ended at its second break instead of being
     /// resumed at a third engine, by the test of all faults.
     pub async fn may_risk_another(&self, req: &CallerRequest) -> bool {
-        let ended = self.standing(req).map_or(0, |standing| standing.ends);
+        let ended = self.suspect_status(req).map_or(0, |status| status.ends);
         let broken_at = req.broken_at.lock().expect("no holder panics").clone();
         if blame::may_risk_another(ended, broken_at.len()) {
             return true;
         }
         let mut broken = broken_at.len();
         if blame::may_risk_another(ended, 0) {
-            let asked = broken_at.iter().map(|replica| self.lives(req, replica));
-            broken -= futures::future::join_all(asked).await.into_iter().filter(|lives| *lives).count();
+            let checks = broken_at.iter().map(|replica| self.is_alive(req, replica));
+            broken -=
+                futures::future::join_all(checks).await.into_iter().filter(|is_alive| *is_alive).count();
         }
-        let may = blame::may_risk_another(ended, broken);
-        if !may {
+        let may_retry = blame::may_risk_another(ended, broken);
+        if !may_retry {
             info!(event = "not_sent_again", request = req.id(), fingerprint:% = req.fingerprint(), ended, broken; "replicas may end under this request: it is not sent to another one");
         }
-        may
+        may_retry
     }
 
-    async fn lives(&self, req: &CallerRequest, replica: &ReplicaRecord) -> bool {
+    async fn is_alive(&self, req: &CallerRequest, replica: &ReplicaRecord) -> bool {
         let Some(service) = req.table.service(&req.service) else {
             return false;
         };
-        let health = health::ask(replica, &service.health_path, HEALTH_LIMIT).await;
+        let health = health::ask(replica, &service.health_path, HEALTH_CHECK_TIMEOUT).await;
         health.is_answer()
     }
 
     /// Whether a request must not be sent to any replica.
     pub fn is_quarantined(&self, req: &CallerRequest) -> bool {
-        self.standing(req).is_some_and(|standing| standing.is_quarantined())
+        self.suspect_status(req).is_some_and(|status| status.is_quarantined())
     }
 
     /// Refuses a quarantined request. The caller is told when the quarantine ends: until then each
     /// attempt would be refused again.
     pub fn refuse_quarantined(&self, req: &CallerRequest) -> Result<(), Refusal> {
-        let Some(standing) = self.standing(req).filter(Standing::is_quarantined) else {
+        let Some(status) = self.suspect_status(req).filter(Standing::is_quarantined) else {
             return Ok(());
         };
-        let left = Duration::from_millis(standing.until.saturating_sub(unix_millis()));
-        info!(event = "quarantined", request = req.id(), fingerprint:% = req.fingerprint(), ends = standing.ends; "a request that replicas end under is not sent");
+        let left = Duration::from_millis(status.until.saturating_sub(unix_millis()));
+        info!(event = "quarantined", request = req.id(), fingerprint:% = req.fingerprint(), ends = status.ends; "a request that replicas end under is not sent");
         Err(Refusal { code: Code::Quarantined, retry_after: Some(left) })
     }
 
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -23,11 +23,11 @@
 use crate::gateway::shared::RunGuard;
 use crate::gateway::shared::Shared;
 use crate::gateway::stop;
-use crate::gateway::upstream::connections::Connections;
+use crate::gateway::upstream::connections::IdleConnections;
 
 /// The retry budget is divided among at least this many nodes: a node that is cut off from the others
 /// must not use all of it.
-const LEAST_NODES: usize = 6;
+const MIN_BUDGET_NODES: usize = 6;
 
 /// State shared by the requests of the traffic thread.
 #[derive(Clone)]
@@ -35,14 +35,14 @@
     /// State shared by the traffic thread and the control thread.
     pub shared: Arc<Shared>,
     /// Idle connections to replicas.
-    pub connections: Rc<Connections>,
+    pub connections: Rc<IdleConnections>,
     retries: Rc<RefCell<HashMap<ServiceId, RetryWindow>>>,
     /// Requests that replicas answered successfully in recent time.
     pub sound_runs: Rc<RefCell<SoundRuns>>,
     /// Replicas that announced in a response to this node that they are leaving.
     pub leaving_announcements: Rc<RefCell<LeavingAnnouncements>>,
     /// Replicas that requested a back-off from this node.
-    pub rests: Rc<RefCell<ReplicaBackoffs>>,
+    pub backoffs: Rc<RefCell<ReplicaBackoffs>>,
     /// Names of response headers that have been checked already.
     pub seen_headers: Rc<RefCell<HashSet<HeaderName>>>,
 }
@@ -56,28 +56,31 @@
             retries: Rc::default(),
             sound_runs: Rc::default(),
             leaving_announcements: Rc::default(),
-            rests: Rc::default(),
+            backoffs: Rc::default(),
             seen_headers: Rc::default(),
         }
     }
 
     /// Whether a request that was sent to `sent` replicas may be sent to one more; if so, that is taken
     /// from the retry budget.
-    pub async fn may_send_again(&self, req: &CallerRequest, sent: u32) -> bool {
+    pub async fn may_retry(&self, req: &CallerRequest, sent: u32) -> bool {
         let policy = self.shared.settings.policy;
-        let is_on = if req.route.resumable { policy.resume_streams } else { policy.repeat };
-        is_on && req.may_repeat(sent) && self.may_risk_another(req).await && self.take_retry(&req.service)
+        let is_enabled = if req.route.resumable { policy.resume_streams } else { policy.repeat };
+        is_enabled
+            && req.may_repeat(sent)
+            && self.may_risk_another(req).await
+            && self.spend_retry(&req.service)
     }
 
-    fn take_retry(&self, service: &ServiceId) -> bool {
+    fn spend_retry(&self, service: &ServiceId) -> bool {
         let now = self.shared.now();
         let bounds = self.shared.bounds();
         let share = RetryShare {
             window: bounds.retry_window,
             ratio: bounds.retry_ratio,
-            slack: bounds.retry_slack / self.shared.nodes().max(LEAST_NODES) as f64,
+            slack: bounds.retry_slack / self.shared.nodes().max(MIN_BUDGET_NODES) as f64,
         };
-        let allowed = self.with_window(service, |window| window.take(now, &share));
+        let allowed = self.with_retry_window(service, |window| window.take(now, &share));
         self.shared.metrics.on_repeat(allowed);
         allowed
     }
@@ -113,11 +116,11 @@
     /// Counts a request for a service, which adds to the retry budget.
     pub fn on_request(&self, service: &ServiceId) {
         let now = self.shared.now();
-        self.with_window(service, |window| window.on_request(now));
+        self.with_retry_window(service, |window| window.on_request(now));
     }
 
-    fn with_window<T>(&self, service: &ServiceId, act: impl FnOnce(&mut RetryWindow) -> T) -> T {
+    fn with_retry_window<T>(&self, service: &ServiceId, update: impl FnOnce(&mut RetryWindow) -> T) -> T {
         let mut windows = self.retries.borrow_mut();
-        act(windows.entry(service.clone()).or_default())
+        update(windows.entry(service.clone()).or_default())
     }
 }
