--- a/node/src/gateway/upstream/connections.rs
+++ b/node/src/gateway/upstream/connections.rs
@@ -142,7 +142,7 @@
     pub fn on_break(&self, idle_time: Duration) {
         let known = self.idle_limit.get().map_or(Duration::MAX, |idle_limit| idle_limit.limit());
         let limit = idle_time.mul_f64(IDLE_LIMIT_FACTOR_AFTER_BREAK).min(known);
-        info!(event = "rest_not_trusted", rested_ms = idle_time.as_millis() as u64, trusted_ms = limit.as_millis() as u64; "a connection broke when it was used again");
+        info!(event = "rest_not_trusted", rested_ms = idle_time.as_millis() as u64, trusted_ms = limit.as_millis() as u64; "a reused connection broke; lowering the idle limit");
         self.idle_limit.set(Some(IdleLimit { limit, since: clock::since_boot() }));
     }
 
--- a/node/src/gateway/upstream/copying.rs
+++ b/node/src/gateway/upstream/copying.rs
@@ -87,7 +87,7 @@
         let Err(err) = &answer else {
             return answer;
         };
-        info!(event = "stop_unanswered", request = id, upstream = &*source.id, reason:% = err; "no answer to a stop");
+        info!(event = "stop_unanswered", request = id, upstream = &*source.id, reason:% = err; "the call that stops a generation failed");
         if !matches!(err, CallError::Connect(_)) || Instant::now() >= until {
             return answer;
         }
--- a/node/src/gateway/upstream/exchange.rs
+++ b/node/src/gateway/upstream/exchange.rs
@@ -80,7 +80,7 @@
 /// Ends the run of a request that failed at a replica. Returns the code for the caller, or `None` if
 /// nothing was sent.
 pub fn end_failed_run(req: &CallerRequest, run: RunGuard, err: &SendError) -> Option<Code> {
-    info!(event = "attempt_failed", request = req.id(), upstream = &*run.placed.replica.id, reason:% = err; "attempt failed");
+    info!(event = "attempt_failed", request = req.id(), upstream = &*run.placed.replica.id, reason:% = err; "request to the replica failed");
     let is_replica_blameless = matches!(
         err,
         SendError::HallClosed
@@ -248,7 +248,7 @@
         let body = tokio::time::timeout_at(until, reading).await.map_err(|_| SendError::TimedOut)?;
         let (body, held) = match body {
             Ok(Some(collected)) => collected,
-            Ok(None) => return Err(SendError::Truncated("no room for it".to_owned())),
+            Ok(None) => return Err(SendError::Truncated("not enough memory to buffer the body".to_owned())),
             Err(err) => return Err(SendError::Truncated(err.to_string())),
         };
         let held = held.unwrap_or_else(|| node.nothing());
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -209,7 +209,7 @@
         }
         match self.events.unusable() {
             Some(why) => {
-                info!(event = "stream_unusable", request = self.req.id(), upstream = &*self.engine_stream.run.placed.replica.id, reason:% = why; "an engine's stream is of no use");
+                info!(event = "stream_unusable", request = self.req.id(), upstream = &*self.engine_stream.run.placed.replica.id, reason:% = why; "the engine's stream is unusable");
                 Err(StreamEnd::EngineLost)
             }
             None => Ok(()),
@@ -255,7 +255,7 @@
 
     /// Continues the stream at another engine.
     fn switch_to(&mut self, engine_stream: EngineStream, outcome: Outcome) {
-        info!(event = "moved", request = self.req.id(), from = &*self.engine_stream.run.placed.replica.id, upstream = &*engine_stream.run.placed.replica.id, events = self.events.events(); "generation moved");
+        info!(event = "moved", request = self.req.id(), from = &*self.engine_stream.run.placed.replica.id, upstream = &*engine_stream.run.placed.replica.id, events = self.events.events(); "stream continues at another engine");
         let old = std::mem::replace(&mut self.engine_stream, engine_stream);
         old.run.end(outcome);
         self.moves += 1;
--- a/node/src/gateway/upstream/relay/after_stop.rs
+++ b/node/src/gateway/upstream/relay/after_stop.rs
@@ -140,13 +140,13 @@
     ) {
         self.engine_stream.exchange = Some(exchange);
         let Some(why) = at_target else {
-            info!(event = "went_on", request = self.req.id(), upstream = &*self.engine_stream.run.placed.replica.id, events = self.events.events(); "the generation goes on on a new connection");
+            info!(event = "went_on", request = self.req.id(), upstream = &*self.engine_stream.run.placed.replica.id, events = self.events.events(); "the generation was resumed at its engine on a new connection");
             move_target.target.end(Outcome::Withdrawn);
             return;
         };
         let here = &self.engine_stream.run.placed.replica.id;
         let failing = move_target.target.placed.replica.id.clone();
-        info!(event = "went_back", request = self.req.id(), upstream = &**here, failing = &*failing, reason:% = why; "the generation goes on where it stopped");
+        info!(event = "went_back", request = self.req.id(), upstream = &**here, failing = &*failing, reason:% = why; "the generation was resumed where it stopped");
         move_target.target.end(if why == ResumeFailure::Refused {
             Outcome::Refused
         } else {
--- a/node/src/gateway/upstream/relay/moving.rs
+++ b/node/src/gateway/upstream/relay/moving.rs
@@ -108,7 +108,7 @@
             TaskEvent::Copied(move_target)
                 if self.leaving_engines.contains(&move_target.target.placed.replica.id) =>
             {
-                info!(event = "copy_dropped", request = self.req.id(), upstream = &*move_target.target.placed.replica.id; "the copy's engine leaves as well");
+                info!(event = "copy_dropped", request = self.req.id(), upstream = &*move_target.target.placed.replica.id; "the engine with the copy is leaving as well");
                 self.move_task = None;
                 drop(move_target);
                 self.evacuate_if_leaving();
@@ -144,7 +144,7 @@
     /// running: the engine that runs it would refuse, and its healthy stream would end.
     async fn on_stop_answer(&mut self, answer: StopAnswer) -> Result<(), StreamEnd> {
         let is_refused = matches!(answer, Ok(CopyOutcome::NoRoom { handle: None }));
-        info!(event = "stop", request = self.req.id(), upstream = &*self.engine_stream.run.placed.replica.id, outcome:? = answer; "a generation was to stop");
+        info!(event = "stop", request = self.req.id(), upstream = &*self.engine_stream.run.placed.replica.id, outcome:? = answer; "the call that stops a generation was answered or failed");
         let stop = self
             .move_target
             .as_mut()
@@ -195,7 +195,7 @@
     /// Handles a broken stream. The generation resumes at the engine that has its copy.
     pub(super) async fn on_break(&mut self, reason: impl Display) -> Result<(), StreamEnd> {
         let replica = self.engine_stream.run.placed.replica.id.clone();
-        info!(event = "stream_broke", request = self.req.id(), upstream = &*replica, moving = self.move_task.is_some(), stopping = self.move_target.is_some(), events = self.events.events(), reason:% = reason; "an engine's stream broke");
+        info!(event = "stream_broke", request = self.req.id(), upstream = &*replica, moving = self.move_task.is_some(), stopping = self.move_target.is_some(), events = self.events.events(), reason:% = reason; "the engine's stream broke");
         if self.move_target.is_none() {
             let began = self.engine_stream.exchange.as_ref().map(|exchange| exchange.head_received);
             let events = self.events.events();
--- a/node/src/gateway/upstream/relay/silent_connection.rs
+++ b/node/src/gateway/upstream/relay/silent_connection.rs
@@ -64,6 +64,6 @@
 async fn is_ahead(req: &Arc<CallerRequest>, engine: &ReplicaRecord, received: u64) -> bool {
     let produced = engine::events_made(engine.address, req.id(), REPORT_TIMEOUT).await;
     let is_ahead = matches!(produced, Ok(Some(produced)) if produced >= received + MIN_EVENTS_AHEAD);
-    info!(event = "connection_doubted", request = req.id(), upstream = &*engine.id, came = received, made:? = produced, silent = is_ahead; "a stream is silent");
+    info!(event = "connection_doubted", request = req.id(), upstream = &*engine.id, came = received, made:? = produced, silent = is_ahead; "queried the engine of a silent stream");
     is_ahead
 }
--- a/node/src/gateway/upstream/replica_headers.rs
+++ b/node/src/gateway/upstream/replica_headers.rs
@@ -63,17 +63,17 @@
     pub fn on_sending(&self, req: &CallerRequest, replica: &ReplicaRecord, sent: u32) {
         if let Some(limit) = self.shared.limits().get(&replica.id) {
             self.shared.metrics.on_sent_to_limited();
-            info!(event = "sent_to_limited", request = req.id(), upstream = &*replica.id, limit, sent; "a request is sent to a replica that names a limit");
+            info!(event = "sent_to_limited", request = req.id(), upstream = &*replica.id, limit, sent; "sending a request to a replica that has a limit");
         }
         if let Some(since) = self.leaving_announcements.borrow().since(&replica.incarnation()) {
             let said_ms_ago = self.shared.now().saturating_sub(since).as_millis() as u64;
-            info!(event = "sent_to_leaving", request = req.id(), upstream = &*replica.id, said_ms_ago, sent; "a request is sent to a replica that said that it leaves");
+            info!(event = "sent_to_leaving", request = req.id(), upstream = &*replica.id, said_ms_ago, sent; "sending a request to a replica that announced that it is leaving");
         }
         let (of, now) = (replica.incarnation(), self.shared.now());
         let mut backoffs = self.backoffs.borrow_mut();
         if let Some(left) = backoffs.remaining(&of, now) {
             let left_ms = left.as_millis() as u64;
-            info!(event = "sent_to_resting", request = req.id(), upstream = &*replica.id, left_ms, sent; "a request is sent to a replica that asked this node for rest");
+            info!(event = "sent_to_resting", request = req.id(), upstream = &*replica.id, left_ms, sent; "sending a request to a replica that requested a back-off");
         }
         backoffs.on_sending(&of, now);
     }
@@ -100,7 +100,7 @@
         match headers::rest_asked(head.status, &head.headers) {
             Some(backoff) => {
                 backoffs.on_retry_after(replica, backoff, self.shared.now());
-                info!(event = "rest_asked", request = req.id(), upstream = &*replica.id, rest_ms = backoff.as_millis() as u64; "a replica asks this node for rest");
+                info!(event = "rest_asked", request = req.id(), upstream = &*replica.id, rest_ms = backoff.as_millis() as u64; "the replica requests a back-off");
             }
             None if head.status == StatusCode::SERVICE_UNAVAILABLE => {}
             None => backoffs.on_answer(&replica.incarnation(), sent),
@@ -110,7 +110,7 @@
     /// Handles a replica's announcement in a response that it is leaving.
     fn on_leaving_announced(&self, req: &CallerRequest, replica: &ReplicaRecord) {
         if self.leaving_announcements.borrow_mut().on_announced(&replica.incarnation(), self.shared.now()) {
-            info!(event = "leaving_said", request = req.id(), upstream = &*replica.id; "a replica says in an answer that it leaves");
+            info!(event = "leaving_said", request = req.id(), upstream = &*replica.id; "the replica announced in a response that it is leaving");
             self.shared.tell(ToControl::Sign(replica.incarnation(), LeavingSign::Announced));
         }
     }
@@ -125,7 +125,7 @@
             }
             seen.insert(name.clone());
             if !fields::knows_header(name.as_str()) {
-                warn!(event = "field_undecided", kind = "answer", field = name.as_str(); "an answer has a header that is not read, and nobody has said why");
+                warn!(event = "field_undecided", kind = "answer", field = name.as_str(); "a response has a header that is neither read nor listed as ignored");
             }
         }
     }
@@ -146,7 +146,7 @@
     /// Handles a replica that did not run a request.
     pub fn on_not_run(&self, req: &CallerRequest, run: &RunGuard, status: StatusCode) {
         let replica = &run.placed.replica;
-        info!(event = "turned_away", request = req.id(), upstream = &*replica.id, status = status.as_u16(); "a replica did not run a request");
+        info!(event = "turned_away", request = req.id(), upstream = &*replica.id, status = status.as_u16(); "the replica did not run the request");
         if status == StatusCode::MISDIRECTED_REQUEST {
             let sign = LeavingSign::Replaced;
             self.shared.tell(ToControl::Sign(replica.incarnation(), sign));
--- a/node/src/gateway/upstream/resuming.rs
+++ b/node/src/gateway/upstream/resuming.rs
@@ -57,6 +57,6 @@
         Err(err @ SendError::NotSent(_)) => (ResumeFailure::Unreachable, err.to_string()),
         Err(err) => (ResumeFailure::Unknown, err.to_string()),
     };
-    info!(event = "move_failed", request = req.id(), upstream = &*engine.id, outcome:% = why, reason = reason; "a generation could not go on at an engine");
+    info!(event = "move_failed", request = req.id(), upstream = &*engine.id, outcome:% = why, reason = reason; "the engine did not resume the generation");
     Err(why)
 }
--- a/node/src/gateway/upstream/silence.rs
+++ b/node/src/gateway/upstream/silence.rs
@@ -48,7 +48,7 @@
         return Some(answer);
     }
     if traffic.may_retry(req, sent + 1).await {
-        info!(event = "connection_silent", request = req.id(), upstream = &*replica.id, waited_ms = began.elapsed().as_millis() as u64; "no answer on a kept connection");
+        info!(event = "connection_silent", request = req.id(), upstream = &*replica.id, waited_ms = began.elapsed().as_millis() as u64; "no response on a reused connection; retrying on a new one");
         return None;
     }
     Some(sending.await)
--- a/node/src/gateway/upstream/stall.rs
+++ b/node/src/gateway/upstream/stall.rs
@@ -75,7 +75,7 @@
         return false;
     };
     let health = health::ask(engine, &service.health_path, HEALTH_CHECK_TIMEOUT).await;
-    info!(event = "silence_doubted", request = req.id(), upstream = &*engine.id, health:? = health; "an engine is silent");
+    info!(event = "silence_doubted", request = req.id(), upstream = &*engine.id, health:? = health; "checked the health of a silent engine");
     let is_gone = matches!(health, Health::Silent | Health::Closed | Health::Other);
     if is_gone {
         traffic.shared.tell(ToControl::Health(engine.incarnation(), health));
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -85,7 +85,7 @@
         }
         let may_retry = blame::may_risk_another(ended, broken);
         if !may_retry {
-            info!(event = "not_sent_again", request = req.id(), fingerprint:% = req.fingerprint(), ended, broken; "replicas may end under this request: it is not sent to another one");
+            info!(event = "not_sent_again", request = req.id(), fingerprint:% = req.fingerprint(), ended, broken; "not retrying: the request may have ended replicas");
         }
         may_retry
     }
@@ -110,7 +110,7 @@
             return Ok(());
         };
         let left = Duration::from_millis(status.until.saturating_sub(unix_millis()));
-        info!(event = "quarantined", request = req.id(), fingerprint:% = req.fingerprint(), ends = status.ends; "a request that replicas end under is not sent");
+        info!(event = "quarantined", request = req.id(), fingerprint:% = req.fingerprint(), ends = status.ends; "refusing a quarantined request");
         Err(Refusal { code: Code::Quarantined, retry_after: Some(left) })
     }
 
