--- a/node/src/gateway/upstream/connections.rs
+++ b/node/src/gateway/upstream/connections.rs
@@ -25,7 +25,7 @@
 
 use crate::clock;
 
-/// Minimum idle time before a connection is reused. A surplus response after the expected one arrives
+/// Minimum idle time before a connection is reused. A surplus response to the previous request arrives
 /// within a few milliseconds, and the connection is then dropped.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
 /// A connection is not reused if its peer may close it within this time.
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -198,7 +198,8 @@
                 None => Err(self.on_stream_end().await),
                 Some(Err(err)) => self.on_break(&err).await,
             },
-            () = tokio::time::sleep_until(self.stall.due()), if self.watches_stalls => self.on_silence().await,
+            () = tokio::time::sleep_until(self.stall.due()), if self.watches_stalls =>
+                self.on_silence().await,
         }
     }
 
--- a/node/src/gateway/upstream/relay/after_stop.rs
+++ b/node/src/gateway/upstream/relay/after_stop.rs
@@ -104,7 +104,7 @@
     fn resume_time_limit(&self, mut why: impl Iterator<Item = ResumeFailure>) -> Duration {
         if self.req.route.resumable {
             Duration::ZERO
-        } else if why.any(|why| why == ResumeFailure::Unreachable) {
+        } else if why.any(|why| why == ResumeFailure::Unreached) {
             self.req.route.caller_patience().mul_f64(UNREACHABLE_PATIENCE_FRACTION)
         } else {
             RESUME_TIMEOUT
--- a/node/src/gateway/upstream/resuming.rs
+++ b/node/src/gateway/upstream/resuming.rs
@@ -19,7 +19,7 @@
     /// The engine did not accept the request: nothing ran.
     Refused,
     /// The engine could not be reached: nothing was sent.
-    Unreachable,
+    Unreached,
     /// The engine answered with an error: the generation is not running there.
     Failed,
     /// The engine did not answer: the generation may be running there.
@@ -31,7 +31,7 @@
     pub fn label(self) -> &'static str {
         match self {
             ResumeFailure::Refused => "refused",
-            ResumeFailure::Unreachable => "not reached",
+            ResumeFailure::Unreached => "not reached",
             ResumeFailure::Failed => "failed",
             ResumeFailure::Unknown => "no answer",
         }
@@ -54,7 +54,7 @@
         Err(err @ (SendError::HallClosed | SendError::BackingOff | SendError::Quarantined)) => {
             (ResumeFailure::Refused, err.to_string())
         }
-        Err(err @ SendError::NotSent(_)) => (ResumeFailure::Unreachable, err.to_string()),
+        Err(err @ SendError::NotSent(_)) => (ResumeFailure::Unreached, err.to_string()),
         Err(err) => (ResumeFailure::Unknown, err.to_string()),
     };
     info!(event = "move_failed", request = req.id(), upstream = &*engine.id, outcome:% = why, reason = reason; "the engine did not resume the generation");
