--- a/node/src/gateway/control/tried_replicas.rs
+++ b/node/src/gateway/control/canary_cache.rs
@@ -1,4 +1,4 @@
-//! The replicas of a new version that are tried: worked out once, as long as the same replicas stay.
+//! Caches the canary replicas of a new version until the replicas change.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -9,20 +9,20 @@
 use leadstage_lib::gateway::upgrade::UpgradeOrder;
 use leadstage_lib::ids::UpstreamId;
 
-/// Those of the service that was asked for last.
+/// The canary replicas of the service that was queried last.
 #[derive(Debug, Default)]
-pub struct TriedReplicas(RefCell<Option<Tried>>);
+pub struct CanaryCache(RefCell<Option<CachedCanaries>>);
 
 #[derive(Debug)]
-struct Tried {
+struct CachedCanaries {
     service: ServiceId,
     order: UpgradeOrder,
     table_version: u64,
     ids: Arc<[UpstreamId]>,
 }
 
-impl TriedReplicas {
-    /// The replicas of a service that are tried.
+impl CanaryCache {
+    /// Returns the canary replicas of a service.
     pub fn of(
         &self,
         table: &ReplicaTable,
@@ -31,16 +31,16 @@
         share: f64,
     ) -> Arc<[UpstreamId]> {
         let table_version = table.version();
-        let mut known = self.0.borrow_mut();
-        let is_fresh = |tried: &&Tried| {
-            tried.service == *service && tried.order == *order && tried.table_version == table_version
+        let mut entry = self.0.borrow_mut();
+        let is_fresh = |cached: &&CachedCanaries| {
+            cached.service == *service && cached.order == *order && cached.table_version == table_version
         };
-        if let Some(tried) = known.as_ref().filter(is_fresh) {
-            return tried.ids.clone();
+        if let Some(cached) = entry.as_ref().filter(is_fresh) {
+            return cached.ids.clone();
         }
         let ids = canary::canary_replicas(table, service, order, share);
         let (service, order) = (service.clone(), order.clone());
-        *known = Some(Tried { service, order, table_version, ids: ids.clone() });
+        *entry = Some(CachedCanaries { service, order, table_version, ids: ids.clone() });
         ids
     }
 }
--- a/node/src/gateway/control/config_intake.rs
+++ b/node/src/gateway/control/config_intake.rs
@@ -1,5 +1,5 @@
-//! Takes configurations in: from the store, if this node follows it, or from another node that
-//! has a newer one.
+//! Receives configurations from the store, if this node follows it, and otherwise from nodes that have a
+//! newer one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,65 +23,68 @@
 use crate::gateway::control::config_transfers;
 use crate::gateway::control::config_transfers::Transfers;
 use crate::gateway::control::follow;
-use crate::gateway::messages::HandedConfig;
-use crate::gateway::messages::News;
+use crate::gateway::messages::FetchedConfig;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::fetching;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::shared::Shared;
 
-/// A starting node with a small link waits so long for another node to tell that it has the
-/// configuration: compressed it comes in a tenth of the time that it takes from the store.
-const OTHERS_FIRST: Duration = Duration::from_millis(250);
+/// How long a starting node with a narrow link waits for another node to announce that it has the
+/// configuration. Nodes send it compressed, which takes a tenth of the time of a read from the store.
+const PEER_ANNOUNCEMENT_WAIT: Duration = Duration::from_millis(250);
 
-/// With a small link it waits no longer than this, whatever others tell: who told may stand still.
-const OTHERS_AT_MOST: Duration = Duration::from_millis(700);
-/// The way of configurations into this node.
+/// The longest time that a starting node with a narrow link waits for the configuration from another node:
+/// one that announced it may hang.
+const MAX_PEER_CONFIG_WAIT: Duration = Duration::from_millis(700);
+
+/// Receives configurations and puts the newest one in force.
 pub struct ConfigIntake {
     shared: Arc<Shared>,
-    /// When a configuration last came.
-    heard: Timestamp,
+    /// When a configuration was last put in force.
+    last_update: Timestamp,
     sources: ConfigSources,
-    /// What is here of an edition that broke off.
-    part: Option<PartialConfig>,
-    /// What differs from the configuration that is here did not fit.
-    wants_whole: bool,
-    /// A version that can't be read; it is not fetched again.
-    unreadable: ConfigVersion,
-    /// What is being fetched.
+    /// The received part of a configuration whose transfer was interrupted.
+    partial: Option<PartialConfig>,
+    /// The next transfer must send the full text: the last difference could not be applied to the
+    /// configuration in force.
+    needs_full_text: bool,
+    /// A version that could not be parsed; it is not fetched again.
+    unreadable_version: ConfigVersion,
+    /// Transfers in progress.
     transfers: Transfers,
-    /// The store is being read, as other nodes did not hand a newer one over.
-    reads_store: bool,
-    /// When [`ToControl::ConfigurationDue`] comes.
-    due: Option<Timestamp>,
+    /// The store is being read because other nodes did not deliver a newer configuration.
+    is_reading_store: bool,
+    /// When the next [`ToControl::ConfigurationDue`] is due.
+    next_check: Option<Timestamp>,
 }
 
 impl ConfigIntake {
-    /// None has come yet.
+    /// Creates the state of a node that has received no configuration.
     pub fn new(shared: Arc<Shared>) -> Self {
         ConfigIntake {
             shared,
-            heard: Timestamp::ZERO,
+            last_update: Timestamp::ZERO,
             sources: ConfigSources::default(),
-            part: None,
-            wants_whole: false,
-            unreadable: 0,
+            partial: None,
+            needs_full_text: false,
+            unreadable_version: 0,
             transfers: Transfers::default(),
-            reads_store: false,
-            due: None,
+            is_reading_store: false,
+            next_check: None,
         }
     }
 
-    /// When a configuration last came.
-    pub fn heard(&self) -> Timestamp {
-        self.heard
+    /// When a configuration was last put in force.
+    pub fn last_update(&self) -> Timestamp {
+        self.last_update
     }
 
-    /// The store told of its configuration.
-    pub fn on_store_news(&mut self, fleet: &Fleet, news: News<Bytes>) {
-        let texts: Vec<Bytes> = match news {
-            News::Listed { list, .. } => list.items,
-            News::Changed(changes) => changes
+    /// The store reported its configuration.
+    pub fn on_store_update(&mut self, fleet: &Fleet, update: StoreUpdate<Bytes>) {
+        let texts: Vec<Bytes> = match update {
+            StoreUpdate::Listed { list, .. } => list.items,
+            StoreUpdate::Changed(changes) => changes
                 .events
                 .into_iter()
                 .filter_map(|event| match event {
@@ -90,19 +93,25 @@
                 })
                 .collect(),
         };
-        // Only the newest of several counts.
+        // Only the newest one matters.
         if let Some(newest) = texts.last() {
-            self.take(fleet, newest);
+            self.apply(fleet, newest);
         }
     }
 
-    /// Another node has this version.
-    pub fn compare(&mut self, fleet: &Fleet, from: SocketAddr, theirs: ConfigVersion, how: VersionNotice) {
-        if theirs <= self.shared.config_version() || theirs == self.unreadable {
+    /// Another node has the version `peer_version`; fetches it if it is newer.
+    pub fn compare(
+        &mut self,
+        fleet: &Fleet,
+        from: SocketAddr,
+        peer_version: ConfigVersion,
+        notice: VersionNotice,
+    ) {
+        if peer_version <= self.shared.config_version() || peer_version == self.unreadable_version {
             return;
         }
         let now = self.shared.now();
-        self.sources.on_version(from, theirs, fleet.has_wide_link(from), how, now, &mut rand::rng());
+        self.sources.on_version(from, peer_version, fleet.has_wide_link(from), notice, now, &mut rand::rng());
         self.fetch_next();
     }
 
@@ -113,22 +122,22 @@
         self.fetch_next();
     }
 
-    /// Another node answered, or did not.
-    pub fn on_fetched(&mut self, fleet: &Fleet, from: SocketAddr, handed: HandedConfig) {
+    /// A transfer from another node ended.
+    pub fn on_fetched(&mut self, fleet: &Fleet, from: SocketAddr, fetched: FetchedConfig) {
         self.transfers.end(from);
         let now = self.shared.now();
-        match handed {
-            HandedConfig::Text(version, text) => self.on_text(fleet, from, version, &text),
-            HandedConfig::Busy(after, part) => {
-                self.keep(part);
+        match fetched {
+            FetchedConfig::Text(version, text) => self.on_text(fleet, from, version, &text),
+            FetchedConfig::Busy(after, partial) => {
+                self.keep_partial(partial);
                 self.sources.on_busy(from, after, now);
             }
-            HandedConfig::Failed(part) => {
-                self.keep(part);
+            FetchedConfig::Failed(partial) => {
+                self.keep_partial(partial);
                 self.sources.on_failed(from, now);
             }
-            HandedConfig::Unreadable => {
-                self.wants_whole = true;
+            FetchedConfig::Unreadable => {
+                self.needs_full_text = true;
                 self.sources.on_failed(from, now);
             }
         }
@@ -136,102 +145,105 @@
     }
 
     fn on_text(&mut self, fleet: &Fleet, from: SocketAddr, version: ConfigVersion, text: &Bytes) {
-        self.wants_whole = false;
-        if self.take(fleet, text) {
+        self.needs_full_text = false;
+        if self.apply(fleet, text) {
             self.sources.on_delivered(from);
-            // The same comes no second time; what is newer still is asked for anew.
+            // The other transfers are of the same version; a newer one is requested again.
             self.transfers.clear();
         } else {
-            self.unreadable = version;
+            self.unreadable_version = version;
             self.sources.on_failed(from, self.shared.now());
         }
     }
 
-    /// Keeps what came of an edition, if it is more than what is here.
-    fn keep(&mut self, part: Option<PartialConfig>) {
-        let bytes = |part: &Option<PartialConfig>| part.as_ref().map_or(0, |part| part.buf.len());
-        if bytes(&part) > bytes(&self.part) {
-            self.part = part;
+    /// Keeps the received part of a configuration if it is longer than the one kept so far.
+    fn keep_partial(&mut self, partial: Option<PartialConfig>) {
+        let bytes = |partial: &Option<PartialConfig>| partial.as_ref().map_or(0, |partial| partial.buf.len());
+        if bytes(&partial) > bytes(&self.partial) {
+            self.partial = partial;
         }
     }
 
-    /// The store was read, or did not answer.
+    /// A read of the store ended; `answered` says whether the store answered.
     pub fn on_read(&mut self, answered: bool) {
-        self.reads_store = false;
+        self.is_reading_store = false;
         if answered {
             self.sources.on_store_read();
         }
         self.fetch_next();
     }
 
-    /// A node may be asked that had to wait.
+    /// A source that was not available before may be queried now.
     pub fn on_due(&mut self) {
-        self.due = None;
+        self.next_check = None;
         self.fetch_next();
     }
 
     fn fetch_next(&mut self) {
         let (own, now) = (self.shared.config_version(), self.shared.now());
-        let is_asked = |node| self.transfers.is_from(node);
-        let next = self.sources.next(own, is_asked, now, &mut rand::rng());
-        self.shared.set_newest_config(self.sources.newest().unwrap_or(0).max(self.unreadable));
+        let is_queried = |node| self.transfers.is_from(node);
+        let next = self.sources.next(own, is_queried, now, &mut rand::rng());
+        self.shared.set_newest_config(self.sources.newest().unwrap_or(0).max(self.unreadable_version));
         match next {
-            NextSource::Nothing if self.transfers.is_empty() => self.part = None,
+            NextSource::Nothing if self.transfers.is_empty() => self.partial = None,
             NextSource::Nothing => {}
             NextSource::Node(from) => match self.transfers.next_due(now) {
-                Some(pause) => self.wait(now + pause, pause),
+                Some(delay) => self.schedule_check(now + delay, delay),
                 None => self.fetch(from, own, now),
             },
             NextSource::Store => self.read_store(),
-            NextSource::Later(pause) => self.wait(now + pause, pause),
+            NextSource::Later(delay) => self.schedule_check(now + delay, delay),
         }
     }
 
     fn fetch(&mut self, from: SocketAddr, own: ConfigVersion, now: Timestamp) {
-        let text = if self.wants_whole { None } else { self.shared.config_text() };
-        let part = self.part.take().filter(|part| part.is_usable_with(own));
-        let fetching = fetching::fetch_configuration(self.shared.clone(), from, text, part);
+        let text = if self.needs_full_text { None } else { self.shared.config_text() };
+        let partial = self.partial.take().filter(|partial| partial.is_usable_with(own));
+        let fetching = fetching::fetch_configuration(self.shared.clone(), from, text, partial);
         let task = AbortOnDropHandle::new(tokio::task::spawn_local(fetching));
         self.transfers.begin(from, task, now);
-        self.wait(now + config_transfers::NEXT_AFTER, config_transfers::NEXT_AFTER);
+        self.schedule_check(
+            now + config_transfers::NEXT_TRANSFER_DELAY,
+            config_transfers::NEXT_TRANSFER_DELAY,
+        );
     }
 
-    /// Has the store read beside all else, as on a small link that may take long.
+    /// Reads the store in a task of its own: on a narrow link the read may take long.
     fn read_store(&mut self) {
         self.sources.on_store_queried();
-        if !self.reads_store {
-            self.reads_store = true;
+        if !self.is_reading_store {
+            self.is_reading_store = true;
             let shared = self.shared.clone();
             tokio::task::spawn_local(async move {
                 let answered = read(&shared, Age::Newest).await;
-                shared.tell(ToControl::ConfigurationRead(answered));
+                shared.notify(ToControl::ConfigurationRead(answered));
             });
         }
         self.fetch_next();
     }
 
-    fn wait(&mut self, until: Timestamp, pause: Duration) {
-        if self.due.is_some_and(|due| due <= until) {
+    fn schedule_check(&mut self, until: Timestamp, delay: Duration) {
+        if self.next_check.is_some_and(|at| at <= until) {
             return;
         }
-        self.due = Some(until);
-        self.shared.tell_after(pause, ToControl::ConfigurationDue);
+        self.next_check = Some(until);
+        self.shared.notify_after(delay, ToControl::ConfigurationDue);
     }
 
-    /// Puts a configuration in force if it is newer; returns whether it can be read.
-    fn take(&mut self, fleet: &Fleet, text: &Bytes) -> bool {
+    /// Puts a configuration in force if it is newer; returns whether it could be parsed.
+    fn apply(&mut self, fleet: &Fleet, text: &Bytes) -> bool {
         match leadstage_platform::config::decode(text) {
             Ok(config) => {
                 let version = config.version;
                 if self.shared.set_table(RoutingTable::new(config), text.clone()) {
-                    self.heard = self.shared.now();
+                    self.last_update = self.shared.now();
                     info!(event = "config_in_force", version, bytes = text.len(); "configuration in force");
                     fleet.announce_config();
                 }
                 true
             }
             Err(err) => {
-                warn!(event = "config_unreadable", reason:% = err; "the configuration can't be read; the old one stays");
+                warn!(event = "config_unreadable", reason:% = err; "cannot parse the configuration; the previous one stays in force");
                 false
             }
         }
@@ -243,12 +255,13 @@
     follow::read_once::<Configuration>(shared.clone(), ToControl::Configuration, age).await
 }
 
-/// Reads the configuration when the node starts, unless another node has it and the link is small.
+/// Reads the configuration from the store when the node starts. With a narrow link, first waits for another
+/// node to deliver it.
 pub async fn read_at_start(shared: Arc<Shared>) {
     if !shared.settings.has_wide_link() {
-        tokio::time::sleep(OTHERS_FIRST).await;
+        tokio::time::sleep(PEER_ANNOUNCEMENT_WAIT).await;
         if shared.lacks_newer_config() {
-            tokio::time::sleep(OTHERS_AT_MOST - OTHERS_FIRST).await;
+            tokio::time::sleep(MAX_PEER_CONFIG_WAIT - PEER_ANNOUNCEMENT_WAIT).await;
         }
     }
     if shared.table().is_none() {
--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -1,5 +1,5 @@
-//! The control loop of a gateway node: takes each message and passes it to the part that
-//! it concerns.
+//! The control loop of a gateway node: receives each message and dispatches it to the component that
+//! handles it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 use crate::gateway::control::limit_intake::LimitIntake;
 use crate::gateway::control::placing::Placing;
 use crate::gateway::control::replica_intake::ReplicaIntake;
+use crate::gateway::control::store_watcher::StoreWatcher;
 use crate::gateway::control::upgrade_intake::UpgradeIntake;
-use crate::gateway::control::watching::Watching;
 use crate::gateway::messages::Fetched;
 use crate::gateway::messages::ToControl;
-use crate::gateway::observability::metrics::Levels;
+use crate::gateway::observability::metrics::GaugeValues;
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::observability::metrics::StoreCalls;
 use crate::gateway::observability::peer_traffic::MessageKind;
@@ -40,14 +40,14 @@
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
-/// Time between two looks at status and levels.
+/// Interval at which periodic work is checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the status and the gauge values are published.
 const STATUS_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two lines of the log that tell the levels.
-const LEVELS_LINE_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval at which the gauge values are logged.
+const LEVELS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The parts of the control thread.
+/// The components of the control thread.
 pub struct Control {
     shared: Arc<Shared>,
     fleet: Fleet,
@@ -59,15 +59,15 @@
     limits: LimitIntake,
     upgrades: UpgradeIntake,
     watchers: Watchers,
-    watching: Watching,
+    store_watcher: StoreWatcher,
     last_status: Timestamp,
-    last_levels_line: Timestamp,
-    /// The calls to the store that a line of the log has told.
-    told_calls: StoreCalls,
+    last_levels_log: Timestamp,
+    /// The counts of calls to the store that were last logged.
+    logged_calls: StoreCalls,
 }
 
 impl Control {
-    /// A loop that knows nothing yet.
+    /// Creates a control loop without any state from the store or from other nodes.
     pub fn new(shared: Arc<Shared>, outbox: Outbox) -> Self {
         let settings = &shared.settings;
         let fleet = Fleet::new(settings, outbox.clone());
@@ -80,17 +80,17 @@
             limits: LimitIntake::new(shared.clone()),
             upgrades: UpgradeIntake::new(shared.clone()),
             watchers: Watchers::new(fleet.own().clone()),
-            watching: Watching::new(shared.clone()),
+            store_watcher: StoreWatcher::new(shared.clone()),
             last_status: Timestamp::ZERO,
-            last_levels_line: Timestamp::ZERO,
-            told_calls: StoreCalls::default(),
+            last_levels_log: Timestamp::ZERO,
+            logged_calls: StoreCalls::default(),
             fleet,
             shared,
         }
     }
 
     pub async fn run(mut self, mut rx: UnboundedReceiver<ToControl>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         loop {
             tokio::select! {
                 message = rx.recv() => match message {
@@ -109,37 +109,45 @@
             ToControl::FirstEvent(run) => self.placing.on_own_first_event(&self.fleet, run),
             ToControl::Copied(run) => self.placing.on_own_copied(&self.fleet, run),
             ToControl::Ended(run, outcome) => self.placing.on_ended(&self.fleet, run, outcome),
-            ToControl::Sign(of, sign) => self.replicas.on_sign(&mut self.placing, &self.fleet, &of, sign),
+            ToControl::LeavingSign(of, sign) => {
+                self.replicas.on_sign(&mut self.placing, &self.fleet, &of, sign)
+            }
             ToControl::Health(of, health) => {
                 self.replicas.on_health(&mut self.placing, &self.fleet, of, health)
             }
-            ToControl::TellPart => self.replicas.tell_part(&self.fleet),
-            ToControl::TellReplicas => self.replicas.tell_gathered(&self.placing, &self.fleet),
-            ToControl::Replicas(news) => self.replicas.on_store_news(&mut self.placing, &self.fleet, news),
-            ToControl::ClosedHalls(news) => self.halls.on_store_news(&mut self.placing, &self.fleet, news),
-            ToControl::Upgrades(news) => self.upgrades.on_store_news(&mut self.placing, &self.fleet, news),
+            ToControl::SendNextUpdatePart => self.replicas.send_next_part(&self.fleet),
+            ToControl::SendReplicaUpdates => self.replicas.send_updates(&self.placing, &self.fleet),
+            ToControl::Replicas(update) => {
+                self.replicas.on_store_update(&mut self.placing, &self.fleet, update)
+            }
+            ToControl::ClosedHalls(update) => {
+                self.halls.on_store_update(&mut self.placing, &self.fleet, update)
+            }
+            ToControl::Upgrades(update) => {
+                self.upgrades.on_store_update(&mut self.placing, &self.fleet, update)
+            }
             ToControl::UpgradeWritten(written) => {
                 self.upgrades.on_written(&mut self.placing, &self.fleet, written)
             }
             ToControl::Sampled(sample) => self.upgrades.on_sample(sample),
-            ToControl::LimitReport(of, word, times) => {
-                self.limits.on_answer(&mut self.placing.knowledge, &self.fleet, &of, word, times)
+            ToControl::LimitReport(of, report, times) => {
+                self.limits.on_answer(&mut self.placing.state, &self.fleet, &of, report, times)
             }
-            ToControl::GrantSilent(question) => self.placing.on_grant_silent(&self.fleet, question),
+            ToControl::GrantSilent(id) => self.placing.on_grant_silent(&self.fleet, id),
             ToControl::RunBroke(run) => self.crashes.on_break(&self.placing, run),
-            ToControl::RanWell(fingerprint) => self.crashes.on_ran_well(&self.fleet, fingerprint),
-            ToControl::AskedAfterBreak(of, shown) => {
-                self.crashes.on_asked(&self.placing, &self.fleet, &of, shown)
+            ToControl::RunSucceeded(fingerprint) => self.crashes.on_run_succeeded(&self.fleet, fingerprint),
+            ToControl::CheckedAfterBreak(of, shown) => {
+                self.crashes.on_checked_after_break(&self.placing, &self.fleet, &of, shown)
             }
-            ToControl::Suspects(news) => self.crashes.on_store_news(&self.fleet, news),
+            ToControl::Suspects(update) => self.crashes.on_store_update(&self.fleet, update),
             ToControl::SuspectStored(of, stored) => self.crashes.on_stored(&self.fleet, of, stored),
-            ToControl::Configuration(news) => self.configs.on_store_news(&self.fleet, news),
-            ToControl::Fetched(from, Fetched::Configuration(handed)) => {
-                self.configs.on_fetched(&self.fleet, from, handed)
+            ToControl::Configuration(update) => self.configs.on_store_update(&self.fleet, update),
+            ToControl::Fetched(from, Fetched::Configuration(fetched)) => {
+                self.configs.on_fetched(&self.fleet, from, fetched)
             }
             ToControl::ConfigurationRead(answered) => self.configs.on_read(answered),
             ToControl::ConfigurationDue => self.configs.on_due(),
-            ToControl::HandOut(known, reply) => self.replicas.hand_out(&self.placing, known, reply),
+            ToControl::ServeReplicas(known, reply) => self.replicas.serve_list(&self.placing, known, reply),
             ToControl::Fetched(from, Fetched::Replicas(list)) => {
                 self.replicas.on_fetched(&mut self.placing, &self.fleet, from, list)
             }
@@ -156,31 +164,31 @@
         let gone = self.fleet.tick(now);
         self.on_gone(gone);
         self.shared.set_nodes(self.fleet.nodes());
-        self.shared.note_fleet_size(self.fleet.nodes());
+        self.shared.observe_fleet_size(self.fleet.nodes());
         self.shared.set_has_neighbour(self.fleet.has_neighbour());
-        self.placing.tell_leads(&self.fleet);
+        self.placing.send_inventories(&self.fleet);
         self.placing.lead(&self.fleet);
         self.fleet.hears_watchers = self.watchers.fresh_pulses(now).next().is_some();
         let has_wide_link = |node: &VmId| self.fleet.node_has_wide_link(node);
         let role = self.watchers.role(self.fleet.alive(), has_wide_link, now);
-        self.watching.set(role);
+        self.store_watcher.set(role);
         self.halls.tick(&mut self.placing, &self.fleet);
         self.crashes.tick(&self.placing, &self.fleet, role.is_some());
         let store_answers = self.watchers.store_answers(now);
         self.upgrades.tick(&mut self.placing, &self.fleet, role, store_answers);
-        self.look_out(now);
+        self.update_health_polls(now);
         self.replicas.tick(&mut self.placing, &self.fleet, role.is_some());
         self.publish_status(now);
     }
 
-    /// While the store may not tell that engines leave, they are asked.
-    fn look_out(&mut self, now: Timestamp) {
-        let is_away = !self.watchers.store_answers(now);
-        if is_away {
+    /// Polls the health of engines while the store may be unable to report that they are leaving.
+    fn update_health_polls(&mut self, now: Timestamp) {
+        let is_store_down = !self.watchers.store_answers(now);
+        if is_store_down {
             self.replicas.on_store_unavailable();
         }
-        if is_away || self.watchers.store_may_be_down(now) {
-            self.replicas.look_out(&self.placing, &self.fleet);
+        if is_store_down || self.watchers.store_may_be_down(now) {
+            self.replicas.poll_health(&self.placing, &self.fleet);
         }
     }
 
@@ -190,12 +198,12 @@
         }
         self.last_status = now;
         self.log_store_calls();
-        self.placing.knowledge.forget_gone();
-        self.limits.publish(&self.placing.knowledge);
+        self.placing.state.forget_gone();
+        self.limits.publish(&self.placing.state);
         self.placing.publish_paces();
         self.shared.set_status(self.placing.status(&self.fleet));
         let crashes = self.shared.crashes();
-        let levels = Levels {
+        let levels = GaugeValues {
             waiting: self.placing.waiting(),
             open: self.shared.open_requests(),
             held: self.shared.held.held(),
@@ -203,12 +211,12 @@
             suspects: crashes.len(),
             limited: self.shared.limits().len(),
             quarantined: crashes.values().filter(|standing| standing.is_quarantined()).count(),
-            config_age: now.saturating_sub(self.configs.heard()),
-            replicas_age: now.saturating_sub(self.replicas.heard()),
+            config_age: now.saturating_sub(self.configs.last_update()),
+            replicas_age: now.saturating_sub(self.replicas.last_update()),
         };
-        self.shared.metrics.on_levels(&levels);
-        if now >= self.last_levels_line + LEVELS_LINE_INTERVAL {
-            self.last_levels_line = now;
+        self.shared.metrics.record_gauges(&levels);
+        if now >= self.last_levels_log + LEVELS_LOG_INTERVAL {
+            self.last_levels_log = now;
             let replicas_at = self.shared.replicas_at();
             let peer_bytes = self.shared.metrics.peer_bytes_so_far();
             info!(event = "levels", open = levels.open, waiting = levels.waiting, nodes = levels.nodes, config = self.shared.config_version(), config_age_ms = levels.config_age.as_millis() as u64, replicas_age_ms = levels.replicas_age.as_millis() as u64, replicas_at = revision::number(replicas_at), store_era = revision::era(replicas_at), peer_bytes; "levels");
@@ -216,20 +224,20 @@
         }
     }
 
-    /// Tells what was sent to other nodes since the start, as messages and bytes of each kind.
+    /// Logs the messages and bytes of each kind that were sent to other nodes since the start.
     fn log_peer_traffic(&self) {
         let traffic = &self.shared.metrics.peer_traffic;
         let of = |kind| traffic.of(kind);
-        info!(event = "peer_traffic", membership:% = of(MessageKind::Membership), placing:% = of(MessageKind::Placing), inventory:% = of(MessageKind::Inventory), replicas:% = of(MessageKind::Replicas), pulse:% = of(MessageKind::Pulse), config:% = of(MessageKind::Config), halls:% = of(MessageKind::Halls), suspects:% = of(MessageKind::Suspects), limits:% = of(MessageKind::Limits), upgrades:% = of(MessageKind::Upgrades), config_handed_out:% = of(MessageKind::ConfigHandedOut), replicas_handed_out:% = of(MessageKind::ReplicasHandedOut); "sent to other nodes so far");
+        info!(event = "peer_traffic", membership:% = of(MessageKind::Membership), placing:% = of(MessageKind::Placing), inventory:% = of(MessageKind::Inventory), replicas:% = of(MessageKind::Replicas), pulse:% = of(MessageKind::Pulse), config:% = of(MessageKind::Config), halls:% = of(MessageKind::Halls), suspects:% = of(MessageKind::Suspects), limits:% = of(MessageKind::Limits), upgrades:% = of(MessageKind::Upgrades), config_handed_out:% = of(MessageKind::ConfigServed), replicas_handed_out:% = of(MessageKind::ReplicasServed); "sent to other nodes so far");
     }
 
-    /// Tells the calls to the store so far, if there are more.
+    /// Logs the calls to the store so far if there were new ones.
     fn log_store_calls(&mut self) {
         let calls = self.shared.metrics.store_calls_so_far();
-        if calls == self.told_calls {
+        if calls == self.logged_calls {
             return;
         }
-        self.told_calls = calls;
+        self.logged_calls = calls;
         let of = |purpose| calls.of(purpose);
         info!(event = "store_calls", start = of(StoreCall::Start), read = of(StoreCall::Read), list = of(StoreCall::List), watch = of(StoreCall::Watch), pulse = of(StoreCall::Pulse), write = of(StoreCall::Write); "calls to the store so far");
     }
@@ -237,7 +245,7 @@
     fn on_datagram(&mut self, datagram: Datagram) {
         let now = self.shared.now();
         let from = datagram.from;
-        let mut gone = self.fleet.heard_from(from, now);
+        let mut gone = self.fleet.on_message_from(from, now);
         self.watchers.on_contact(now);
         let how = match datagram.message {
             PeerMessage::NewConfig => VersionNotice::Announced,
@@ -245,10 +253,10 @@
         };
         self.configs.compare(&self.fleet, from, datagram.config, how);
         self.replicas.compare(&self.placing, &self.fleet, from, datagram.replicas_at);
-        self.halls.on_told(&mut self.placing, &self.fleet, datagram.closed_halls);
-        self.upgrades.on_told(&mut self.placing, &self.fleet, datagram.upgrades);
+        self.halls.on_announced(&mut self.placing, &self.fleet, datagram.closed_halls);
+        self.upgrades.on_announced(&mut self.placing, &self.fleet, datagram.upgrades);
         self.crashes.compare(&self.fleet, from, datagram.crash_digest);
-        self.limits.compare(&self.placing.knowledge, &self.fleet, from, datagram.limits_digest);
+        self.limits.compare(&self.placing.state, &self.fleet, from, datagram.limits_digest);
         match datagram.message {
             PeerMessage::Probe(id, gossip) => {
                 self.on_gossip(from, &gossip, now);
@@ -256,7 +264,7 @@
             }
             PeerMessage::ProbeAnswer(id, gossip) => {
                 self.watchers.on_node_count(gossip.nodes as usize);
-                self.shared.note_fleet_size(gossip.nodes as usize);
+                self.shared.observe_fleet_size(gossip.nodes as usize);
                 gone.extend(self.fleet.on_answer(from, id, gossip, now));
             }
             PeerMessage::ProbeFor(id, target) => self.fleet.on_probe_for(from, id, target, now),
@@ -264,20 +272,24 @@
             PeerMessage::Placed(run, record) => self.placing.on_placed(run, record),
             PeerMessage::Waits(run) => self.placing.on_waits(run),
             PeerMessage::FirstEvent(run) => self.placing.on_first_event(from, run),
-            PeerMessage::Ended(run) => self.placing.on_other_ended(from, run),
+            PeerMessage::Ended(run) => self.placing.on_remote_ended(from, run),
             PeerMessage::EngineFailed(engine) => self.placing.on_engine_failed(&engine),
             PeerMessage::Copied(run) => self.placing.on_copied(from, run),
             PeerMessage::MoveAway(run, engine) => self.placing.on_move_away(run, engine),
             PeerMessage::Inventory(inventory) => self.placing.on_inventory(from, inventory),
-            PeerMessage::Replicas(news) => self.replicas.on_news(&mut self.placing, &self.fleet, from, news),
+            PeerMessage::Replicas(update) => {
+                self.replicas.on_peer_update(&mut self.placing, &self.fleet, from, update)
+            }
             PeerMessage::Pulse(pulse) => self.on_pulse(pulse),
-            PeerMessage::Suspects(told) => self.crashes.on_told(&self.fleet, told),
-            PeerMessage::Limits(told) => self.limits.on_told(&mut self.placing.knowledge, &self.fleet, told),
-            PeerMessage::AskGrant(ask) => {
-                self.limits.on_told(&mut self.placing.knowledge, &self.fleet, vec![ask.limit.clone()]);
-                self.placing.on_ask_grant(&self.fleet, from, ask)
+            PeerMessage::Suspects(announced) => self.crashes.on_announced(&self.fleet, announced),
+            PeerMessage::Limits(announced) => {
+                self.limits.on_announced(&mut self.placing.state, &self.fleet, announced)
+            }
+            PeerMessage::AskGrant(request) => {
+                self.limits.on_announced(&mut self.placing.state, &self.fleet, vec![request.limit.clone()]);
+                self.placing.on_grant_request(&self.fleet, from, request)
             }
-            PeerMessage::Granted(question, grant) => self.placing.on_granted(&self.fleet, question, grant),
+            PeerMessage::Granted(id, grant) => self.placing.on_granted(&self.fleet, id, grant),
             PeerMessage::AnswerCounts(report) => self.upgrades.on_report(&self.fleet, node_id(from), report),
             PeerMessage::CountsTaken(report) => {
                 self.upgrades.on_acknowledged(&mut self.placing, &self.fleet, &node_id(from), &report)
@@ -302,14 +314,15 @@
     fn on_own_pulse(&mut self, number: PulseNumber, store: StoreState) {
         let now = self.shared.now();
         self.watchers.on_own_pulse(store, now);
-        self.look_out(now);
+        self.update_health_polls(now);
         let settings = &self.shared.settings;
         let (watcher, has_wide_link) = (settings.peer, settings.has_wide_link());
-        self.fleet.tell(&PeerMessage::Pulse(Pulse { watcher, has_wide_link, number, store }));
+        self.fleet.notify(&PeerMessage::Pulse(Pulse { watcher, has_wide_link, number, store }));
     }
 
-    /// A node probes this one. One that hears of no watcher, as it has just started or was cut off, is
-    /// told who follows the store, which it would else hear some tenths of a second later.
+    /// Handles a probe from another node. A sender that receives no pulses from watchers, because it has
+    /// just started or was partitioned, is sent the current ones; it would otherwise receive them some
+    /// tenths of a second later.
     fn on_gossip(&mut self, from: SocketAddr, gossip: &Gossip, now: Timestamp) {
         self.watchers.on_node_count(gossip.nodes as usize);
         if gossip.hears_watchers {
@@ -330,8 +343,8 @@
             self.fleet.on_wide_link(&watcher);
         }
         if self.watchers.on_pulse(&watcher, pulse.number, pulse.store, now) {
-            self.look_out(now);
-            self.fleet.pass_on(&PeerMessage::Pulse(pulse));
+            self.update_health_polls(now);
+            self.fleet.forward(&PeerMessage::Pulse(pulse));
         }
     }
 
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -1,5 +1,5 @@
-//! Takes in under which requests replicas ended: from this node's own runs, other nodes and the store. What
-//! is new is told to other nodes and, where it must last, to the store.
+//! Receives reports of requests under which replicas ended, from this node's own runs, from other nodes and
+//! from the store. New reports are sent to other nodes and, where they must be kept, written to the store.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 
 use leadstage_lib::gateway::crash_ledger::CrashLedger;
 use leadstage_lib::gateway::crash_ledger::CrashTable;
-use leadstage_lib::gateway::crash_ledger::Standing;
 use leadstage_lib::gateway::crash_ledger::Suspect;
-use leadstage_lib::gateway::digest::TellingAll;
+use leadstage_lib::gateway::crash_ledger::SuspectStatus;
+use leadstage_lib::gateway::digest::FullSyncLimiter;
 use leadstage_lib::gateway::fingerprint::Fingerprint;
+use leadstage_lib::gateway::pending_ends::CheckResult;
 use leadstage_lib::gateway::pending_ends::PendingEnds;
-use leadstage_lib::gateway::pending_ends::Shown;
 use leadstage_lib::gateway::rebroadcast::Rebroadcast;
 use leadstage_lib::gateway::replica::LeavingSign;
 use leadstage_lib::gateway::replica_record::Incarnation;
@@ -30,7 +30,7 @@
 use crate::gateway::control::placing::Placing;
 use crate::gateway::control::suspect_store;
 use crate::gateway::messages::BrokenRun;
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::StoredSuspect;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::fleet::Fleet;
@@ -38,28 +38,28 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// Time for a replica to answer that is asked after a run broke there.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
-/// News that a replica leaves may come so much later than its end: through another node, or after a break
-/// in following the store. A replica that ends without a plan is taken off the list only after three
-/// missed heartbeats, some 3 s later.
-const PLANS_COME_WITHIN: Duration = Duration::from_secs(1);
-/// Time between two looks for ends that no longer count.
+/// Time limit for the health check of a replica at which a run broke.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
+/// How much later than a replica's end the notice that it leaves may arrive: through another node, or after
+/// an interruption in following the store. A replica that ends unplanned is removed from the list only
+/// after three missed heartbeats, about 3 s later.
+const MAX_LEAVING_NOTICE_DELAY: Duration = Duration::from_secs(1);
+/// Time between two passes that forget ends that no longer count.
 const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The way of such news into this node, and on to others.
+/// Receives reports of requests under which replicas ended, and announces them to other nodes.
 pub struct CrashIntake {
     shared: Arc<Shared>,
     ledger: CrashLedger,
     pending: PendingEnds,
     stored: StoredSuspects,
     rebroadcast: Rebroadcast<Fingerprint>,
-    telling_all: TellingAll,
-    forgot: Timestamp,
+    full_sync_limiter: FullSyncLimiter,
+    last_forget: Timestamp,
 }
 
 impl CrashIntake {
-    /// Nothing has come yet.
+    /// Creates the state of a node that has received no report.
     pub fn new(shared: Arc<Shared>) -> Self {
         CrashIntake {
             shared,
@@ -67,197 +67,205 @@
             pending: PendingEnds::default(),
             stored: StoredSuspects::default(),
             rebroadcast: Rebroadcast::default(),
-            telling_all: TellingAll::default(),
-            forgot: Timestamp::ZERO,
+            full_sync_limiter: FullSyncLimiter::default(),
+            last_forget: Timestamp::ZERO,
         }
     }
 
     /// A run of this node broke at its replica.
     pub fn on_break(&mut self, placing: &Placing, run: BrokenRun) {
-        let replica = placing.knowledge.replicas.get(&run.replica.id);
-        // It was to end, whatever it ran.
+        let replica = placing.state.replicas.get(&run.replica.id);
+        // A leaving replica ends by plan, whatever it runs.
         if replica.is_some_and(|replica| replica.leaving.is_some()) {
             return;
         }
         self.pending.on_break(run.replica, run.fingerprint, self.shared.now());
-        self.ask(placing);
+        self.check_pending(placing);
     }
 
-    /// Asks replicas at which runs broke, tells news again and writes what is due.
-    pub fn tick(&mut self, placing: &Placing, fleet: &Fleet, follows: bool) {
-        self.look_at_list(placing, fleet);
-        self.ask(placing);
+    /// Checks replicas at which runs broke, announces recent changes again and starts the writes that are
+    /// due.
+    pub fn tick(&mut self, placing: &Placing, fleet: &Fleet, is_watcher: bool) {
+        self.check_list(placing, fleet);
+        self.check_pending(placing);
         let now = self.shared.now();
-        if now >= self.forgot + FORGET_INTERVAL {
-            self.forgot = now;
+        if now >= self.last_forget + FORGET_INTERVAL {
+            self.last_forget = now;
             if self.ledger.forget(unix_millis()) {
                 self.publish();
             }
         }
-        self.tell_again(fleet);
-        let role = StoreRole { follows, is_alone: fleet.nodes() == 1 };
-        for write in self.stored.writes(&self.ledger, role, now, unix_millis()) {
+        self.rebroadcast_due(fleet);
+        let role = StoreRole { is_watcher, is_alone: fleet.nodes() == 1 };
+        for write in self.stored.due_writes(&self.ledger, role, now, unix_millis()) {
             tokio::task::spawn_local(suspect_store::write(self.shared.clone(), write));
         }
     }
 
-    fn tell_again(&mut self, fleet: &Fleet) {
-        let told: Vec<Suspect> = self
+    fn rebroadcast_due(&mut self, fleet: &Fleet) {
+        let announced: Vec<Suspect> = self
             .rebroadcast
             .take_due(self.shared.now())
             .iter()
-            .filter_map(|of| self.ledger.get(of))
+            .filter_map(|fingerprint| self.ledger.get(fingerprint))
             .collect();
-        if !told.is_empty() {
-            fleet.pass_on(&PeerMessage::Suspects(told));
+        if !announced.is_empty() {
+            fleet.forward(&PeerMessage::Suspects(announced));
         }
     }
 
-    fn ask(&mut self, placing: &Placing) {
-        for of in self.pending.asks(self.shared.now()) {
-            match placing.knowledge.asked_for_health(&of.id) {
+    fn check_pending(&mut self, placing: &Placing) {
+        for incarnation in self.pending.due_checks(self.shared.now()) {
+            match placing.state.health_check_target(&incarnation.id) {
                 Some((replica, path)) => {
-                    tokio::task::spawn_local(ask(self.shared.clone(), replica, path));
+                    tokio::task::spawn_local(check_health(self.shared.clone(), replica, path));
                 }
                 None => {
-                    info!(event = "break_unexplained", upstream = &*of.id; "a replica at which a run broke is not known")
+                    info!(event = "break_unexplained", upstream = &*incarnation.id; "the replica at which a run broke is unknown")
                 }
             }
         }
     }
 
-    /// A replica answered after a run broke there, or did not.
-    pub fn on_asked(&mut self, placing: &Placing, fleet: &Fleet, of: &Incarnation, shown: Shown) {
-        self.look_at_list(placing, fleet);
-        info!(event = "asked_after_break", upstream = &*of.id, shown:? = shown; "a replica was asked as a run broke there");
-        let ended_under = self.pending.on_shown(of, shown);
-        self.on_ended(fleet, of, ended_under);
+    /// The health check of a replica at which a run broke ended.
+    pub fn on_checked_after_break(
+        &mut self,
+        placing: &Placing,
+        fleet: &Fleet,
+        incarnation: &Incarnation,
+        result: CheckResult,
+    ) {
+        self.check_list(placing, fleet);
+        info!(event = "asked_after_break", upstream = &*incarnation.id, shown:? = result; "checked the health of a replica at which a run broke");
+        let fingerprints = self.pending.on_check_result(incarnation, result);
+        self.on_ended(fleet, incarnation, fingerprints);
     }
 
-    /// The list of replicas tells of some that they ended.
-    fn look_at_list(&mut self, placing: &Placing, fleet: &Fleet) {
+    /// Checks in the list of replicas whether those at which runs broke have ended.
+    fn check_list(&mut self, placing: &Placing, fleet: &Fleet) {
         let pending: Vec<(Incarnation, Timestamp)> =
             self.pending.replicas().map(|(replica, since)| (replica.clone(), since)).collect();
-        for (of, since) in pending {
-            let Some(replica) = placing.knowledge.replicas.get(&of.id) else {
+        for (incarnation, since) in pending {
+            let Some(replica) = placing.state.replicas.get(&incarnation.id) else {
                 continue;
             };
-            let is_later_start = replica.record.born > of.born && of.born > 0;
-            let is_planned = replica.leaving_since < since + PLANS_COME_WITHIN;
+            let has_restarted = replica.record.born > incarnation.born && incarnation.born > 0;
+            let is_planned = replica.leaving_since < since + MAX_LEAVING_NOTICE_DELAY;
             match replica.leaving {
-                _ if is_later_start => self.on_gone(fleet, &of),
-                Some(LeavingSign::Listed | LeavingSign::Announced) => self.pending.on_lives(&of),
-                Some(_) if is_planned => self.pending.on_lives(&of),
+                _ if has_restarted => self.on_gone(fleet, &incarnation),
+                Some(LeavingSign::Listed | LeavingSign::Announced) => self.pending.on_alive(&incarnation),
+                Some(_) if is_planned => self.pending.on_alive(&incarnation),
                 Some(LeavingSign::Unlisted | LeavingSign::Expired | LeavingSign::Replaced) => {
-                    self.on_gone(fleet, &of)
+                    self.on_gone(fleet, &incarnation)
                 }
                 Some(LeavingSign::ReportedByPeer | LeavingSign::Unhealthy) | None => {}
             }
         }
     }
 
-    fn on_gone(&mut self, fleet: &Fleet, of: &Incarnation) {
-        let ended_under = self.pending.on_gone(of);
-        self.on_ended(fleet, of, ended_under);
+    fn on_gone(&mut self, fleet: &Fleet, incarnation: &Incarnation) {
+        let fingerprints = self.pending.on_gone(incarnation);
+        self.on_ended(fleet, incarnation, fingerprints);
     }
 
-    fn on_ended(&mut self, fleet: &Fleet, of: &Incarnation, ended_under: BTreeSet<Fingerprint>) {
-        let mut news = Vec::new();
-        for fingerprint in ended_under {
+    fn on_ended(&mut self, fleet: &Fleet, incarnation: &Incarnation, fingerprints: BTreeSet<Fingerprint>) {
+        let mut updated = Vec::new();
+        for fingerprint in fingerprints {
             self.stored.on_own_end(fingerprint);
-            news.extend(self.ledger.on_end(fingerprint, of.clone(), unix_millis()));
+            updated.extend(self.ledger.on_end(fingerprint, incarnation.clone(), unix_millis()));
         }
-        self.tell_news(fleet, news);
+        self.announce(fleet, updated);
     }
 
-    /// Publishes what is news here, and tells other nodes.
-    fn tell_news(&mut self, fleet: &Fleet, news: Vec<Suspect>) {
-        if !news.is_empty() {
-            self.on_change(&news);
-            fleet.tell(&PeerMessage::Suspects(news));
+    /// Publishes changes on this node and sends them to other nodes.
+    fn announce(&mut self, fleet: &Fleet, updated: Vec<Suspect>) {
+        if !updated.is_empty() {
+            self.on_change(&updated);
+            fleet.notify(&PeerMessage::Suspects(updated));
         }
     }
 
-    /// A request that something speaks against ended well.
-    pub fn on_ran_well(&mut self, fleet: &Fleet, fingerprint: Fingerprint) {
+    /// A run of a suspected request succeeded.
+    pub fn on_run_succeeded(&mut self, fleet: &Fleet, fingerprint: Fingerprint) {
         self.clear(fleet, fingerprint, "it ended well");
     }
 
-    fn clear(&mut self, fleet: &Fleet, fingerprint: Fingerprint, why: &str) {
-        let news = self.ledger.clear(fingerprint);
-        if !news.is_empty() {
-            warn!(event = "request_cleared", fingerprint:% = fingerprint, reason = why; "nothing speaks against a request any more");
+    fn clear(&mut self, fleet: &Fleet, fingerprint: Fingerprint, reason: &str) {
+        let updated = self.ledger.clear(fingerprint);
+        if !updated.is_empty() {
+            warn!(event = "request_cleared", fingerprint:% = fingerprint, reason = reason; "a request is no longer suspected");
         }
-        self.tell_news(fleet, news);
+        self.announce(fleet, updated);
     }
 
-    /// Another node told what it knows.
-    pub fn on_told(&mut self, fleet: &Fleet, told: Vec<Suspect>) {
-        let news = self.ledger.take(told, unix_millis());
-        if !news.is_empty() {
-            self.on_change(&news);
-            fleet.pass_on(&PeerMessage::Suspects(news));
+    /// Another node announced suspects.
+    pub fn on_announced(&mut self, fleet: &Fleet, announced: Vec<Suspect>) {
+        let updated = self.ledger.merge(announced, unix_millis());
+        if !updated.is_empty() {
+            self.on_change(&updated);
+            fleet.forward(&PeerMessage::Suspects(updated));
         }
     }
 
-    /// Another node knows something else if its digest is another one: it is told all that is known here,
-    /// and does the same.
+    /// Compares the digest of another node. If it differs, that node knows other suspects: this node sends
+    /// it all that have to be known everywhere, and the other node does the same.
     pub fn compare(&mut self, fleet: &Fleet, from: SocketAddr, digest: u64) {
-        if self.telling_all.is_due(self.shared.crash_digest(), digest, self.shared.now()) {
-            fleet.send(from, &PeerMessage::Suspects(self.ledger.agreed()));
+        if self.full_sync_limiter.is_due(self.shared.crash_digest(), digest, self.shared.now()) {
+            fleet.send(from, &PeerMessage::Suspects(self.ledger.suspects_to_sync()));
         }
     }
 
-    /// The store told what it holds.
-    pub fn on_store_news(&mut self, fleet: &Fleet, news: News<Suspect>) {
+    /// The store reported its suspects.
+    pub fn on_store_update(&mut self, fleet: &Fleet, update: StoreUpdate<Suspect>) {
         let mut removed = Vec::new();
-        let mut told = Vec::new();
-        match news {
-            News::Listed { list, .. } => {
+        let mut announced = Vec::new();
+        match update {
+            StoreUpdate::Listed { list, .. } => {
                 removed = self.stored.on_listed(&list.items, list.at);
-                told = list.items;
+                announced = list.items;
             }
-            News::Changed(changes) => {
+            StoreUpdate::Changed(changes) => {
                 for event in changes.events {
                     match event {
                         Change::Put(suspect) => {
-                            self.stored.on_kept(&suspect, changes.at);
-                            told.push(suspect);
+                            self.stored.on_put(&suspect, changes.at);
+                            announced.push(suspect);
                         }
                         Change::Gone(name) => removed.extend(
-                            Fingerprint::parse(&name).filter(|of| self.stored.on_removed(of, changes.at)),
+                            Fingerprint::parse(&name)
+                                .filter(|fingerprint| self.stored.on_removed(fingerprint, changes.at)),
                         ),
                         Change::Unreadable(_) => {}
                     }
                 }
             }
         }
-        let news = self.ledger.take(told, unix_millis());
-        self.tell_news(fleet, news);
+        let updated = self.ledger.merge(announced, unix_millis());
+        self.announce(fleet, updated);
         for fingerprint in removed {
             self.clear(fleet, fingerprint, "its object was removed");
         }
     }
 
     /// A write to the store ended.
-    pub fn on_stored(&mut self, fleet: &Fleet, of: Fingerprint, stored: Option<StoredSuspect>) {
-        self.stored.on_write_ended(of, stored.is_some(), self.shared.now());
+    pub fn on_stored(&mut self, fleet: &Fleet, fingerprint: Fingerprint, stored: Option<StoredSuspect>) {
+        self.stored.on_write_ended(fingerprint, stored.is_some(), self.shared.now());
         match stored {
             Some(StoredSuspect::Kept(suspect, at)) => {
-                self.stored.on_kept(&suspect, at);
-                self.on_told(fleet, vec![suspect]);
+                self.stored.on_put(&suspect, at);
+                self.on_announced(fleet, vec![suspect]);
             }
-            Some(StoredSuspect::Removed) => drop(self.stored.on_removed(&of, u64::MAX)),
+            Some(StoredSuspect::Removed) => drop(self.stored.on_removed(&fingerprint, u64::MAX)),
             None => {}
         }
     }
 
-    fn on_change(&mut self, news: &[Suspect]) {
+    fn on_change(&mut self, updated: &[Suspect]) {
         let before = self.shared.crashes();
         self.publish();
         let after = self.shared.crashes();
-        for suspect in news {
-            if self.ledger.is_agreed_on(&suspect.fingerprint) {
+        for suspect in updated {
+            if self.ledger.needs_sync(&suspect.fingerprint) {
                 self.rebroadcast.on_update(suspect.fingerprint);
             }
             log_change(suspect.fingerprint, &before, &after);
@@ -269,16 +277,17 @@
     }
 }
 
-/// One line for a suspicion and for the beginning and the end of a quarantine.
+/// Logs a new suspicion, and the beginning and the end of a quarantine.
 fn log_change(fingerprint: Fingerprint, before: &CrashTable, after: &CrashTable) {
-    let is_quarantined = |table: &CrashTable| table.get(&fingerprint).is_some_and(Standing::is_quarantined);
+    let is_quarantined =
+        |table: &CrashTable| table.get(&fingerprint).is_some_and(SuspectStatus::is_quarantined);
     let ends = after.get(&fingerprint).map_or(0, |standing| standing.ends);
     match (is_quarantined(before), is_quarantined(after)) {
         (false, true) => {
-            warn!(event = "request_quarantined", fingerprint:% = fingerprint, ends; "replicas end under a request: it is sent to none")
+            warn!(event = "request_quarantined", fingerprint:% = fingerprint, ends; "several replicas ended under a request; it is quarantined")
         }
         (true, false) => {
-            warn!(event = "quarantine_ended", fingerprint:% = fingerprint, ends; "a request may be sent again")
+            warn!(event = "quarantine_ended", fingerprint:% = fingerprint, ends; "a request is no longer quarantined")
         }
         _ if ends > 0 => {
             info!(event = "request_suspected", fingerprint:% = fingerprint, ends; "a replica ended under a request")
@@ -287,12 +296,12 @@
     }
 }
 
-async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
-    let shown = match health::ask(&replica, &path, ASK_LIMIT).await {
-        Health::Well { .. } | Health::Unwell | Health::Leaving => Shown::Lives,
-        Health::Other => Shown::Replaced,
-        Health::Closed => Shown::PortClosed,
-        Health::Silent => Shown::Silent,
+async fn check_health(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
+    let result = match health::ask(&replica, &path, HEALTH_CHECK_TIMEOUT).await {
+        Health::Well { .. } | Health::Unwell | Health::Leaving => CheckResult::Lives,
+        Health::Other => CheckResult::Replaced,
+        Health::Closed => CheckResult::PortClosed,
+        Health::Silent => CheckResult::Silent,
     };
-    shared.tell(ToControl::AskedAfterBreak(replica.incarnation(), shown));
+    shared.notify(ToControl::CheckedAfterBreak(replica.incarnation(), result));
 }
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -1,4 +1,4 @@
-//! Follows a kind of objects in the platform's store: lists it, then waits for changes.
+//! Follows one kind of objects in the platform's store: lists it, then watches for changes.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -18,88 +18,96 @@
 use log::info;
 use log::warn;
 
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::shared::Shared;
 
-/// Pause after the first failed call. Calls are priced, refused ones too.
-const LEAST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
-/// Fields without a decision that the log tells of a kind at most.
-const MOST_NOTED: usize = 32;
-/// The first watch after a failed call waits so long: its answer shows that the store is back.
-const FIRST_AFTER_FAILURE: Duration = Duration::from_millis(1);
+/// Delay after the first failed call. Calls are billed, refused ones too.
+const MIN_BACKOFF: Duration = Duration::from_millis(150);
+/// Limit on the delay after failed calls.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
+/// Limit on the undecided fields that are logged per kind.
+const MAX_LOGGED_FIELDS: usize = 32;
+/// Timeout of the first watch after a failed call: its prompt answer shows that the store is back.
+const RECONNECT_WATCH_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// How this node follows the store; it changes while it does.
+/// The role in which this node follows the store; it may change meanwhile.
 pub type Role = Rc<Cell<WatchRole>>;
 
-/// How often a follower asks the store.
-pub struct Pace {
+/// Options that determine how often a follower calls the store.
+pub struct FollowOptions {
     /// The node's role.
     pub role: Role,
-    /// Whether changes are gathered, as long as the role says, before the next question.
-    pub gathers: bool,
-    /// Whether something else tells of changes too, should a watch's connection fall silent: then each
-    /// watch waits as long as a standby's.
-    pub is_backed: bool,
+    /// Whether changes are batched before the next watch, for the time that the role sets.
+    pub is_batching: bool,
+    /// Whether changes also arrive in another way if a watch's connection goes silent. Each watch then
+    /// waits as long as a standby's.
+    pub has_other_source: bool,
 }
 
-impl Pace {
+impl FollowOptions {
     /// How long one watch waits at the store.
     fn watch_timeout(&self) -> Duration {
-        let role = if self.is_backed { WatchRole::Standby } else { self.role.get() };
+        let role = if self.has_other_source { WatchRole::Standby } else { self.role.get() };
         role.watch_timeout()
     }
 
-    /// Pause between a change and the next watch.
+    /// Delay between a change and the next watch.
     fn batch_delay(&self) -> Duration {
-        if self.gathers { self.role.get().batch_delay() } else { Duration::ZERO }
+        if self.is_batching { self.role.get().batch_delay() } else { Duration::ZERO }
     }
 }
 
-/// Reads a kind once; returns whether the store answered. For a starting node what may be some
-/// seconds old is enough, as other nodes tell what is newer, and costs a tenth.
-pub async fn read_once<K: Kind>(shared: Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl, age: Age) -> bool {
+/// Lists a kind once; returns whether the store answered. A starting node can use a list that is some
+/// seconds old, which costs a tenth: other nodes send it what is newer.
+pub async fn read_once<K: Kind>(
+    shared: Arc<Shared>,
+    wrap: fn(StoreUpdate<K::Item>) -> ToControl,
+    age: Age,
+) -> bool {
     let mut store = Store::new(shared.settings.store);
     let purpose = match age {
         Age::SomeSeconds => StoreCall::Start,
         Age::Newest => StoreCall::Read,
     };
-    match store.list::<K>(age, note_unreadable::<K>).await {
+    match store.list::<K>(age, log_unreadable::<K>).await {
         Ok(list) => {
             shared.metrics.on_store_call(purpose, true);
-            shared.tell(wrap(News::Listed { list, after_outage: true }));
+            shared.notify(wrap(StoreUpdate::Listed { list, after_outage: true }));
             true
         }
         Err(err) => {
             shared.metrics.on_store_call(purpose, false);
-            info!(event = "store_lost", kind = K::NAME, reason:% = err; "the store does not answer a node that reads once");
+            info!(event = "store_lost", kind = K::NAME, reason:% = err; "the store did not answer a single read");
             false
         }
     }
 }
 
-/// Follows the kind `K` until the process ends, and tells the control loop what it learns.
-pub async fn follow<K: Kind>(shared: Arc<Shared>, wrap: fn(News<K::Item>) -> ToControl, pace: Pace) {
+/// Follows the kind `K` until the process ends, and sends updates to the control loop.
+pub async fn follow<K: Kind>(
+    shared: Arc<Shared>,
+    wrap: fn(StoreUpdate<K::Item>) -> ToControl,
+    options: FollowOptions,
+) {
     let store = Store::new(shared.settings.store);
-    let backoff = Backoff::new(LEAST_PAUSE, LONGEST_PAUSE);
+    let backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     let mut follower = Follower::<K> {
         store,
         shared,
         wrap,
-        pace,
+        options,
         age: K::FIRST_AGE,
-        at: None,
-        is_new: true,
+        watch_from: None,
+        is_unwatched: true,
         era: None,
-        lost: false,
+        is_lost: false,
         backoff,
-        noted: BTreeSet::new(),
+        logged_fields: BTreeSet::new(),
     };
     loop {
-        if let Err(err) = follower.ask().await {
+        if let Err(err) = follower.poll().await {
             follower.on_error(err).await;
         }
     }
@@ -108,80 +116,81 @@
 struct Follower<K: Kind> {
     store: Store,
     shared: Arc<Shared>,
-    wrap: fn(News<K::Item>) -> ToControl,
-    pace: Pace,
-    /// How old the next list may be.
+    wrap: fn(StoreUpdate<K::Item>) -> ToControl,
+    options: FollowOptions,
+    /// The maximum age of the next list.
     age: Age,
-    /// The revision to watch from; without one the kind is listed.
-    at: Option<Revision>,
-    /// The revision to watch from has not been watched from yet.
-    is_new: bool,
-    /// The era of the last answer.
+    /// The revision to watch from; if `None`, the kind is listed.
+    watch_from: Option<Revision>,
+    /// No watch has succeeded since the last list.
+    is_unwatched: bool,
+    /// The era of the store at its last answer.
     era: Option<Era>,
-    /// The last call had no answer.
-    lost: bool,
+    /// The store did not answer the last call.
+    is_lost: bool,
     backoff: Backoff,
-    /// Fields that nobody has decided on, as far as the log has told them.
-    noted: BTreeSet<String>,
+    /// Undecided fields that have been logged.
+    logged_fields: BTreeSet<String>,
 }
 
 impl<K: Kind> Follower<K> {
-    async fn ask(&mut self) -> Result<(), StoreError> {
-        match self.at {
+    async fn poll(&mut self) -> Result<(), StoreError> {
+        match self.watch_from {
             Some(at) => self.watch(at).await,
             None => self.list().await,
         }
     }
 
     async fn list(&mut self) -> Result<(), StoreError> {
-        let list = self.store.list::<K>(self.age, note_unreadable::<K>).await;
+        let list = self.store.list::<K>(self.age, log_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::List, list.is_ok());
         let list = list?;
-        self.note_undecided(&list.undecided);
-        // If the history does not reach back to an old list, the next one is to be new.
+        self.log_undecided(&list.undecided);
+        // If the store's history does not reach back to an old list, the next list must be a current one.
         self.age = Age::Newest;
-        self.is_new = true;
+        self.is_unwatched = true;
         let after_outage = self.on_answer(list.at);
-        self.shared.tell((self.wrap)(News::Listed { list, after_outage }));
+        self.shared.notify((self.wrap)(StoreUpdate::Listed { list, after_outage }));
         Ok(())
     }
 
     async fn watch(&mut self, at: Revision) -> Result<(), StoreError> {
-        let wait = if self.lost { FIRST_AFTER_FAILURE } else { self.pace.watch_timeout() };
-        let changes = self.store.watch::<K>(at, wait, note_unreadable::<K>).await;
+        let timeout = if self.is_lost { RECONNECT_WATCH_TIMEOUT } else { self.options.watch_timeout() };
+        let changes = self.store.watch::<K>(at, timeout, log_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::Watch, changes.is_ok());
         let changes = changes?;
-        self.note_undecided(&changes.undecided);
-        self.is_new = false;
+        self.log_undecided(&changes.undecided);
+        self.is_unwatched = false;
         self.on_answer(changes.at);
-        self.shared.tell((self.wrap)(News::Changed(changes)));
-        let pause = self.pace.batch_delay();
+        self.shared.notify((self.wrap)(StoreUpdate::Changed(changes)));
+        let pause = self.options.batch_delay();
         if !pause.is_zero() {
             tokio::time::sleep(pause).await;
         }
         Ok(())
     }
 
-    /// Logs each field once that nobody has decided on: the platform may ask for something that is not built.
-    fn note_undecided(&mut self, undecided: &BTreeSet<String>) {
+    /// Logs each field that is neither read nor declared as ignored, once: the platform may require
+    /// something that is not implemented.
+    fn log_undecided(&mut self, undecided: &BTreeSet<String>) {
         for field in undecided {
-            if self.noted.len() < MOST_NOTED && self.noted.insert(field.clone()) {
-                warn!(event = "field_undecided", kind = K::NAME, field = field.as_str(); "an object has a field that is not read, and nobody has said why");
+            if self.logged_fields.len() < MAX_LOGGED_FIELDS && self.logged_fields.insert(field.clone()) {
+                warn!(event = "field_undecided", kind = K::NAME, field = field.as_str(); "an object has a field that is neither read nor declared as ignored");
             }
         }
     }
 
-    /// Returns whether calls before had no answer.
+    /// Records an answer of the store; returns whether the previous call had none.
     fn on_answer(&mut self, at: Revision) -> bool {
         let (era, number) = (revision::era(at), revision::number(at));
         let before = self.era.replace(era);
         if before.is_some_and(|before| before != era) {
-            info!(event = "store_era", kind = K::NAME, before:? = before, now = era, revision = number; "the store has come back from a copy");
+            info!(event = "store_era", kind = K::NAME, before:? = before, now = era, revision = number; "the store was restored from a copy");
         }
-        self.at = Some(at);
+        self.watch_from = Some(at);
         self.backoff.reset();
         self.shared.set_store_answers(true);
-        let after_outage = std::mem::take(&mut self.lost);
+        let after_outage = std::mem::take(&mut self.is_lost);
         if after_outage {
             info!(event = "store_regained", kind = K::NAME, revision = number; "the store answers again");
         }
@@ -191,33 +200,34 @@
     async fn on_error(&mut self, err: StoreError) {
         match err {
             StoreError::HistoryGone => {
-                self.at = None;
-                info!(event = "store_history_gone", kind = K::NAME; "the store's history is gone: lists anew");
-                if self.is_new {
-                    // A store that keeps no history at all must not be listed without end.
-                    tokio::time::sleep(LONGEST_PAUSE).await;
+                self.watch_from = None;
+                info!(event = "store_history_gone", kind = K::NAME; "the store no longer has the history since the last revision; listing again");
+                if self.is_unwatched {
+                    // A store that keeps no history at all must not be listed in a tight loop.
+                    tokio::time::sleep(MAX_BACKOFF).await;
                 }
             }
             StoreError::OtherEra => {
-                self.at = None;
-                info!(event = "store_era_ended", kind = K::NAME; "the store came back from a copy: lists anew");
+                self.watch_from = None;
+                info!(event = "store_era_ended", kind = K::NAME; "the store was restored from a copy; listing again");
             }
             StoreError::TooManyChanges(most) => {
-                self.at = None;
-                info!(event = "store_changes_skipped", kind = K::NAME, most; "much has changed: lists anew");
+                self.watch_from = None;
+                info!(event = "store_changes_skipped", kind = K::NAME, most; "too many changes for a watch; listing again");
             }
             err => self.on_failure(err).await,
         }
     }
 
     async fn on_failure(&mut self, err: StoreError) {
-        // What does not lapse in an outage is watched on from where it was: the configuration is up to
-        // 1 MB, 0.84 s of a link of 10 Mbit/s, and each list is priced.
+        // Objects that do not expire during an outage are watched from the last revision instead of being
+        // listed again: the configuration has up to 1 MB, which takes 0.84 s at 10 Mbit/s, and each list is
+        // billed.
         if K::LAPSES {
-            self.at = None;
+            self.watch_from = None;
         }
         self.shared.set_store_answers(false);
-        if !std::mem::replace(&mut self.lost, true) {
+        if !std::mem::replace(&mut self.is_lost, true) {
             warn!(event = "store_lost", kind = K::NAME, reason:% = err; "the store does not answer");
         }
         let pause = self.backoff.next(&mut rand::rng());
@@ -225,7 +235,7 @@
     }
 }
 
-/// Logs that an object can't be read.
-pub fn note_unreadable<K: Kind>(name: &str, err: &serde_json::Error) {
-    warn!(event = "object_unreadable", kind = K::NAME, name, reason:% = err; "an object of the store can't be read");
+/// Logs an object that cannot be parsed.
+pub fn log_unreadable<K: Kind>(name: &str, err: &serde_json::Error) {
+    warn!(event = "object_unreadable", kind = K::NAME, name, reason:% = err; "cannot parse an object of the store");
 }
--- a/node/src/gateway/control/hall_intake.rs
+++ b/node/src/gateway/control/hall_intake.rs
@@ -1,8 +1,8 @@
-//! Takes in which halls are closed, from the store or from other nodes, and tells others.
+//! Receives updates of the closed halls from the store or from other nodes, and distributes them.
 //!
-//! Each message between nodes tells all closed halls, so that whoever hears of any node knows them. What
-//! is new is told at once beside that, and a few times again: the store gives five seconds, and a request that was
-//! placed just before is on its way for a part of them.
+//! Every message between nodes contains the list of closed halls, so a node that receives a message from
+//! any other node knows them. An update is in addition broadcast at once, and repeated a few times: the
+//! store allows five seconds, part of which a request that was placed just before spends in transit.
 
 use std::sync::Arc;
 
@@ -17,12 +17,12 @@
 use log::warn;
 
 use crate::gateway::control::placing::Placing;
-use crate::gateway::messages::News;
+use crate::gateway::messages::StoreUpdate;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
-/// How a node learnt of it.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug, derive_more::Display)]
 enum Source {
     #[display("store")]
@@ -31,77 +31,82 @@
     Node,
 }
 
-/// The way of closed halls into this node, and on to others.
+/// Receives updates of the closed halls and distributes them to other nodes.
 pub struct HallIntake {
     shared: Arc<Shared>,
-    book: ClosedHallsTracker,
+    closed_halls: ClosedHallsTracker,
     rebroadcast: Rebroadcast<HallId>,
 }
 
 impl HallIntake {
-    /// Nothing has come yet.
+    /// Creates a state without any updates.
     pub fn new(shared: Arc<Shared>) -> Self {
-        HallIntake { shared, book: ClosedHallsTracker::default(), rebroadcast: Rebroadcast::default() }
+        HallIntake {
+            shared,
+            closed_halls: ClosedHallsTracker::default(),
+            rebroadcast: Rebroadcast::default(),
+        }
     }
 
-    /// The store told of the closed halls.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<HallId>) {
-        let told = match news {
-            News::Listed { list: Listed { items, at, .. }, .. } => {
+    /// Handles an update from the store.
+    pub fn on_store_update(&mut self, placing: &mut Placing, fleet: &Fleet, update: StoreUpdate<HallId>) {
+        let announced = match update {
+            StoreUpdate::Listed { list: Listed { items, at, .. }, .. } => {
                 ClosedHalls { at, halls: items.into_iter().collect() }
             }
-            News::Changed(changes) => {
+            StoreUpdate::Changed(changes) => {
                 let halls = changes.events.into_iter().filter_map(|event| match event {
                     Change::Put(hall) => Some(HallChange::Closed(hall)),
                     Change::Gone(name) => {
-                        self.book.on_opened(&name);
+                        self.closed_halls.on_opened(&name);
                         Some(HallChange::Opened(name.into()))
                     }
                     Change::Unreadable(_) => None,
                 });
                 let halls: Vec<HallChange> = halls.collect();
-                self.book.stored().after(halls, changes.at)
+                self.closed_halls.stored().after(halls, changes.at)
             }
         };
-        if self.take(placing, told, Source::Store) {
-            fleet.tell(&PeerMessage::HallsChanged);
+        if self.take(placing, announced, Source::Store) {
+            fleet.notify(&PeerMessage::HallsChanged);
         }
     }
 
-    /// Another node told of them.
-    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: ClosedHalls) {
-        if self.take(placing, told, Source::Node) {
-            fleet.pass_on(&PeerMessage::HallsChanged);
+    /// Handles the list of closed halls in a message from another node.
+    pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, announced: ClosedHalls) {
+        if self.take(placing, announced, Source::Node) {
+            fleet.forward(&PeerMessage::HallsChanged);
         }
     }
 
-    /// Tells news again. Each node that tells them on once may miss a node whose messages get lost: of 2,000 modelled
-    /// series of changes, with a third of the messages lost, 13 left a node without them for 5 s, none since.
+    /// Publishes the current state and rebroadcasts recent updates. If each node forwarded an update only
+    /// once, a node whose messages get lost might not receive it: in 2,000 modelled series of changes with
+    /// a third of the messages lost, 13 left a node without an update for 5 s, and none with rebroadcasts.
     pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet) {
         self.publish(placing, Source::Store);
         if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
-            fleet.pass_on(&PeerMessage::HallsChanged);
+            fleet.forward(&PeerMessage::HallsChanged);
         }
     }
 
-    /// Returns whether it changed anything.
-    fn take(&mut self, placing: &mut Placing, mut told: ClosedHalls, source: Source) -> bool {
-        // Nearly all that nodes tell is known.
-        if told.at <= self.book.stored().at {
+    /// Merges an update. Returns whether it changed the closed halls.
+    fn take(&mut self, placing: &mut Placing, mut announced: ClosedHalls, source: Source) -> bool {
+        // Almost all lists from other nodes are already known.
+        if announced.at <= self.closed_halls.stored().at {
             return false;
         }
-        let beyond = told.truncate();
-        if beyond > 0 {
-            warn!(event = "halls_left_out", halls = beyond; "more halls are closed than there can be");
+        let excess = announced.truncate();
+        if excess > 0 {
+            warn!(event = "halls_left_out", halls = excess; "too many halls are closed; ignoring the excess");
         }
-        self.book.take(told, self.shared.now());
+        self.closed_halls.take(announced, self.shared.now());
         self.publish(placing, source)
     }
 
-    /// Publishes the halls that are closed now; returns whether others were before.
+    /// Publishes the halls that are currently closed. Returns whether they changed.
     fn publish(&mut self, placing: &mut Placing, source: Source) -> bool {
         let known = self.shared.closed_halls();
-        let halls = self.book.in_force(self.shared.now());
+        let halls = self.closed_halls.in_force(self.shared.now());
         if *known == halls {
             return false;
         }
@@ -112,16 +117,16 @@
             self.rebroadcast.on_update(hall.clone());
             match change {
                 HallChange::Closed(hall) => {
-                    info!(event = "hall_closed", hall = &**hall, at, by:% = source; "a hall's replicas get nothing new")
+                    info!(event = "hall_closed", hall = &**hall, at, by:% = source; "hall closed: its replicas receive no new requests")
                 }
                 HallChange::Opened(hall) => {
-                    info!(event = "hall_opened", hall = &**hall, at, by:% = source; "a hall's replicas may get requests again");
-                    placing.knowledge.on_hall_opened(hall);
+                    info!(event = "hall_opened", hall = &**hall, at, by:% = source; "hall opened: its replicas may receive requests again");
+                    placing.state.on_hall_opened(hall);
                 }
             }
         }
         if !changes.is_empty() {
-            // Who waits may have to be told, or can go on.
+            // Queued generations may have to be refused, or can be placed.
             placing.settle();
         }
         !changes.is_empty()
--- a/node/src/gateway/control/inventories.rs
+++ b/node/src/gateway/control/inventories.rs
@@ -1,5 +1,5 @@
-//! What a node tells each lead of its own generations: all of them, again and again, so that
-//! a lost message or a new lead needs no special care.
+//! Reports of a node's own generations to their leads. Each report is complete and is repeated
+//! periodically, so that a lost message or a new lead needs no special handling.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -12,72 +12,75 @@
 use leadstage_lib::ids::Timestamp;
 use leadstage_lib::ids::VmId;
 
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::placement_state::PlacementState;
 
-/// Time between two inventories for a lead. Ends are told at once, and in a second a
-/// generation makes some 115 tokens: 3 in 100 of its memory.
-const INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two inventories for a lead. Ends are reported at once, and in a second a generation
+/// produces about 115 tokens, 3 in 100 of its memory.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A lead that was told.
+/// The last inventory for a service.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct LastReport {
     lead: SocketAddr,
     at: Timestamp,
 }
 
-/// Which leads were told of which services, and when.
+/// The lead and the time of the last inventory for each service.
 #[derive(Debug, Default)]
 pub struct Inventories {
-    told: HashMap<ServiceId, Told>,
+    last_reports: HashMap<ServiceId, LastReport>,
 }
 
 impl Inventories {
-    /// The requests of the node `own` that are to be told now, in order of their ids, by the lead
-    /// that is told. A new lead is told at once, and one that was told of generations is told once
-    /// more when there are none.
+    /// Returns the requests of the node `own` that are to be reported now, in order of their ids, by lead.
+    /// A new lead receives a report at once, and a lead that has received generations receives one more
+    /// report when there are none left.
     ///
-    /// A lead is told of all services that it leads at once: told of one alone it would take those
-    /// of the others for ended. Of three services with the same lead and a generation each, two were
-    /// unknown in each of 30 looks at the lead's status within 3 s.
-    pub fn take(
+    /// A report to a lead covers all services that it leads: it would consider the generations of an
+    /// omitted service ended. With three services that had the same lead and a generation each, two
+    /// generations were unknown at the lead in each of 30 checks of its status within 3 s.
+    pub fn take_due(
         &mut self,
-        knowledge: &Knowledge,
+        state: &PlacementState,
         own: &VmId,
         now: Timestamp,
         lead_of: impl Fn(&ServiceId) -> Option<SocketAddr>,
     ) -> HashMap<SocketAddr, Vec<(RunId, Run)>> {
-        let busy: HashSet<ServiceId> = services(knowledge, own).collect();
-        // A lead is picked by a hash over all nodes: once for each service, not each generation.
-        let known = busy.iter().chain(self.told.keys());
+        let busy: HashSet<ServiceId> = services(state, own).collect();
+        // Selecting a lead hashes all nodes, so it is done once for each service rather than for each
+        // generation.
+        let known = busy.iter().chain(self.last_reports.keys());
         let leads: HashMap<ServiceId, SocketAddr> =
             known.filter_map(|service| Some((service.clone(), lead_of(service)?))).collect();
         let due = leads.iter().filter(|(service, lead)| self.is_due(service, **lead, now));
-        let mut told: HashMap<SocketAddr, Vec<(RunId, Run)>> =
+        let mut runs_by_lead: HashMap<SocketAddr, Vec<(RunId, Run)>> =
             due.map(|(_, lead)| (*lead, Vec::new())).collect();
-        for (run, it) in knowledge.book.runs_of_entry(own) {
-            let service = knowledge.replicas.get(&it.replica).map(|replica| &replica.record.service);
+        for (id, run) in state.load.runs_of_entry(own) {
+            let service = state.replicas.get(&run.replica).map(|replica| &replica.record.service);
             let lead = service.and_then(|service| leads.get(service));
-            if let Some(runs) = lead.and_then(|lead| told.get_mut(lead)) {
-                runs.push((run, it.clone()));
+            if let Some(runs) = lead.and_then(|lead| runs_by_lead.get_mut(lead)) {
+                runs.push((id, run.clone()));
             }
         }
-        for (service, lead) in leads.into_iter().filter(|(_, lead)| told.contains_key(lead)) {
+        for (service, lead) in leads.into_iter().filter(|(_, lead)| runs_by_lead.contains_key(lead)) {
             if busy.contains(&service) {
-                self.told.insert(service, Told { lead, at: now });
+                self.last_reports.insert(service, LastReport { lead, at: now });
             } else {
-                self.told.remove(&service);
+                self.last_reports.remove(&service);
             }
         }
-        told
+        runs_by_lead
     }
 
     fn is_due(&self, service: &ServiceId, lead: SocketAddr, now: Timestamp) -> bool {
-        self.told.get(service).is_none_or(|told| told.lead != lead || told.at + INTERVAL <= now)
+        self.last_reports
+            .get(service)
+            .is_none_or(|last| last.lead != lead || last.at + REPORT_INTERVAL <= now)
     }
 }
 
 /// The services of a node's generations.
-fn services<'a>(knowledge: &'a Knowledge, own: &'a VmId) -> impl Iterator<Item = ServiceId> + 'a {
-    let generations = knowledge.book.runs_of_entry(own).filter(|(_, run)| run.size.is_some());
-    generations.filter_map(|(_, run)| Some(knowledge.replicas.get(&run.replica)?.record.service.clone()))
+fn services<'a>(state: &'a PlacementState, own: &'a VmId) -> impl Iterator<Item = ServiceId> + 'a {
+    let generations = state.load.runs_of_entry(own).filter(|(_, run)| run.size.is_some());
+    generations.filter_map(|(_, run)| Some(state.replicas.get(&run.replica)?.record.service.clone()))
 }
--- a/node/src/gateway/control/replica_intake.rs
+++ b/node/src/gateway/control/replica_intake.rs
@@ -1,6 +1,5 @@
-//! Takes news of the replicas in, from wherever they come: the store, another node, or signs of
-//! the replicas' own. What is new moves generations away from engines that leave, and is told
-//! to other nodes.
+//! Receives changes of the replicas, from the store, from other nodes and from the replicas themselves.
+//! Moves generations away from engines that leave, and forwards changes to other nodes.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -33,81 +32,84 @@
 use log::warn;
 use tokio::sync::oneshot;
 
-use crate::gateway::control::lookout::Lookout;
+use crate::gateway::control::health_poller::HealthPoller;
 use crate::gateway::control::placing::Placing;
 use crate::gateway::messages::Fetched;
-use crate::gateway::messages::HandedReplicas;
-use crate::gateway::messages::News;
-use crate::gateway::messages::Order;
+use crate::gateway::messages::FetchedReplicas;
+use crate::gateway::messages::StoreUpdate;
+use crate::gateway::messages::StreamCommand;
 use crate::gateway::messages::ToControl;
 use crate::gateway::peers::fetching;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::peers::peer_message::PeerMessage;
 use crate::gateway::shared::Shared;
 
-/// A replica that left is forgotten after this: the longest time that one serves on after
-/// its entry is gone is a few seconds.
+/// Time after which a replica that left is forgotten. Replicas continue to serve for at most a few seconds
+/// after their entry is removed.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Replicas that are listed at once and get a line each; a starting node would else write a thousand,
-/// of which the log's limit leaves 300, and lose what it says next.
-const MOST_LOGGED_ALONE: usize = 50;
-/// What the nodes that are told one part of some news take of the link, in bits.
+/// Largest number of replicas of one change that are logged with a line each. A starting node would
+/// otherwise log a thousand lines, of which the log's limit keeps 300, and lose the lines that follow.
+const MAX_LOGGED_INDIVIDUALLY: usize = 50;
+/// Bits that the link carries when one part of an update is sent to all nodes that this node sends it to.
 const PART_BITS: f64 = 8.0 * 9_000.0 * 8.0;
-/// Part of the link that is for it.
-const PART_OF_LINK: f64 = 0.5;
-/// The way of news of the replicas into this node, and on to others.
+/// Fraction of the link that updates may take.
+const LINK_SHARE: f64 = 0.5;
+
+/// Receives changes of the replicas and forwards them to other nodes.
 pub struct ReplicaIntake {
     shared: Arc<Shared>,
-    lookout: Lookout,
-    gathering: UpdateBatcher,
-    /// Parts of news that are to be told, one after the other.
-    parts: VecDeque<ReplicaUpdate>,
+    health_poller: HealthPoller,
+    batcher: UpdateBatcher,
+    /// Parts of updates that are still to be sent, in order.
+    pending_parts: VecDeque<ReplicaUpdate>,
     relay: UpdateRelay,
-    /// Up to which revision of the store the replicas are known.
+    /// The revision of the store up to which the replicas are known.
     progress: UpdateProgress,
-    /// When news last came.
-    heard: Timestamp,
-    lapses: StoreOutages,
-    /// This node follows the store.
-    follows: bool,
-    /// The whole list as other nodes are handed it, and up to which revision it holds.
+    /// When an update was last received.
+    last_update: Timestamp,
+    outages: StoreOutages,
+    /// Whether this node follows the store.
+    is_watcher: bool,
+    /// The whole list, packed for other nodes, and the revision that it has.
     packed: Option<(Revision, Bytes)>,
-    lack: ReplicaCatchUp,
+    catch_up: ReplicaCatchUp,
 }
 
 impl ReplicaIntake {
-    /// Nothing has come yet.
+    /// Creates the state of a node that knows no replicas.
     pub fn new(shared: Arc<Shared>) -> Self {
         ReplicaIntake {
-            lookout: Lookout::new(shared.clone()),
+            health_poller: HealthPoller::new(shared.clone()),
             shared,
-            gathering: UpdateBatcher::default(),
-            parts: VecDeque::new(),
+            batcher: UpdateBatcher::default(),
+            pending_parts: VecDeque::new(),
             relay: UpdateRelay::default(),
             progress: UpdateProgress::default(),
-            heard: Timestamp::ZERO,
-            lapses: StoreOutages::default(),
-            follows: false,
+            last_update: Timestamp::ZERO,
+            outages: StoreOutages::default(),
+            is_watcher: false,
             packed: None,
-            lack: ReplicaCatchUp::new(&mut rand::rng()),
+            catch_up: ReplicaCatchUp::new(&mut rand::rng()),
         }
     }
 
-    /// Whether the replicas are known, all up to some revision. News of a few that came before the
-    /// list does not count: a node that served on it would refuse what it can serve a moment later.
+    /// Whether all replicas are known up to some revision. Updates of a few replicas that arrive before the
+    /// list don't count: a node that served with these alone would refuse requests that it can serve a
+    /// moment later.
     pub fn is_known(&self) -> bool {
         self.progress.at() > 0
     }
 
-    /// When news last came.
-    pub fn heard(&self) -> Timestamp {
-        self.heard
+    /// When an update was last received.
+    pub fn last_update(&self) -> Timestamp {
+        self.last_update
     }
 
-    /// Takes replicas that stayed missing for gone. Who follows the store tells the others, whose revision is the same.
-    pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet, follows: bool) {
-        let replicas = &mut placing.knowledge.replicas;
-        if std::mem::replace(&mut self.follows, follows) && !follows {
+    /// Treats replicas as gone whose entries stayed missing. A node that follows the store announces them,
+    /// as the other nodes know the same revision and would not notice.
+    pub fn tick(&mut self, placing: &mut Placing, fleet: &Fleet, is_watcher: bool) {
+        let replicas = &mut placing.state.replicas;
+        if std::mem::replace(&mut self.is_watcher, is_watcher) && !is_watcher {
             replicas.forget_missing();
         }
         let change = replicas.tick(self.shared.now(), FORGET_AFTER);
@@ -116,34 +118,35 @@
         }
         let leaving = replicas.leaving_of(&change.leaving);
         self.on_list_change(placing, &change, 0);
-        if follows {
-            self.tell_departures(placing, fleet, leaving);
+        if is_watcher {
+            self.announce_departures(placing, fleet, leaving);
         }
     }
 
-    /// Tells that replicas leave, with no new revision.
-    fn tell_departures(&self, placing: &Placing, fleet: &Fleet, leaving: Vec<Incarnation>) {
+    /// Announces replicas that leave, without a new revision.
+    fn announce_departures(&self, placing: &Placing, fleet: &Fleet, leaving: Vec<Incarnation>) {
         let count = leaving.len();
-        let news = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
-        match news.into_parts(placing.knowledge.replicas.len()) {
-            Some(parts) => parts.iter().for_each(|part| self.tell(fleet, part)),
+        let update = ReplicaUpdate { leaving, ..ReplicaUpdate::default() };
+        match update.into_parts(placing.state.replicas.len()) {
+            Some(parts) => parts.iter().for_each(|part| self.send_update(fleet, part)),
             None => {
-                info!(event = "news_not_told", added = 0, leaving = count, at = 0; "more has changed than is told")
+                info!(event = "news_not_told", added = 0, leaving = count, at = 0; "too many changes to send to other nodes")
             }
         }
     }
 
-    /// Packs what another node lacks. The whole list is packed once for all that ask for it until it changes.
-    pub fn hand_out(&mut self, placing: &Placing, known: Revision, reply: oneshot::Sender<Bytes>) {
+    /// Packs the changes that another node lacks. The whole list is packed once and reused for further
+    /// requests until it changes.
+    pub fn serve_list(&mut self, placing: &Placing, known: Revision, reply: oneshot::Sender<Bytes>) {
         if let Some((at, packed)) = &self.packed
             && known == 0
             && *at == self.progress.at()
         {
-            // Whoever asked may be gone.
+            // The requester may be gone.
             let _ = reply.send(packed.clone());
             return;
         }
-        let list = placing.knowledge.replicas.since(self.progress.at(), known);
+        let list = placing.state.replicas.since(self.progress.at(), known);
         match list.pack() {
             Ok(packed) => {
                 if known == 0 {
@@ -152,96 +155,118 @@
                 let _ = reply.send(packed);
             }
             Err(err) => {
-                warn!(event = "replicas_unwritable", reason:% = err; "the list of replicas can't be packed")
+                warn!(event = "replicas_unwritable", reason:% = err; "cannot pack the list of replicas")
             }
         }
     }
 
-    /// The store answers nobody: entries may lapse.
+    /// The store answers no node, so entries may expire.
     pub fn on_store_unavailable(&mut self) {
-        self.lapses.on_store_unavailable(self.shared.now());
+        self.outages.on_store_unavailable(self.shared.now());
     }
 
-    /// Asks the engines that this node leads whether they leave: the store may not tell.
-    pub fn look_out(&mut self, placing: &Placing, fleet: &Fleet) {
+    /// Polls the health of the engines that this node leads, as the store may not report that they leave.
+    pub fn poll_health(&mut self, placing: &Placing, fleet: &Fleet) {
         if self.shared.settings.policy.look_out {
-            self.lookout.ask_all(self.shared.now(), placing.engines_in_use(fleet));
+            self.health_poller.poll_all(self.shared.now(), placing.engines_in_use(fleet));
         }
     }
 
-    /// A replica showed this node that it leaves: in an answer, or when it was asked for its health.
-    pub fn on_sign(&mut self, placing: &mut Placing, fleet: &Fleet, of: &Incarnation, sign: LeavingSign) {
-        let replicas = &mut placing.knowledge.replicas;
-        let was_leaving = replicas.get(&of.id).is_some_and(|replica| replica.leaving.is_some());
-        // A stronger sign of what is known holds against more, and is no news to others.
-        if !replicas.on_sign(of, sign, self.shared.now()) || was_leaving {
+    /// A replica showed this node that it leaves, in a response or in a health check.
+    pub fn on_sign(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        incarnation: &Incarnation,
+        sign: LeavingSign,
+    ) {
+        let replicas = &mut placing.state.replicas;
+        let was_leaving = replicas.get(&incarnation.id).is_some_and(|replica| replica.leaving.is_some());
+        // A stronger sign is recorded, as it outweighs more evidence that the replica stays, but other
+        // nodes already know that it leaves.
+        if !replicas.on_sign(incarnation, sign, self.shared.now()) || was_leaving {
             return;
         }
-        let change = ListChange { leaving: vec![of.id.clone()], ..ListChange::default() };
-        self.after_news(placing, &change, 0);
-        self.tell(fleet, &ReplicaUpdate { leaving: vec![of.clone()], ..ReplicaUpdate::default() });
+        let change = ListChange { leaving: vec![incarnation.id.clone()], ..ListChange::default() };
+        self.after_update(placing, &change, 0);
+        self.send_update(
+            fleet,
+            &ReplicaUpdate { leaving: vec![incarnation.clone()], ..ReplicaUpdate::default() },
+        );
     }
 
-    /// A replica was asked for its health.
-    pub fn on_health(&mut self, placing: &mut Placing, fleet: &Fleet, of: Incarnation, health: Health) {
+    /// A health check of a replica ended.
+    pub fn on_health(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        incarnation: Incarnation,
+        health: Health,
+    ) {
         let now = self.shared.now();
-        self.lookout.on_health(&of.id, now);
+        self.health_poller.on_health(&incarnation.id, now);
         let sign = match health {
-            Health::Well { cold } => return placing.knowledge.replicas.on_cold(&of.id, cold, now),
+            Health::Well { cold } => return placing.state.replicas.on_cold(&incarnation.id, cold, now),
             Health::Unwell => LeavingSign::Unhealthy,
             Health::Leaving => LeavingSign::Announced,
             Health::Other => LeavingSign::Replaced,
             Health::Silent | Health::Closed => {
-                return placing.knowledge.replicas.on_incarnation_failure(&of, now);
+                return placing.state.replicas.on_incarnation_failure(&incarnation, now);
             }
         };
-        self.on_sign(placing, fleet, &of, sign);
+        self.on_sign(placing, fleet, &incarnation, sign);
     }
 
-    /// The store told of its replicas.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<ReplicaRecord>) {
+    /// The store reported its replicas.
+    pub fn on_store_update(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        update: StoreUpdate<ReplicaRecord>,
+    ) {
         let (before, now) = (self.progress.at(), self.shared.now());
-        let at = match &news {
-            News::Listed { list, .. } => list.at,
-            News::Changed(changes) => changes.at,
+        let at = match &update {
+            StoreUpdate::Listed { list, .. } => list.at,
+            StoreUpdate::Changed(changes) => changes.at,
         };
         if revision::era(at) < revision::era(before) {
-            info!(event = "store_era_old", era = revision::era(at), known = revision::era(before); "an answer of the store is older than its return from a copy");
+            info!(event = "store_era_old", era = revision::era(at), known = revision::era(before); "ignoring an answer from before the store was restored from a copy");
             return;
         }
-        let change = match news {
-            News::Listed { list, after_outage } => {
-                self.note_era(at);
-                let lapses = after_outage || self.lapses.missing_since(now).is_some();
-                placing.knowledge.replicas.on_store_list(list.items, at, lapses, now)
+        let change = match update {
+            StoreUpdate::Listed { list, after_outage } => {
+                self.check_era(at);
+                let may_have_expired = after_outage || self.outages.missing_since(now).is_some();
+                placing.state.replicas.on_store_list(list.items, at, may_have_expired, now)
             }
-            News::Changed(changes) => self.on_changes(placing, changes),
+            StoreUpdate::Changed(changes) => self.on_changes(placing, changes),
         };
         self.progress.on_known(at);
-        self.after_news(placing, &change, at);
+        self.after_update(placing, &change, at);
         if before == 0 {
             fleet.announce_replicas();
         }
-        let replicas = &placing.knowledge.replicas;
+        let replicas = &placing.state.replicas;
         let added = change.added.iter().filter_map(|id| replicas.get(id));
         let added: Vec<ReplicaRecord> = added.map(|replica| (*replica.record).clone()).collect();
-        // One that went and came again within one answer of the store stays.
+        // A replica that was removed and added again within one answer of the store is not leaving.
         let leaving = replicas.leaving_of(&change.leaving);
-        // Without any change too, so that nobody takes the new revision for missed news.
+        // Sent without any change as well, so that no node considers the new revision a missed update.
         if at > before && before > 0 {
             let part = Part::default();
-            self.gather(placing, fleet, ReplicaUpdate { before, at, added, leaving, part });
+            self.batch(placing, fleet, ReplicaUpdate { before, at, added, leaving, part });
         } else if before > 0 && !(added.is_empty() && leaving.is_empty()) {
-            info!(event = "news_kept", added = added.len(), leaving = leaving.len(), at, before; "news of the store is no newer than what is known, and not told");
+            info!(event = "news_kept", added = added.len(), leaving = leaving.len(), at, before; "changes from the store are not newer than the known revision, and are not forwarded");
         }
     }
 
-    /// What a copy lacks is not gone: replicas write their entries again.
-    fn note_era(&mut self, at: Revision) {
+    /// Detects that the store was restored from a copy. Replicas that the copy lacks are not gone: they
+    /// write their entries again.
+    fn check_era(&mut self, at: Revision) {
         let before = self.progress.at();
         if before > 0 && revision::era(at) > revision::era(before) {
-            info!(event = "store_copy", era = revision::era(at), revision = revision::number(at); "the store has come back from a copy, which may lack replicas");
-            self.lapses.on_store_unavailable(self.shared.now());
+            info!(event = "store_copy", era = revision::era(at), revision = revision::number(at); "the store was restored from a copy, which may lack replicas");
+            self.outages.on_store_unavailable(self.shared.now());
         }
     }
 
@@ -250,115 +275,123 @@
         let mut change = ListChange::default();
         for event in changes.events {
             match event {
-                Change::Put(record) => placing.knowledge.replicas.on_entry(record, now, &mut change),
-                // What is no longer an entry of a replica names none to use.
-                Change::Gone(id) | Change::Unreadable(id) => match self.lapses.missing_since(now) {
+                Change::Put(record) => placing.state.replicas.on_entry(record, now, &mut change),
+                // An entry that can no longer be parsed names no usable replica.
+                Change::Gone(id) | Change::Unreadable(id) => match self.outages.missing_since(now) {
                     Some(since) => {
-                        info!(event = "replica_missing", upstream = id; "a replica is no longer listed, perhaps because the store was away");
-                        placing.knowledge.replicas.on_missing(&id, since);
-                        self.lookout.ask_about(placing.knowledge.asked_for_health(&id), now);
+                        info!(event = "replica_missing", upstream = id; "a replica is no longer listed, perhaps because the store was unavailable");
+                        placing.state.replicas.on_missing(&id, since);
+                        self.health_poller.poll(placing.state.health_check_target(&id), now);
                     }
-                    None => placing.knowledge.replicas.on_unlisted(&id, now, &mut change),
+                    None => placing.state.replicas.on_unlisted(&id, now, &mut change),
                 },
             }
         }
         change
     }
 
-    /// Tells other nodes, together with what follows soon.
-    fn gather(&mut self, placing: &Placing, fleet: &Fleet, news: ReplicaUpdate) {
-        match self.gathering.add(news, self.shared.now()) {
-            Some(Duration::ZERO) => self.tell_gathered(placing, fleet),
-            Some(pause) => self.shared.tell_after(pause, ToControl::TellReplicas),
+    /// Sends an update to other nodes, batched with those that follow soon.
+    fn batch(&mut self, placing: &Placing, fleet: &Fleet, update: ReplicaUpdate) {
+        match self.batcher.add(update, self.shared.now()) {
+            Some(Duration::ZERO) => self.send_updates(placing, fleet),
+            Some(pause) => self.shared.notify_after(pause, ToControl::SendReplicaUpdates),
             None => {}
         }
     }
 
-    /// Tells other nodes what was gathered.
-    pub fn tell_gathered(&mut self, placing: &Placing, fleet: &Fleet) {
-        let replicas = placing.knowledge.replicas.len();
-        let Some(news) = self.gathering.take(replicas, self.shared.now()) else {
+    /// Sends the batched updates to other nodes.
+    pub fn send_updates(&mut self, placing: &Placing, fleet: &Fleet) {
+        let replicas = placing.state.replicas.len();
+        let Some(update) = self.batcher.take(replicas, self.shared.now()) else {
             return;
         };
-        let (added, leaving, at) = (news.added.len(), news.leaving.len(), news.at);
-        let Some(parts) = news.into_parts(replicas) else {
-            info!(event = "news_not_told", added, leaving, at; "more has changed than is told: other nodes fetch it");
+        let (added, leaving, at) = (update.added.len(), update.leaving.len(), update.at);
+        let Some(parts) = update.into_parts(replicas) else {
+            info!(event = "news_not_told", added, leaving, at; "too many changes to send to other nodes, which fetch them instead");
             return;
         };
-        let is_idle = self.parts.is_empty();
-        self.parts.extend(parts);
+        let is_idle = self.pending_parts.is_empty();
+        self.pending_parts.extend(parts);
         if is_idle {
-            self.tell_part(fleet);
+            self.send_next_part(fleet);
         }
     }
 
-    /// Tells the next part, and the one after it when the link has carried that.
-    pub fn tell_part(&mut self, fleet: &Fleet) {
-        let Some(part) = self.parts.pop_front() else {
+    /// Sends the next part, and schedules the one after it for when the link has carried this one.
+    pub fn send_next_part(&mut self, fleet: &Fleet) {
+        let Some(part) = self.pending_parts.pop_front() else {
             return;
         };
-        self.tell(fleet, &part);
-        if !self.parts.is_empty() {
-            let link = self.shared.settings.link_bits_per_second() * PART_OF_LINK;
-            self.shared.tell_after(Duration::from_secs_f64(PART_BITS / link), ToControl::TellPart);
+        self.send_update(fleet, &part);
+        if !self.pending_parts.is_empty() {
+            let link = self.shared.settings.link_bits_per_second() * LINK_SHARE;
+            self.shared
+                .notify_after(Duration::from_secs_f64(PART_BITS / link), ToControl::SendNextUpdatePart);
         }
     }
 
-    fn tell(&self, fleet: &Fleet, news: &ReplicaUpdate) {
-        match news.pack() {
-            Ok(packed) => fleet.tell(&PeerMessage::Replicas(packed)),
+    fn send_update(&self, fleet: &Fleet, update: &ReplicaUpdate) {
+        match update.pack() {
+            Ok(packed) => fleet.notify(&PeerMessage::Replicas(packed)),
             Err(err) => {
-                warn!(event = "replicas_unwritable", reason:% = err; "news of the replicas can't be packed")
+                warn!(event = "replicas_unwritable", reason:% = err; "cannot pack an update of the replicas")
             }
         }
     }
 
-    /// A watcher learnt of replicas. What is new here is passed on.
-    pub fn on_news(&mut self, placing: &mut Placing, fleet: &Fleet, from: SocketAddr, packed: PackedUpdate) {
+    /// Another node sent an update. It is forwarded if it is new to this node.
+    pub fn on_peer_update(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        from: SocketAddr,
+        packed: PackedUpdate,
+    ) {
         let is_sign = packed.at == 0;
         if !is_sign && self.progress.has(&packed) {
             return;
         }
-        let news = match packed.unpack() {
-            Ok(news) => news,
+        let update = match packed.unpack() {
+            Ok(update) => update,
             Err(err) => {
-                info!(event = "news_unreadable", from:% = from, reason:% = err; "another node's news can't be read");
+                info!(event = "news_unreadable", from:% = from, reason:% = err; "cannot unpack an update from another node");
                 return;
             }
         };
         let now = self.shared.now();
         let mut change = ListChange::default();
-        for record in &news.added {
-            // One that is thought to leave may stay after all; one may have started again, or be cold.
-            let known = placing.knowledge.replicas.get(&record.id);
+        for record in &update.added {
+            // A replica that is considered leaving may stay after all; another may have restarted, or be
+            // cold.
+            let known = placing.state.replicas.get(&record.id);
             let is_new = |known: &Replica| {
                 known.leaving.is_some() || known.is_missing() || known.record.born < record.born
             };
             if !record.cold.is_zero() || known.is_none_or(is_new) {
-                placing.knowledge.replicas.on_entry(record.clone(), now, &mut change);
+                placing.state.replicas.on_entry(record.clone(), now, &mut change);
             }
         }
-        for of in &news.leaving {
-            if placing.knowledge.replicas.on_sign(of, LeavingSign::ReportedByPeer, now) {
-                change.leaving.push(of.id.clone());
+        for incarnation in &update.leaving {
+            if placing.state.replicas.on_sign(incarnation, LeavingSign::ReportedByPeer, now) {
+                change.leaving.push(incarnation.id.clone());
             }
         }
-        let is_news = !change.added.is_empty() || !change.leaving.is_empty();
-        if !is_sign && self.progress.on_part(&news) {
-            // Something is still missing.
-            self.compare(placing, fleet, from, news.at);
+        let has_changes = !change.added.is_empty() || !change.leaving.is_empty();
+        if !is_sign && self.progress.on_part(&update) {
+            // An earlier update or another part is still missing.
+            self.compare(placing, fleet, from, update.at);
         }
-        self.after_news(placing, &change, news.at);
-        if self.relay.should_forward(&news, is_news) {
-            fleet.pass_on(&PeerMessage::Replicas(packed));
+        self.after_update(placing, &change, update.at);
+        if self.relay.should_forward(&update, has_changes) {
+            fleet.forward(&PeerMessage::Replicas(packed));
         }
     }
 
-    /// Another node knows the replicas up to this revision; what is missing here is fetched
-    /// there unless it comes by itself.
-    pub fn compare(&mut self, placing: &Placing, fleet: &Fleet, from: SocketAddr, theirs: Revision) {
+    /// Another node knows the replicas up to `peer_revision`. Fetches the missing changes from it, unless
+    /// they arrive on their own before.
+    pub fn compare(&mut self, placing: &Placing, fleet: &Fleet, from: SocketAddr, peer_revision: Revision) {
         let own = self.progress.at();
-        if theirs <= own {
+        if peer_revision <= own {
             return;
         }
         let source = match (fleet.has_enough_in_hall(), fleet.is_near(from)) {
@@ -366,95 +399,98 @@
             (true, false) => Source::Far,
             (false, _) => Source::Any,
         };
-        let replicas = placing.knowledge.replicas.len();
-        let Some(pause) = self.lack.on_peer_revision(theirs, own, source, replicas, self.shared.now()) else {
+        let replicas = placing.state.replicas.len();
+        let Some(pause) =
+            self.catch_up.on_peer_revision(peer_revision, own, source, replicas, self.shared.now())
+        else {
             return;
         };
         let shared = self.shared.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(pause).await;
-            if shared.replicas_at() < theirs {
+            if shared.replicas_at() < peer_revision {
                 let known = shared.replicas_at();
                 fetching::fetch_replicas(shared, from, known).await;
             } else {
-                shared.tell(ToControl::Fetched(from, Fetched::Replicas(HandedReplicas::Nothing)));
+                shared.notify(ToControl::Fetched(from, Fetched::Replicas(FetchedReplicas::Nothing)));
             }
         });
     }
 
-    /// Another node answered, or did not.
+    /// A query of another node for its replicas ended.
     pub fn on_fetched(
         &mut self,
         placing: &mut Placing,
         fleet: &Fleet,
         from: SocketAddr,
-        handed: HandedReplicas,
+        fetched: FetchedReplicas,
     ) {
-        self.lack.on_answer();
-        let (list, packed) = match handed {
-            HandedReplicas::List(list, packed) if list.at > self.progress.at() => (list, packed),
-            HandedReplicas::Busy(after) => {
-                return self.lack.on_busy(after, self.progress.at(), self.shared.now());
+        self.catch_up.on_answer();
+        let (list, packed) = match fetched {
+            FetchedReplicas::List(list, packed) if list.at > self.progress.at() => (list, packed),
+            FetchedReplicas::Busy(after) => {
+                return self.catch_up.on_busy(after, self.progress.at(), self.shared.now());
             }
-            HandedReplicas::List(..) | HandedReplicas::Nothing => return,
+            FetchedReplicas::List(..) | FetchedReplicas::Nothing => return,
         };
         let is_first = !self.is_known();
         info!(event = "replicas_fetched", from:% = from, whole = list.is_whole, staying = list.staying.len(), leaving = list.leaving.len(), at = list.at, before = self.progress.at(); "another node handed its replicas over");
         let at = list.at;
-        let change = placing.knowledge.replicas.on_peer_list(list, self.shared.now());
+        let change = placing.state.replicas.on_peer_list(list, self.shared.now());
         self.progress.on_known(at);
-        self.after_news(placing, &change, at);
+        self.after_update(placing, &change, at);
         if is_first {
-            // It is handed on as it came.
+            // The list is served to other nodes as it was received.
             self.packed = Some((at, packed));
             fleet.announce_replicas();
         }
     }
 
-    /// What follows from any news; `at` is its revision, 0 for a sign.
-    fn after_news(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
-        self.heard = self.shared.now();
+    /// Applies the consequences of any update; `at` is its revision, 0 for a sign without one.
+    fn after_update(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
+        self.last_update = self.shared.now();
         self.on_list_change(placing, change, at);
         if self.shared.replicas_at() < self.progress.at() {
-            self.lack.on_update();
+            self.catch_up.on_update();
             self.shared.set_replicas_at(self.progress.at());
         }
     }
 
-    /// A change that is learnt with news which is not known whole is newer than all that is: whoever is handed what
-    /// this node knows later on must get it.
+    /// Records and logs changes, and evacuates replicas that leave. A change from an update that is not
+    /// complete yet is recorded under that update's later revision, so that nodes that fetch from this one
+    /// afterwards get it.
     fn on_list_change(&mut self, placing: &mut Placing, change: &ListChange, at: Revision) {
-        placing.knowledge.replicas.set_changed_at(change, at.max(self.progress.at()));
+        placing.state.replicas.set_changed_at(change, at.max(self.progress.at()));
         self.log_added(placing, change);
         for id in &change.restarted {
             placing.on_restarted(id);
         }
         for id in &change.leaving {
-            if let Some(sign) = placing.knowledge.replicas.get(id).and_then(|r| r.leaving) {
+            if let Some(sign) = placing.state.replicas.get(id).and_then(|r| r.leaving) {
                 self.evacuate(placing, id, sign);
             }
         }
     }
 
     fn log_added(&self, placing: &Placing, change: &ListChange) {
-        if change.added.len() > MOST_LOGGED_ALONE {
+        if change.added.len() > MAX_LOGGED_INDIVIDUALLY {
             info!(event = "replicas_listed", replicas = change.added.len(), at = self.progress.at(); "many replicas are listed");
             return;
         }
         for id in &change.added {
-            if let Some(replica) = placing.knowledge.replicas.get(id) {
+            if let Some(replica) = placing.state.replicas.get(id) {
                 info!(event = "replica_listed", upstream = &**id, service = &*replica.record.service, hall = &*replica.record.hall, address:% = replica.record.address; "replica is listed");
             }
         }
     }
 
-    /// A replica leaves: its streams are told to move.
+    /// A replica leaves: orders its streams to move.
     fn evacuate(&self, placing: &Placing, id: &UpstreamId, sign: LeavingSign) {
         let streams = if self.shared.settings.policy.evacuate { placing.streams_at(id) } else { Vec::new() };
         info!(event = "replica_leaves", upstream = &**id, sign:% = sign, streams = streams.len(); "replica leaves");
         for stream in streams {
-            // A stream that has just ended needs no order.
-            let _ = stream.orders.send(Order::Evacuate(id.clone()));
+            // The stream may have just ended.
+            let _ = stream.commands.send(StreamCommand::Evacuate(id.clone()));
         }
     }
 }
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -1,8 +1,9 @@
-//! Takes upgrades in, from the store or from other nodes, counts how both versions answer, and has them go on.
+//! Receives upgrades from the store or from other nodes, counts how both versions answer, and advances
+//! upgrades to their next stage.
 //!
-//! Each message between nodes tells all upgrades. The nodes tell their counts to a few of them, the judges, which are the
-//! first by a hash, so that no election is needed: all judges come to the same by the same counts. The
-//! node that follows the store first tells the operator.
+//! Each message between nodes carries all upgrades. The nodes report their counts to a few judges, which
+//! are the first nodes by a hash. No election is needed: all judges reach the same decision from the same
+//! counts. The first watcher of the store reports the result to the operator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -35,9 +36,9 @@
 use crate::gateway::control::trial::Trial;
 use crate::gateway::control::upgrade_store;
 use crate::gateway::messages::AnswerSample;
-use crate::gateway::messages::News;
-use crate::gateway::messages::Order;
-use crate::gateway::messages::StoredWord;
+use crate::gateway::messages::StoreUpdate;
+use crate::gateway::messages::StreamCommand;
+use crate::gateway::messages::UpgradeWriteResult;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::peers::peer_message::CountsReport;
 use crate::gateway::peers::peer_message::PeerMessage;
@@ -46,10 +47,10 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// A write to the store that failed is tried again after this.
-const WRITE_AGAIN_AFTER: Duration = Duration::from_millis(300);
+/// Delay before a write to the store is tried again.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How a node learnt of it.
+/// How a node learned of a stage.
 #[derive(Clone, Copy, Debug, derive_more::Display)]
 enum Source {
     #[display("store")]
@@ -60,30 +61,31 @@
     Judge,
 }
 
-/// A standby of who follows the store first writes what is final if it is still due after this: by then it would have
-/// heard that it was written.
-const STANDBY_WRITES_AFTER: Duration = Duration::from_millis(300);
+/// Time after which a standby watcher writes a final status that the first watcher has not written. If it
+/// had been written, the standby would have received the change by then.
+const STANDBY_WRITE_DELAY: Duration = Duration::from_millis(300);
 
-/// An order as the store holds it, as far as this node follows the store, and the write of its status.
-struct Stored {
+/// An order as the store holds it, known while this node follows the store, and the state of writing its
+/// status.
+struct StoredOrder {
     held: StoredUpgrade,
     is_writing: bool,
-    write_from: Timestamp,
+    next_write: Timestamp,
 }
 
-/// The way of upgrades into this node, and on to others.
+/// Receives upgrades, announces them to other nodes and advances them.
 pub struct UpgradeIntake {
     shared: Arc<Shared>,
-    /// When the process began.
+    /// When the process started.
     started: UnixMillis,
     rebroadcast: Rebroadcast<ServiceId>,
     pauses: ProcessPauses,
     trials: BTreeMap<ServiceId, Trial>,
-    stored: BTreeMap<ServiceId, Stored>,
+    stored: BTreeMap<ServiceId, StoredOrder>,
 }
 
 impl UpgradeIntake {
-    /// Nothing has come yet.
+    /// Creates the state of a node that knows no upgrades.
     pub fn new(shared: Arc<Shared>) -> Self {
         UpgradeIntake {
             shared,
@@ -95,43 +97,48 @@
         }
     }
 
-    /// The store told of the orders.
-    pub fn on_store_news(&mut self, placing: &mut Placing, fleet: &Fleet, news: News<StoredUpgrade>) {
+    /// The store reported the orders.
+    pub fn on_store_update(
+        &mut self,
+        placing: &mut Placing,
+        fleet: &Fleet,
+        update: StoreUpdate<StoredUpgrade>,
+    ) {
         let now = self.shared.now();
-        let mut told = self.shared.upgrades().announced(now);
-        match news {
-            News::Listed { list: Listed { items, at, .. }, .. } => {
-                told = AnnouncedUpgrades { at, upgrades: Vec::new() };
+        let mut announced = self.shared.upgrades().announced(now);
+        match update {
+            StoreUpdate::Listed { list: Listed { items, at, .. }, .. } => {
+                announced = AnnouncedUpgrades { at, upgrades: Vec::new() };
                 self.stored.clear();
-                items.into_iter().for_each(|item| self.on_stored(item, &mut told, now));
+                items.into_iter().for_each(|item| self.on_stored(item, &mut announced, now));
             }
-            News::Changed(changes) => {
-                told.at = changes.at.max(told.at);
+            StoreUpdate::Changed(changes) => {
+                announced.at = changes.at.max(announced.at);
                 for event in changes.events {
                     match event {
-                        Change::Put(item) => self.on_stored(item, &mut told, now),
+                        Change::Put(item) => self.on_stored(item, &mut announced, now),
                         Change::Gone(name) | Change::Unreadable(name) => {
                             self.stored.remove(&*name);
-                            told.upgrades.retain(|upgrade| *upgrade.service != *name);
+                            announced.upgrades.retain(|upgrade| *upgrade.service != *name);
                         }
                     }
                 }
             }
         }
-        if self.merge(placing, told, Source::Store) {
-            fleet.tell(&PeerMessage::UpgradesChanged);
+        if self.merge(placing, announced, Source::Store) {
+            fleet.notify(&PeerMessage::UpgradesChanged);
         }
     }
 
-    /// Takes an object in, and puts what it orders into `told`.
-    fn on_stored(&mut self, held: StoredUpgrade, told: &mut AnnouncedUpgrades, now: Timestamp) {
-        let known = told.upgrades.iter().position(|upgrade| upgrade.service == held.service);
-        let known = known.map(|at| told.upgrades.swap_remove(at));
+    /// Records a stored object, and adds its order to `announced`.
+    fn on_stored(&mut self, held: StoredUpgrade, announced: &mut AnnouncedUpgrades, now: Timestamp) {
+        let known = announced.upgrades.iter().position(|upgrade| upgrade.service == held.service);
+        let known = known.map(|at| announced.upgrades.swap_remove(at));
         match &held.order {
             Ok(order) => {
                 let known = known.filter(|known| known.order == *order);
                 let stage = held.state.and_then(upgrade_store::stage_of).unwrap_or(Stage::Trial);
-                told.upgrades.push(AnnouncedUpgrade {
+                announced.upgrades.push(AnnouncedUpgrade {
                     service: held.service.clone(),
                     order: order.clone(),
                     age: known.as_ref().map_or(Duration::ZERO, |known| known.age),
@@ -139,29 +146,29 @@
                 });
             }
             Err(reason) if held.state.is_none() => {
-                warn!(event = "upgrade_refused", service = &*held.service, reason = reason.as_str(); "an order to upgrade a service can't be followed")
+                warn!(event = "upgrade_refused", service = &*held.service, reason = reason.as_str(); "an order to upgrade a service is invalid")
             }
             Err(_) => {}
         }
-        let write_from = self.stored.get(&held.service).map_or(now, |stored| stored.write_from);
-        self.stored.insert(held.service.clone(), Stored { held, is_writing: false, write_from });
+        let next_write = self.stored.get(&held.service).map_or(now, |stored| stored.next_write);
+        self.stored.insert(held.service.clone(), StoredOrder { held, is_writing: false, next_write });
     }
 
-    /// Another node told of them.
-    pub fn on_told(&mut self, placing: &mut Placing, fleet: &Fleet, told: AnnouncedUpgrades) {
-        // Nearly always there is none.
-        if told.upgrades.is_empty() && told.at <= self.shared.upgrades().at() {
+    /// Another node announced its upgrades.
+    pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, announced: AnnouncedUpgrades) {
+        // There is nearly never an upgrade.
+        if announced.upgrades.is_empty() && announced.at <= self.shared.upgrades().at() {
             return;
         }
-        if self.merge(placing, told, Source::Node) {
-            fleet.pass_on(&PeerMessage::UpgradesChanged);
+        if self.merge(placing, announced, Source::Node) {
+            fleet.forward(&PeerMessage::UpgradesChanged);
         }
     }
 
-    /// Returns whether it changed anything.
-    fn merge(&mut self, placing: &mut Placing, told: AnnouncedUpgrades, source: Source) -> bool {
+    /// Merges announced upgrades; returns whether that changed any.
+    fn merge(&mut self, placing: &mut Placing, announced: AnnouncedUpgrades, source: Source) -> bool {
         let mut upgrades = (*self.shared.upgrades()).clone();
-        let changed = upgrades.merge(told, self.shared.now());
+        let changed = upgrades.merge(announced, self.shared.now());
         self.publish(placing, upgrades, &changed, source);
         !changed.is_empty()
     }
@@ -180,7 +187,7 @@
             match upgrades.of(service) {
                 Some(upgrade) => self.on_stage(placing, service, upgrade, source),
                 None => {
-                    info!(event = "upgrade_withdrawn", service = &**service, by:% = source; "there is no order to upgrade a service any more")
+                    info!(event = "upgrade_withdrawn", service = &**service, by:% = source; "the order to upgrade a service was withdrawn")
                 }
             }
         }
@@ -191,21 +198,22 @@
 
     fn on_stage(&self, placing: &Placing, service: &ServiceId, upgrade: &Upgrade, source: Source) {
         let age_ms = self.shared.now().saturating_sub(upgrade.began).as_millis() as u64;
-        info!(event = "upgrade_stage", service = &**service, target = &*upgrade.order.target, stage:% = upgrade.stage, by:% = source, age_ms; "the upgrade of a service is at this stage");
+        info!(event = "upgrade_stage", service = &**service, target = &*upgrade.order.target, stage:% = upgrade.stage, by:% = source, age_ms; "the upgrade of a service reached a stage");
         if !matches!(upgrade.stage, Stage::Switch | Stage::Proven) {
             return;
         }
-        let replaced = placing.knowledge.staying(service);
+        let replaced = placing.state.staying(service);
         let replaced = replaced.filter(|replica| replica.record.version != upgrade.order.target);
         for replica in replaced {
             for stream in placing.streams_at(&replica.record.id) {
-                // A stream that has just ended needs no order.
-                let _ = stream.orders.send(Order::Evacuate(replica.record.id.clone()));
+                // The stream may have just ended.
+                let _ = stream.commands.send(StreamCommand::Evacuate(replica.record.id.clone()));
             }
         }
     }
 
-    /// A replica answered a request of this node. Times that a pause of this process has lengthened are left out.
+    /// A replica answered a request of this node. Times that a pause of this process may have lengthened
+    /// are ignored.
     pub fn on_sample(&mut self, sample: AnswerSample) {
         let now = self.shared.now();
         let is_disturbed = match sample.sample {
@@ -220,7 +228,7 @@
         }
     }
 
-    /// Another node tells its counts.
+    /// Another node reported its counts.
     pub fn on_report(&mut self, fleet: &Fleet, from: VmId, report: CountsReport) {
         let now = self.shared.now();
         if let Some(trial) = self.trial(&report.id.trial) {
@@ -228,28 +236,28 @@
         }
     }
 
-    /// A judge has a report of this node.
+    /// A judge acknowledged a report of this node.
     pub fn on_acknowledged(&mut self, placing: &mut Placing, fleet: &Fleet, judge: &VmId, report: &ReportId) {
         if let Some(trial) = self.trial(&report.trial) {
             trial.on_acknowledged(judge, report);
-            self.note_judged(placing, fleet, &report.trial.service);
+            self.update_judged_until(placing, fleet, &report.trial.service);
         }
     }
 
-    fn note_judged(&self, placing: &mut Placing, fleet: &Fleet, service: &ServiceId) {
+    fn update_judged_until(&self, placing: &mut Placing, fleet: &Fleet, service: &ServiceId) {
         let upgrades = self.shared.upgrades();
         if let (Some(upgrade), Some(trial)) = (upgrades.of(service), self.trials.get(service)) {
-            let until = trial.is_judged_until(fleet, upgrade, self.shared.now());
-            placing.knowledge.judged.note(service, until);
+            let until = trial.judged_until(fleet, upgrade, self.shared.now());
+            placing.state.judged.set_judged_until(service, until);
         }
     }
 
     fn trial(&mut self, id: &TrialId) -> Option<&mut Trial> {
-        self.trials.get_mut(&id.service).filter(|trial| trial.is(id))
+        self.trials.get_mut(&id.service).filter(|trial| trial.has_id(id))
     }
 
-    /// Does what is due: `role` is how this node follows the store, `store_answers` whether that answers
-    /// somebody.
+    /// Sends reports, judges upgrades and starts writes that are due. `role` is the role in which this node
+    /// follows the store; `store_answers` says whether the store answers any node.
     pub fn tick(
         &mut self,
         placing: &mut Placing,
@@ -259,17 +267,17 @@
     ) {
         self.pauses.tick(self.shared.now());
         if !self.rebroadcast.take_due(self.shared.now()).is_empty() {
-            fleet.pass_on(&PeerMessage::UpgradesChanged);
+            fleet.forward(&PeerMessage::UpgradesChanged);
         }
         for service in self.trials.keys().cloned().collect::<Vec<_>>() {
             self.report_and_judge(placing, fleet, &service, store_answers);
         }
         if let Some(role) = role {
-            self.write_due(role);
+            self.write_due_statuses(role);
         }
     }
 
-    /// Reports what is due, and judges if this node is one of those that do.
+    /// Sends the reports that are due, and judges the upgrade if this node is a judge.
     fn report_and_judge(
         &mut self,
         placing: &mut Placing,
@@ -283,7 +291,7 @@
             return;
         };
         let judges = trial.report(fleet, upgrade, self.started, self.shared.now());
-        self.note_judged(placing, fleet, service);
+        self.update_judged_until(placing, fleet, service);
         if judges {
             self.judge(placing, fleet, service, store_answers);
         }
@@ -303,7 +311,7 @@
             upgrade,
             counts: &counts,
             capacity: capacity(placing, service, &upgrade.order),
-            has_streams: placing.knowledge.engine_traits(service).is_some(),
+            has_streams: placing.state.engine_traits(service).is_some(),
             store_answers,
             hearing: trial.coverage(fleet, upgrade, now),
             bounds,
@@ -312,44 +320,46 @@
             return;
         };
         let (answered, exposed) = counts.answered();
-        info!(event = "upgrade_judged", service = &**service, stage:% = stage, reason:% = reason, answered, exposed, nodes = trial.nodes(), hearing:? = situation.hearing; "an upgrade goes on");
+        info!(event = "upgrade_judged", service = &**service, stage:% = stage, reason:% = reason, answered, exposed, nodes = trial.nodes(), hearing:? = situation.hearing; "the judge advances an upgrade to its next stage");
         let order = upgrade.order.clone();
         upgrades.advance(service, &order, stage, now);
         self.publish(placing, upgrades, std::slice::from_ref(service), Source::Judge);
-        fleet.tell(&PeerMessage::UpgradesChanged);
+        fleet.notify(&PeerMessage::UpgradesChanged);
     }
 
-    /// Tells the operator what became of orders, where the store says otherwise. Each write names the revision that it
-    /// replaces, so it does no harm if two nodes write.
-    fn write_due(&mut self, role: WatchRole) {
+    /// Writes the state of orders for the operator where the stored status differs. Each write names the
+    /// revision that it replaces, so it is harmless if two nodes write.
+    fn write_due_statuses(&mut self, role: WatchRole) {
         let now = self.shared.now();
         let upgrades = self.shared.upgrades();
-        for stored in self.stored.values_mut().filter(|stored| !stored.is_writing && stored.write_from <= now)
+        for stored in self.stored.values_mut().filter(|stored| !stored.is_writing && stored.next_write <= now)
         {
             let upgrade = upgrades.of(&stored.held.service);
-            if !writes(role, upgrade, now) {
+            if !is_writer(role, upgrade, now) {
                 continue;
             }
-            if let Some(word) = upgrade_store::word_due(&stored.held, upgrade.map(|upgrade| upgrade.stage)) {
+            if let Some(status) =
+                upgrade_store::due_status(&stored.held, upgrade.map(|upgrade| upgrade.stage))
+            {
                 stored.is_writing = true;
-                let writing = upgrade_store::write(self.shared.clone(), stored.held.clone(), word);
+                let writing = upgrade_store::write(self.shared.clone(), stored.held.clone(), status);
                 tokio::task::spawn_local(writing);
             }
         }
     }
 
-    /// A write of a status ended.
-    pub fn on_written(&mut self, placing: &mut Placing, fleet: &Fleet, written: StoredWord) {
+    /// The write of a status ended.
+    pub fn on_written(&mut self, placing: &mut Placing, fleet: &Fleet, written: UpgradeWriteResult) {
         let now = self.shared.now();
         let Some(stored) = self.stored.get_mut(&written.service) else {
             return;
         };
         stored.is_writing = false;
-        stored.write_from = now + WRITE_AGAIN_AFTER;
+        stored.next_write = now + WRITE_RETRY_DELAY;
         let Some(held) = written.held else {
             return;
         };
-        info!(event = "upgrade_stored", service = &*written.service, state:? = held.state, revision = held.revision; "the operator is told of an upgrade");
+        info!(event = "upgrade_stored", service = &*written.service, state:? = held.state, revision = held.revision; "the status of an upgrade is stored");
         let (state, order) = (held.state, held.order.clone());
         stored.held = held;
         let stage = state.and_then(upgrade_store::stage_of);
@@ -359,27 +369,27 @@
         let mut upgrades = (*self.shared.upgrades()).clone();
         if upgrades.advance(&written.service, &order, stage, now) {
             self.publish(placing, upgrades, &[written.service], Source::Store);
-            fleet.tell(&PeerMessage::UpgradesChanged);
+            fleet.notify(&PeerMessage::UpgradesChanged);
         }
     }
 }
 
-/// Whether a node that follows the store in this role tells the operator of an order.
-fn writes(role: WatchRole, upgrade: Option<&Upgrade>, now: Timestamp) -> bool {
+/// Whether a node that follows the store in this role writes the status of an order.
+fn is_writer(role: WatchRole, upgrade: Option<&Upgrade>, now: Timestamp) -> bool {
     let is_overdue = |upgrade: &Upgrade| {
         matches!(upgrade.stage, Stage::Proven | Stage::Reverted)
-            && upgrade.stage_since + STANDBY_WRITES_AFTER <= now
+            && upgrade.stage_since + STANDBY_WRITE_DELAY <= now
     };
     role == WatchRole::First || upgrade.is_some_and(is_overdue)
 }
 
-/// Requests that the replicas of both versions take at once.
+/// Number of concurrent requests that the replicas of each version accept.
 fn capacity(placing: &Placing, service: &ServiceId, order: &UpgradeOrder) -> Capacity {
     let mut capacity = Capacity::default();
-    for replica in placing.knowledge.open(service) {
+    for replica in placing.state.open(service) {
         let is_target = replica.record.version == order.target;
-        let of = if is_target { &mut capacity.target } else { &mut capacity.present };
-        *of += replica.record.slots;
+        let slots = if is_target { &mut capacity.target } else { &mut capacity.present };
+        *slots += replica.record.slots;
     }
     capacity
 }
--- a/node/src/gateway/control/upgrade_store.rs
+++ b/node/src/gateway/control/upgrade_store.rs
@@ -1,7 +1,7 @@
-//! Tells the operator what became of an order to upgrade a service: in the status of its object.
+//! Reports the state of an order to upgrade a service to the operator, in the status of the order's object.
 //!
-//! Each write names the revision of the object that it was decided on, so that a success and a failure, or a new
-//! order, never overwrite each other. What is final stays.
+//! Each write names the revision of the object that it is based on, so that a success, a failure and a new
+//! order never overwrite each other. A final state is never changed.
 
 use std::sync::Arc;
 
@@ -10,16 +10,16 @@
 use leadstage_platform::store::Written;
 use leadstage_platform::store_kinds::StoredUpgrade;
 use leadstage_platform::store_kinds::UpgradeState;
-use leadstage_platform::store_kinds::UpgradeWord;
+use leadstage_platform::store_kinds::UpgradeStatus;
 use leadstage_platform::store_kinds::Upgrades;
 use log::info;
 
-use crate::gateway::messages::StoredWord;
 use crate::gateway::messages::ToControl;
+use crate::gateway::messages::UpgradeWriteResult;
 use crate::gateway::observability::metrics::StoreCall;
 use crate::gateway::shared::Shared;
 
-/// The stage that an order has by what the operator was told of it; `None` where that is still open.
+/// The final stage of an order according to its stored status; `None` if the upgrade has not ended.
 pub fn stage_of(state: UpgradeState) -> Option<Stage> {
     match state {
         UpgradeState::Running => None,
@@ -28,9 +28,9 @@
     }
 }
 
-/// What the operator is to be told, if the store says something else. `stage` is that of the order, unless it can't
-/// be followed.
-pub fn word_due(held: &StoredUpgrade, stage: Option<Stage>) -> Option<UpgradeWord> {
+/// The status to write, if it differs from the stored one. `stage` is the stage of the order; it is `None`
+/// if the order is invalid or unknown.
+pub fn due_status(held: &StoredUpgrade, stage: Option<Stage>) -> Option<UpgradeStatus> {
     if held.state.and_then(stage_of).is_some() {
         return None;
     }
@@ -38,7 +38,7 @@
         Ok(order) => order,
         Err(reason) => {
             let (state, target) = (UpgradeState::RolledBack, "".into());
-            return Some(UpgradeWord { state, target, reason: Some(reason.clone()) });
+            return Some(UpgradeStatus { state, target, reason: Some(reason.clone()) });
         }
     };
     let state = match stage? {
@@ -47,24 +47,24 @@
         Stage::Reverted => UpgradeState::RolledBack,
         Stage::Failed | Stage::Succeeded => return None,
     };
-    let word = UpgradeWord { state, target: order.target.clone(), reason: None };
-    (held.state != Some(state)).then_some(word)
+    let status = UpgradeStatus { state, target: order.target.clone(), reason: None };
+    (held.state != Some(state)).then_some(status)
 }
 
-/// Writes it, and tells the control loop what the store holds then, if that is known.
-pub async fn write(shared: Arc<Shared>, held: StoredUpgrade, word: UpgradeWord) {
+/// Writes a status, and reports to the control loop what the store holds afterwards, if that is known.
+pub async fn write(shared: Arc<Shared>, held: StoredUpgrade, status: UpgradeStatus) {
     let mut store = Store::new(shared.settings.store);
-    let written = store.replace_status::<Upgrades>(&held.service, &word, held.revision).await;
+    let written = store.replace_status::<Upgrades>(&held.service, &status, held.revision).await;
     shared.metrics.on_store_call(StoreCall::Write, written.is_ok());
     let service = held.service.clone();
     let held = match written {
-        Ok(Written::Done(revision)) => Some(StoredUpgrade { revision, state: Some(word.state), ..held }),
+        Ok(Written::Done(revision)) => Some(StoredUpgrade { revision, state: Some(status.state), ..held }),
         Ok(Written::Other(other, _)) => Some(other),
         Ok(Written::Missing) => None,
         Err(err) => {
-            info!(event = "upgrade_not_stored", service = &*service, reason:% = err; "the store did not take what became of an upgrade");
+            info!(event = "upgrade_not_stored", service = &*service, reason:% = err; "could not store the status of an upgrade");
             None
         }
     };
-    shared.tell(ToControl::UpgradeWritten(StoredWord { service, held }));
+    shared.notify(ToControl::UpgradeWritten(UpgradeWriteResult { service, held }));
 }
--- a/node/src/gateway/observability/metrics_port.rs
+++ b/node/src/gateway/observability/metrics_port.rs
@@ -1,4 +1,4 @@
-//! The port for operators: metrics and status.
+//! The port for operators, which serves metrics and status.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 use crate::gateway::shared::Shared;
 
-/// Answers operators.
+/// Answers a request of an operator.
 pub fn answer(shared: &Arc<Shared>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     match req.uri().path() {
         "/metrics" => respond("text/plain; version=0.0.4", shared.metrics.text()),
@@ -29,8 +29,8 @@
     }
 }
 
-fn respond(kind: &'static str, body: String) -> Response<Full<Bytes>> {
+fn respond(content_type: &'static str, body: String) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::from(body));
-    res.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    res.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     res
 }
--- a/node/src/gateway/observability/status.rs
+++ b/node/src/gateway/observability/status.rs
@@ -7,24 +7,24 @@
 use leadstage_lib::status::PeerSummary;
 use leadstage_lib::status::PoolSummary;
 
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::peers::fleet::Fleet;
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
 
-/// A gateway's pools span all halls.
+/// The hall shown for pools, as a gateway's pools span all halls.
 const ALL_HALLS: &str = "all";
 
-/// The status as it is now. `led` names the services that this node leads, `waiting` is
-/// how many generations wait here.
+/// Returns the current status. `led` are the services that this node leads, `waiting` is the number of
+/// generations that wait on this node.
 pub fn status(
     shared: &Shared,
     fleet: &Fleet,
-    knowledge: &Knowledge,
+    state: &PlacementState,
     led: &[ServiceId],
     waiting: usize,
 ) -> NodeStatus {
-    let leaving = knowledge.replicas.iter().filter(|replica| replica.leaving.is_some());
+    let leaving = state.replicas.iter().filter(|replica| replica.leaving.is_some());
     NodeStatus {
         vm: shared.settings.vm.to_string(),
         hall: shared.settings.hall.to_string(),
@@ -37,7 +37,7 @@
             .alive()
             .map(|node| PeerSummary { vm: node.to_string(), liveness: "alive".to_owned() })
             .collect(),
-        pools: led.iter().map(|service| pool(knowledge, service, waiting)).collect(),
+        pools: led.iter().map(|service| pool(state, service, waiting)).collect(),
         leaving: leaving.map(|replica| replica.record.id.to_string()).collect(),
         quarantined: quarantined(shared),
         limits: limits(shared),
@@ -60,8 +60,8 @@
     names
 }
 
-/// Engines of one service that are told at most.
-const MOST_ENGINES: usize = 200;
+/// Maximum number of engines listed for one service.
+const MAX_ENGINES: usize = 200;
 
 fn readiness(phase: Phase) -> &'static str {
     match phase {
@@ -71,17 +71,17 @@
     }
 }
 
-fn pool(knowledge: &Knowledge, service: &ServiceId, waiting: usize) -> PoolSummary {
-    let all_engines = knowledge.staying(service).count();
-    let engines = if all_engines <= MOST_ENGINES {
-        knowledge.replicas.of_service(service)
+fn pool(state: &PlacementState, service: &ServiceId, waiting: usize) -> PoolSummary {
+    let all_engines = state.staying(service).count();
+    let engines = if all_engines <= MAX_ENGINES {
+        state.replicas.of_service(service)
     } else {
-        // Those that have something to do.
-        let busy = knowledge.book.busy_replicas().filter_map(|id| knowledge.replicas.get(id));
-        busy.filter(|replica| replica.record.service == *service).take(MOST_ENGINES).collect()
+        // Only engines that run something.
+        let busy = state.load.busy_replicas().filter_map(|id| state.replicas.get(id));
+        busy.filter(|replica| replica.record.service == *service).take(MAX_ENGINES).collect()
     };
     let engines: Vec<EngineSummary> =
-        engines.into_iter().map(|replica| engine(knowledge, service, replica)).collect();
+        engines.into_iter().map(|replica| engine(state, service, replica)).collect();
     PoolSummary {
         all_engines,
         model: service.to_string(),
@@ -92,14 +92,14 @@
     }
 }
 
-fn engine(knowledge: &Knowledge, service: &ServiceId, replica: &Replica) -> EngineSummary {
+fn engine(state: &PlacementState, service: &ServiceId, replica: &Replica) -> EngineSummary {
     let id = &replica.record.id;
     EngineSummary {
         id: id.to_string(),
         state: replica.leaving.map_or_else(|| "up".to_owned(), |sign| format!("leaving: {sign}")),
-        running: knowledge.book.runs_at(id).count(),
-        held_tokens: knowledge.book.runs_at(id).map(|(_, run)| knowledge.book.memory(run) as u64).sum(),
-        memory_tokens: knowledge.engine_traits(service).map_or(0, |traits| u64::from(traits.memory_tokens)),
+        running: state.load.runs_at(id).count(),
+        held_tokens: state.load.runs_at(id).map(|(_, run)| state.load.memory(run) as u64).sum(),
+        memory_tokens: state.engine_traits(service).map_or(0, |traits| u64::from(traits.memory_tokens)),
         step_ms: 0.0,
     }
 }
--- a/node/src/gateway/peers/peer_port.rs
+++ b/node/src/gateway/peers/peer_port.rs
@@ -1,5 +1,5 @@
-//! Where a node hands out what others lack that don't follow the store or missed some news: the
-//! configuration and the list of replicas.
+//! Serves the configuration and the list of replicas to nodes that don't follow the store or have missed
+//! updates.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -38,44 +38,44 @@
 use crate::gateway::shared::Shared;
 use crate::gateway::small_port;
 
-/// Where a node hands its configuration out, see [`leadstage_lib::gateway::config_text`]. The query is the
-/// version that the asking node has.
+/// Path of the configuration, see [`leadstage_lib::gateway::config_text`]. The query is the version that
+/// the requesting node has.
 pub const CONFIG_PATH: &str = "/config";
-/// Where a node hands out what it knows of the replicas; the query is the revision up to
-/// which the asking node knows them.
+/// Path of the replicas that a node knows. The query is the revision up to which the requesting node
+/// knows them.
 pub const REPLICAS_PATH: &str = "/replicas";
-/// What is no larger goes out at once, however many ask: a few packets.
-const SMALL_BYTES: usize = 4 << 10;
-/// A place for a transfer is given to another one when the transfer lasts longer than it takes at
-/// so many bits a second; the transfer goes on. The receiver may stand still.
-const LEAST_BITS_PER_SECOND: f64 = 1e6;
-/// A place is held at least so long.
-const LEAST_PLACE_TIME: Duration = Duration::from_secs(1);
-
-/// A place for a large transfer.
-struct Place {
+/// Responses up to this size, a few packets, need no transfer slot.
+const MAX_BYTES_WITHOUT_SLOT: usize = 4 << 10;
+/// The slot of a transfer that is slower than this is freed for another transfer, as its receiver may have
+/// stalled; the slow transfer continues.
+const MIN_BITS_PER_SECOND: f64 = 1e6;
+/// The slot of a transfer is not freed for slowness before this time.
+const MIN_SLOT_TIME: Duration = Duration::from_secs(1);
+
+/// A slot for a large transfer, released on drop.
+struct SlotGuard {
     transfer_slots: Rc<RefCell<TransferSlots>>,
     since: Instant,
 }
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.transfer_slots.borrow_mut().release(self.since.elapsed());
     }
 }
 
-/// What one connection needs to answer.
+/// The state that one connection needs to answer requests.
 struct Connection {
     shared: Arc<Shared>,
     transfer_slots: Rc<RefCell<TransferSlots>>,
-    /// Holds the place until the connection ends: the receiver closes it when it has all.
+    /// Task that holds the slot until the connection ends, which the receiver closes when it has everything.
     transfer: RefCell<Option<AbortOnDropHandle<()>>>,
 }
 
-/// Hands the configuration and the replicas out until the process ends.
+/// Serves the configuration and the replicas until the process ends.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
-    let most = transfer_slots::max_concurrent(shared.settings.link_bits_per_second());
-    let transfer_slots = Rc::new(RefCell::new(TransferSlots::new(most)));
+    let max_transfers = transfer_slots::max_concurrent(shared.settings.link_bits_per_second());
+    let transfer_slots = Rc::new(RefCell::new(TransferSlots::new(max_transfers)));
     loop {
         let stream = small_port::accept(&listener, "peer").await;
         let connection = Connection {
@@ -93,39 +93,39 @@
             let this = &self;
             async move { Ok::<_, Infallible>(this.answer(&req).await) }
         });
-        // Whoever asked asks again.
+        // After an error, the requesting node retries.
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
     async fn answer(&self, req: &Request<Incoming>) -> Response<Full<Bytes>> {
         let known = req.uri().query().and_then(|known| known.parse().ok()).unwrap_or(0);
         let (res, kind) = match req.uri().path() {
-            CONFIG_PATH => (self.configuration(req, known), MessageKind::ConfigHandedOut),
-            REPLICAS_PATH => (self.replicas(known).await, MessageKind::ReplicasHandedOut),
-            _ => return status(StatusCode::NOT_FOUND),
+            CONFIG_PATH => (self.configuration(req, known), MessageKind::ConfigServed),
+            REPLICAS_PATH => (self.replicas(known).await, MessageKind::ReplicasServed),
+            _ => return empty_response(StatusCode::NOT_FOUND),
         };
         let bytes = res.body().size_hint().lower() as usize;
-        self.shared.metrics.on_peer_bytes(PeerBytes::FetchedOut, bytes);
+        self.shared.metrics.on_peer_bytes(PeerBytes::ServedOut, bytes);
         self.shared.metrics.on_peer_sent(kind, bytes);
         res
     }
 
     fn configuration(&self, req: &Request<Incoming>, known: ConfigVersion) -> Response<Full<Bytes>> {
         let Some(text) = self.shared.config_text() else {
-            return status(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         if text.version <= known {
-            return status(StatusCode::NOT_MODIFIED);
+            return empty_response(StatusCode::NOT_MODIFIED);
         }
         let (edition, bytes) = match text.encoded_for(known) {
             Ok(encoded) => encoded,
             Err(err) => {
                 warn!(event = "config_unwritable", version = text.version, reason:% = err; "the configuration can't be compressed");
-                return status(StatusCode::INTERNAL_SERVER_ERROR);
+                return empty_response(StatusCode::INTERNAL_SERVER_ERROR);
             }
         };
-        let from = continues_at(req.headers(), edition);
-        let mut res = self.hand_out(bytes.slice(from.unwrap_or(0)..));
+        let from = range_start(req.headers(), edition);
+        let mut res = self.serve_bytes(bytes.slice(from.unwrap_or(0)..));
         if res.status() == StatusCode::OK {
             let tag = HeaderValue::from_str(&edition.to_string()).expect("numbers are a valid value");
             res.headers_mut().insert(header::ETAG, tag);
@@ -138,49 +138,48 @@
 
     async fn replicas(&self, known: Revision) -> Response<Full<Bytes>> {
         let (tx, rx) = oneshot::channel();
-        self.shared.tell(ToControl::HandOut(known, tx));
+        self.shared.notify(ToControl::ServeReplicas(known, tx));
         match rx.await {
-            Ok(packed) => self.hand_out(packed),
-            // The control loop has logged why.
-            Err(_) => status(StatusCode::INTERNAL_SERVER_ERROR),
+            Ok(packed) => self.serve_bytes(packed),
+            // The control loop has logged the reason.
+            Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 
-    /// Answers with `bytes`, or says when to come back where too many nodes are being handed
-    /// something large.
-    fn hand_out(&self, bytes: Bytes) -> Response<Full<Bytes>> {
-        if bytes.len() > SMALL_BYTES {
+    /// Responds with `bytes`, or with a `Retry-After` if too many large transfers are in progress.
+    fn serve_bytes(&self, bytes: Bytes) -> Response<Full<Bytes>> {
+        if bytes.len() > MAX_BYTES_WITHOUT_SLOT {
             if let Err(after) = self.transfer_slots.borrow_mut().try_acquire() {
-                let mut res = status(StatusCode::SERVICE_UNAVAILABLE);
+                let mut res = empty_response(StatusCode::SERVICE_UNAVAILABLE);
                 let after = HeaderValue::from_str(&format!("{:.3}", after.as_secs_f64()));
                 res.headers_mut().insert(header::RETRY_AFTER, after.expect("a number is a valid value"));
                 return res;
             }
-            self.take_place(bytes.len());
+            self.hold_slot(bytes.len());
         }
         Response::new(Full::from(bytes))
     }
 
-    fn take_place(&self, bytes: usize) {
-        let place = Place { transfer_slots: self.transfer_slots.clone(), since: Instant::now() };
-        let longest = Duration::from_secs_f64(bytes as f64 * 8.0 / LEAST_BITS_PER_SECOND);
-        let holds = tokio::task::spawn_local(async move {
-            tokio::time::sleep(longest.max(LEAST_PLACE_TIME)).await;
-            drop(place);
+    fn hold_slot(&self, bytes: usize) {
+        let slot = SlotGuard { transfer_slots: self.transfer_slots.clone(), since: Instant::now() };
+        let max_time = Duration::from_secs_f64(bytes as f64 * 8.0 / MIN_BITS_PER_SECOND);
+        let holder = tokio::task::spawn_local(async move {
+            tokio::time::sleep(max_time.max(MIN_SLOT_TIME)).await;
+            drop(slot);
         });
-        self.transfer.replace(Some(AbortOnDropHandle::new(holds)));
+        self.transfer.replace(Some(AbortOnDropHandle::new(holder)));
     }
 }
 
-/// Where a node that has the beginning of an edition wants it from.
-fn continues_at(headers: &HeaderMap, edition: Edition) -> Option<usize> {
+/// Returns the offset at which a node that has the beginning of an edition wants to continue.
+fn range_start(headers: &HeaderMap, edition: Edition) -> Option<usize> {
     let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
     text(header::IF_RANGE).filter(|tag| *tag == edition.to_string())?;
     let from = text(header::RANGE)?.strip_prefix("bytes=")?.strip_suffix('-')?.parse().ok()?;
     (from <= edition.bytes).then_some(from)
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::default());
     *res.status_mut() = status;
     res
--- a/node/src/gateway/upstream/copying.rs
+++ b/node/src/gateway/upstream/copying.rs
@@ -24,95 +24,102 @@
 use crate::gateway::shared::RunGuard;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Pause before a copy is asked for again: a generation that waits can't be copied yet.
-const COPY_PAUSE: Duration = Duration::from_millis(40);
-/// Time for one copy: some times that of the largest generation over a busy link.
-const COPY_LIMIT: Duration = Duration::from_millis(2_500);
-
-/// A generation that goes on after a stop: its memory is at another engine, or is there once it has
-/// stopped.
-pub struct Copied {
-    /// The engine, and the generation's place there.
+/// Delay before a copy is retried: a generation that is still queued can't be copied yet.
+const COPY_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Timeout of one copy: several times what the largest generation takes over a busy link.
+const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
+
+/// Where a generation resumes after it is stopped: its KV cache memory is at another engine, or will be
+/// once it has stopped.
+pub struct MoveTarget {
+    /// The other engine and the run that is reserved there.
     pub target: RunGuard,
-    /// Names the copy; `None` until the stop is answered, if nothing was copied before.
+    /// Identifies the copy; `None` until the stop is answered, if nothing was copied before.
     pub handle: Option<CopyHandle>,
-    /// Whether the generation is to go on where it stopped, on a new connection, if it can.
-    pub stays: bool,
-    /// Whether the stop of the generation was answered.
-    pub stop_is_known: bool,
+    /// Whether the generation is to resume at the engine where it stopped, on a new connection, if
+    /// possible.
+    pub resumes_at_source: bool,
+    /// Whether the call that stops the generation was answered.
+    pub stop_answered: bool,
 }
 
-impl Copied {
-    /// Takes the answer to the stop in.
-    pub fn note_stop(&mut self, answer: StopAnswer) -> Stop {
-        self.stop_is_known = true;
+impl MoveTarget {
+    /// Records the answer to the stop.
+    pub fn record_stop(&mut self, answer: StopAnswer) -> StopOutcome {
+        self.stop_answered = true;
         match answer {
             Ok(CopyOutcome::Done { handle, .. } | CopyOutcome::NoRoom { handle: Some(handle) }) => {
                 self.handle = Some(handle);
-                Stop::Stopped
+                StopOutcome::Stopped
+            }
+            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) | Err(CallError::Connect(_)) => {
+                StopOutcome::NotStopped
+            }
+            Ok(CopyOutcome::NoRoom { handle: None } | CopyOutcome::Unexpected(_)) | Err(_) => {
+                StopOutcome::Unknown
             }
-            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) | Err(CallError::Connect(_)) => Stop::RunsOn,
-            Ok(CopyOutcome::NoRoom { handle: None } | CopyOutcome::Unexpected(_)) | Err(_) => Stop::Unknown,
         }
     }
 }
 
-/// The answer to a call that is to stop a generation.
+/// The answer to a call that stops a generation.
 pub type StopAnswer = Result<CopyOutcome, CallError>;
 
-/// What a call that is to stop a generation came to.
+/// The outcome of a call that stops a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopOutcome {
     /// The generation stopped.
     Stopped,
-    /// It did not stop: it runs on, waits, or has just ended by itself.
-    RunsOn,
-    /// It may have stopped: if so, its stream breaks.
+    /// The generation did not stop: it is still running or queued, or has just ended by itself.
+    NotStopped,
+    /// The generation may have stopped: if so, its stream breaks.
     Unknown,
 }
 
-/// Stops a generation at its engine; the call also copies the rest, behind all other copies on
-/// these links. A call that found no connection is made again, as nothing was sent: beside a
-/// configuration of 282 kB on a link of 10 Mbit/s none came up for 0.6 s, by the log of one stream.
+/// Stops a generation at its engine. The call also copies the remaining memory, queued behind all other
+/// copies on these links. A call that could not connect is retried, as nothing was sent: next to a
+/// transfer of a configuration of 282 kB on a link of 10 Mbit/s, no connection could be opened for 0.6 s,
+/// by the log of one stream.
 pub async fn stop(source: &ReplicaRecord, id: &str, target: SocketAddr) -> StopAnswer {
-    let until = Instant::now() + COPY_LIMIT;
+    let until = Instant::now() + COPY_TIMEOUT;
     loop {
-        let answer = engine::copy_generation(source.address, id, target, true, COPY_LIMIT).await;
+        let answer = engine::copy_generation(source.address, id, target, true, COPY_TIMEOUT).await;
         let Err(err) = &answer else {
             return answer;
         };
-        info!(event = "stop_unanswered", request = id, upstream = &*source.id, reason:% = err; "no answer to a stop");
+        info!(event = "stop_unanswered", request = id, upstream = &*source.id, reason:% = err; "the call that stops a generation failed");
         if !matches!(err, CallError::Connect(_)) || Instant::now() >= until {
             return answer;
         }
-        tokio::time::sleep(COPY_PAUSE).await;
+        tokio::time::sleep(COPY_RETRY_DELAY).await;
     }
 }
 
-/// What a task beside a stream has come to: one that moves its generation, or asks its engine.
-pub enum Step {
-    /// A copy was made while the generation ran on.
-    Copied(Copied),
-    /// The call that stops the generation was answered, or got no answer.
+/// The result of a task that runs next to a stream and moves its generation or queries its engine.
+pub enum TaskEvent {
+    /// A copy was made while the generation kept running.
+    Copied(MoveTarget),
+    /// The call that stops the generation was answered or failed.
     StopAnswered(StopAnswer),
-    /// A generation whose connection is silent can be stopped, to go on where it stopped.
-    CanStop(Copied),
+    /// A target was found, so a generation whose connection is silent can be stopped and resumed where it
+    /// stopped.
+    ReadyToStop(MoveTarget),
     /// No copy could be made.
-    GaveUp(NotCopied),
-    /// The engine was silent, and is gone.
+    CopyFailed(CopyFailure),
+    /// The engine was silent and is gone.
     EngineGone(UpstreamId),
-    /// The engine had made more events than the `came` that its connection passed on.
+    /// The engine has produced more events than the `received` ones that its connection delivered.
     ConnectionSilent {
         /// The engine.
         engine: UpstreamId,
-        /// Events that had come when it was asked.
-        came: u64,
+        /// Number of events that had been received when the engine was queried.
+        received: u64,
     },
 }
 
-/// The outcome of a call to copy, as a label.
-fn outcome_word(called: &Result<CopyOutcome, CallError>) -> &'static str {
-    match called {
+/// The outcome of a copy call as a metric label.
+fn outcome_label(result: &Result<CopyOutcome, CallError>) -> &'static str {
+    match result {
         Ok(CopyOutcome::Done { .. }) => "done",
         Ok(CopyOutcome::NotRunning) => "not running",
         Ok(CopyOutcome::Busy) => "busy",
@@ -124,71 +131,77 @@
 
 /// Why there is no copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NotCopied {
-    /// The engine that it runs on is gone.
+pub enum CopyFailure {
+    /// The engine that runs the generation is gone.
     SourceGone,
-    /// The target has no room, or can't be reached.
-    Elsewhere(UpstreamId),
-    /// It does not run yet, another call is under way, or its engine was not reached.
-    Later,
+    /// The target has no room or can't be reached.
+    TargetUnusable(UpstreamId),
+    /// The generation is not running yet, another call is in progress, or its engine was not reached.
+    NotYet,
 }
 
-/// Copies a generation away from an engine that leaves.
-pub struct Copying {
-    /// The traffic side.
+/// Copies a generation away from an engine that is leaving or overloaded.
+pub struct CopyTask {
+    /// The state shared by the requests of the traffic thread.
     pub traffic: Traffic,
-    /// The request.
+    /// The request of the generation.
     pub req: Arc<CallerRequest>,
-    /// The stream.
+    /// The stream of the generation.
     pub handle: StreamHandle,
-    /// The engine that it runs on.
+    /// The engine that runs the generation.
     pub source: Arc<ReplicaRecord>,
-    /// Engines that it can't go on at.
-    pub avoid: Vec<UpstreamId>,
-    /// How long to go on trying.
-    pub insist: Duration,
+    /// Engines that can't resume the generation.
+    pub excluded_engines: Vec<UpstreamId>,
+    /// How long to keep retrying.
+    pub retry_for: Duration,
 }
 
-impl Copying {
-    /// Copies to some engine with room.
-    pub async fn copy(self) -> Step {
-        if !self.insist.is_zero() {
+impl CopyTask {
+    /// Copies the generation to an engine with room.
+    pub async fn copy(self) -> TaskEvent {
+        if !self.retry_for.is_zero() {
             let produced = self.handle.produced.load(Ordering::Relaxed);
             let pace = self.traffic.shared.tokens_per_second(&self.req.service);
             let delay = evacuation::start_delay(self.req.generation_size(), produced, pace);
             tokio::time::sleep(delay).await;
         }
-        let until = Instant::now() + self.insist;
+        let until = Instant::now() + self.retry_for;
         let mut exclude = vec![self.source.id.clone()];
-        exclude.extend(self.avoid.iter().cloned());
-        let always = exclude.len();
+        exclude.extend(self.excluded_engines.iter().cloned());
+        let always_excluded = exclude.len();
         loop {
             match self.target(&exclude).await {
                 Some(target) => match self.copy_to(target).await {
-                    Ok(copied) => return Step::Copied(copied),
-                    Err(NotCopied::SourceGone) => return Step::GaveUp(NotCopied::SourceGone),
-                    Err(NotCopied::Elsewhere(refused)) => exclude.push(refused),
-                    Err(NotCopied::Later) => tokio::time::sleep(COPY_PAUSE).await,
+                    Ok(target) => return TaskEvent::Copied(target),
+                    Err(CopyFailure::SourceGone) => return TaskEvent::CopyFailed(CopyFailure::SourceGone),
+                    Err(CopyFailure::TargetUnusable(refused)) => exclude.push(refused),
+                    Err(CopyFailure::NotYet) => tokio::time::sleep(COPY_RETRY_DELAY).await,
                 },
                 None => {
-                    exclude.truncate(always);
-                    tokio::time::sleep(COPY_PAUSE).await;
+                    exclude.truncate(always_excluded);
+                    tokio::time::sleep(COPY_RETRY_DELAY).await;
                 }
             }
             if Instant::now() >= until {
-                return Step::GaveUp(NotCopied::Later);
+                return TaskEvent::CopyFailed(CopyFailure::NotYet);
             }
         }
     }
 
-    /// Finds an engine that the call to stop the generation can name. It is not asked for room by its
-    /// load, as the generation goes on where it stopped; one that is full says so.
-    pub async fn prepare_stop(self) -> Step {
+    /// Finds an engine that the call to stop the generation can name as its target. The engine is chosen
+    /// without regard to its load, as the generation resumes where it stopped; an engine without room
+    /// refuses.
+    pub async fn find_stop_target(self) -> TaskEvent {
         let mut exclude = vec![self.source.id.clone()];
-        exclude.extend(self.avoid.iter().cloned());
+        exclude.extend(self.excluded_engines.iter().cloned());
         match self.place(None, &exclude).await {
-            Some(target) => Step::CanStop(Copied { target, handle: None, stays: true, stop_is_known: false }),
-            None => Step::GaveUp(NotCopied::Later),
+            Some(target) => TaskEvent::ReadyToStop(MoveTarget {
+                target,
+                handle: None,
+                resumes_at_source: true,
+                stop_answered: false,
+            }),
+            None => TaskEvent::CopyFailed(CopyFailure::NotYet),
         }
     }
 
@@ -196,11 +209,11 @@
         self.place(Some(self.req.generation_size()), exclude).await
     }
 
-    /// Places the generation at an engine when it is the turn of a copy from its own one; without its
-    /// size, whether there is room or not.
+    /// Reserves a run at another engine once copies from the current engine may start. Without `size`,
+    /// the engine need not have room.
     async fn place(&self, size: Option<GenerationSize>, exclude: &[UpstreamId]) -> Option<RunGuard> {
         let produced = self.handle.produced.load(Ordering::Relaxed);
-        let patience = if self.insist.is_zero() { Duration::ZERO } else { evacuation::COPY_START_TIMEOUT };
+        let patience = if self.retry_for.is_zero() { Duration::ZERO } else { evacuation::COPY_START_TIMEOUT };
         let request = PlaceRequest {
             request: self.req.id().to_owned(),
             wanted: Wanted {
@@ -221,33 +234,40 @@
         self.traffic.place(request).await.ok()
     }
 
-    async fn copy_to(&self, target: RunGuard) -> Result<Copied, NotCopied> {
+    async fn copy_to(&self, target: RunGuard) -> Result<MoveTarget, CopyFailure> {
         let to = target.placed.replica.clone();
         let began = Instant::now();
-        let called =
-            engine::copy_generation(self.source.address, self.req.id(), to.address, false, COPY_LIMIT).await;
+        let result =
+            engine::copy_generation(self.source.address, self.req.id(), to.address, false, COPY_TIMEOUT)
+                .await;
         let took = began.elapsed().as_millis() as u64;
-        info!(event = "copy", request = self.req.id(), run = target.placed.run, from = &*self.source.id, to = &*to.id, took_ms = took, outcome:? = called; "copy of a generation");
-        self.traffic.shared.metrics.on_move("copy", outcome_word(&called));
-        match called {
+        info!(event = "copy", request = self.req.id(), run = target.placed.run, from = &*self.source.id, to = &*to.id, took_ms = took, outcome:? = result; "copy of a generation");
+        self.traffic.shared.metrics.on_move("copy", outcome_label(&result));
+        match result {
             Ok(CopyOutcome::Done { handle, .. }) => {
-                self.traffic.shared.tell(ToControl::Copied(target.placed.run));
-                Ok(Copied { target, handle: Some(handle), stays: false, stop_is_known: false })
+                self.traffic.shared.notify(ToControl::Copied(target.placed.run));
+                Ok(MoveTarget {
+                    target,
+                    handle: Some(handle),
+                    resumes_at_source: false,
+                    stop_answered: false,
+                })
             }
-            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) => Err(NotCopied::Later),
+            Ok(CopyOutcome::NotRunning | CopyOutcome::Busy) => Err(CopyFailure::NotYet),
             Ok(CopyOutcome::NoRoom { .. } | CopyOutcome::Unexpected(_)) => {
-                Err(NotCopied::Elsewhere(to.id.clone()))
+                Err(CopyFailure::TargetUnusable(to.id.clone()))
             }
-            Err(CallError::Broken(_)) => Err(NotCopied::SourceGone),
-            // What shows that the engine is gone is its stream: a link that other traffic fills lets
-            // no connection come up either, beside a large configuration for 0.6 s.
+            Err(CallError::Broken(_)) => Err(CopyFailure::SourceGone),
+            // A failed connection does not show that the engine is gone; its stream does. A link that is
+            // full of other traffic lets no connection through either, for 0.6 s next to a transfer of a
+            // large configuration.
             Err(
                 CallError::Connect(_)
                 | CallError::TimedOut(_)
                 | CallError::Stalled { .. }
                 | CallError::TooLarge { .. }
                 | CallError::Body(_),
-            ) => Err(NotCopied::Later),
+            ) => Err(CopyFailure::NotYet),
         }
     }
 }
--- a/node/src/gateway/upstream/exchange.rs
+++ b/node/src/gateway/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one replica, and the head of its answer.
+//! Sends one request to one replica and receives the head of its response.
 
 use std::sync::Arc;
 
@@ -25,86 +25,86 @@
 use crate::gateway::messages::Outcome;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::shared::RunGuard;
-use crate::gateway::upstream::connections::Choice;
 use crate::gateway::upstream::connections::ConnectError;
 use crate::gateway::upstream::connections::Connection;
-use crate::gateway::upstream::connections::Connections;
+use crate::gateway::upstream::connections::ConnectionChoice;
+use crate::gateway::upstream::connections::IdleConnections;
 use crate::gateway::upstream::silence;
 use crate::gateway::upstream::stall;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Bytes of a plain answer at most, as it is held until it is whole.
+/// Maximum size of the body of a response that is not streamed, as all of it is buffered.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Why a replica gave no usable answer.
+/// Why a replica gave no usable response.
 #[derive(Debug, Display, Error)]
 pub enum SendError {
     /// The replica's hall is closed: nothing was sent.
     #[display("its hall is closed")]
     HallClosed,
-    /// The replica asked this node for rest: nothing was sent.
+    /// The replica requested a back-off from this node: nothing was sent.
     #[display("it asked for rest")]
-    Resting,
-    /// The replica's version was given up: nothing was sent.
+    BackingOff,
+    /// The replica's version was rolled back: nothing was sent.
     #[display("its version was given up")]
     VersionReverted,
-    /// Replicas end under the request: nothing was sent.
+    /// The request is quarantined because replicas end while they run it: nothing was sent.
     #[display("it is quarantined")]
     Quarantined,
-    /// It turned out that replicas end under the request, and the replica had not answered yet.
+    /// The request was quarantined while it waited for the replica's response.
     #[display("it was quarantined meanwhile")]
-    Withdrawn,
-    /// Not a byte of the request was sent.
+    QuarantinedMeanwhile,
+    /// The request could not be sent: not a byte of it left this node.
     #[display("not sent: {_0}")]
     NotSent(ConnectError),
     /// The connection broke after the request may have been sent.
     #[display("connection broke: {_0}")]
     Broken(hyper::Error),
-    /// No answer in time.
+    /// The deadline passed without a response.
     #[display("no answer in time")]
     TimedOut,
-    /// The replica stayed silent for too long, and the request may go on elsewhere.
+    /// The replica was silent for too long, and the request may be sent to another replica.
     #[display("silent for too long")]
     Stalled,
-    /// A kept connection stayed silent for too long. That the request is sent again is taken from
-    /// the retry budget.
+    /// A reused connection was silent for too long. The retry was taken from the retry budget already.
     #[display("kept connection silent for too long")]
     ConnectionSilent,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     #[display("answer to another request")]
-    Foreign,
-    /// The answer ended early or was too large.
+    WrongRequest,
+    /// The body ended early or was too large.
     #[display("answer cut short: {_0}")]
-    Cut(#[error(not(source))] String),
+    Truncated(#[error(not(source))] String),
 }
 
-/// Ends a request's place at a replica that failed it. Returns the code for its caller, unless
+/// Ends the run of a request that failed at a replica. Returns the code for the caller, or `None` if
 /// nothing was sent.
-pub fn failed(req: &CallerRequest, run: RunGuard, err: &SendError) -> Option<Code> {
-    info!(event = "attempt_failed", request = req.id(), upstream = &*run.placed.replica.id, reason:% = err; "attempt failed");
-    let says_nothing = matches!(
+pub fn end_failed_run(req: &CallerRequest, run: RunGuard, err: &SendError) -> Option<Code> {
+    info!(event = "attempt_failed", request = req.id(), upstream = &*run.placed.replica.id, reason:% = err; "request to the replica failed");
+    let is_replica_blameless = matches!(
         err,
         SendError::HallClosed
-            | SendError::Resting
+            | SendError::BackingOff
             | SendError::VersionReverted
             | SendError::Quarantined
-            | SendError::Withdrawn
+            | SendError::QuarantinedMeanwhile
     );
-    run.end(if says_nothing { Outcome::Withdrawn } else { Outcome::Failed });
+    run.end(if is_replica_blameless { Outcome::Withdrawn } else { Outcome::Failed });
     match err {
         SendError::HallClosed
-        | SendError::Resting
+        | SendError::BackingOff
         | SendError::VersionReverted
         | SendError::Quarantined
         | SendError::NotSent(_) => None,
         SendError::TimedOut | SendError::Stalled | SendError::ConnectionSilent => Some(Code::UpstreamTimeout),
-        SendError::Broken(_) | SendError::Foreign | SendError::Cut(_) | SendError::Withdrawn => {
-            Some(Code::UpstreamLost)
-        }
+        SendError::Broken(_)
+        | SendError::WrongRequest
+        | SendError::Truncated(_)
+        | SendError::QuarantinedMeanwhile => Some(Code::UpstreamLost),
     }
 }
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub struct Exchange {
     /// The status.
     pub status: StatusCode,
@@ -112,42 +112,42 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Incoming,
-    /// When the head came: an engine begins its answer when it begins to run the request.
-    pub head_came: Instant,
+    /// When the head was received: an engine sends the head when it starts to run the request.
+    pub head_received: Instant,
     connection: Connection,
 }
 
-/// An answer read to its end.
-pub struct WholeAnswer {
+/// A response whose body was read to its end.
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What it takes of the node's memory.
+    /// The node memory that the body is accounted for with.
     pub held: Held,
 }
 
-/// Sends a request that was sent to `sent` replicas before to one more, on a connection of
-/// `choice`, and waits for the head of the answer as long as its caller does.
+/// Sends a request that was sent to `sent` replicas before to one more, on a connection of `choice`, and
+/// waits for the head of the response until the request's deadline.
 pub async fn send(
     traffic: &Traffic,
     replica: &ReplicaRecord,
     req: &CallerRequest,
     added: &Added<'_>,
-    choice: Choice,
+    choice: ConnectionChoice,
     sent: u32,
 ) -> Result<Exchange, SendError> {
-    // Whatever chose the replica, and however long ago: this is the last look before the send.
+    // However the replica was chosen, and however long ago: these are the last checks before sending.
     if traffic.is_quarantined(req) {
         return Err(SendError::Quarantined);
     }
     if !traffic.shared.closed_halls().is_open(&replica.hall) {
         return Err(SendError::HallClosed);
     }
-    if traffic.lets_rest(replica, added.resume.is_some_and(|resume| resume.copy.is_some())) {
-        return Err(SendError::Resting);
+    if traffic.is_backing_off(replica, added.resume.is_some_and(|resume| resume.copy.is_some())) {
+        return Err(SendError::BackingOff);
     }
     if traffic.is_reverted(req, replica) {
         return Err(SendError::VersionReverted);
@@ -155,34 +155,40 @@
     let mut connection = traffic.connections.take(replica, choice).await.map_err(SendError::NotSent)?;
     let sent_at = traffic.shared.now();
     traffic.on_sending(req, replica, sent);
-    traffic.shared.metrics.on_connection(connection.rested.is_some());
+    traffic.shared.metrics.on_connection(connection.idle_time.is_some());
     let sending = connection.sender.send_request(request(req, added));
-    let sending = stall::head(traffic, req, replica, sending);
+    let sending = stall::await_head(traffic, req, replica, sending);
     let waiting = async {
-        match connection.rested {
-            Some(_) => silence::head(traffic, req, replica, sent, sending).await,
+        match connection.idle_time {
+            Some(_) => silence::await_head(traffic, req, replica, sent, sending).await,
             None => Some(sending.await),
         }
     };
     let waiting = unless_quarantined(traffic, req, waiting);
     let answer = tokio::time::timeout_at(req.until(), waiting).await.map_err(|_| SendError::TimedOut)??;
     let answer = answer.ok_or(SendError::ConnectionSilent)?.ok_or(SendError::Stalled)?;
-    if let (Err(_), Some(rested)) = (&answer, connection.rested) {
-        traffic.connections.on_break(rested);
+    if let (Err(_), Some(idle_time)) = (&answer, connection.idle_time) {
+        traffic.connections.on_break(idle_time);
     }
     let (head, body) = answer
         .inspect_err(|_| traffic.on_broken_run(req, replica, None, 0))
         .map_err(SendError::Broken)?
         .into_parts();
     if head.headers.get(headers::REQUEST_ID) != req.headers.get(headers::REQUEST_ID) {
-        return Err(SendError::Foreign);
+        return Err(SendError::WrongRequest);
     }
-    traffic.on_head(req, replica, &head, sent_at);
-    Ok(Exchange { status: head.status, headers: head.headers, body, head_came: Instant::now(), connection })
+    traffic.on_response_head(req, replica, &head, sent_at);
+    Ok(Exchange {
+        status: head.status,
+        headers: head.headers,
+        body,
+        head_received: Instant::now(),
+        connection,
+    })
 }
 
-/// Waits no longer than until the request is quarantined: it may wait at the replica for its turn, and that
-/// one does not begin it once it is hung up on.
+/// Stops waiting when the request is quarantined: it may still be queued at the replica, which does not
+/// start it once the connection is closed.
 async fn unless_quarantined<T>(
     traffic: &Traffic,
     req: &CallerRequest,
@@ -191,7 +197,7 @@
     tokio::select! {
         biased;
         answer = waiting => Ok(answer),
-        () = traffic.until_quarantined(req) => Err(SendError::Withdrawn),
+        () = traffic.until_quarantined(req) => Err(SendError::QuarantinedMeanwhile),
     }
 }
 
@@ -204,59 +210,59 @@
 }
 
 impl Exchange {
-    /// Whether the replica says that it did not run the request.
+    /// Whether the replica reports that it did not run the request.
     pub fn says_not_run(&self) -> bool {
         headers::says_not_run(self.status, &self.headers)
     }
 
-    /// Whether the body's end can be told from a connection that just closes.
+    /// Whether the end of the body can be told apart from a connection that just closes.
     pub fn is_framed(&self) -> bool {
         let framing = [header::TRANSFER_ENCODING, header::CONTENT_LENGTH];
         framing.iter().any(|name| self.headers.contains_key(name))
     }
 
-    /// Reads the answer to a request to its end; one that is cut short is a run that broke.
-    pub async fn whole(
+    /// Reads the response to its end. A truncated response counts as a broken run.
+    pub async fn read_response(
         self,
         traffic: &Traffic,
         replica: &ReplicaRecord,
         req: &CallerRequest,
-    ) -> Result<WholeAnswer, SendError> {
+    ) -> Result<BufferedResponse, SendError> {
         let answer = self.read(&traffic.shared.held, &traffic.connections, replica, req.until()).await;
-        if matches!(answer, Err(SendError::Cut(_))) {
+        if matches!(answer, Err(SendError::Truncated(_))) {
             traffic.on_broken_run(req, replica, None, 0);
         }
         answer
     }
 
-    /// Reads it until `until`, and keeps the connection if it can be used again.
+    /// Reads the body until `until`, and keeps the connection if it can be reused.
     async fn read(
         self,
         node: &Arc<HeldBytes>,
-        connections: &Connections,
+        connections: &IdleConnections,
         replica: &ReplicaRecord,
         until: Instant,
-    ) -> Result<WholeAnswer, SendError> {
+    ) -> Result<BufferedResponse, SendError> {
         let body = Limited::new(self.body, MAX_ANSWER_BYTES);
         let reading = held_bytes::collect(body, async |bytes| Some(node.take_when_free(bytes).await));
         let body = tokio::time::timeout_at(until, reading).await.map_err(|_| SendError::TimedOut)?;
         let (body, held) = match body {
-            Ok(Some(whole)) => whole,
-            Ok(None) => return Err(SendError::Cut("no room for it".to_owned())),
-            Err(err) => return Err(SendError::Cut(err.to_string())),
+            Ok(Some(collected)) => collected,
+            Ok(None) => return Err(SendError::Truncated("not enough memory to buffer the body".to_owned())),
+            Err(err) => return Err(SendError::Truncated(err.to_string())),
         };
         let held = held.unwrap_or_else(|| node.nothing());
         if !headers::closes(&self.headers) {
             connections.put(replica, self.connection, headers::keeps_for(&self.headers));
         }
-        Ok(WholeAnswer { status: self.status, headers: self.headers, body, held })
+        Ok(BufferedResponse { status: self.status, headers: self.headers, body, held })
     }
 }
 
-impl WholeAnswer {
-    /// Whether its status tells a caller "not run": it is passed on only when the replica
-    /// says the same.
-    pub fn promises_not_run(&self) -> bool {
+impl BufferedResponse {
+    /// Whether the status tells a caller that the request was not run. Such a response is passed on only
+    /// if the replica itself reports that.
+    pub fn has_not_run_status(&self) -> bool {
         matches!(self.status.as_u16(), 408 | 421 | 429 | 503)
     }
 }
--- a/node/src/gateway/upstream/stall.rs
+++ b/node/src/gateway/upstream/stall.rs
@@ -1,8 +1,7 @@
-//! Notices that an engine has fallen silent with a stream that may go on elsewhere.
+//! Detects that an engine has fallen silent while a stream of a resumable route waits for it.
 //!
-//! To read a prompt again costs the engines more than a short wait, so a silence is doubted first:
-//! the engine is asked for its health, and only one that does not answer, or that stays silent for
-//! as long again, is left.
+//! Repeating a prefill costs the engines more than a short wait. The engine's health is therefore checked
+//! first, and the engine is abandoned only if it does not answer, or stays silent for as long again.
 
 use std::future::Future;
 use std::time::Duration;
@@ -18,70 +17,74 @@
 use crate::gateway::request::CallerRequest;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// A stream that has begun is doubted after so many times its longest pause that counts as in
-/// time: moves and busy engines make some gaps longer than that one.
-const DOUBTED_GAPS: u32 = 4;
-/// Time for an engine to answer when it is asked for its health.
-const HEALTH_LIMIT: Duration = Duration::from_millis(300);
+/// A running stream is considered stalled after this many times its route's objective for the gap between
+/// events: moves and busy engines make some gaps longer than the objective.
+const STALL_OBJECTIVE_GAPS: u32 = 4;
+/// Timeout of an engine's answer to a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What to do about a silent engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Silence {
-    /// Ask the engine for its health.
-    Doubt,
-    /// Leave it.
-    Leave,
+pub enum StallAction {
+    /// Check the engine's health.
+    CheckHealth,
+    /// Abandon the engine.
+    Abandon,
 }
 
-/// The time since a stream's last event.
+/// Measures the time since a stream's last event.
 #[derive(Debug)]
 pub struct StallWatch {
     limit: Duration,
     due: Instant,
-    doubted: bool,
+    health_checked: bool,
 }
 
 impl StallWatch {
-    /// Begins when an engine was asked for a stream.
+    /// Starts the measurement when a stream is requested from an engine.
     pub fn new(route: &Route) -> Self {
-        StallWatch { limit: route.objective, due: Instant::now() + route.objective, doubted: false }
+        StallWatch { limit: route.objective, due: Instant::now() + route.objective, health_checked: false }
     }
 
-    /// An event came.
+    /// Records an event.
     pub fn on_event(&mut self, route: &Route) {
-        self.limit = route.gap_objective * DOUBTED_GAPS;
+        self.limit = route.gap_objective * STALL_OBJECTIVE_GAPS;
         self.due = Instant::now() + self.limit;
-        self.doubted = false;
+        self.health_checked = false;
     }
 
-    /// When the engine has been silent for too long.
+    /// Returns when the engine will have been silent for too long.
     pub fn due(&self) -> Instant {
         self.due
     }
 
-    /// The engine has been silent for too long.
-    pub fn on_due(&mut self) -> Silence {
+    /// Handles an engine that has been silent for too long.
+    pub fn on_due(&mut self) -> StallAction {
         self.due = Instant::now() + self.limit;
-        if std::mem::replace(&mut self.doubted, true) { Silence::Leave } else { Silence::Doubt }
+        if std::mem::replace(&mut self.health_checked, true) {
+            StallAction::Abandon
+        } else {
+            StallAction::CheckHealth
+        }
     }
 }
 
-/// Whether the engine is gone; the control thread learns of it.
+/// Whether the engine is gone; if so, the control loop is notified.
 pub async fn is_gone(traffic: &Traffic, req: &CallerRequest, engine: &ReplicaRecord) -> bool {
     let Some(service) = req.table.service(&req.service) else {
         return false;
     };
-    let health = health::ask(engine, &service.health_path, HEALTH_LIMIT).await;
-    info!(event = "silence_doubted", request = req.id(), upstream = &*engine.id, health:? = health; "an engine is silent");
+    let health = health::ask(engine, &service.health_path, HEALTH_CHECK_TIMEOUT).await;
+    info!(event = "silence_doubted", request = req.id(), upstream = &*engine.id, health:? = health; "checked the health of a silent engine");
     let is_gone = matches!(health, Health::Silent | Health::Closed | Health::Other);
     if is_gone {
-        traffic.shared.tell(ToControl::Health(engine.incarnation(), health));
+        traffic.shared.notify(ToControl::Health(engine.incarnation(), health));
     }
     is_gone
 }
 
-/// Waits for the head of an answer; `None` if its engine is to be left.
-pub async fn head<T>(
+/// Waits for the head of a response; returns `None` if its engine is to be abandoned.
+pub async fn await_head<T>(
     traffic: &Traffic,
     req: &CallerRequest,
     engine: &ReplicaRecord,
@@ -96,7 +99,7 @@
         if let Ok(answer) = tokio::time::timeout_at(watch.due(), &mut sending).await {
             return Some(answer);
         }
-        if watch.on_due() == Silence::Leave {
+        if watch.on_due() == StallAction::Abandon {
             return None;
         }
         tokio::select! {
