--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -1,12 +1,12 @@
-//! Requests under which replicas end, as the traffic thread sees them: runs that break and runs that end
-//! well are told, and what is quarantined is sent nowhere.
+//! Detects requests that make replicas end, on the traffic thread: reports broken and successful runs to
+//! the control loop, and sends quarantined requests to no replica.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use leadstage_lib::code::Code;
 use leadstage_lib::gateway::crash_ledger::CrashTable;
-use leadstage_lib::gateway::crash_ledger::Standing;
+use leadstage_lib::gateway::crash_ledger::SuspectStatus;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_lib::loss_limit;
 use leadstage_platform::health;
@@ -20,13 +20,14 @@
 use crate::gateway::upstream::traffic::Traffic;
 use crate::shared::unix_millis;
 
-/// Time for a replica to answer at which a run of this attempt broke: its caller waits meanwhile.
-const HEALTH_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout of the health check of a replica at which a run of this attempt broke: the caller waits
+/// meanwhile.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Traffic {
-    /// A request's run at a replica broke before its answer's end. `began` is when it began to run, if that
-    /// is known; `events` is what its caller has had of a stream. It is held against the request unless
-    /// another run of it ended well lately.
+    /// Records that a request's run at a replica broke before the end of the response. `began` is when
+    /// the run started, if that is known; `events` is the number of events that the caller has received
+    /// of a stream. The break counts against the request unless another run of it succeeded recently.
     pub fn on_broken_run(
         &self,
         req: &CallerRequest,
@@ -34,87 +35,89 @@
         began: Option<Instant>,
         events: u64,
     ) {
-        let is_held = !self.was_sound(req);
+        let counts_against_request = !self.succeeded_recently(req);
         let ran_ms = began.map_or(0, |began| began.elapsed().as_millis() as u64);
-        info!(event = "run_broke", request = req.id(), fingerprint:% = req.fingerprint(), route = &*req.route.name, upstream = &*replica.id, born = replica.born, began = began.is_some(), ran_ms, events, held = is_held; "a run broke at its replica");
-        self.shared.metrics.on_broken_run(is_held);
-        if is_held {
+        info!(event = "run_broke", request = req.id(), fingerprint:% = req.fingerprint(), route = &*req.route.name, upstream = &*replica.id, born = replica.born, began = began.is_some(), ran_ms, events, held = counts_against_request; "a run broke at its replica");
+        self.shared.metrics.on_broken_run(counts_against_request);
+        if counts_against_request {
             req.broken_at.lock().expect("no holder panics").push(replica.clone());
             let run = BrokenRun { fingerprint: req.fingerprint(), replica: replica.incarnation() };
-            self.shared.tell(ToControl::RunBroke(run));
+            self.shared.notify(ToControl::RunBroke(run));
         }
     }
 
-    fn was_sound(&self, req: &CallerRequest) -> bool {
-        let sound = self.sound_runs.borrow();
-        sound.was_sound(sound.name(&req.parts()), self.shared.now())
+    fn succeeded_recently(&self, req: &CallerRequest) -> bool {
+        let successes = self.recent_successes.borrow();
+        successes.succeeded_recently(successes.hash(&req.parts()), self.shared.now())
     }
 
-    /// A replica answered a request to the end.
-    pub fn on_sound_run(&self, req: &CallerRequest) {
-        let mut sound = self.sound_runs.borrow_mut();
-        let name = sound.name(&req.parts());
-        sound.on_sound(name, self.shared.now());
-        if self.standing(req).is_some() {
-            self.shared.tell(ToControl::RanWell(req.fingerprint()));
+    /// Records that a replica answered a request to the end.
+    pub fn on_successful_run(&self, req: &CallerRequest) {
+        let mut successes = self.recent_successes.borrow_mut();
+        let hash = successes.hash(&req.parts());
+        successes.on_success(hash, self.shared.now());
+        if self.suspect_status(req).is_some() {
+            self.shared.notify(ToControl::RunSucceeded(req.fingerprint()));
         }
     }
 
-    /// What speaks against a request. Costs nothing where nothing speaks against any.
-    fn standing(&self, req: &CallerRequest) -> Option<Standing> {
+    /// Returns the suspect status of a request. Costs nothing while there are no suspects.
+    fn suspect_status(&self, req: &CallerRequest) -> Option<SuspectStatus> {
         let crashes = self.shared.crashes();
         if crashes.is_empty() { None } else { crashes.get(&req.fingerprint()).copied() }
     }
 
-    /// Whether a request may cost one more replica after a run that broke. Of replicas that broke runs of this
-    /// attempt those that answer have not ended: with two that lived and did not count, a stream ended at its
-    /// second break instead of going on at a third engine, by the test of all faults.
+    /// Whether a request may be sent to one more replica after a run that broke, although it may end that
+    /// replica too. Replicas that broke runs of this attempt but answer a health check have not ended and
+    /// do not count: when two such replicas counted, a stream ended at its second break instead of being
+    /// resumed at a third engine, by the test of all faults.
     pub async fn may_retry_after_loss(&self, req: &CallerRequest) -> bool {
-        let ended = self.standing(req).map_or(0, |standing| standing.ends);
+        let ended = self.suspect_status(req).map_or(0, |status| status.ends);
         let broken_at = req.broken_at.lock().expect("no holder panics").clone();
         if loss_limit::may_retry_after_loss(ended, broken_at.len()) {
             return true;
         }
         let mut broken = broken_at.len();
         if loss_limit::may_retry_after_loss(ended, 0) {
-            let asked = broken_at.iter().map(|replica| self.lives(req, replica));
-            broken -= futures::future::join_all(asked).await.into_iter().filter(|lives| *lives).count();
+            let checks = broken_at.iter().map(|replica| self.is_alive(req, replica));
+            broken -=
+                futures::future::join_all(checks).await.into_iter().filter(|is_alive| *is_alive).count();
         }
-        let may = loss_limit::may_retry_after_loss(ended, broken);
-        if !may {
-            info!(event = "not_sent_again", request = req.id(), fingerprint:% = req.fingerprint(), ended, broken; "replicas may end under this request: it is not sent to another one");
+        let may_retry = loss_limit::may_retry_after_loss(ended, broken);
+        if !may_retry {
+            info!(event = "not_sent_again", request = req.id(), fingerprint:% = req.fingerprint(), ended, broken; "not retrying: the request may have ended replicas");
         }
-        may
+        may_retry
     }
 
-    async fn lives(&self, req: &CallerRequest, replica: &ReplicaRecord) -> bool {
+    async fn is_alive(&self, req: &CallerRequest, replica: &ReplicaRecord) -> bool {
         let Some(service) = req.table.service(&req.service) else {
             return false;
         };
-        let health = health::ask(replica, &service.health_path, HEALTH_LIMIT).await;
+        let health = health::ask(replica, &service.health_path, HEALTH_CHECK_TIMEOUT).await;
         health.is_answer()
     }
 
-    /// Whether a request is sent to no replica.
+    /// Whether a request must not be sent to any replica.
     pub fn is_quarantined(&self, req: &CallerRequest) -> bool {
-        self.standing(req).is_some_and(|standing| standing.is_quarantined())
+        self.suspect_status(req).is_some_and(|status| status.is_quarantined())
     }
 
-    /// Refuses a request that is sent to no replica. Its caller is told when that ends: until then each
-    /// attempt would come to the same.
+    /// Refuses a quarantined request. The caller is told when the quarantine ends: until then each
+    /// attempt would be refused again.
     pub fn refuse_quarantined(&self, req: &CallerRequest) -> Result<(), Refusal> {
-        let Some(standing) = self.standing(req).filter(Standing::is_quarantined) else {
+        let Some(status) = self.suspect_status(req).filter(SuspectStatus::is_quarantined) else {
             return Ok(());
         };
-        let left = Duration::from_millis(standing.until.saturating_sub(unix_millis()));
-        info!(event = "quarantined", request = req.id(), fingerprint:% = req.fingerprint(), ends = standing.ends; "a request that replicas end under is not sent");
+        let left = Duration::from_millis(status.until.saturating_sub(unix_millis()));
+        info!(event = "quarantined", request = req.id(), fingerprint:% = req.fingerprint(), ends = status.ends; "refusing a quarantined request");
         Err(Refusal { code: Code::Quarantined, retry_after: Some(left) })
     }
 
     /// Waits until a request is quarantined.
     pub async fn until_quarantined(&self, req: &CallerRequest) {
         let is_quarantined = |table: &Arc<CrashTable>| {
-            !table.is_empty() && table.get(&req.fingerprint()).is_some_and(Standing::is_quarantined)
+            !table.is_empty() && table.get(&req.fingerprint()).is_some_and(SuspectStatus::is_quarantined)
         };
         // The sender lives as long as the process.
         let _ = self.shared.crash_changes().wait_for(is_quarantined).await;
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -1,4 +1,4 @@
-//! What the requests of the traffic thread share.
+//! State shared by the requests of the traffic thread.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,11 +8,11 @@
 
 use http::HeaderName;
 use leadstage_lib::gateway::leaving_announcements::LeavingAnnouncements;
+use leadstage_lib::gateway::recent_successes::RecentSuccesses;
 use leadstage_lib::gateway::replica_backoffs::ReplicaBackoffs;
 use leadstage_lib::gateway::retry_window::RetryShare;
 use leadstage_lib::gateway::retry_window::RetryWindow;
 use leadstage_lib::gateway::routing::ServiceId;
-use leadstage_lib::gateway::sound_runs::SoundRuns;
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::ids::UpstreamId;
 
@@ -23,66 +23,70 @@
 use crate::gateway::shared::RunGuard;
 use crate::gateway::shared::Shared;
 use crate::gateway::stop;
-use crate::gateway::upstream::connections::Connections;
+use crate::gateway::upstream::connections::IdleConnections;
 
-/// Nodes that share the retry budget at least: a node that is cut off from the others must
-/// not take all of it.
-const LEAST_NODES: usize = 6;
+/// The retry budget is divided among at least this many nodes: a node that is cut off from the others
+/// must not use all of it.
+const MIN_BUDGET_NODES: usize = 6;
 
-/// What the requests of the traffic thread share.
+/// State shared by the requests of the traffic thread.
 #[derive(Clone)]
 pub struct Traffic {
-    /// What both threads share.
+    /// State shared by the traffic thread and the control thread.
     pub shared: Arc<Shared>,
-    /// Unused connections to replicas.
-    pub connections: Rc<Connections>,
+    /// Idle connections to replicas.
+    pub connections: Rc<IdleConnections>,
     retries: Rc<RefCell<HashMap<ServiceId, RetryWindow>>>,
-    /// Requests that replicas answered lately.
-    pub sound_runs: Rc<RefCell<SoundRuns>>,
-    /// Replicas that said in an answer to this node that they leave.
+    /// Requests that replicas answered successfully in recent time.
+    pub recent_successes: Rc<RefCell<RecentSuccesses>>,
+    /// Replicas that announced in a response to this node that they are leaving.
     pub leaving_announcements: Rc<RefCell<LeavingAnnouncements>>,
-    /// Replicas that asked this node for rest.
-    pub rests: Rc<RefCell<ReplicaBackoffs>>,
-    /// The headers of replicas' answers that have been looked at.
+    /// Replicas that requested a back-off from this node.
+    pub backoffs: Rc<RefCell<ReplicaBackoffs>>,
+    /// Names of response headers that have been checked already.
     pub seen_headers: Rc<RefCell<HashSet<HeaderName>>>,
 }
 
 impl Traffic {
-    /// Nothing is open yet.
+    /// Returns the initial state, without connections.
     pub fn new(shared: Arc<Shared>) -> Self {
         Traffic {
             shared,
             connections: Rc::default(),
             retries: Rc::default(),
-            sound_runs: Rc::default(),
+            recent_successes: Rc::default(),
             leaving_announcements: Rc::default(),
-            rests: Rc::default(),
+            backoffs: Rc::default(),
             seen_headers: Rc::default(),
         }
     }
 
-    /// Whether a request that was sent to `sent` replicas may be sent to one more; if so, that is
-    /// taken from the retry budget.
-    pub async fn may_send_again(&self, req: &CallerRequest, sent: u32) -> bool {
+    /// Whether a request that was sent to `sent` replicas may be sent to one more; if so, that is taken
+    /// from the retry budget.
+    pub async fn may_retry(&self, req: &CallerRequest, sent: u32) -> bool {
         let policy = self.shared.settings.policy;
-        let is_on = if req.route.resumable { policy.resume_streams } else { policy.repeat };
-        is_on && req.may_repeat(sent) && self.may_retry_after_loss(req).await && self.take_retry(&req.service)
+        let is_enabled = if req.route.resumable { policy.resume_streams } else { policy.repeat };
+        is_enabled
+            && req.may_repeat(sent)
+            && self.may_retry_after_loss(req).await
+            && self.spend_retry(&req.service)
     }
 
-    fn take_retry(&self, service: &ServiceId) -> bool {
+    fn spend_retry(&self, service: &ServiceId) -> bool {
         let now = self.shared.now();
         let bounds = self.shared.bounds();
         let share = RetryShare {
             window: bounds.retry_window,
             ratio: bounds.retry_ratio,
-            slack: bounds.retry_slack / self.shared.nodes().max(LEAST_NODES) as f64,
+            slack: bounds.retry_slack / self.shared.nodes().max(MIN_BUDGET_NODES) as f64,
         };
-        let allowed = self.with_window(service, |window| window.take(now, &share));
-        self.shared.metrics.on_repeat(allowed);
+        let allowed = self.with_retry_window(service, |window| window.take(now, &share));
+        self.shared.metrics.on_retry(allowed);
         allowed
     }
 
-    /// Asks for an engine that reads a request's prompt, other than some.
+    /// Requests a placement at an engine that runs the prefill of a request, other than the excluded
+    /// ones.
     pub async fn place_generation(
         &self,
         req: &CallerRequest,
@@ -109,14 +113,14 @@
         self.place(request).await
     }
 
-    /// A request for a service came: it adds to the retry budget.
+    /// Counts a request for a service, which adds to the retry budget.
     pub fn on_request(&self, service: &ServiceId) {
         let now = self.shared.now();
-        self.with_window(service, |window| window.on_request(now));
+        self.with_retry_window(service, |window| window.on_request(now));
     }
 
-    fn with_window<T>(&self, service: &ServiceId, act: impl FnOnce(&mut RetryWindow) -> T) -> T {
+    fn with_retry_window<T>(&self, service: &ServiceId, update: impl FnOnce(&mut RetryWindow) -> T) -> T {
         let mut windows = self.retries.borrow_mut();
-        act(windows.entry(service.clone()).or_default())
+        update(windows.entry(service.clone()).or_default())
     }
 }
--- a/testutils/src/fleet_model/lead.rs
+++ b/testutils/src/fleet_model/lead.rs
@@ -1,5 +1,5 @@
-//! The lead of a modelled fleet: the book, the choice of engines, the queue and the forecasts of
-//! `leadstage-lib`, put together as a node does.
+//! The lead of a modelled fleet: the load tracker, choice of engines, queue and forecasts of `leadstage-lib`,
+//! combined as in a node.
 
 use std::time::Duration;
 
@@ -35,63 +35,63 @@
 
 const SERVICE: &str = "model";
 
-/// A generation that wants an engine.
+/// A request to place a generation.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// Names it.
+pub struct PlacementRequest {
+    /// Id of the generation.
     pub run: RunId,
     /// Its size.
     pub size: GenerationSize,
-    /// Its urgency; 0 goes first.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
     /// Time until its first event is due.
-    pub patience: Duration,
+    pub first_event_due_in: Duration,
     /// Time until its caller leaves.
     pub leaves_after: Duration,
 }
 
-/// The lead's word.
+/// The lead's reply to a placement request.
 #[derive(Clone, Debug)]
-pub enum Answer {
-    /// It was given an engine.
+pub enum PlacementReply {
+    /// The generation was placed on an engine.
     Placed(RunId, UpstreamId),
-    /// Refused, with the time after which there should be room, if it is known.
+    /// Refused, with the time until capacity is expected, if known.
     Refused(RunId, Option<Duration>),
-    /// It is told later.
-    Waits,
+    /// Queued; a reply follows later.
+    Queued,
 }
 
 /// The lead of all engines.
 pub struct Lead {
-    /// What it knows of the fleet.
+    /// Its view of the fleet.
     pub fleet: Fleet,
-    queue: LeadQueue<Ask>,
+    queue: LeadQueue<PlacementRequest>,
     rebalancer: Rebalancer,
 }
 
-/// What a lead knows of its engines and of what runs there.
+/// What a lead knows of its engines and their generations.
 pub struct Fleet {
     /// The engines.
     pub table: ReplicaTable,
-    /// The generations.
-    pub book: LoadTracker,
+    /// The load of the engines.
+    pub load: LoadTracker,
     traits: EngineTraits,
     forecast: RoomForecast,
     hall: HallId,
 }
 
-/// Names a generation.
+/// Returns the key of a generation.
 pub fn key(run: RunId) -> RunKey {
     RunKey { entry: "node".into(), run }
 }
 
 impl Lead {
-    /// A lead of engines like these, none of which it knows yet.
+    /// Creates a lead for engines of this kind that knows none of them yet.
     pub fn new(engines: &ModelledEngines, policy: Policy) -> Self {
         Lead {
             fleet: Fleet {
                 table: ReplicaTable::new(policy),
-                book: LoadTracker::new(policy),
+                load: LoadTracker::new(policy),
                 traits: EngineTraits {
                     batch: engines.batch as u32,
                     memory_tokens: engines.memory_tokens,
@@ -109,48 +109,49 @@
         }
     }
 
-    /// Takes a question in.
-    pub fn ask(&mut self, ask: Ask, now: Timestamp, rng: &mut SmallRng) -> Answer {
-        let (run, terms) = (ask.run, self.fleet.terms(&ask));
+    /// Places, queues or refuses a generation.
+    pub fn place(&mut self, request: PlacementRequest, now: Timestamp, rng: &mut SmallRng) -> PlacementReply {
+        let (run, terms) = (request.run, self.fleet.terms(&request));
         let mut engines = EnginesAt { fleet: &mut self.fleet, now, rng };
-        match self.queue.ask(ask, &terms, &mut engines, now) {
-            QueueReply::Placed(_, engine) => Answer::Placed(run, engine),
-            QueueReply::Refused(_, expected) => Answer::Refused(run, expected),
-            QueueReply::Waits => Answer::Waits,
+        match self.queue.ask(request, &terms, &mut engines, now) {
+            QueueReply::Placed(_, engine) => PlacementReply::Placed(run, engine),
+            QueueReply::Refused(_, expected) => PlacementReply::Refused(run, expected),
+            QueueReply::Waits => PlacementReply::Queued,
         }
     }
 
-    /// Answers those that can go on now, and those that can't be expected to begin in time.
-    pub fn settle(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<Answer> {
+    /// Replies to queued requests that can be placed now, and to requests that are not expected to start in
+    /// time.
+    pub fn settle(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<PlacementReply> {
         let mut engines = EnginesAt { fleet: &mut self.fleet, now, rng };
         let settled = self.queue.settle(&mut engines, now);
-        let answer = |settled: Settled<Ask, UpstreamId>| match settled.outcome {
-            Ok(engine) => Answer::Placed(settled.item.run, engine),
-            Err(expected) => Answer::Refused(settled.item.run, expected),
+        let reply = |settled: Settled<PlacementRequest, UpstreamId>| match settled.outcome {
+            Ok(engine) => PlacementReply::Placed(settled.item.run, engine),
+            Err(expected) => PlacementReply::Refused(settled.item.run, expected),
         };
-        settled.into_iter().map(answer).collect()
+        settled.into_iter().map(reply).collect()
     }
 
-    /// Generations that should move for balance.
+    /// Returns the generations that should move to balance the load.
     pub fn due_moves(&mut self, now: Timestamp) -> Vec<RebalanceMove> {
         let fleet = &self.fleet;
         let usable = fleet.table.of_service(SERVICE).into_iter().filter(|engine| engine.is_usable(now));
-        self.rebalancer.due_moves(&fleet.book, usable, &fleet.traits, now)
+        self.rebalancer.due_moves(&fleet.load, usable, &fleet.traits, now)
     }
 }
 
-/// The engines, for those that wait at a moment.
+/// The engines at a point in time, as the queue uses them.
 struct EnginesAt<'a> {
     fleet: &'a mut Fleet,
     now: Timestamp,
     rng: &'a mut SmallRng,
 }
 
-impl Engines<Ask> for EnginesAt<'_> {
+impl Engines<PlacementRequest> for EnginesAt<'_> {
     type Place = UpstreamId;
 
-    fn choose(&mut self, ask: &Ask) -> Result<UpstreamId, Shortage> {
-        self.fleet.choose(ask, self.now, self.rng)
+    fn choose(&mut self, request: &PlacementRequest) -> Result<UpstreamId, Shortage> {
+        self.fleet.choose(request, self.now, self.rng)
     }
 
     fn time_until(&self, tokens: f64) -> Option<Duration> {
@@ -159,7 +160,7 @@
 }
 
 impl Fleet {
-    /// An engine is listed, or listed as leaving.
+    /// Handles an engine's entry in the list, which may be listed as leaving.
     pub fn on_entry(&mut self, id: &UpstreamId, leaving: bool, now: Timestamp) {
         let record = ReplicaRecord {
             id: id.clone(),
@@ -175,34 +176,39 @@
         self.table.on_entry(record, now, &mut ListChange::default());
     }
 
-    fn terms(&self, ask: &Ask) -> QueueTerms {
-        let reading = self.book.prefill.usual_prefill_time(SERVICE, ask.size.prompt);
+    fn terms(&self, request: &PlacementRequest) -> QueueTerms {
+        let prefill_time = self.load.prefill.usual_prefill_time(SERVICE, request.size.prompt);
         QueueTerms {
-            priority: ask.priority,
-            in_time: ask.patience.saturating_sub(reading + MAX_QUEUED_PREFILL),
-            may_wait: ask.leaves_after.saturating_sub(reading),
-            tokens: self.book.memory_of(SERVICE, ask.size, 0),
+            priority: request.priority,
+            in_time: request.first_event_due_in.saturating_sub(prefill_time + MAX_QUEUED_PREFILL),
+            may_wait: request.leaves_after.saturating_sub(prefill_time),
+            tokens: self.load.memory_of(SERVICE, request.size, 0),
         }
     }
 
-    fn choose(&mut self, ask: &Ask, now: Timestamp, rng: &mut SmallRng) -> Result<UpstreamId, Shortage> {
-        let request = EngineRequest {
-            size: ask.size,
+    fn choose(
+        &mut self,
+        request: &PlacementRequest,
+        now: Timestamp,
+        rng: &mut SmallRng,
+    ) -> Result<UpstreamId, Shortage> {
+        let engine_request = EngineRequest {
+            size: request.size,
             engine: &self.traits,
             hall: &self.hall,
             produced: 0,
             moves: false,
         };
         let usable = self.table.of_service(SERVICE).into_iter().filter(|engine| engine.is_usable(now));
-        let (soon, later): (Vec<&Replica>, Vec<&Replica>) =
-            usable.partition(|engine| self.book.has_prefill_capacity(&engine.record.id, now));
-        let choice = self.book.choose_engine_or_shortage(soon, later, &request, now, rng)?;
+        let (available, backlogged): (Vec<&Replica>, Vec<&Replica>) =
+            usable.partition(|engine| self.load.has_prefill_capacity(&engine.record.id, now));
+        let choice = self.load.choose_engine_or_shortage(available, backlogged, &engine_request, now, rng)?;
         let engine = choice.replica.clone();
-        self.add(ask.run, ask.size, 0, None, &engine, now);
+        self.add(request.run, request.size, 0, None, &engine, now);
         Ok(engine.record.id.clone())
     }
 
-    /// Finds an engine for a generation that leaves another one.
+    /// Chooses the engine to which a generation is moved, and records its run there.
     pub fn choose_target(
         &mut self,
         run: RunId,
@@ -210,15 +216,15 @@
         now: Timestamp,
         rng: &mut SmallRng,
     ) -> Option<UpstreamId> {
-        if self.book.copies_from(from) >= evacuation::MAX_CONCURRENT_COPIES {
+        if self.load.copies_from(from) >= evacuation::MAX_CONCURRENT_COPIES {
             return None;
         }
-        let known = self.book.get(&key(run))?.clone();
-        let (size, produced) = (known.size?, known.produced);
+        let current = self.load.get(&key(run))?.clone();
+        let (size, produced) = (current.size?, current.produced);
         let request = EngineRequest { size, engine: &self.traits, hall: &self.hall, produced, moves: true };
         let others = self.table.of_service(SERVICE).into_iter().filter(|engine| engine.record.id != *from);
         let usable = others.filter(|engine| engine.is_usable(now));
-        let engine = self.book.choose_engine(usable, &request, now, rng)?.replica.clone();
+        let engine = self.load.choose_engine(usable, &request, now, rng)?.replica.clone();
         self.add(run, size, produced, Some(from.clone()), &engine, now);
         Some(engine.record.id.clone())
     }
@@ -233,19 +239,19 @@
         now: Timestamp,
     ) {
         let replica = engine.record.id.clone();
-        self.book.add(key(run), Run { replica, size: Some(size), produced, copied_from }, engine, now);
+        self.load.add(key(run), Run { replica, size: Some(size), produced, copied_from }, engine, now);
     }
 
-    /// A generation is no longer at its engine, which stays or not.
+    /// Handles the end of a generation; if its engine stays, the freed memory is recorded for the forecast.
     pub fn on_ended(&mut self, run: RunId, now: Timestamp) {
-        let Some(run) = self.book.remove(&key(run)) else { return };
+        let Some(run) = self.load.remove(&key(run)) else { return };
         let stays = self.table.get(&run.replica).is_some_and(|replica| replica.leaving.is_none());
         if let Some(size) = run.size.filter(|_| stays) {
             self.forecast.on_freed(f64::from(size.prompt + run.produced), now);
         }
     }
 
-    /// Time to copy so many tokens of memory.
+    /// Returns the time to copy the KV cache memory of this many tokens.
     pub fn copy_time(&self, tokens: u32) -> Duration {
         self.traits.copy_time(tokens)
     }
