--- a/node/src/bundle_fetch.rs
+++ b/node/src/bundle_fetch.rs
@@ -28,7 +28,7 @@
 /// Fetches the bundle of a peer that has a newer one, and considers it. One is fetched at a time:
 /// each message of a peer meanwhile tells of it again.
 pub fn start(control: &ControlRef, from: &VmId) {
-    if std::mem::replace(&mut control.borrow_mut().fetches_bundle, true) {
+    if std::mem::replace(&mut control.borrow_mut().fetching_bundle, true) {
         return;
     }
     tokio::task::spawn_local(run(control.clone(), from.clone()));
@@ -38,12 +38,12 @@
     let above = control.borrow().shared.bundle().map_or(0, |b| b.number);
     match fetch(&control, &from, above).await {
         Ok(bytes) if bytes.is_empty() => {}
-        Ok(bytes) => bundle_watch::consider(&control, &bytes, &from),
+        Ok(bytes) => bundle_watch::apply_if_newer(&control, &bytes, &from),
         Err(err) => {
             warn!(event = "bundle_not_fetched", from = &*from, reason:% = err; "a peer's bundle was not fetched")
         }
     }
-    control.borrow_mut().fetches_bundle = false;
+    control.borrow_mut().fetching_bundle = false;
 }
 
 /// The peer's bundle if its number is above `above`; empty otherwise.
@@ -56,14 +56,14 @@
     let _connection = AbortOnDropHandle::new(tokio::task::spawn_local(system));
     let mut call = client.fetch_bundle_request();
     call.get().set_above(above);
-    let answer = while_it_comes_on(call.send().promise, &received).await?;
+    let answer = await_with_progress(call.send().promise, &received).await?;
     Ok(answer.get()?.get_envelope()?.to_vec())
 }
 
 /// Waits for a call as long as bytes of its answer come on, by the rule for large answers of the
 /// platform. A bundle of 0.3 MB at 100 kB/s takes three seconds, and was not there after 60 s while
 /// it had to be whole within one.
-async fn while_it_comes_on<T>(
+async fn await_with_progress<T>(
     call: impl Future<Output = Result<T, capnp::Error>>,
     received: &Cell<usize>,
 ) -> Result<T, PeerError> {
--- a/node/src/bundle_watch.rs
+++ b/node/src/bundle_watch.rs
@@ -11,30 +11,30 @@
 use crate::platform::Read;
 
 /// Least pause after a failed watch.
-const LEAST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause after failed watches.
-const MOST_PAUSE: Duration = Duration::from_millis(1_500);
+const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Watches for ever; each change is considered at once.
 pub async fn run(control: ControlRef) {
     let platform = control.borrow().platform.clone();
-    let rewatch = control.borrow().rewatch.clone();
-    let mut backoff = Backoff::new(LEAST_PAUSE, MOST_PAUSE);
-    let mut seen = 0;
+    let restart_watch = control.borrow().restart_watch.clone();
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
+    let mut seen_version = 0;
     loop {
         let read = tokio::select! {
-            read = platform.watch(BUNDLE_OBJECT, seen) => read,
-            () = rewatch.notified() => {
-                seen = 0;
+            read = platform.watch(BUNDLE_OBJECT, seen_version) => read,
+            () = restart_watch.notified() => {
+                seen_version = 0;
                 continue;
             }
         };
         control.borrow_mut().on_platform_call(read.is_ok());
         match read {
             Ok(Read::Found { version, value }) => {
-                seen = version;
+                seen_version = version;
                 backoff.reset();
-                consider(&control, &value, "object API");
+                apply_if_newer(&control, &value, "object API");
             }
             Ok(Read::Absent | Read::Unchanged) => backoff.reset(),
             Err(err) => {
@@ -47,7 +47,7 @@
 }
 
 /// Considers an envelope from the object API or a peer.
-pub fn consider(control: &ControlRef, bytes: &[u8], from: &str) {
+pub fn apply_if_newer(control: &ControlRef, bytes: &[u8], from: &str) {
     let mut control = control.borrow_mut();
     let current = control.shared.bundle().map(|b| b.number);
     match rollout::open_if_newer(bytes, current, &control.settings.trust) {
--- a/node/src/claim_driver.rs
+++ b/node/src/claim_driver.rs
@@ -23,21 +23,21 @@
 
 use crate::control::Control;
 use crate::control::ControlRef;
-use crate::control_message::Claimed;
+use crate::control_message::ClaimDecision;
 use crate::peers;
 use crate::peers::RemoteClaim;
 use crate::shared::unix_millis;
 
 /// A claim or record that is not settled by then is answered "unreachable".
-const PATIENCE: Duration = Duration::from_millis(1_200);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// When to come back if the object API cannot be reached.
 const PLATFORM_RETRY: Duration = Duration::from_secs(5);
 /// When to come back if a shard is full, or a claim is in progress.
 const BUSY_RETRY: Duration = Duration::from_secs(2);
 /// Tries to record an outcome.
-const RECORD_TRIES: u32 = 5;
+const MAX_RECORD_ATTEMPTS: u32 = 5;
 /// Pause between them.
-const RECORD_PAUSE: Duration = Duration::from_millis(1_000);
+const RECORD_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
 struct Shard {
     writer: ClaimWriter,
@@ -49,7 +49,7 @@
 pub struct ClaimShards {
     shards: HashMap<u32, Shard>,
     bounds: Bounds,
-    tickets: Ticket,
+    last_ticket: Ticket,
 }
 
 impl ClaimShards {
@@ -72,14 +72,14 @@
     fn shard(&mut self, shard: u32) -> &mut Shard {
         let (commit, kept) = (self.bounds.claim_commit, self.bounds.claims_kept);
         self.shards.entry(shard).or_insert_with(|| Shard {
-            writer: ClaimWriter::new(commit, kept, PATIENCE),
+            writer: ClaimWriter::new(commit, kept, SETTLE_TIMEOUT),
             replies: HashMap::new(),
         })
     }
 }
 
 /// Claims a key for an arrival at this VM.
-pub async fn claim(control: &ControlRef, key: String, nonce: Nonce, digest: String) -> Claimed {
+pub async fn claim(control: &ControlRef, key: String, nonce: Nonce, digest: String) -> ClaimDecision {
     let shard = claims::shard_of(&key, control.borrow().claims.bounds.claim_shards);
     let writer = preferred_writer(&control.borrow(), shard);
     if let Some(writer) = writer {
@@ -93,19 +93,26 @@
 }
 
 /// Claims a key in a shard that this VM writes, for an arrival here or at a peer.
-pub async fn claim_here(control: &ControlRef, shard: u32, key: String, request: ClaimRequest) -> Claimed {
-    match ask(control, shard, key, request).await {
-        ClaimVerdict::Claimed | ClaimVerdict::Recorded => Claimed::Owned,
-        ClaimVerdict::Known { outcome: Some(outcome), .. } => Claimed::Outcome(outcome),
+pub async fn claim_here(
+    control: &ControlRef,
+    shard: u32,
+    key: String,
+    request: ClaimRequest,
+) -> ClaimDecision {
+    match submit_and_wait(control, shard, key, request).await {
+        ClaimVerdict::Claimed | ClaimVerdict::Recorded => ClaimDecision::Owned,
+        ClaimVerdict::Known { outcome: Some(outcome), .. } => ClaimDecision::Outcome(outcome),
         ClaimVerdict::Known { by, outcome: None } => {
             let code =
                 if is_alive(&control.borrow(), &by) { Code::KeyInProgress } else { Code::ClaimantLost };
-            Claimed::Refused { code, retry_after: BUSY_RETRY }
+            ClaimDecision::Refused { code, retry_after: BUSY_RETRY }
+        }
+        ClaimVerdict::KeyReused => {
+            ClaimDecision::Refused { code: Code::KeyReused, retry_after: Duration::ZERO }
         }
-        ClaimVerdict::KeyReused => Claimed::Refused { code: Code::KeyReused, retry_after: Duration::ZERO },
-        ClaimVerdict::Full => Claimed::Refused { code: Code::ClaimShardFull, retry_after: BUSY_RETRY },
+        ClaimVerdict::Full => ClaimDecision::Refused { code: Code::ClaimShardFull, retry_after: BUSY_RETRY },
         ClaimVerdict::Unreachable | ClaimVerdict::NotOwned => {
-            Claimed::Refused { code: Code::PlatformDown, retry_after: PLATFORM_RETRY }
+            ClaimDecision::Refused { code: Code::PlatformDown, retry_after: PLATFORM_RETRY }
         }
     }
 }
@@ -126,7 +133,7 @@
 /// Records an outcome for an arrival at this VM; tries again for a while.
 pub async fn record(control: ControlRef, key: String, nonce: Nonce, outcome: ClaimOutcome) {
     let shard = claims::shard_of(&key, control.borrow().claims.bounds.claim_shards);
-    for _ in 0..RECORD_TRIES {
+    for _ in 0..MAX_RECORD_ATTEMPTS {
         let writer = preferred_writer(&control.borrow(), shard);
         if let Some(writer) = writer
             && peers::record(&control, &writer, shard, &key, nonce, &outcome).await.is_ok()
@@ -136,7 +143,7 @@
         if record_here(&control, shard, key.clone(), nonce, outcome.clone()).await {
             return;
         }
-        tokio::time::sleep(RECORD_PAUSE).await;
+        tokio::time::sleep(RECORD_RETRY_PAUSE).await;
     }
     warn!(event = "outcome_not_recorded", code = outcome.code; "a later arrival of the key learns only that it was claimed");
 }
@@ -149,22 +156,27 @@
     nonce: Nonce,
     outcome: ClaimOutcome,
 ) -> bool {
-    let verdict = ask(control, shard, key, ClaimRequest::Record { nonce, outcome }).await;
+    let verdict = submit_and_wait(control, shard, key, ClaimRequest::Record { nonce, outcome }).await;
     matches!(verdict, ClaimVerdict::Recorded | ClaimVerdict::NotOwned)
 }
 
-async fn ask(control: &ControlRef, shard: u32, key: String, request: ClaimRequest) -> ClaimVerdict {
+async fn submit_and_wait(
+    control: &ControlRef,
+    shard: u32,
+    key: String,
+    request: ClaimRequest,
+) -> ClaimVerdict {
     let (reply, rx) = oneshot::channel();
     {
         let mut control = control.borrow_mut();
         let now = control.now();
-        control.claims.tickets += 1;
-        let ticket = control.claims.tickets;
+        control.claims.last_ticket += 1;
+        let ticket = control.claims.last_ticket;
         let shard = control.claims.shard(shard);
         shard.replies.insert(ticket, reply);
         shard.writer.submit(ticket, key, request, now);
     }
-    pump(control, shard);
+    advance_shard(control, shard);
     rx.await.unwrap_or(ClaimVerdict::Unreachable)
 }
 
@@ -176,20 +188,20 @@
         shards.filter(|(_, s)| s.writer.waiting() > 0).map(|(id, _)| *id).collect()
     };
     for shard in waiting {
-        pump(control, shard);
+        advance_shard(control, shard);
     }
 }
 
-fn pump(control: &ControlRef, shard: u32) {
+fn advance_shard(control: &ControlRef, shard: u32) {
     let actions = {
         let mut control = control.borrow_mut();
         let now = control.now();
         control.claims.shard(shard).writer.advance(now, unix_millis())
     };
-    carry_out(control, shard, actions);
+    execute_actions(control, shard, actions);
 }
 
-fn carry_out(control: &ControlRef, shard: u32, actions: Vec<ClaimAction>) {
+fn execute_actions(control: &ControlRef, shard: u32, actions: Vec<ClaimAction>) {
     for action in actions {
         match action {
             ClaimAction::Read => _ = tokio::task::spawn_local(read(control.clone(), shard)),
@@ -215,8 +227,8 @@
         let now = control.now();
         control.claims.shard(shard).writer.on_read(found, now, unix_millis())
     };
-    carry_out(&control, shard, actions);
-    pump(&control, shard);
+    execute_actions(&control, shard, actions);
+    advance_shard(&control, shard);
 }
 
 async fn write(control: ControlRef, shard: u32, expected: u64, value: Vec<u8>) {
@@ -227,6 +239,6 @@
         control.on_platform_call(result != WriteResult::Unknown);
         control.claims.shard(shard).writer.on_write(result)
     };
-    carry_out(&control, shard, actions);
-    pump(&control, shard);
+    execute_actions(&control, shard, actions);
+    advance_shard(&control, shard);
 }
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -27,8 +27,8 @@
 use crate::control_message::ControlMessage;
 use crate::engine_api::EngineApi;
 use crate::entry;
-use crate::entry_book;
-use crate::entry_book::EntryBook;
+use crate::entry_generations;
+use crate::entry_generations::EntryGenerations;
 use crate::leads;
 use crate::leads::Leads;
 use crate::membership_driver;
@@ -66,11 +66,11 @@
     /// Connections to other entry VMs.
     pub peers: Peers,
     /// Whether a peer's bundle is being fetched.
-    pub fetches_bundle: bool,
+    pub fetching_bundle: bool,
     /// The pools that this VM leads.
     pub leads: Leads,
     /// The generations of this VM's own callers.
-    pub book: EntryBook,
+    pub entry_generations: EntryGenerations,
     /// Claim shards that this VM writes.
     pub claims: ClaimShards,
     /// When the object API last answered, since the start or the latest pause.
@@ -78,7 +78,7 @@
     /// Whether its latest call worked.
     pub platform_reached: bool,
     /// Wakes the bundle watch: a pause of the process may have broken it unnoticed.
-    pub rewatch: Rc<Notify>,
+    pub restart_watch: Rc<Notify>,
     last_tick: Timestamp,
 }
 
@@ -96,13 +96,13 @@
             directory: Directory::default(),
             membership: Membership::new(settings.vm.clone(), incarnation, seed),
             peers: Peers::default(),
-            fetches_bundle: false,
+            fetching_bundle: false,
             leads: Leads::default(),
-            book: EntryBook::default(),
+            entry_generations: EntryGenerations::default(),
             claims: ClaimShards::default(),
             platform_contact: None,
             platform_reached: false,
-            rewatch: Rc::new(Notify::new()),
+            restart_watch: Rc::new(Notify::new()),
             last_tick: Timestamp::ZERO,
             settings,
             shared,
@@ -115,9 +115,9 @@
     }
 
     /// Notes whether a call to the object API worked.
-    pub fn on_platform_call(&mut self, worked: bool) {
-        self.platform_reached = worked;
-        if worked {
+    pub fn on_platform_call(&mut self, succeeded: bool) {
+        self.platform_reached = succeeded;
+        if succeeded {
             self.platform_contact = Some(self.now());
         }
     }
@@ -148,7 +148,7 @@
             }
             if news.liveness == Liveness::Dead {
                 let now = self.now();
-                self.leads.all_pools(now, |_| PoolEvent::EntryGone(news.vm.clone()));
+                self.leads.notify_all_pools(now, |_| PoolEvent::EntryGone(news.vm.clone()));
             }
         }
     }
@@ -167,22 +167,22 @@
         peer_server::listen(control.clone()).await?;
         tokio::task::spawn_local(bundle_watch::run(control.clone()));
         tokio::task::spawn_local(vm_watch::run(control.clone()));
-        tokio::task::spawn_local(tick_for_ever(control.clone()));
-        tokio::task::spawn_local(answer_traffic(control.clone(), rx));
+        tokio::task::spawn_local(run_ticks(control.clone()));
+        tokio::task::spawn_local(serve_traffic(control.clone(), rx));
         stop::wait(control).await
     })
 }
 
-async fn tick_for_ever(control: ControlRef) {
+async fn run_ticks(control: ControlRef) {
     let mut interval = tokio::time::interval(TICK);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        notice_pause(&control);
+        detect_pause(&control);
         membership_driver::tick(&control);
         leads::tick(&control);
         orders::tick(&control);
-        entry_book::tick(&control);
+        entry_generations::tick(&control);
         claim_driver::tick(&control);
         readiness::update(&mut control.borrow_mut());
         status_report::tick(&control);
@@ -191,7 +191,7 @@
 
 /// A process that was frozen can't know what it missed: it doubts its contacts and
 /// reads the bundle anew.
-fn notice_pause(control: &ControlRef) {
+fn detect_pause(control: &ControlRef) {
     let mut control = control.borrow_mut();
     let now = control.now();
     let paused = now.saturating_sub(control.last_tick) > PAUSE_THRESHOLD;
@@ -199,11 +199,11 @@
     if paused {
         info!(event = "pause"; "the process was paused");
         control.platform_contact = None;
-        control.rewatch.notify_one();
+        control.restart_watch.notify_one();
     }
 }
 
-async fn answer_traffic(control: ControlRef, mut rx: UnboundedReceiver<ControlMessage>) {
+async fn serve_traffic(control: ControlRef, mut rx: UnboundedReceiver<ControlMessage>) {
     while let Some(message) = rx.recv().await {
         match message {
             ControlMessage::Place { request, model, mut reply } => {
@@ -216,8 +216,8 @@
                     let _ = reply.send(outcome);
                 });
             }
-            ControlMessage::Started(running) => control.borrow_mut().book.start(running),
-            ControlMessage::Ended { generation, how } => entry_book::end(&control, generation, how),
+            ControlMessage::Started(running) => control.borrow_mut().entry_generations.start(running),
+            ControlMessage::Ended { generation, how } => entry_generations::end(&control, generation, how),
             ControlMessage::UpstreamFailed(upstream) => {
                 let mut control = control.borrow_mut();
                 let now = control.now();
--- a/node/src/control_message.rs
+++ b/node/src/control_message.rs
@@ -43,7 +43,7 @@
 
 /// The answer to a claim.
 #[derive(Clone, Debug)]
-pub enum Claimed {
+pub enum ClaimDecision {
     /// The arrival owns its key and may dispatch once.
     Owned,
     /// Another arrival of the key has this outcome.
@@ -59,7 +59,7 @@
 
 /// A running generation, as the entry reports it to the lead.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct RunningGeneration {
     /// What was asked for.
     pub request: PlaceRequest,
     /// The model.
@@ -87,7 +87,7 @@
         reply: oneshot::Sender<Result<Granted, NotPlaced>>,
     },
     /// A generation was dispatched.
-    Started(Running),
+    Started(RunningGeneration),
     /// A generation is over for this entry.
     Ended {
         /// Which one.
@@ -106,7 +106,7 @@
         /// Hash of the request.
         digest: String,
         /// The answer.
-        reply: oneshot::Sender<Claimed>,
+        reply: oneshot::Sender<ClaimDecision>,
     },
     /// Record the outcome of an owned key.
     Record {
--- a/node/src/engine_polls.rs
+++ b/node/src/engine_polls.rs
@@ -16,9 +16,9 @@
 use crate::leads::PoolKey;
 
 /// Reads of an engine's load within the bundle's time for a leaving upstream.
-const POLLS_WITHIN_BOUND: u32 = 3;
+const POLLS_PER_LEAVING_BOUND: u32 = 3;
 /// Reads without an answer after which an engine counts as gone.
-const GONE_AFTER: u32 = 3;
+const GONE_AFTER_FAILURES: u32 = 3;
 
 /// An engine as it was last read.
 #[derive(Default)]
@@ -28,13 +28,13 @@
     /// Reads without an answer since the latest one.
     pub failures: u32,
     /// It answered the latest read.
-    pub known: bool,
+    pub answered_last: bool,
     /// Adapters that it has loaded.
     pub loaded: Vec<String>,
 }
 
 /// Brings the pools' engines in line with the VM list, the notices and the bundle.
-pub fn list_engines(control: &mut Control) {
+pub fn sync_engines(control: &mut Control) {
     let now = control.now();
     let bundle = control.shared.bundle();
     let mut leaving = Vec::new();
@@ -46,8 +46,8 @@
                 .entry(record.id.clone())
                 .or_insert_with(|| PolledEngine { next_poll: now, ..Default::default() });
         }
-        let refused = led.engines.keys().filter(|id| !gets_work(&control.directory, model, id));
-        leaving.extend(refused.map(|id| (key.clone(), id.clone())));
+        let unavailable = led.engines.keys().filter(|id| !accepts_work(&control.directory, model, id));
+        leaving.extend(unavailable.map(|id| (key.clone(), id.clone())));
     }
     for (key, id) in leaving {
         leads::handle(control, &key, PoolEvent::EngineLeaving(id));
@@ -55,7 +55,7 @@
 }
 
 /// Whether an engine may get new work: listed, not leaving, and not drained by the bundle.
-fn gets_work(directory: &Directory, model: Option<&Model>, id: &UpstreamId) -> bool {
+fn accepts_work(directory: &Directory, model: Option<&Model>, id: &UpstreamId) -> bool {
     let drained = model.is_some_and(|m| m.drained.contains(id));
     directory.get(id).is_some() && !drained && !directory.is_leaving(id)
 }
@@ -92,7 +92,7 @@
     let jitter: f64 = rand::rng().random_range(0.8..1.2);
     let bundle = control.shared.bundle();
     let bounds = bundle.as_ref().map(|b| b.bounds.clone()).unwrap_or_default();
-    let interval = bounds.leaving_within / POLLS_WITHIN_BOUND;
+    let interval = bounds.leaving_within / POLLS_PER_LEAVING_BOUND;
     let Some(engine) = control.leads.pools.get_mut(key).and_then(|led| led.engines.get_mut(id)) else {
         return;
     };
@@ -101,13 +101,13 @@
     match report {
         Some(report) => {
             engine.failures = 0;
-            engine.known = true;
+            engine.answered_last = true;
             engine.loaded = report.loaded.clone();
             if report.leaving {
                 control.directory.on_leaving(id, now);
             }
             let model = bundle.as_ref().and_then(|b| b.model(&key.model));
-            if gets_work(&control.directory, model, id) {
+            if accepts_work(&control.directory, model, id) {
                 let up = PoolEvent::EngineUp { engine: id.clone(), limits: report.limits() };
                 leads::handle(control, key, up);
             }
@@ -115,8 +115,8 @@
         }
         None => {
             engine.failures += 1;
-            engine.known = false;
-            let gone = engine.failures >= GONE_AFTER;
+            engine.answered_last = false;
+            let gone = engine.failures >= GONE_AFTER_FAILURES;
             let listed = control.directory.get(id).is_some();
             let event =
                 if gone { PoolEvent::EngineGone(id.clone()) } else { PoolEvent::EngineLeaving(id.clone()) };
@@ -132,7 +132,7 @@
 }
 
 /// An entry lost an engine: it gets no new work until it answers again.
-pub fn on_lost(control: &mut Control, key: &PoolKey, id: &UpstreamId) {
+pub fn on_engine_lost(control: &mut Control, key: &PoolKey, id: &UpstreamId) {
     let now = control.now();
     if let Some(engine) = control.leads.pools.get_mut(key).and_then(|led| led.engines.get_mut(id)) {
         engine.next_poll = now;
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -27,9 +27,9 @@
 /// Leads asked for one pool.
 const MAX_LEADS: usize = 2;
 /// Engines whose load is read when no lead answers.
-const ALONE_CHOICES: usize = 2;
+const ALONE_CANDIDATES: usize = 2;
 /// Part of an engine's memory up to which an entry fills it by itself.
-const ALONE_FILL: f64 = 0.6;
+const ALONE_MAX_FILL: f64 = 0.6;
 /// When to come back if there is no engine at all.
 const NO_ENGINE_RETRY: Duration = Duration::from_secs(2);
 
@@ -40,9 +40,9 @@
     model: ModelId,
 ) -> Result<Granted, NotPlaced> {
     let mut refusal = NotPlaced { code: Code::NoUpstream, retry_after: NO_ENGINE_RETRY };
-    for hall in halls(control, &model, &request) {
+    for hall in candidate_halls(control, &model, &request) {
         let key = PoolKey { model: model.clone(), hall };
-        match place_in(control, &key, &request).await {
+        match place_in_pool(control, &key, &request).await {
             (Placement::Granted { upstream, priority }, lead) => {
                 let address = control.borrow().directory.get(&upstream).map(|r| r.address);
                 if let Some(address) = address {
@@ -61,7 +61,7 @@
 }
 
 /// Halls to ask: this VM's own first, then others that have usable engines.
-fn halls(control: &ControlRef, model: &ModelId, request: &PlaceRequest) -> Vec<HallId> {
+fn candidate_halls(control: &ControlRef, model: &ModelId, request: &PlaceRequest) -> Vec<HallId> {
     let control = control.borrow();
     let allowed =
         control.shared.bundle().and_then(|b| b.model(model).map(|m| m.halls.clone())).unwrap_or_default();
@@ -70,13 +70,17 @@
     halls.retain(|hall| allowed.is_empty() || allowed.contains(hall));
     halls.sort();
     halls.dedup();
-    let spread = request.generation.to_string();
-    halls.sort_by_key(|hall| (*hall != control.settings.hall, rendezvous::weight(&spread, hall)));
+    let seed = request.generation.to_string();
+    halls.sort_by_key(|hall| (*hall != control.settings.hall, rendezvous::weight(&seed, hall)));
     halls.truncate(MAX_HALLS);
     halls
 }
 
-async fn place_in(control: &ControlRef, key: &PoolKey, request: &PlaceRequest) -> (Placement, Option<VmId>) {
+async fn place_in_pool(
+    control: &ControlRef,
+    key: &PoolKey,
+    request: &PlaceRequest,
+) -> (Placement, Option<VmId>) {
     let mut tried: Vec<VmId> = Vec::new();
     while tried.len() < MAX_LEADS {
         let lead = leads::lead_of(&control.borrow(), key, &tried);
@@ -99,14 +103,14 @@
         let control = control.borrow();
         let now = control.now();
         let usable = control.directory.usable(&key.model, now);
-        let near: Vec<VmRecord> = usable.filter(|r| r.hall == key.hall).cloned().collect();
-        let chosen: Vec<VmRecord> = near.sample(&mut rand::rng(), ALONE_CHOICES).cloned().collect();
+        let nearby: Vec<VmRecord> = usable.filter(|r| r.hall == key.hall).cloned().collect();
+        let chosen: Vec<VmRecord> = nearby.sample(&mut rand::rng(), ALONE_CANDIDATES).cloned().collect();
         (Rc::new(control.engines.clone()), chosen)
     };
     let mut best: Option<(f64, VmRecord)> = None;
     for candidate in candidates {
         let report = api.load(candidate.address).await;
-        let Some(fill) = report.as_ref().and_then(fill_of) else {
+        let Some(fill) = report.as_ref().and_then(fill_if_placeable) else {
             continue;
         };
         if best.as_ref().is_none_or(|(least, _)| fill < *least) {
@@ -120,9 +124,9 @@
 }
 
 /// How full an engine is, or `None` when it should not be filled blindly.
-fn fill_of(report: &EngineReport) -> Option<f64> {
+fn fill_if_placeable(report: &EngineReport) -> Option<f64> {
     let load = report.load();
     let fill = load.used_blocks as f64 / report.limits().blocks.max(1) as f64;
     let has_slot = load.running < report.limits().max_batch;
-    (fill < ALONE_FILL && load.waiting == 0 && has_slot && !report.leaving).then_some(fill)
+    (fill < ALONE_MAX_FILL && load.waiting == 0 && has_slot && !report.leaving).then_some(fill)
 }
--- a/node/src/filters/claim.rs
+++ b/node/src/filters/claim.rs
@@ -12,7 +12,7 @@
 use rand::RngExt;
 use tokio::sync::oneshot;
 
-use crate::control_message::Claimed;
+use crate::control_message::ClaimDecision;
 use crate::control_message::ControlMessage;
 use crate::refusal::Refusal;
 use crate::shared::Shared;
@@ -54,12 +54,12 @@
     let message = ControlMessage::Claim { key, nonce, digest: shorten(digest), reply };
     shared.control.send(message).map_err(|_| Refusal::new(Code::Stopping))?;
     match tokio::time::timeout(CLAIM_LIMIT, rx).await {
-        Ok(Ok(Claimed::Owned)) => Ok(ClaimResult::Owned(owned)),
-        Ok(Ok(Claimed::Outcome(outcome))) => {
+        Ok(Ok(ClaimDecision::Owned)) => Ok(ClaimResult::Owned(owned)),
+        Ok(Ok(ClaimDecision::Outcome(outcome))) => {
             owned.settled = true;
             Ok(ClaimResult::Earlier(outcome))
         }
-        Ok(Ok(Claimed::Refused { code, retry_after })) => {
+        Ok(Ok(ClaimDecision::Refused { code, retry_after })) => {
             owned.settled = code != Code::PlatformDown;
             Err(Refusal::later(code, retry_after))
         }
--- a/node/src/filters/relay.rs
+++ b/node/src/filters/relay.rs
@@ -22,7 +22,7 @@
 use crate::chunk;
 use crate::control_message::ControlMessage;
 use crate::control_message::Granted;
-use crate::control_message::Running;
+use crate::control_message::RunningGeneration;
 use crate::filters::account::Account;
 use crate::filters::authenticate::Authenticated;
 use crate::filters::dispatch;
@@ -168,7 +168,7 @@
     fn report_start(&mut self, granted: &Granted) {
         let generation = self.cursor.generation();
         let tokens = self.account.on_start(generation, self.cursor.next() as u32);
-        let running = Running {
+        let running = RunningGeneration {
             request: place::place_request(&self.shared, &self.cx, &self.req, generation),
             model: self.req.model.clone(),
             hall: granted.hall.clone(),
--- a/node/src/generation.rs
+++ b/node/src/generation.rs
@@ -90,11 +90,11 @@
             Relayed::Failed(refusal) => return Err(refusal),
         }
     }
-    let body = whole_body(&req, &text, &reason, tokens, request);
+    let body = completion_body(&req, &text, &reason, tokens, request);
     Ok(json_response(200, body, request))
 }
 
-fn whole_body(req: &GenerationRequest, text: &str, reason: &str, tokens: u32, request: u64) -> String {
+fn completion_body(req: &GenerationRequest, text: &str, reason: &str, tokens: u32, request: u64) -> String {
     let (object, choice) = match req.kind {
         GenerationKind::Chat => {
             let message = json!({"role": "assistant", "content": text});
--- a/node/src/leads.rs
+++ b/node/src/leads.rs
@@ -34,9 +34,9 @@
 use crate::engine_polls::PolledEngine;
 
 /// When to come back after a lead gave a pool up.
-const LEAD_OVER_RETRY: Duration = Duration::from_millis(1_000);
+const LEAD_CHANGE_RETRY: Duration = Duration::from_millis(1_000);
 /// A new lead waits this long for the engines' first loads.
-const FIRST_LOADS: Duration = Duration::from_millis(300);
+const FIRST_LOADS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Names a pool: a model's replicas in one hall.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -72,7 +72,7 @@
     pub pool: Pool,
     /// Its orders to engines.
     pub orders: OrderSender,
-    made: Timestamp,
+    created: Timestamp,
     replies: HashMap<GenerationId, oneshot::Sender<Placement>>,
     /// Its engines as they were last read.
     pub engines: HashMap<UpstreamId, PolledEngine>,
@@ -93,11 +93,11 @@
 
     /// Tells all pools of another bundle.
     pub fn set_bundle(&mut self, bundle: &Bundle, now: Timestamp) {
-        self.all_pools(now, |_| PoolEvent::Policy(policy(bundle)));
+        self.notify_all_pools(now, |_| PoolEvent::Policy(policy(bundle)));
     }
 
     /// Gives all pools an event that needs no action at once.
-    pub fn all_pools(&mut self, now: Timestamp, event: impl Fn(&PoolKey) -> PoolEvent) {
+    pub fn notify_all_pools(&mut self, now: Timestamp, event: impl Fn(&PoolKey) -> PoolEvent) {
         for (key, led) in &mut self.pools {
             led.handle(now, event(key));
         }
@@ -106,8 +106,8 @@
 
 impl LedPool {
     /// The first engine that answers and lacks one of these adapters.
-    pub fn first_lacking(&self, adapters: &[String]) -> Option<Order> {
-        let mut engines: Vec<_> = self.engines.iter().filter(|(_, e)| e.known).collect();
+    pub fn next_adapter_load(&self, adapters: &[String]) -> Option<Order> {
+        let mut engines: Vec<_> = self.engines.iter().filter(|(_, e)| e.answered_last).collect();
         engines.sort_by_key(|(id, _)| (*id).clone());
         engines.into_iter().find_map(|(id, engine)| {
             let adapter = adapters.iter().find(|a| !engine.loaded.contains(a))?;
@@ -126,8 +126,9 @@
 
     /// Whether the pool is new, and the first load of an engine may still come.
     fn awaits_first_loads(&self, now: Timestamp) -> bool {
-        let may_come = self.engines.is_empty() || self.engines.values().any(|e| !e.known && e.failures == 0);
-        now < self.made + FIRST_LOADS && may_come
+        let may_come =
+            self.engines.is_empty() || self.engines.values().any(|e| !e.answered_last && e.failures == 0);
+        now < self.created + FIRST_LOADS_TIMEOUT && may_come
     }
 
     /// Requests of entries that wait for this pool's answer.
@@ -199,11 +200,11 @@
         return;
     };
     for action in led.handle(now, event) {
-        carry_out(control, action);
+        execute(control, action);
     }
 }
 
-fn carry_out(control: &Control, action: PoolAction) {
+fn execute(control: &Control, action: PoolAction) {
     let api = control.engines.clone();
     let address = |engine: &UpstreamId| control.directory.get(engine).map(|r| r.address);
     match action {
@@ -225,10 +226,10 @@
 /// Places a request in a pool that this VM leads; waits in its queue. Dropping the
 /// future takes the request out.
 pub async fn place_here(control: &ControlRef, key: &PoolKey, request: PlaceRequest) -> Placement {
-    let lead_over = Placement::Refused { code: Code::NoUpstream, retry_after: LEAD_OVER_RETRY };
+    let lead_over = Placement::Refused { code: Code::NoUpstream, retry_after: LEAD_CHANGE_RETRY };
     let generation = request.generation;
     let withdrawal = Withdrawal { control, key, generation };
-    let joined = join(&mut control.borrow_mut(), key, generation);
+    let joined = register_request(&mut control.borrow_mut(), key, generation);
     let Some(rx) = joined else {
         return lead_over;
     };
@@ -242,7 +243,7 @@
 /// Makes the pool if it is new here, and notes that a request awaits its answer: a review of the pools
 /// that this VM leads does not give up one that somebody waits for. The asking entry may know earlier
 /// than this VM that the lead before it is gone. `None` where there is no bundle.
-fn join(
+fn register_request(
     control: &mut Control,
     key: &PoolKey,
     generation: GenerationId,
@@ -299,10 +300,10 @@
     let pool = Pool::new(policy(&bundle), rand::rng().random());
     let checks_fences = bundle.model(&key.model).is_some_and(|m| m.checks_fences);
     let orders = OrderSender::new(control.settings.vm.clone(), checks_fences);
-    let made = control.now();
-    let led = LedPool { pool, orders, made, replies: HashMap::new(), engines: HashMap::new() };
+    let created = control.now();
+    let led = LedPool { pool, orders, created, replies: HashMap::new(), engines: HashMap::new() };
     control.leads.pools.insert(key.clone(), led);
-    engine_polls::list_engines(control);
+    engine_polls::sync_engines(control);
 }
 
 /// Ticks the pools, reads loads that are due, and takes up or drops pools.
@@ -310,7 +311,7 @@
     {
         let mut control = control.borrow_mut();
         review_leads(&mut control);
-        engine_polls::list_engines(&mut control);
+        engine_polls::sync_engines(&mut control);
         let keys: Vec<PoolKey> = control.leads.pools.keys().cloned().collect();
         for key in keys {
             handle(&mut control, &key, PoolEvent::Tick);
@@ -339,6 +340,6 @@
 }
 
 /// Whether this VM's pool has a generation in its books.
-pub fn knows(control: &Control, key: &PoolKey, generation: GenerationId) -> bool {
+pub fn has_generation(control: &Control, key: &PoolKey, generation: GenerationId) -> bool {
     control.leads.pools.get(key).is_some_and(|led| led.pool.contains(generation))
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -13,7 +13,7 @@
 mod engine_api;
 mod engine_polls;
 mod entry;
-mod entry_book;
+mod entry_generations;
 mod filters;
 mod gateway;
 mod generation;
--- a/node/src/membership_driver.rs
+++ b/node/src/membership_driver.rs
@@ -32,22 +32,22 @@
 async fn probe(control: ControlRef, target: VmId) {
     let gossip = gossip(&mut control.borrow_mut());
     let answer = peers::probe(&control, &target, &gossip).await;
-    let vias = {
+    let intermediaries = {
         let mut control = control.borrow_mut();
         let now = control.now();
         let actions = control.membership.on_probe(&target, answer.is_ok(), now);
         control.on_membership(&actions);
-        vias_of(actions)
+        intermediaries_of(actions)
     };
     if let Ok(gossip) = answer {
         on_gossip(&control, &gossip);
     }
-    if !vias.is_empty() {
-        probe_via(&control, vias, &target).await;
+    if !intermediaries.is_empty() {
+        probe_indirectly(&control, intermediaries, &target).await;
     }
 }
 
-fn vias_of(actions: Vec<MembershipAction>) -> Vec<VmId> {
+fn intermediaries_of(actions: Vec<MembershipAction>) -> Vec<VmId> {
     let via = |action| match action {
         MembershipAction::ProbeVia { via, .. } => Some(via),
         _ => None,
@@ -55,8 +55,8 @@
     actions.into_iter().filter_map(via).collect()
 }
 
-async fn probe_via(control: &ControlRef, vias: Vec<VmId>, target: &VmId) {
-    let calls = vias.iter().map(|via| peers::probe_for(control, via, target));
+async fn probe_indirectly(control: &ControlRef, intermediaries: Vec<VmId>, target: &VmId) {
+    let calls = intermediaries.iter().map(|via| peers::probe_for(control, via, target));
     let answers = futures::future::join_all(calls).await;
     let alive = answers.iter().any(|answer| matches!(answer, Ok(true)));
     let mut control = control.borrow_mut();
@@ -83,11 +83,11 @@
         let mut actions = control.membership.on_direct_contact(&gossip.from, now);
         actions.extend(control.membership.on_updates(&gossip.news, now));
         control.on_membership(&actions);
-        let mut fresh = false;
+        let mut changed = false;
         for upstream in &gossip.leaving {
-            fresh |= control.directory.on_leaving(upstream, now);
+            changed |= control.directory.on_leaving(upstream, now);
         }
-        if fresh {
+        if changed {
             vm_watch::publish(&control);
         }
         gossip.bundle > control.shared.bundle().map_or(0, |b| b.number)
--- a/node/src/orders.rs
+++ b/node/src/orders.rs
@@ -15,7 +15,7 @@
 /// Goes on with the next order of each pool.
 pub fn tick(control: &ControlRef) {
     for (key, action) in due(&mut control.borrow_mut()) {
-        tokio::task::spawn_local(carry_out(control.clone(), key, action));
+        tokio::task::spawn_local(execute(control.clone(), key, action));
     }
 }
 
@@ -23,13 +23,13 @@
     let Some(bundle) = control.shared.bundle() else {
         return Vec::new();
     };
-    let wanted: Vec<(PoolKey, Order)> = control
+    let missing: Vec<(PoolKey, Order)> = control
         .leads
         .pools
         .iter()
         .filter_map(|(key, led)| {
             let model = bundle.model(&key.model)?;
-            Some((key.clone(), led.first_lacking(&model.adapters)?))
+            Some((key.clone(), led.next_adapter_load(&model.adapters)?))
         })
         .collect();
     let now = unix_millis();
@@ -37,10 +37,10 @@
         let action = control.leads.orders_mut(&key)?.advance(Some(&order), now)?;
         Some((key, action))
     };
-    wanted.into_iter().filter_map(advance).collect()
+    missing.into_iter().filter_map(advance).collect()
 }
 
-async fn carry_out(control: ControlRef, key: PoolKey, action: FenceAction) {
+async fn execute(control: ControlRef, key: PoolKey, action: FenceAction) {
     let platform = control.borrow().platform.clone();
     let object = fence::object_key(&key.model, &key.hall);
     match action {
--- a/node/src/peer_server.rs
+++ b/node/src/peer_server.rs
@@ -19,8 +19,8 @@
 
 use crate::claim_driver;
 use crate::control::ControlRef;
-use crate::control_message::Claimed;
-use crate::entry_book;
+use crate::control_message::ClaimDecision;
+use crate::entry_generations;
 use crate::leads;
 use crate::leads::Placement;
 use crate::leads::PoolKey;
@@ -96,11 +96,11 @@
             model: wire::text(params.get_model()?)?.into(),
             hall: wire::text(params.get_hall()?)?.into(),
         };
-        let mut lines = Vec::new();
+        let mut reports = Vec::new();
         for line in params.get_batch()? {
-            lines.push(wire::read_line(line, &entry, &key)?);
+            reports.push(wire::read_line(line, &entry, &key)?);
         }
-        let unknown = entry_book::take_report(&mut self.control.borrow_mut(), &entry, &key, &lines);
+        let unknown = entry_generations::apply_report(&mut self.control.borrow_mut(), &entry, &key, &reports);
         let mut to = results.get().init_unknown(unknown.len() as u32);
         for (at, generation) in unknown.iter().enumerate() {
             to.set(at as u32, *generation);
@@ -162,12 +162,12 @@
         let claimed = claim_driver::claim_here(&self.control, shard, key, request).await;
         let mut reply = results.get().init_reply();
         match claimed {
-            Claimed::Owned => reply.set_state(ClaimState::Claimed),
-            Claimed::Outcome(outcome) => {
+            ClaimDecision::Owned => reply.set_state(ClaimState::Claimed),
+            ClaimDecision::Outcome(outcome) => {
                 reply.set_state(ClaimState::Known);
                 reply.set_outcome(&serde_json::to_vec(&outcome).expect("plain data serialises"));
             }
-            Claimed::Refused { code, retry_after } => {
+            ClaimDecision::Refused { code, retry_after } => {
                 reply.set_state(ClaimState::Refused);
                 reply.set_code(code.number());
                 reply.set_retry_after_ms(retry_after.as_millis() as u32);
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -29,21 +29,21 @@
 
 use crate::control::Control;
 use crate::control::ControlRef;
-use crate::control_message::Claimed;
-use crate::entry_book::Line;
+use crate::control_message::ClaimDecision;
+use crate::entry_generations::GenerationReport;
 use crate::leads::Placement;
 use crate::leads::PoolKey;
 use crate::wire;
 use crate::wire::Gossip;
 
 /// Time for a connection to a peer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for a call that is answered at once.
-const CALL_LIMIT: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for a claim: a commit interval, a read and a write.
-const CLAIM_LIMIT: Duration = Duration::from_millis(1_500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// While a call waits in a lead's queue, the lead's liveness is looked at this often.
-const LIVENESS_CHECK: Duration = Duration::from_millis(100);
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A call to a peer failed; it may have been carried out.
 #[derive(Debug, Display, Error, From)]
@@ -100,7 +100,7 @@
 
 /// Opens a connection to a peer.
 pub async fn open(address: SocketAddr) -> Result<TcpStream, PeerError> {
-    let connecting = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| PeerError::NoAnswer)??;
     stream.set_nodelay(true)?;
     Ok(stream)
@@ -117,7 +117,7 @@
 }
 
 /// Waits for a call within `limit`; a failure drops the connection.
-async fn finish<T>(
+async fn await_call<T>(
     control: &ControlRef,
     vm: &VmId,
     limit: Duration,
@@ -143,8 +143,9 @@
     let client = client(control, lead).await?;
     let mut call = client.place_request();
     wire::write_place(call.get().init_req(), key, request);
-    let limit = control.borrow().shared.bundle().map_or(CALL_LIMIT, |b| b.bounds.max_wait) + 2 * CALL_LIMIT;
-    let promise = finish(control, lead, limit, call.send().promise);
+    let limit =
+        control.borrow().shared.bundle().map_or(CALL_TIMEOUT, |b| b.bounds.max_wait) + 2 * CALL_TIMEOUT;
+    let promise = await_call(control, lead, limit, call.send().promise);
     let answer = tokio::select! {
         answer = promise => answer?,
         () = until_suspected(control, lead) => return Err(PeerError::NoAnswer),
@@ -154,7 +155,7 @@
 
 async fn until_suspected(control: &ControlRef, vm: &VmId) {
     loop {
-        tokio::time::sleep(LIVENESS_CHECK).await;
+        tokio::time::sleep(LIVENESS_CHECK_INTERVAL).await;
         if control.borrow().membership.liveness(vm) != Some(Liveness::Alive) {
             return;
         }
@@ -180,7 +181,7 @@
     control: &ControlRef,
     lead: &VmId,
     key: &PoolKey,
-    lines: &[Line],
+    reports: &[GenerationReport],
 ) -> Result<Vec<GenerationId>, PeerError> {
     let client = client(control, lead).await?;
     let mut call = client.report_request();
@@ -189,12 +190,12 @@
         params.set_entry(&*control.borrow().settings.vm);
         params.set_model(&*key.model);
         params.set_hall(&*key.hall);
-        let mut batch = params.init_batch(lines.len() as u32);
-        for (at, line) in lines.iter().enumerate() {
-            wire::write_line(batch.reborrow().get(at as u32), line);
+        let mut batch = params.init_batch(reports.len() as u32);
+        for (at, report) in reports.iter().enumerate() {
+            wire::write_line(batch.reborrow().get(at as u32), report);
         }
     }
-    let answer = finish(control, lead, CALL_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, lead, CALL_TIMEOUT, call.send().promise).await?;
     Ok(answer.get()?.get_unknown()?.iter().collect())
 }
 
@@ -203,7 +204,7 @@
     let client = client(control, vm).await?;
     let mut call = client.probe_request();
     wire::write_gossip(call.get().init_gossip(), gossip);
-    let answer = finish(control, vm, CALL_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, vm, CALL_TIMEOUT, call.send().promise).await?;
     Ok(wire::read_gossip(answer.get()?.get_gossip()?)?)
 }
 
@@ -212,7 +213,7 @@
     let client = client(control, via).await?;
     let mut call = client.probe_for_request();
     call.get().set_target(&**target);
-    let answer = finish(control, via, 2 * CALL_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, via, 2 * CALL_TIMEOUT, call.send().promise).await?;
     Ok(answer.get()?.get_alive())
 }
 
@@ -235,7 +236,7 @@
     control: &ControlRef,
     writer: &VmId,
     claim: &RemoteClaim<'_>,
-) -> Result<Claimed, PeerError> {
+) -> Result<ClaimDecision, PeerError> {
     let client = client(control, writer).await?;
     let mut call = client.claim_request();
     {
@@ -246,20 +247,20 @@
         params.set_digest(claim.digest);
         params.set_by(&*control.borrow().settings.vm);
     }
-    let answer = finish(control, writer, CLAIM_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, writer, CLAIM_TIMEOUT, call.send().promise).await?;
     let reply = answer.get()?.get_reply()?;
     let state = reply.get_state().map_err(|_| PeerError::Malformed)?;
     match state {
-        ClaimState::Claimed => Ok(Claimed::Owned),
+        ClaimState::Claimed => Ok(ClaimDecision::Owned),
         ClaimState::Known => {
             let outcome: ClaimOutcome =
                 serde_json::from_slice(reply.get_outcome()?).map_err(|_| PeerError::Malformed)?;
-            Ok(Claimed::Outcome(outcome))
+            Ok(ClaimDecision::Outcome(outcome))
         }
         ClaimState::Refused => {
             let code = Code::from_number(reply.get_code()).ok_or(PeerError::Malformed)?;
             let retry_after = Duration::from_millis(u64::from(reply.get_retry_after_ms()));
-            Ok(Claimed::Refused { code, retry_after })
+            Ok(ClaimDecision::Refused { code, retry_after })
         }
     }
 }
@@ -282,6 +283,6 @@
         params.set_nonce(nonce);
         params.set_outcome(&serde_json::to_vec(outcome).expect("plain data serialises"));
     }
-    finish(control, writer, CLAIM_LIMIT, call.send().promise).await?;
+    await_call(control, writer, CLAIM_TIMEOUT, call.send().promise).await?;
     Ok(())
 }
--- a/node/src/status_report.rs
+++ b/node/src/status_report.rs
@@ -26,9 +26,9 @@
         bundle_hash: in_force.map(|f| f.hash).unwrap_or_default(),
         open: control.shared.open(),
         platform_reached: control.platform_reached,
-        peers: peers(&control),
-        pools: control.leads.pools.iter().map(|(key, led)| pool_line(key, led)).collect(),
-        leaving: leaving(&control),
+        peers: peer_summaries(&control),
+        pools: control.leads.pools.iter().map(|(key, led)| pool_summary(key, led)).collect(),
+        leaving: leaving_upstreams(&control),
         closed_halls: Vec::new(),
         quarantined: Vec::new(),
         limits: Vec::new(),
@@ -46,24 +46,24 @@
     }
 }
 
-fn peers(control: &Control) -> Vec<PeerSummary> {
+fn peer_summaries(control: &Control) -> Vec<PeerSummary> {
     let entries = control.directory.with_role(VmRole::Entry);
     let others = entries.filter(|r| r.id != control.settings.vm);
-    let line = |id: &str| {
+    let summary = |id: &str| {
         let liveness = control.membership.liveness(id);
         let liveness = liveness.map_or_else(|| "unknown".to_owned(), |l| format!("{l:?}").to_lowercase());
         PeerSummary { vm: id.to_owned(), liveness }
     };
-    others.map(|r| line(&r.id)).collect()
+    others.map(|r| summary(&r.id)).collect()
 }
 
-fn leaving(control: &Control) -> Vec<String> {
+fn leaving_upstreams(control: &Control) -> Vec<String> {
     let roles = [VmRole::Engine, VmRole::Service];
     let records = roles.into_iter().flat_map(|role| control.directory.with_role(role));
     records.filter(|r| control.directory.is_leaving(&r.id)).map(|r| r.id.to_string()).collect()
 }
 
-fn pool_line(key: &PoolKey, led: &LedPool) -> PoolSummary {
+fn pool_summary(key: &PoolKey, led: &LedPool) -> PoolSummary {
     let status = led.pool.status();
     PoolSummary {
         model: key.model.to_string(),
@@ -71,20 +71,20 @@
         waiting: status.waiting,
         running: status.running,
         all_engines: led.pool.engines().count(),
-        engines: led.pool.engines().map(engine_line).collect(),
+        engines: led.pool.engines().map(engine_summary).collect(),
     }
 }
 
-fn engine_line(book: &EngineTracker) -> EngineSummary {
+fn engine_summary(engine: &EngineTracker) -> EngineSummary {
     EngineSummary {
-        id: book.id.to_string(),
-        state: match book.state {
+        id: engine.id.to_string(),
+        state: match engine.state {
             EngineState::Up => "up".to_owned(),
             EngineState::Leaving => "leaving".to_owned(),
         },
-        running: book.runs.len(),
-        held_tokens: book.held_tokens(),
-        memory_tokens: book.limits.blocks * u64::from(book.limits.block_tokens),
-        step_ms: book.step.as_secs_f64() * 1_000.0,
+        running: engine.runs.len(),
+        held_tokens: engine.held_tokens(),
+        memory_tokens: engine.limits.blocks * u64::from(engine.limits.block_tokens),
+        step_ms: engine.step.as_secs_f64() * 1_000.0,
     }
 }
--- a/node/src/vm_watch.rs
+++ b/node/src/vm_watch.rs
@@ -14,31 +14,31 @@
 use crate::shared::UpstreamAddress;
 
 /// Reads of the list within the bundle's time for a leaving upstream.
-const READS_WITHIN_BOUND: u32 = 3;
+const READS_PER_LEAVING_BOUND: u32 = 3;
 /// Mean time between two reads while there is no bundle.
 const FIRST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads for ever, with jitter so that nodes do not read in step.
 pub async fn run(control: ControlRef) {
     let platform = control.borrow().platform.clone();
-    let mut known = None;
+    let mut known_version = None;
     loop {
-        match platform.vms(known).await {
+        match platform.vms(known_version).await {
             Ok(VmList::Changed { version, records }) => {
-                known = version;
-                take(&mut control.borrow_mut(), records);
+                known_version = version;
+                apply_list(&mut control.borrow_mut(), records);
             }
             Ok(VmList::Unchanged) => {}
             Err(err) => warn!(event = "vms_not_read", reason:% = err; "the list of VMs was not read"),
         }
         let bundle = control.borrow().shared.bundle();
-        let interval = bundle.map_or(FIRST_INTERVAL, |b| b.bounds.leaving_within / READS_WITHIN_BOUND);
+        let interval = bundle.map_or(FIRST_INTERVAL, |b| b.bounds.leaving_within / READS_PER_LEAVING_BOUND);
         let jitter: f64 = rand::rng().random_range(0.75..1.25);
         tokio::time::sleep(interval.mul_f64(jitter)).await;
     }
 }
 
-fn take(control: &mut Control, records: Vec<VmRecord>) {
+fn apply_list(control: &mut Control, records: Vec<VmRecord>) {
     let now = control.now();
     control.directory.on_list(records, now);
     let entries: Vec<VmId> = control.directory.with_role(VmRole::Entry).map(|r| r.id.clone()).collect();
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -13,8 +13,8 @@
 use leadstage_proto::peer_capnp;
 use leadstage_proto::peer_capnp::RunState;
 
-use crate::control_message::Running;
-use crate::entry_book::Line;
+use crate::control_message::RunningGeneration;
+use crate::entry_generations::GenerationReport;
 use crate::leads::PoolKey;
 
 /// What travels on probes.
@@ -66,7 +66,7 @@
 }
 
 /// Writes a line of a report.
-pub fn write_line(mut to: peer_capnp::progress::Builder<'_>, line: &Line) {
+pub fn write_line(mut to: peer_capnp::progress::Builder<'_>, line: &GenerationReport) {
     let request = &line.running.request;
     to.set_generation(request.generation);
     to.set_tokens(line.tokens);
@@ -95,7 +95,7 @@
     from: peer_capnp::progress::Reader<'_>,
     entry: &VmId,
     key: &PoolKey,
-) -> Result<Line, capnp::Error> {
+) -> Result<GenerationReport, capnp::Error> {
     let request = PlaceRequest {
         generation: from.get_generation(),
         organisation: text(from.get_organisation()?)?.into(),
@@ -105,7 +105,7 @@
         priority: from.get_priority(),
         prefix: from.get_prefix(),
     };
-    let running = Running {
+    let running = RunningGeneration {
         request,
         model: key.model.clone(),
         hall: key.hall.clone(),
@@ -119,7 +119,7 @@
         RunState::Cancelled => Some(EndKind::Cancelled),
         RunState::Lost => Some(EndKind::Lost),
     };
-    Ok(Line { running, tokens: from.get_tokens(), ended, brief: from.get_brief() })
+    Ok(GenerationReport { running, tokens: from.get_tokens(), ended, brief: from.get_brief() })
 }
 
 /// Writes gossip.
