--- a/node/src/bundle_fetch.rs
+++ b/node/src/bundle_fetch.rs
@@ -1,7 +1,7 @@
 //! Fetches bundles from other entry VMs.
 //!
-//! A bundle may be large and the link to a peer small, so it comes on a connection of its own:
-//! probes do not wait behind it, and its failure does not end theirs.
+//! A bundle can be large and the link to a peer slow, so each fetch opens its own connection: probes do not
+//! queue behind it, and a failed fetch does not close the connection that probes use.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -25,8 +25,9 @@
 use crate::peers;
 use crate::peers::PeerError;
 
-/// Fetches the bundle of a peer that has a newer one, and considers it. One is fetched at a time:
-/// each message of a peer meanwhile tells of it again.
+/// Fetches the bundle of a peer that announced a newer one, and applies it if it is newer and valid. Only one
+/// fetch runs at a time; an announcement that arrives meanwhile is ignored, as the next gossip message of
+/// that peer repeats it.
 pub fn start(control: &ControlRef, from: &VmId) {
     if std::mem::replace(&mut control.borrow_mut().fetching_bundle, true) {
         return;
@@ -40,13 +41,13 @@
         Ok(bytes) if bytes.is_empty() => {}
         Ok(bytes) => bundle_watch::apply_if_newer(&control, &bytes, &from),
         Err(err) => {
-            warn!(event = "bundle_not_fetched", from = &*from, reason:% = err; "a peer's bundle was not fetched")
+            warn!(event = "bundle_not_fetched", from = &*from, reason:% = err; "failed to fetch the bundle of a peer")
         }
     }
     control.borrow_mut().fetching_bundle = false;
 }
 
-/// The peer's bundle if its number is above `above`; empty otherwise.
+/// Returns the envelope of the peer's bundle if its number is above `above`, and an empty vector otherwise.
 async fn fetch(control: &ControlRef, vm: &VmId, above: BundleNumber) -> Result<Vec<u8>, PeerError> {
     let address = peers::address_of(&control.borrow(), vm)?;
     let (reader, writer) = peers::open(address).await?.compat().split();
@@ -60,9 +61,9 @@
     Ok(answer.get()?.get_envelope()?.to_vec())
 }
 
-/// Waits for a call as long as bytes of its answer come on, by the rule for large answers of the
-/// platform. A bundle of 0.3 MB at 100 kB/s takes three seconds, and was not there after 60 s while
-/// it had to be whole within one.
+/// Waits for the response of a call as long as it makes progress: at least [`LEAST_PROGRESS`] bytes in every
+/// [`STALLED_AFTER`], as for large responses of the platform. A fixed timeout does not fit: a bundle of 0.3 MB
+/// takes 3 s at 100 kB/s, and with a limit of 1 s for the whole response it was not there after 60 s.
 async fn await_with_progress<T>(
     call: impl Future<Output = Result<T, capnp::Error>>,
     received: &Cell<usize>,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Counts what is read.
+/// A reader that counts the bytes it has read.
 struct CountingReader<R> {
     reader: R,
     received: Rc<Cell<usize>>,
--- a/node/src/bundle_watch.rs
+++ b/node/src/bundle_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the accepted bundle in the object API.
+//! Watches the object API for changes of the accepted bundle.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::control::ControlRef;
 use crate::platform::Read;
 
-/// Least pause after a failed watch.
+/// Shortest pause after a failed watch.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after failed watches.
+/// Longest pause after repeated failures of the watch.
 const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Watches for ever; each change is considered at once.
+/// Watches without end, and applies each newer bundle as soon as it is read.
 pub async fn run(control: ControlRef) {
     let platform = control.borrow().platform.clone();
     let restart_watch = control.borrow().restart_watch.clone();
@@ -39,20 +39,20 @@
             Ok(Read::Absent | Read::Unchanged) => backoff.reset(),
             Err(err) => {
                 let pause = backoff.next(&mut rand::rng());
-                warn!(event = "bundle_watch_failed", reason:% = err, pause:? = pause; "watching the bundle failed");
+                warn!(event = "bundle_watch_failed", reason:% = err, pause:? = pause; "failed to watch the bundle object");
                 tokio::time::sleep(pause).await;
             }
         }
     }
 }
 
-/// Considers an envelope from the object API or a peer.
+/// Opens an envelope from the object API or a peer, and puts its bundle in force if it is newer and valid.
 pub fn apply_if_newer(control: &ControlRef, bytes: &[u8], from: &str) {
     let mut control = control.borrow_mut();
     let current = control.shared.bundle().map(|b| b.number);
     match rollout::open_if_newer(bytes, current, &control.settings.trust) {
         Ok(Some(new)) => control.put_in_force(new),
         Ok(None) => {}
-        Err(err) => warn!(event = "bundle_refused", from = from, reason:% = err; "bundle refused"),
+        Err(err) => warn!(event = "bundle_refused", from = from, reason:% = err; "rejected a bundle"),
     }
 }
--- a/node/src/claim_driver.rs
+++ b/node/src/claim_driver.rs
@@ -1,5 +1,5 @@
-//! Drives [`leadstage_lib::claims`]: claims go to the shard's preferred writer, which
-//! commits many of them in one conditional update; without it an entry writes itself.
+//! Drives [`leadstage_lib::claims`]: sends each claim to the shard's preferred writer, which commits many
+//! claims in one conditional update. An entry that cannot reach that writer writes the shard itself.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -28,15 +28,15 @@
 use crate::peers::RemoteClaim;
 use crate::shared::unix_millis;
 
-/// A claim or record that is not settled by then is answered "unreachable".
+/// A claim or record that is not settled within this time is answered "unreachable".
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// When to come back if the object API cannot be reached.
+/// `Retry-After` when the object API cannot be reached.
 const PLATFORM_RETRY: Duration = Duration::from_secs(5);
-/// When to come back if a shard is full, or a claim is in progress.
+/// `Retry-After` when a shard is full or a claim is in progress.
 const BUSY_RETRY: Duration = Duration::from_secs(2);
-/// Tries to record an outcome.
+/// Attempts to record an outcome before it is abandoned.
 const MAX_RECORD_ATTEMPTS: u32 = 5;
-/// Pause between them.
+/// Pause between two attempts to record an outcome.
 const RECORD_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
 struct Shard {
@@ -44,7 +44,7 @@
     replies: HashMap<Ticket, oneshot::Sender<ClaimVerdict>>,
 }
 
-/// The shards that this VM writes.
+/// The claim shards that this VM writes.
 #[derive(Default)]
 pub struct ClaimShards {
     shards: HashMap<u32, Shard>,
@@ -53,8 +53,8 @@
 }
 
 impl ClaimShards {
-    /// Another bundle is in force; writers are made anew, waiting requests are answered
-    /// "unreachable" by the drop of their replies.
+    /// Applies the bounds of a new bundle. If the bounds of claims changed, all writers are dropped and
+    /// created again on demand; requests that wait are answered "unreachable" as their reply channels close.
     pub fn set_bounds(&mut self, bounds: &Bounds) {
         let same =
             bounds.claim_commit == self.bounds.claim_commit && bounds.claims_kept == self.bounds.claims_kept;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Claims and outcomes that wait for a write.
+    /// The number of claims and outcomes that wait for a write.
     pub fn waiting(&self) -> usize {
         self.shards.values().map(|s| s.writer.waiting()).sum()
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Claims a key for an arrival at this VM.
+/// Claims a key for a request that arrived at this VM.
 pub async fn claim(control: &ControlRef, key: String, nonce: Nonce, digest: String) -> ClaimDecision {
     let shard = claims::shard_of(&key, control.borrow().claims.bounds.claim_shards);
     let writer = preferred_writer(&control.borrow(), shard);
@@ -92,7 +92,7 @@
     claim_here(control, shard, key, ClaimRequest::Claim { nonce, by, digest }).await
 }
 
-/// Claims a key in a shard that this VM writes, for an arrival here or at a peer.
+/// Claims a key in a shard that this VM writes, for a request that arrived here or at a peer.
 pub async fn claim_here(
     control: &ControlRef,
     shard: u32,
@@ -121,7 +121,8 @@
     *vm == control.settings.vm || control.membership.liveness(vm) == Some(Liveness::Alive)
 }
 
-/// The live VM that writes a shard, so that writers rarely conflict; `None` for this one.
+/// The live VM that should write a shard, or `None` if it is this VM. As all VMs prefer the same writer,
+/// conditional updates rarely conflict.
 fn preferred_writer(control: &Control, shard: u32) -> Option<VmId> {
     let name = claims::object_key(shard);
     let own = &control.settings.vm;
@@ -130,7 +131,7 @@
     (writer != own).then(|| writer.clone())
 }
 
-/// Records an outcome for an arrival at this VM; tries again for a while.
+/// Records the outcome of a request that arrived at this VM. Makes up to `MAX_RECORD_ATTEMPTS` attempts.
 pub async fn record(control: ControlRef, key: String, nonce: Nonce, outcome: ClaimOutcome) {
     let shard = claims::shard_of(&key, control.borrow().claims.bounds.claim_shards);
     for _ in 0..MAX_RECORD_ATTEMPTS {
@@ -145,10 +146,10 @@
         }
         tokio::time::sleep(RECORD_RETRY_PAUSE).await;
     }
-    warn!(event = "outcome_not_recorded", code = outcome.code; "a later arrival of the key learns only that it was claimed");
+    warn!(event = "outcome_not_recorded", code = outcome.code; "outcome not recorded; a later request with the key learns only that it was claimed");
 }
 
-/// Records an outcome in a shard that this VM writes; false when it should be tried again.
+/// Records an outcome in a shard that this VM writes. Returns false if the caller should retry.
 pub async fn record_here(
     control: &ControlRef,
     shard: u32,
@@ -180,7 +181,7 @@
     rx.await.unwrap_or(ClaimVerdict::Unreachable)
 }
 
-/// Moves on the shards that wait for their commit interval.
+/// Advances the shards that have requests waiting for the commit interval.
 pub fn tick(control: &ControlRef) {
     let waiting: Vec<u32> = {
         let control = control.borrow();
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: the platform, the peers, the pools that this VM leads, and
-//! what the traffic threads ask. One thread, as capnp-rpc is `!Send`.
+//! The control thread: handles the platform, the peers, the pools that this VM leads, and the requests of the
+//! traffic threads. All of this runs on one thread because capnp-rpc is `!Send`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
 use crate::stop;
 use crate::vm_watch;
 
-/// Time between two looks at what is due.
+/// Interval between two runs of the periodic tasks.
 pub const TICK: Duration = Duration::from_millis(100);
 
 /// The control thread's state.
@@ -55,13 +55,14 @@
     pub shared: Arc<Shared>,
     /// The object API and the VM list.
     pub platform: Platform,
-    /// Calls to engines that are not traffic.
+    /// Client for calls to engines other than generations: load reports, orders, priorities and
+    /// cancellations.
     pub engines: EngineApi,
-    /// The start of this process's timestamps.
+    /// Time since boot at which this process started; [`Control::now`] counts from here.
     pub started: Timestamp,
-    /// Upstreams and entry VMs.
+    /// The upstreams and entry VMs of the VM list.
     pub directory: Directory,
-    /// Which entry VMs are alive.
+    /// The liveness of the entry VMs.
     pub membership: Membership,
     /// Connections to other entry VMs.
     pub peers: Peers,
@@ -73,11 +74,11 @@
     pub entry_generations: EntryGenerations,
     /// Claim shards that this VM writes.
     pub claims: ClaimShards,
-    /// When the object API last answered, since the start or the latest pause.
+    /// When the object API last answered; `None` if it did not since the start or the latest process pause.
     pub platform_contact: Option<Timestamp>,
-    /// Whether its latest call worked.
+    /// Whether the latest call to the object API succeeded.
     pub platform_reached: bool,
-    /// Wakes the bundle watch: a pause of the process may have broken it unnoticed.
+    /// Restarts the bundle watch, whose connection may have broken unnoticed while the process was paused.
     pub restart_watch: Rc<Notify>,
     last_tick: Timestamp,
 }
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Time since the process's start, suspensions of the VM included.
+    /// Time since the process started, including the time that the VM was suspended.
     pub fn now(&self) -> Timestamp {
         clock::since_boot().saturating_sub(self.started)
     }
 
-    /// Notes whether a call to the object API worked.
+    /// Updates the state of the object API after a call to it.
     pub fn on_platform_call(&mut self, succeeded: bool) {
         self.platform_reached = succeeded;
         if succeeded {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Puts a bundle in force if it is newer.
+    /// Puts a bundle in force if it is newer than the current one.
     pub fn put_in_force(&mut self, new: BundleInForce) {
         let bundle = new.bundle.clone();
         let hash = new.hash.clone();
@@ -136,7 +137,7 @@
         readiness::update(self);
     }
 
-    /// Carries out what changed in the membership.
+    /// Applies membership changes to the connections to peers and to the pools.
     pub fn on_membership(&mut self, actions: &[MembershipAction]) {
         for action in actions {
             let MembershipAction::Changed(news) = action else {
@@ -154,7 +155,7 @@
     }
 }
 
-/// Runs the control thread until the planned stop is over.
+/// Runs the control thread until the graceful shutdown has finished.
 pub fn run(
     settings: Settings,
     shared: Arc<Shared>,
@@ -189,8 +190,8 @@
     }
 }
 
-/// A process that was frozen can't know what it missed: it doubts its contacts and
-/// reads the bundle anew.
+/// Detects that the process was paused, for example by a suspension of the VM. As changes may have been
+/// missed, the last contact with the object API no longer counts, and the bundle is read again.
 fn detect_pause(control: &ControlRef) {
     let mut control = control.borrow_mut();
     let now = control.now();
--- a/node/src/control_message.rs
+++ b/node/src/control_message.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads ask of the control thread.
+//! Messages from the traffic threads to the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,42 +17,42 @@
 use leadstage_lib::pool_event::PlaceRequest;
 use tokio::sync::oneshot;
 
-/// An engine that was granted.
+/// An engine that was granted to a request.
 #[derive(Clone, Debug)]
 pub struct Granted {
     /// The engine.
     pub upstream: UpstreamId,
-    /// The hall that it is in.
+    /// The engine's hall.
     pub hall: HallId,
-    /// Its address.
+    /// The engine's address.
     pub address: SocketAddr,
-    /// The priority to give to it.
+    /// The priority to send to the engine with the request.
     pub priority: i32,
-    /// The lead that placed it and so knows of it; none if the entry placed it alone.
+    /// The lead that placed the request and so has its record; `None` if the entry placed it without a lead.
     pub lead: Option<VmId>,
 }
 
-/// A request that does not run.
+/// The reason why a request was not placed.
 #[derive(Clone, Debug)]
 pub struct NotPlaced {
-    /// Why.
+    /// The reason.
     pub code: Code,
-    /// When to come back.
+    /// When the caller may retry.
     pub retry_after: Duration,
 }
 
-/// The answer to a claim.
+/// The result of a claim.
 #[derive(Clone, Debug)]
 pub enum ClaimDecision {
-    /// The arrival owns its key and may dispatch once.
+    /// The request owns its key and may be dispatched once.
     Owned,
-    /// Another arrival of the key has this outcome.
+    /// An earlier request with the key has this outcome.
     Outcome(ClaimOutcome),
-    /// It may not dispatch.
+    /// The request may not be dispatched.
     Refused {
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// When the caller may retry.
         retry_after: Duration,
     },
 }
@@ -60,59 +60,59 @@
 /// A running generation, as the entry reports it to the lead.
 #[derive(Clone, Debug)]
 pub struct RunningGeneration {
-    /// What was asked for.
+    /// The request as it was placed.
     pub request: PlaceRequest,
     /// The model.
     pub model: ModelId,
     /// The hall of its pool.
     pub hall: HallId,
-    /// Where it runs.
+    /// The engine that runs it.
     pub upstream: UpstreamId,
-    /// Tokens delivered so far, counted by the relay.
+    /// The number of tokens delivered so far, counted by the relay.
     pub tokens: Arc<AtomicU32>,
-    /// The lead that knows all about it already.
+    /// The lead that already has the complete record of it.
     pub known_to: Option<VmId>,
 }
 
-/// What the traffic threads ask.
+/// A message from a traffic thread.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// Find an engine.
+    /// Finds an engine for a request.
     Place {
-        /// What for.
+        /// The request.
         request: PlaceRequest,
-        /// Which model.
+        /// The requested model.
         model: ModelId,
-        /// The answer; dropped when the caller is gone.
+        /// Receives the result; the traffic thread drops the other end when the caller disconnects.
         reply: oneshot::Sender<Result<Granted, NotPlaced>>,
     },
     /// A generation was dispatched.
     Started(RunningGeneration),
-    /// A generation is over for this entry.
+    /// A generation ended, as seen by this entry.
     Ended {
-        /// Which one.
+        /// The generation.
         generation: GenerationId,
-        /// How.
+        /// How it ended.
         how: EndKind,
     },
-    /// An upstream refused a connection or was lost.
+    /// An upstream refused a connection, or its connection was lost.
     UpstreamFailed(UpstreamId),
-    /// Own a key before its request is dispatched.
+    /// Claims a key before its request is dispatched.
     Claim {
-        /// The key, hashed with its organisation.
+        /// The key, hashed together with its organisation.
         key: String,
-        /// The arrival.
+        /// Identifies the request that claims the key.
         nonce: Nonce,
         /// Hash of the request.
         digest: String,
-        /// The answer.
+        /// Receives the result.
         reply: oneshot::Sender<ClaimDecision>,
     },
-    /// Record the outcome of an owned key.
+    /// Records the outcome of a request that owns its key.
     Record {
         /// The key.
         key: String,
-        /// The arrival.
+        /// Identifies the request that claims the key.
         nonce: Nonce,
         /// The outcome.
         outcome: ClaimOutcome,
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -1,13 +1,13 @@
-//! The last decisions by request, in bounded memory.
+//! Keeps the decisions of the most recent requests in bounded memory.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
 use leadstage_lib::status::Decision;
 
-/// Requests remembered.
+/// Maximum number of requests kept; the oldest are dropped first.
 const MAX_REQUESTS: usize = 4_096;
-/// Decisions remembered for one request.
+/// Maximum number of decisions kept for one request; later ones are ignored.
 const MAX_DECISIONS: usize = 32;
 
 /// Decisions by request id.
@@ -18,7 +18,7 @@
 }
 
 impl DecisionLog {
-    /// Notes a decision.
+    /// Records a decision.
     pub fn note(&mut self, request: u64, at: u64, filter: &str, what: String) {
         if !self.decisions.contains_key(&request) {
             self.order.push_back(request);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// What was decided for a request.
+    /// Returns the decisions recorded for a request.
     pub fn get(&self, request: u64) -> Option<&[Decision]> {
         self.decisions.get(&request).map(Vec::as_slice)
     }
--- a/node/src/engine_polls.rs
+++ b/node/src/engine_polls.rs
@@ -1,5 +1,5 @@
-//! Reads the loads of the engines of the pools that this VM leads, and keeps the pools'
-//! engines in line with the VM list, the notices and the bundle.
+//! Polls the load of the engines in the pools that this VM leads, and synchronises the pools' engines with
+//! the VM list, the notices of leaving upstreams and the bundle.
 
 use leadstage_lib::bundle::Model;
 use leadstage_lib::ids::Timestamp;
@@ -15,25 +15,25 @@
 use crate::leads;
 use crate::leads::PoolKey;
 
-/// Reads of an engine's load within the bundle's time for a leaving upstream.
+/// Polls of an engine within the bundle's `leaving_within`.
 const POLLS_PER_LEAVING_BOUND: u32 = 3;
-/// Reads without an answer after which an engine counts as gone.
+/// Consecutive failed polls after which an engine is considered gone.
 const GONE_AFTER_FAILURES: u32 = 3;
 
-/// An engine as it was last read.
+/// The polling state of an engine.
 #[derive(Default)]
 pub struct PolledEngine {
     next_poll: Timestamp,
     polling: bool,
-    /// Reads without an answer since the latest one.
+    /// Failed polls since the latest successful one.
     pub failures: u32,
-    /// It answered the latest read.
+    /// Whether the engine answered the latest poll.
     pub answered_last: bool,
-    /// Adapters that it has loaded.
+    /// The adapters that the engine has loaded.
     pub loaded: Vec<String>,
 }
 
-/// Brings the pools' engines in line with the VM list, the notices and the bundle.
+/// Synchronises the pools' engines with the VM list, the notices of leaving upstreams and the bundle.
 pub fn sync_engines(control: &mut Control) {
     let now = control.now();
     let bundle = control.shared.bundle();
@@ -54,13 +54,13 @@
     }
 }
 
-/// Whether an engine may get new work: listed, not leaving, and not drained by the bundle.
+/// Whether an engine may get new work: it is listed, not leaving, and not drained by the bundle.
 fn accepts_work(directory: &Directory, model: Option<&Model>, id: &UpstreamId) -> bool {
     let drained = model.is_some_and(|m| m.drained.contains(id));
     directory.get(id).is_some() && !drained && !directory.is_leaving(id)
 }
 
-/// Reads the loads that are due.
+/// Starts the polls that are due.
 pub fn poll_due(control: &ControlRef) {
     let mut due = Vec::new();
     {
@@ -131,7 +131,8 @@
     }
 }
 
-/// An entry lost an engine: it gets no new work until it answers again.
+/// Handles an entry's report that it lost its connection to an engine: the engine gets no new work until it
+/// answers a poll, which is made due at once.
 pub fn on_engine_lost(control: &mut Control, key: &PoolKey, id: &UpstreamId) {
     let now = control.now();
     if let Some(engine) = control.leads.pools.get_mut(key).and_then(|led| led.engines.get_mut(id)) {
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -1,5 +1,5 @@
-//! Finds an engine for a request of this VM's own callers: asks the pool's lead, and
-//! places by itself, conservatively, while no lead answers.
+//! Finds an engine for a request that arrived at this VM: requests one from the pool's lead, and chooses one
+//! itself, conservatively, while no lead answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,18 +22,18 @@
 use crate::leads::PoolKey;
 use crate::peers;
 
-/// Halls asked for one request.
+/// Maximum number of halls tried for one request.
 const MAX_HALLS: usize = 2;
-/// Leads asked for one pool.
+/// Maximum number of leads tried for one pool.
 const MAX_LEADS: usize = 2;
-/// Engines whose load is read when no lead answers.
+/// Number of engines whose load is compared when no lead answers.
 const ALONE_CANDIDATES: usize = 2;
-/// Part of an engine's memory up to which an entry fills it by itself.
+/// Fraction of an engine's KV cache memory below which an entry places a request there without a lead.
 const ALONE_MAX_FILL: f64 = 0.6;
-/// When to come back if there is no engine at all.
+/// `Retry-After` when there is no usable engine.
 const NO_ENGINE_RETRY: Duration = Duration::from_secs(2);
 
-/// Finds an engine, or says at once that there is none.
+/// Finds an engine for a request; fails at once if there is no usable one.
 pub async fn place(
     control: &ControlRef,
     request: PlaceRequest,
@@ -60,7 +60,7 @@
     Err(refusal)
 }
 
-/// Halls to ask: this VM's own first, then others that have usable engines.
+/// The halls to try: this VM's own first, then other halls that have usable engines.
 fn candidate_halls(control: &ControlRef, model: &ModelId, request: &PlaceRequest) -> Vec<HallId> {
     let control = control.borrow();
     let allowed =
@@ -96,8 +96,8 @@
     (place_alone(control, key).await, None)
 }
 
-/// No lead answers: reads the load of two engines and takes the emptier one, if it is
-/// far from full.
+/// Places a request without a lead: reads the load of [`ALONE_CANDIDATES`] engines and chooses the emptier
+/// one if it is far from full.
 async fn place_alone(control: &ControlRef, key: &PoolKey) -> Placement {
     let (api, candidates) = {
         let control = control.borrow();
@@ -123,7 +123,8 @@
     }
 }
 
-/// How full an engine is, or `None` when it should not be filled blindly.
+/// The used fraction of an engine's KV cache memory, or `None` if no request should be placed there without a
+/// lead.
 fn fill_if_placeable(report: &EngineReport) -> Option<f64> {
     let load = report.load();
     let fill = load.used_blocks as f64 / report.limits().blocks.max(1) as f64;
--- a/node/src/entry_generations.rs
+++ b/node/src/entry_generations.rs
@@ -1,4 +1,4 @@
-//! The generations of this VM's own callers, and their reports to the pools' leads.
+//! Tracks the generations of requests that arrived at this VM, and reports them to the pools' leads.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,23 +20,24 @@
 use crate::leads::PoolKey;
 use crate::peers;
 
-/// Time between two reports of running generations. The lead extrapolates between them;
-/// docs/CAPACITY.md has what the interval costs and docs/design/placement.md that the
-/// policy does not need a shorter one.
+/// Interval between two reports of running generations. The lead extrapolates between reports.
+/// docs/CAPACITY.md states the cost of this interval, and docs/design/placement.md shows that the policy does
+/// not need a shorter one.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(3_000);
-/// An end that no lead took is dropped after this; the lead gives it up by itself.
+/// The end of a generation that no lead accepted within this time is dropped; the lead then abandons the
+/// generation without it.
 const END_RETENTION: Duration = Duration::from_secs(10);
 
-/// A generation in a report.
+/// The state of one generation in a report to a lead.
 #[derive(Clone, Debug)]
 pub struct GenerationReport {
     /// The generation.
     pub running: RunningGeneration,
-    /// Tokens delivered.
+    /// The number of tokens delivered.
     pub tokens: u32,
-    /// How it ended, if it did.
+    /// How it ended; `None` while it runs.
     pub ended: Option<EndKind>,
-    /// Whether the lead has all about it, so that only the tokens need to be sent.
+    /// Whether the lead already has the complete record, so that only the token count is sent.
     pub brief: bool,
 }
 
@@ -50,7 +51,7 @@
     since: Timestamp,
 }
 
-/// The generations.
+/// The running generations of this entry, and the ends that are not yet reported.
 #[derive(Default)]
 pub struct EntryGenerations {
     own: HashMap<GenerationId, OwnGeneration>,
@@ -59,13 +60,13 @@
 }
 
 impl EntryGenerations {
-    /// A generation was dispatched.
+    /// Adds a generation that was dispatched.
     pub fn start(&mut self, running: RunningGeneration) {
         let announced_to = running.known_to.clone();
         self.own.insert(running.request.generation, OwnGeneration { running, announced_to });
     }
 
-    /// Leads that ask for all about these generations get it with the next report.
+    /// Includes the complete records of these generations in the next report, as their leads requested.
     pub fn resend_in_full(&mut self, unknown: &[GenerationId]) {
         for generation in unknown {
             if let Some(own) = self.own.get_mut(generation) {
@@ -75,8 +76,8 @@
     }
 }
 
-/// A generation is over for this entry. Unless it ended by itself it is cancelled at
-/// its engine, which may only have been out of reach.
+/// Ends a generation at this entry. Unless it finished normally it is also cancelled at its engine, which may
+/// still run it if only the connection was lost.
 pub fn end(control: &ControlRef, generation: GenerationId, how: EndKind) {
     let mut control = control.borrow_mut();
     let Some(own) = control.entry_generations.own.remove(&generation) else {
@@ -98,8 +99,8 @@
     control.entry_generations.ends.push(PendingEnd { report, since });
 }
 
-/// Sends ends at once, and running generations once in the interval; at once to a lead
-/// that does not know them.
+/// Reports ends at once, and running generations every [`REPORT_INTERVAL`]; a lead that does not have a
+/// generation's record yet gets it at once.
 pub fn tick(control: &ControlRef) {
     let batches = collect(&mut control.borrow_mut());
     for ((lead, key), reports) in batches {
@@ -172,7 +173,8 @@
     }
 }
 
-/// The lead was not reached: ends are sent again, running ones come with the next report.
+/// Handles a report that did not reach the lead: ends are sent again, and running generations are sent in
+/// full with the next report.
 fn requeue(control: &mut Control, reports: Vec<GenerationReport>) {
     let since = control.now();
     for report in reports {
@@ -184,8 +186,8 @@
     }
 }
 
-/// Takes an entry's report into a pool that this VM leads; returns the generations of
-/// which the lead needs to know all.
+/// Applies an entry's report to a pool that this VM leads. Returns the generations whose complete records the
+/// lead needs.
 pub fn apply_report(
     control: &mut Control,
     entry: &VmId,
--- a/node/src/generation.rs
+++ b/node/src/generation.rs
@@ -1,4 +1,4 @@
-//! Answers a generation request: as a stream, or whole.
+//! Responses to generation requests, streamed or complete.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
@@ -21,8 +21,8 @@
 use crate::refusal::id_header;
 use crate::refusal::json_response;
 
-/// Answers as a stream of server-sent events. The head is sent with the first event,
-/// so that a failure before it has its own HTTP status.
+/// Responds with a stream of server-sent events. The response head is sent together with the first event, so
+/// that a failure before that event gets its own HTTP status.
 pub async fn stream(mut relay: Relay, request: u64) -> Result<WebResponse, Refusal> {
     let first = match relay.next().await {
         Relayed::Failed(refusal) => return Err(refusal),
@@ -70,8 +70,8 @@
     })
 }
 
-/// Answers whole, once the generation is complete. Until then the caller has nothing,
-/// but a lost engine still ends it: tokens were produced.
+/// Responds with the complete text when the generation has finished. A lost engine fails the request even
+/// though the caller has received nothing yet, because tokens were already produced.
 pub async fn whole(mut relay: Relay, req: GenerationRequest, request: u64) -> Result<WebResponse, Refusal> {
     let mut text = String::new();
     let mut reason = "stop".to_owned();
--- a/node/src/leads.rs
+++ b/node/src/leads.rs
@@ -1,5 +1,5 @@
-//! The pools that this VM leads: drives [`leadstage_lib::pool::Pool`] with requests,
-//! reports and the engines' loads.
+//! The pools that this VM leads: drives [`leadstage_lib::pool::Pool`] with placement requests, reports of
+//! generations and the engines' loads.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -33,12 +33,12 @@
 use crate::engine_polls;
 use crate::engine_polls::PolledEngine;
 
-/// When to come back after a lead gave a pool up.
+/// `Retry-After` when this VM stopped leading the pool while the request waited.
 const LEAD_CHANGE_RETRY: Duration = Duration::from_millis(1_000);
-/// A new lead waits this long for the engines' first loads.
+/// How long a new lead waits for the first load reports of the engines before it places requests.
 const FIRST_LOADS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Names a pool: a model's replicas in one hall.
+/// Identifies a pool: the engines of one model in one hall.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolKey {
     /// The model.
@@ -47,34 +47,34 @@
     pub hall: HallId,
 }
 
-/// What a lead answers to a request for an engine.
+/// The result of a placement request to a lead.
 #[derive(Clone, Debug)]
 pub enum Placement {
-    /// It may start there.
+    /// The request may start on this engine.
     Granted {
-        /// Where.
+        /// The engine.
         upstream: UpstreamId,
-        /// The priority to give to the engine.
+        /// The priority to send to the engine with the request.
         priority: i32,
     },
-    /// It does not start.
+    /// The request is not placed.
     Refused {
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// When the caller may retry.
         retry_after: Duration,
     },
 }
 
 /// A pool that this VM leads.
 pub struct LedPool {
-    /// Its decisions.
+    /// The placement state and policy.
     pub pool: Pool,
-    /// Its orders to engines.
+    /// Sends the pool's orders to engines.
     pub orders: OrderSender,
     created: Timestamp,
     replies: HashMap<GenerationId, oneshot::Sender<Placement>>,
-    /// Its engines as they were last read.
+    /// The polling state of the pool's engines.
     pub engines: HashMap<UpstreamId, PolledEngine>,
 }
 
@@ -86,17 +86,17 @@
 }
 
 impl Leads {
-    /// A pool's order sender.
+    /// The order sender of a pool.
     pub fn orders_mut(&mut self, key: &PoolKey) -> Option<&mut OrderSender> {
         self.pools.get_mut(key).map(|led| &mut led.orders)
     }
 
-    /// Tells all pools of another bundle.
+    /// Applies the policy of a new bundle to all pools.
     pub fn set_bundle(&mut self, bundle: &Bundle, now: Timestamp) {
         self.notify_all_pools(now, |_| PoolEvent::Policy(policy(bundle)));
     }
 
-    /// Gives all pools an event that needs no action at once.
+    /// Passes an event to all pools. Actions for engines that follow from it are dropped.
     pub fn notify_all_pools(&mut self, now: Timestamp, event: impl Fn(&PoolKey) -> PoolEvent) {
         for (key, led) in &mut self.pools {
             led.handle(now, event(key));
@@ -105,7 +105,8 @@
 }
 
 impl LedPool {
-    /// The first engine that answers and lacks one of these adapters.
+    /// The order to load a missing adapter on the first engine, by id, that answers polls and lacks one of
+    /// `adapters`.
     pub fn next_adapter_load(&self, adapters: &[String]) -> Option<Order> {
         let mut engines: Vec<_> = self.engines.iter().filter(|(_, e)| e.answered_last).collect();
         engines.sort_by_key(|(id, _)| (*id).clone());
@@ -115,7 +116,7 @@
         })
     }
 
-    /// An engine carries out an order to load an adapter.
+    /// Marks an adapter as loaded after the engine accepted the order to load it.
     pub fn on_loaded(&mut self, order: &Order) {
         if let (Some(engine), Some(adapter)) =
             (self.engines.get_mut(&order.engine), order.action.strip_prefix("load:"))
@@ -124,19 +125,20 @@
         }
     }
 
-    /// Whether the pool is new, and the first load of an engine may still come.
+    /// Whether the pool is new and the first load report of an engine may still arrive.
     fn awaits_first_loads(&self, now: Timestamp) -> bool {
         let may_come =
             self.engines.is_empty() || self.engines.values().any(|e| !e.answered_last && e.failures == 0);
         now < self.created + FIRST_LOADS_TIMEOUT && may_come
     }
 
-    /// Requests of entries that wait for this pool's answer.
+    /// The number of placement requests that wait for this pool's answer.
     pub fn waiting(&self) -> usize {
         self.replies.len()
     }
 
-    /// Gives the pool an event and sends its answers; returns the actions for engines.
+    /// Passes an event to the pool and answers the placement requests that it settles. Returns the actions
+    /// for engines.
     fn handle(&mut self, now: Timestamp, event: PoolEvent) -> Vec<PoolAction> {
         let mut actions = Vec::new();
         let mut for_engines = Vec::new();
@@ -159,7 +161,7 @@
         for_engines
     }
 
-    /// Answers a request; false when nobody waits for it any more.
+    /// Answers a placement request. Returns false if its sender no longer waits.
     fn reply(&mut self, generation: GenerationId, placement: Placement) -> bool {
         let reply = self.replies.remove(&generation);
         reply.is_some_and(|reply| reply.send(placement).is_ok())
@@ -172,8 +174,9 @@
     policy
 }
 
-/// The VM that leads a pool as this VM sees it, without the ones in `except`: chosen by
-/// rendezvous among the live VMs of the pool's hall, or of any hall when it has none.
+/// The VM that leads a pool according to this VM's view of the fleet, with the VMs in `except` left out. It
+/// is chosen by rendezvous hashing among the live entry VMs of the pool's hall, or of all halls if that hall
+/// has none.
 pub fn lead_of(control: &Control, key: &PoolKey, except: &[VmId]) -> Option<VmId> {
     let name = format!("{}/{}", key.model, key.hall);
     let is_alive = |vm: &VmId| control.membership.liveness(vm) == Some(Liveness::Alive);
@@ -193,7 +196,7 @@
     rendezvous::pick(&name, near).cloned()
 }
 
-/// Gives a pool an event and carries out what follows.
+/// Passes an event to a pool and executes the resulting actions.
 pub fn handle(control: &mut Control, key: &PoolKey, event: PoolEvent) {
     let now = control.now();
     let Some(led) = control.leads.pools.get_mut(key) else {
@@ -214,7 +217,7 @@
             }
         }
         PoolAction::Cancel { engine, generation } => {
-            info!(event = "abandoned", generation:% = format!("{generation:016x}"), engine = &*engine; "cancelled");
+            info!(event = "abandoned", generation:% = format!("{generation:016x}"), engine = &*engine; "generation cancelled");
             if let Some(address) = address(&engine) {
                 tokio::task::spawn_local(api.cancel(address, generation));
             }
@@ -223,8 +226,8 @@
     }
 }
 
-/// Places a request in a pool that this VM leads; waits in its queue. Dropping the
-/// future takes the request out.
+/// Places a request in a pool that this VM leads, and waits in its queue until it is answered. Dropping the
+/// future withdraws the request.
 pub async fn place_here(control: &ControlRef, key: &PoolKey, request: PlaceRequest) -> Placement {
     let lead_over = Placement::Refused { code: Code::NoUpstream, retry_after: LEAD_CHANGE_RETRY };
     let generation = request.generation;
@@ -240,9 +243,9 @@
     placement.unwrap_or(lead_over)
 }
 
-/// Makes the pool if it is new here, and notes that a request awaits its answer: a review of the pools
-/// that this VM leads does not give up one that somebody waits for. The asking entry may know earlier
-/// than this VM that the lead before it is gone. `None` where there is no bundle.
+/// Creates the pool if it does not exist here, and registers a request that waits for its answer. While a
+/// request waits, [`review_leads`] keeps the pool: the requesting entry may know earlier than this VM that
+/// the previous lead is gone. Returns `None` if there is no bundle.
 fn register_request(
     control: &mut Control,
     key: &PoolKey,
@@ -254,7 +257,7 @@
     Some(rx)
 }
 
-/// Takes a request out of the queue when its entry no longer waits.
+/// Withdraws a request from the queue on drop, when its entry no longer waits.
 struct Withdrawal<'a> {
     control: &'a ControlRef,
     key: &'a PoolKey,
@@ -273,8 +276,8 @@
     }
 }
 
-/// Waits a little for the first loads of a new pool's engines, whether a request or a review made it:
-/// while none is known the pool refuses.
+/// Waits up to [`FIRST_LOADS_TIMEOUT`] for the first load reports of a new pool's engines, because the pool
+/// refuses all requests until it has one. This applies to pools created by a request and by [`review_leads`].
 async fn await_first_loads(control: &ControlRef, key: &PoolKey) {
     let awaits = || {
         let control = control.borrow();
@@ -306,7 +309,8 @@
     engine_polls::sync_engines(control);
 }
 
-/// Ticks the pools, reads loads that are due, and takes up or drops pools.
+/// Creates or drops pools as this VM becomes or ceases to be their lead, advances them, and starts the polls
+/// that are due.
 pub fn tick(control: &ControlRef) {
     {
         let mut control = control.borrow_mut();
@@ -339,7 +343,7 @@
     });
 }
 
-/// Whether this VM's pool has a generation in its books.
+/// Whether a pool that this VM leads has a record of a generation.
 pub fn has_generation(control: &Control, key: &PoolKey, generation: GenerationId) -> bool {
     control.leads.pools.get(key).is_some_and(|led| led.pool.contains(generation))
 }
--- a/node/src/membership_driver.rs
+++ b/node/src/membership_driver.rs
@@ -1,4 +1,4 @@
-//! Drives [`leadstage_lib::membership`]: probes peers and carries news.
+//! Drives [`leadstage_lib::membership`]: probes peers, and exchanges gossip with them.
 
 use leadstage_lib::ids::VmId;
 use leadstage_lib::membership::MembershipAction;
@@ -10,10 +10,10 @@
 use crate::vm_watch;
 use crate::wire::Gossip;
 
-/// Leaving upstreams named in one message at most.
+/// Maximum number of leaving upstreams in one message.
 const MAX_LEAVING: usize = 32;
 
-/// Probes whom it is time to probe.
+/// Probes the peers that are due.
 pub fn tick(control: &ControlRef) {
     let actions = {
         let mut control = control.borrow_mut();
@@ -65,7 +65,7 @@
     control.on_membership(&actions);
 }
 
-/// What this VM tells on its next message.
+/// The gossip that this VM sends with its next message.
 pub fn gossip(control: &mut Control) -> Gossip {
     Gossip {
         from: control.settings.vm.clone(),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Takes a peer's news in; a newer bundle is fetched from it.
+/// Applies the gossip of a peer, and fetches its bundle if that is newer.
 pub fn on_gossip(control: &ControlRef, gossip: &Gossip) {
     let newer = {
         let mut control = control.borrow_mut();
--- a/node/src/orders.rs
+++ b/node/src/orders.rs
@@ -1,5 +1,5 @@
-//! Drives [`leadstage_lib::fence`]: has the engines of the pools that this VM leads load
-//! the adapters that the bundle wants, one order of a pool at a time.
+//! Drives [`leadstage_lib::fence`]: orders the engines of the pools that this VM leads to load the adapters
+//! that the bundle lists, one order per pool at a time.
 
 use leadstage_lib::fence;
 use leadstage_lib::fence::FenceAction;
@@ -12,7 +12,7 @@
 use crate::leads::PoolKey;
 use crate::shared::unix_millis;
 
-/// Goes on with the next order of each pool.
+/// Advances the order of each pool that has an engine with a missing adapter.
 pub fn tick(control: &ControlRef) {
     for (key, action) in due(&mut control.borrow_mut()) {
         tokio::task::spawn_local(execute(control.clone(), key, action));
--- a/node/src/peer_server.rs
+++ b/node/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers calls of other entry VMs.
+//! Serves the calls of other entry VMs.
 
 use std::rc::Rc;
 
@@ -32,7 +32,7 @@
     control: ControlRef,
 }
 
-/// Listens for peers; returns once the port is open.
+/// Listens for connections from peers. Returns once the port is bound.
 pub async fn listen(control: ControlRef) -> std::io::Result<()> {
     let address = control.borrow().settings.peer;
     let listener = TcpListener::bind(address).await?;
@@ -46,7 +46,7 @@
         match listener.accept().await {
             Ok((stream, _)) => serve(stream, &client),
             Err(err) => {
-                warn!(event = "peer_accept", reason:% = err; "no connection taken");
+                warn!(event = "peer_accept", reason:% = err; "failed to accept a connection from a peer");
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
         }
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,5 +1,5 @@
-//! Calls to other entry VMs over capnp-rpc. Connections are made when needed and
-//! dropped after a failure, so that a link that stalls without breaking is replaced.
+//! Calls to other entry VMs over capnp-rpc. A connection is opened on demand and dropped after a failed call,
+//! so that a connection that stalls without breaking is replaced.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,31 +36,31 @@
 use crate::wire;
 use crate::wire::Gossip;
 
-/// Time for a connection to a peer.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for a call that is answered at once.
+/// Timeout for a call that the peer answers without waiting.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a claim: a commit interval, a read and a write.
+/// Timeout for a claim, which takes a commit interval, a read and a write.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// While a call waits in a lead's queue, the lead's liveness is looked at this often.
+/// Interval between checks of the lead's liveness while a call waits in its queue.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A call to a peer failed; it may have been carried out.
+/// The error of a call to a peer. The call may have taken effect nevertheless.
 #[derive(Debug, Display, Error, From)]
 pub enum PeerError {
     /// The VM list does not name the peer.
     #[display("the peer is not in the VM list")]
     Unknown,
-    /// No connection.
+    /// The connection failed.
     #[display("no connection: {_0}")]
     Connect(std::io::Error),
     /// The call failed.
     #[display("the call failed: {_0}")]
     Call(capnp::Error),
-    /// No answer in time, or the peer is suspected.
+    /// The peer did not answer in time, or is suspected.
     #[display("no answer")]
     NoAnswer,
-    /// The answer is none that this version knows.
+    /// The answer has a value that this version does not know.
     #[display("malformed answer")]
     Malformed,
 }
@@ -72,7 +72,7 @@
 }
 
 impl Peers {
-    /// Drops the connection to a VM; the next call makes a new one.
+    /// Drops the connection to a VM; the next call opens a new one.
     pub fn forget(&mut self, vm: &VmId) {
         self.clients.remove(vm);
     }
@@ -93,7 +93,7 @@
     Ok(client)
 }
 
-/// Where a peer listens, by the VM list.
+/// The address on which a peer listens, according to the VM list.
 pub fn address_of(control: &Control, vm: &VmId) -> Result<SocketAddr, PeerError> {
     control.directory.get(vm).map(|r| r.address).ok_or(PeerError::Unknown)
 }
@@ -106,7 +106,8 @@
     Ok(stream)
 }
 
-/// The peer at the other end of a connection, and what runs the connection.
+/// Returns a client for the peer at the other end of a connection, and the RPC system that must be polled to
+/// drive the connection.
 pub fn bootstrap(
     reader: impl AsyncRead + Unpin + 'static,
     writer: impl AsyncWrite + Unpin + 'static,
@@ -116,7 +117,7 @@
     (system.bootstrap(Side::Server), system)
 }
 
-/// Waits for a call within `limit`; a failure drops the connection.
+/// Waits for the result of a call for at most `limit`. Drops the connection if the call fails.
 async fn await_call<T>(
     control: &ControlRef,
     vm: &VmId,
@@ -133,7 +134,7 @@
     result
 }
 
-/// Asks a lead for an engine; waits in its queue for as long as the lead is alive.
+/// Requests an engine from a lead. The request waits in the lead's queue for as long as the lead is alive.
 pub async fn place(
     control: &ControlRef,
     lead: &VmId,
@@ -176,7 +177,8 @@
     }
 }
 
-/// Reports generations of one pool to its lead; returns those that it needs all about.
+/// Reports generations of one pool to its lead. Returns the generations whose complete records the lead
+/// needs.
 pub async fn report(
     control: &ControlRef,
     lead: &VmId,
@@ -199,7 +201,7 @@
     Ok(answer.get()?.get_unknown()?.iter().collect())
 }
 
-/// Probes a peer with news, and returns its news.
+/// Probes a peer with this VM's gossip, and returns the peer's gossip.
 pub async fn probe(control: &ControlRef, vm: &VmId, gossip: &Gossip) -> Result<Gossip, PeerError> {
     let client = client(control, vm).await?;
     let mut call = client.probe_request();
@@ -208,7 +210,7 @@
     Ok(wire::read_gossip(answer.get()?.get_gossip()?)?)
 }
 
-/// Asks a peer to probe another one.
+/// Requests that a peer probe another one. Returns whether the target answered it.
 pub async fn probe_for(control: &ControlRef, via: &VmId, target: &VmId) -> Result<bool, PeerError> {
     let client = client(control, via).await?;
     let mut call = client.probe_for_request();
@@ -224,14 +226,14 @@
     pub shard: u32,
     /// The key.
     pub key: &'a str,
-    /// The arrival.
+    /// Identifies the request that claims the key.
     pub nonce: Nonce,
     /// Hash of the request.
     pub digest: &'a str,
 }
 
-/// Claims a key through the shard's preferred writer. After an error the claim may
-/// have taken effect; the same nonce finds it.
+/// Claims a key through the shard's preferred writer. After an error the claim may have taken effect
+/// nevertheless; a retry with the same nonce finds it.
 pub async fn claim(
     control: &ControlRef,
     writer: &VmId,
--- a/node/src/status_report.rs
+++ b/node/src/status_report.rs
@@ -14,7 +14,7 @@
 use crate::leads::PoolKey;
 use crate::shared::Readiness;
 
-/// Publishes the status as it is now.
+/// Publishes the current status.
 pub fn tick(control: &ControlRef) {
     let control = control.borrow();
     let in_force = control.shared.in_force();
@@ -36,7 +36,7 @@
     control.shared.set_status(status);
 }
 
-/// The readiness as the status and `/readyz` tell it.
+/// The text for a readiness in the status and on `/readyz`.
 pub fn readiness_text(readiness: Readiness) -> &'static str {
     match readiness {
         Readiness::NoBundle => "no bundle",
--- a/node/src/vm_watch.rs
+++ b/node/src/vm_watch.rs
@@ -1,4 +1,4 @@
-//! Reads the VM list, and publishes the upstreams to the traffic threads.
+//! Polls the VM list, and publishes the upstreams to the traffic threads.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use crate::platform::VmList;
 use crate::shared::UpstreamAddress;
 
-/// Reads of the list within the bundle's time for a leaving upstream.
+/// Reads of the VM list within the bundle's `leaving_within`.
 const READS_PER_LEAVING_BOUND: u32 = 3;
-/// Mean time between two reads while there is no bundle.
+/// Mean interval between two reads while there is no bundle.
 const FIRST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads for ever, with jitter so that nodes do not read in step.
+/// Reads the VM list without end, with jitter so that the reads of different nodes do not coincide.
 pub async fn run(control: ControlRef) {
     let platform = control.borrow().platform.clone();
     let mut known_version = None;
@@ -29,7 +29,7 @@
                 apply_list(&mut control.borrow_mut(), records);
             }
             Ok(VmList::Unchanged) => {}
-            Err(err) => warn!(event = "vms_not_read", reason:% = err; "the list of VMs was not read"),
+            Err(err) => warn!(event = "vms_not_read", reason:% = err; "failed to read the VM list"),
         }
         let bundle = control.borrow().shared.bundle();
         let interval = bundle.map_or(FIRST_INTERVAL, |b| b.bounds.leaving_within / READS_PER_LEAVING_BOUND);
