--- a/node/src/leads.rs
+++ b/node/src/leads.rs
@@ -217,7 +217,7 @@
             }
         }
         PoolAction::Cancel { engine, generation } => {
-            info!(event = "abandoned", generation:% = format!("{generation:016x}"), engine = &*engine; "generation cancelled");
+            info!(event = "abandoned", generation:% = format!("{generation:016x}"), engine = &*engine; "cancelled");
             if let Some(address) = address(&engine) {
                 tokio::task::spawn_local(api.cancel(address, generation));
             }
