--- a/node/src/claim_driver.rs
+++ b/node/src/claim_driver.rs
@@ -56,10 +56,10 @@
     /// Applies the bounds of a new bundle. If the bounds of claims changed, all writers are dropped and
     /// created again on demand; requests that wait are answered "unreachable" as their reply channels close.
     pub fn set_bounds(&mut self, bounds: &Bounds) {
-        let same =
+        let claims_unchanged =
             bounds.claim_commit == self.bounds.claim_commit && bounds.claims_kept == self.bounds.claims_kept;
         self.bounds = bounds.clone();
-        if !same {
+        if !claims_unchanged {
             self.shards.clear();
         }
     }
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -70,7 +70,7 @@
     pub fetching_bundle: bool,
     /// The pools that this VM leads.
     pub leads: Leads,
-    /// The generations of this VM's own callers.
+    /// The generations of requests that arrived at this VM.
     pub entry_generations: EntryGenerations,
     /// Claim shards that this VM writes.
     pub claims: ClaimShards,
@@ -140,16 +140,16 @@
     /// Applies membership changes to the connections to peers and to the pools.
     pub fn on_membership(&mut self, actions: &[MembershipAction]) {
         for action in actions {
-            let MembershipAction::Changed(news) = action else {
+            let MembershipAction::Changed(update) = action else {
                 continue;
             };
-            info!(event = "member", vm = &*news.vm, liveness:? = news.liveness; "member changed");
-            if matches!(news.liveness, Liveness::Dead | Liveness::Left) {
-                self.peers.forget(&news.vm);
+            info!(event = "member", vm = &*update.vm, liveness:? = update.liveness; "member changed");
+            if matches!(update.liveness, Liveness::Dead | Liveness::Left) {
+                self.peers.forget(&update.vm);
             }
-            if news.liveness == Liveness::Dead {
+            if update.liveness == Liveness::Dead {
                 let now = self.now();
-                self.leads.notify_all_pools(now, |_| PoolEvent::EntryGone(news.vm.clone()));
+                self.leads.notify_all_pools(now, |_| PoolEvent::EntryGone(update.vm.clone()));
             }
         }
     }
--- a/node/src/leads.rs
+++ b/node/src/leads.rs
@@ -189,11 +189,11 @@
     if !stopping && !except.contains(&control.settings.vm) {
         alive.push((control.settings.vm.clone(), control.settings.hall == key.hall));
     }
-    let near: Vec<&VmId> = alive.iter().filter(|(_, near)| *near).map(|(vm, _)| vm).collect();
-    if near.is_empty() {
+    let in_hall: Vec<&VmId> = alive.iter().filter(|(_, in_hall)| *in_hall).map(|(vm, _)| vm).collect();
+    if in_hall.is_empty() {
         return rendezvous::pick(&name, alive.iter().map(|(vm, _)| vm)).cloned();
     }
-    rendezvous::pick(&name, near).cloned()
+    rendezvous::pick(&name, in_hall).cloned()
 }
 
 /// Passes an event to a pool and executes the resulting actions.
@@ -229,18 +229,18 @@
 /// Places a request in a pool that this VM leads, and waits in its queue until it is answered. Dropping the
 /// future withdraws the request.
 pub async fn place_here(control: &ControlRef, key: &PoolKey, request: PlaceRequest) -> Placement {
-    let lead_over = Placement::Refused { code: Code::NoUpstream, retry_after: LEAD_CHANGE_RETRY };
+    let refusal = Placement::Refused { code: Code::NoUpstream, retry_after: LEAD_CHANGE_RETRY };
     let generation = request.generation;
     let withdrawal = Withdrawal { control, key, generation };
-    let joined = register_request(&mut control.borrow_mut(), key, generation);
-    let Some(rx) = joined else {
-        return lead_over;
+    let registered = register_request(&mut control.borrow_mut(), key, generation);
+    let Some(rx) = registered else {
+        return refusal;
     };
     await_first_loads(control, key).await;
     handle(&mut control.borrow_mut(), key, PoolEvent::Place(request));
     let placement = rx.await;
     std::mem::forget(withdrawal);
-    placement.unwrap_or(lead_over)
+    placement.unwrap_or(refusal)
 }
 
 /// Creates the pool if it does not exist here, and registers a request that waits for its answer. While a
@@ -279,15 +279,15 @@
 /// Waits up to [`FIRST_LOADS_TIMEOUT`] for the first load reports of a new pool's engines, because the pool
 /// refuses all requests until it has one. This applies to pools created by a request and by [`review_leads`].
 async fn await_first_loads(control: &ControlRef, key: &PoolKey) {
-    let awaits = || {
+    let awaits_loads = || {
         let control = control.borrow();
         control.leads.pools.get(key).is_some_and(|led| led.awaits_first_loads(control.now()))
     };
-    if !awaits() {
+    if !awaits_loads() {
         return;
     }
     engine_polls::poll_due(control);
-    while awaits() {
+    while awaits_loads() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
