--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -67,9 +67,9 @@
     respond(200, "application/json", body)
 }
 
-fn respond(status: u16, kind: &'static str, body: String) -> WebResponse {
+fn respond(status: u16, content_type: &'static str, body: String) -> WebResponse {
     let mut res = WebResponse::new(ResponseBody::from(body));
     *res.status_mut() = status.try_into().expect("a valid status");
-    res.headers_mut().insert("content-type", HeaderValue::from_static(kind));
+    res.headers_mut().insert("content-type", HeaderValue::from_static(content_type));
     res
 }
--- a/node/src/bundle_watch.rs
+++ b/node/src/bundle_watch.rs
@@ -8,7 +8,7 @@
 use log::warn;
 
 use crate::control::ControlRef;
-use crate::platform::Read;
+use crate::platform::ReadResult;
 
 /// Least pause after a failed watch.
 const LEAST_PAUSE: Duration = Duration::from_millis(100);
@@ -31,12 +31,12 @@
         };
         control.borrow_mut().on_platform_call(read.is_ok());
         match read {
-            Ok(Read::Found { version, value }) => {
+            Ok(ReadResult::Found { version, value }) => {
                 seen = version;
                 backoff.reset();
                 consider(&control, &value, "object API");
             }
-            Ok(Read::Absent | Read::Unchanged) => backoff.reset(),
+            Ok(ReadResult::Absent | ReadResult::Unchanged) => backoff.reset(),
             Err(err) => {
                 let pause = backoff.next(&mut rand::rng());
                 warn!(event = "bundle_watch_failed", reason:% = err, pause:? = pause; "watching the bundle failed");
--- a/node/src/call.rs
+++ b/node/src/call.rs
@@ -23,7 +23,7 @@
 use crate::filters::claim::ClaimResult;
 use crate::filters::claim::OwnedKey;
 use crate::filters::dispatch;
-use crate::filters::dispatch::CallAnswer;
+use crate::filters::dispatch::CallResponse;
 use crate::refusal::Refusal;
 use crate::refusal::json_response;
 use crate::shared::Shared;
@@ -31,9 +31,9 @@
 use crate::upstream_client::SendError;
 
 /// Replicas tried at most for one call.
-const MAX_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// Request headers that are passed on.
-const PASSED_HEADERS: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
+const FORWARDED_HEADERS: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
 
 /// A plain call with all that was read of it.
 #[derive(Debug)]
@@ -55,14 +55,14 @@
 }
 
 /// How sending a call to replicas ended.
-enum Sent {
-    Answered(CallAnswer),
+enum SendOutcome {
+    Answered(CallResponse),
     NotRun(Code),
     Unknown(Code),
 }
 
 /// Carries a plain call out.
-pub async fn carry_out(
+pub async fn execute(
     shared: &Arc<Shared>,
     cx: &Authenticated,
     call: &PlainCall,
@@ -74,25 +74,25 @@
         None => None,
         Some(key) => match claim::claim(shared, &cx.organisation.id, key, &digest(call)).await? {
             ClaimResult::Owned(owned) => Some(owned),
-            ClaimResult::Earlier(outcome) => {
+            ClaimResult::Recorded(outcome) => {
                 account.note("claim", format!("the key has outcome {}", outcome.code));
-                return Ok(earlier(outcome, account, request));
+                return Ok(replay(outcome, account, request));
             }
         },
     };
     let sent = send(shared, cx, call, account).await;
     match sent {
-        Sent::Answered(answer) => {
+        SendOutcome::Answered(answer) => {
             account.on_answer(Code::Done);
             account.on_call();
-            record(owned, kept(&answer));
+            record(owned, recorded_outcome(&answer));
             Ok(respond(answer, request))
         }
-        Sent::NotRun(code) => {
+        SendOutcome::NotRun(code) => {
             record(owned, ClaimOutcome::not_run(code));
             Err(Refusal::new(code))
         }
-        Sent::Unknown(code) => {
+        SendOutcome::Unknown(code) => {
             let unknown = ClaimOutcome { status: code.http_status(), ..ClaimOutcome::not_run(code) };
             record(owned, unknown);
             Err(Refusal::new(code))
@@ -111,7 +111,7 @@
     sha256_hex(&[head.as_bytes(), &call.body].concat())
 }
 
-fn kept(answer: &CallAnswer) -> ClaimOutcome {
+fn recorded_outcome(answer: &CallResponse) -> ClaimOutcome {
     ClaimOutcome {
         code: Code::Done.number(),
         status: answer.status,
@@ -121,20 +121,21 @@
 }
 
 /// The recorded outcome of an earlier arrival of the key.
-fn earlier(outcome: ClaimOutcome, account: &mut Account, request: u64) -> WebResponse {
+fn replay(outcome: ClaimOutcome, account: &mut Account, request: u64) -> WebResponse {
     let code = Code::from_number(outcome.code).unwrap_or(Code::UpstreamLost);
     account.on_answer(code);
     if code != Code::Done {
         return Refusal::new(code).response(request);
     }
     let body = outcome.body.unwrap_or_default();
-    let answer = CallAnswer { status: outcome.status, content_type: outcome.content_type, body: body.into() };
+    let answer =
+        CallResponse { status: outcome.status, content_type: outcome.content_type, body: body.into() };
     let mut res = respond(answer, request);
     res.headers_mut().insert("idempotency-replayed", http::HeaderValue::from_static("true"));
     res
 }
 
-fn respond(answer: CallAnswer, request: u64) -> WebResponse {
+fn respond(answer: CallResponse, request: u64) -> WebResponse {
     let mut res = json_response(answer.status, answer.body, request);
     if let Ok(value) = http::HeaderValue::try_from(answer.content_type) {
         res.headers_mut().insert("content-type", value);
@@ -144,39 +145,39 @@
 
 /// Sends the call to a replica. It goes to another one only if not a byte of it reached
 /// the first, or if it may be repeated; both within the retry budget.
-async fn send(shared: &Arc<Shared>, cx: &Authenticated, call: &PlainCall, account: &Account) -> Sent {
+async fn send(shared: &Arc<Shared>, cx: &Authenticated, call: &PlainCall, account: &Account) -> SendOutcome {
     let mut tried: Vec<UpstreamAddress> = Vec::new();
-    let mut last = Sent::NotRun(Code::NoUpstream);
+    let mut last = SendOutcome::NotRun(Code::NoUpstream);
     let mut lost = 0;
-    for _ in 0..MAX_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         if !tried.is_empty() && !shared.take_retry() {
             return last;
         }
-        let Some(replica) = choose(shared, call, &tried) else {
+        let Some(replica) = choose_replica(shared, call, &tried) else {
             return last;
         };
         account.note("dispatch", format!("{} {} to {}", call.method, call.route.service, replica.id));
         let Some(request) = request_for(call, &replica) else {
-            return Sent::NotRun(Code::BadHeader);
+            return SendOutcome::NotRun(Code::BadHeader);
         };
         match dispatch::call(request, cx.bundle.bounds.call_within).await {
-            Ok(answer) => return Sent::Answered(answer),
+            Ok(answer) => return SendOutcome::Answered(answer),
             Err(SendError::NotSent) => {
                 let _ = shared.control.send(ControlMessage::UpstreamFailed(replica.id.clone()));
-                if !matches!(last, Sent::Unknown(_)) {
-                    last = Sent::NotRun(Code::UpstreamRefused);
+                if !matches!(last, SendOutcome::Unknown(_)) {
+                    last = SendOutcome::NotRun(Code::UpstreamRefused);
                 }
             }
             Err(SendError::MayHaveRun) if call.repeatable => {
-                last = Sent::Unknown(Code::UpstreamLost);
+                last = SendOutcome::Unknown(Code::UpstreamLost);
                 lost += 1;
                 if !loss_limit::may_retry_after_loss(0, lost) {
                     return last;
                 }
             }
-            Err(SendError::TimedOut) if call.repeatable => last = Sent::Unknown(Code::UpstreamTimeout),
-            Err(SendError::MayHaveRun) => return Sent::Unknown(Code::UpstreamLost),
-            Err(SendError::TimedOut) => return Sent::Unknown(Code::UpstreamTimeout),
+            Err(SendError::TimedOut) if call.repeatable => last = SendOutcome::Unknown(Code::UpstreamTimeout),
+            Err(SendError::MayHaveRun) => return SendOutcome::Unknown(Code::UpstreamLost),
+            Err(SendError::TimedOut) => return SendOutcome::Unknown(Code::UpstreamTimeout),
         }
         tried.push(replica);
     }
@@ -184,7 +185,7 @@
 }
 
 /// A usable replica that was not tried, in this hall if there is one.
-fn choose(shared: &Shared, call: &PlainCall, tried: &[UpstreamAddress]) -> Option<UpstreamAddress> {
+fn choose_replica(shared: &Shared, call: &PlainCall, tried: &[UpstreamAddress]) -> Option<UpstreamAddress> {
     let table = shared.upstreams();
     let was_tried = |id: &str| tried.iter().any(|t| &*t.id == id);
     let usable: Vec<&UpstreamAddress> = table
@@ -199,7 +200,7 @@
 fn request_for(call: &PlainCall, replica: &UpstreamAddress) -> Option<Request<Full<Bytes>>> {
     let uri = format!("http://{}{}", replica.address, call.path_and_query);
     let mut request = Request::builder().method(call.method.clone()).uri(uri);
-    for name in PASSED_HEADERS {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = call.headers.get(name) {
             request = request.header(name, value.clone());
         }
--- a/node/src/engine_api.rs
+++ b/node/src/engine_api.rs
@@ -18,9 +18,9 @@
 use serde::Deserialize;
 
 /// A call without an answer for this long counts as failed.
-const CALL_LIMIT: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Bytes of an answer at most.
-const ANSWER_LIMIT: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 /// An engine's report as it sends it.
 #[derive(Clone, Debug, Deserialize)]
@@ -79,7 +79,7 @@
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CALL_LIMIT));
+        connector.set_connect_timeout(Some(CALL_TIMEOUT));
         EngineApi { client: Client::builder(TokioExecutor::new()).build(connector) }
     }
 
@@ -89,10 +89,10 @@
         let exchange = async {
             let res = self.client.request(req).await.ok()?;
             let status = res.status().as_u16();
-            let body = Limited::new(res.into_body(), ANSWER_LIMIT).collect().await.ok()?;
+            let body = Limited::new(res.into_body(), MAX_RESPONSE_BYTES).collect().await.ok()?;
             Some((status, body.to_bytes()))
         };
-        tokio::time::timeout(CALL_LIMIT, exchange).await.ok()?
+        tokio::time::timeout(CALL_TIMEOUT, exchange).await.ok()?
     }
 
     async fn call(&self, method: Method, uri: String) -> Option<Bytes> {
@@ -101,7 +101,7 @@
     }
 
     /// Sends an order under a fence.
-    pub async fn order(&self, address: SocketAddr, epoch: u64, action: &str) -> OrderAnswer {
+    pub async fn send_order(&self, address: SocketAddr, epoch: u64, action: &str) -> OrderAnswer {
         let body = serde_json::json!({"fence": epoch, "action": action}).to_string();
         let answer = self.exchange(Method::POST, format!("http://{address}/v1/orders"), body.into()).await;
         match answer {
--- a/node/src/filters/account.rs
+++ b/node/src/filters/account.rs
@@ -19,7 +19,7 @@
 use crate::shared::Shared;
 
 /// A gap longer than this is time without progress.
-const STALL: Duration = Duration::from_millis(250);
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// Follows one request to its end. What it has not been told by the time it is
 /// dropped counts as the caller's leaving.
@@ -85,7 +85,7 @@
                 let gap = now - last;
                 self.shared.metrics.on_token_gap(gap);
                 self.shared.observe(Indicator::TokenGap, gap <= levels.token_gap.within);
-                if gap > STALL {
+                if gap > STALL_THRESHOLD {
                     self.stalled += gap;
                 }
             }
--- a/node/src/filters/claim.rs
+++ b/node/src/filters/claim.rs
@@ -18,11 +18,11 @@
 use crate::shared::Shared;
 
 /// Time for a claim in all; then the call is not run.
-const CLAIM_LIMIT: Duration = Duration::from_secs(3);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 /// When to come back then.
-const RETRY: Duration = Duration::from_secs(5);
+const RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Characters of a hash that are kept.
-const HASH_CHARS: usize = 32;
+const HASH_HEX_DIGITS: usize = 32;
 
 /// A key that this arrival owns.
 pub struct OwnedKey {
@@ -37,7 +37,7 @@
     /// This arrival may dispatch, once.
     Owned(OwnedKey),
     /// An earlier arrival had this outcome.
-    Earlier(ClaimOutcome),
+    Recorded(ClaimOutcome),
 }
 
 /// Claims a key. Keys of different organisations never meet.
@@ -47,28 +47,28 @@
     key: &str,
     digest: &str,
 ) -> Result<ClaimResult, Refusal> {
-    let key = shorten(&sha256_hex(format!("{organisation}\n{key}").as_bytes()));
+    let key = truncate_hash(&sha256_hex(format!("{organisation}\n{key}").as_bytes()));
     let nonce = rand::rng().random();
     let mut owned = OwnedKey { shared: shared.clone(), key: key.clone(), nonce, settled: false };
     let (reply, rx) = oneshot::channel();
-    let message = ControlMessage::Claim { key, nonce, digest: shorten(digest), reply };
+    let message = ControlMessage::Claim { key, nonce, digest: truncate_hash(digest), reply };
     shared.control.send(message).map_err(|_| Refusal::new(Code::Stopping))?;
-    match tokio::time::timeout(CLAIM_LIMIT, rx).await {
+    match tokio::time::timeout(CLAIM_TIMEOUT, rx).await {
         Ok(Ok(Claimed::Owned)) => Ok(ClaimResult::Owned(owned)),
         Ok(Ok(Claimed::Outcome(outcome))) => {
             owned.settled = true;
-            Ok(ClaimResult::Earlier(outcome))
+            Ok(ClaimResult::Recorded(outcome))
         }
         Ok(Ok(Claimed::Refused { code, retry_after })) => {
             owned.settled = code != Code::PlatformDown;
-            Err(Refusal::later(code, retry_after))
+            Err(Refusal::with_retry_after(code, retry_after))
         }
-        Ok(Err(_)) | Err(_) => Err(Refusal::later(Code::PlatformDown, RETRY)),
+        Ok(Err(_)) | Err(_) => Err(Refusal::with_retry_after(Code::PlatformDown, RETRY_AFTER)),
     }
 }
 
-fn shorten(hash: &str) -> String {
-    hash.chars().take(HASH_CHARS).collect()
+fn truncate_hash(hash: &str) -> String {
+    hash.chars().take(HASH_HEX_DIGITS).collect()
 }
 
 impl OwnedKey {
--- a/node/src/filters/dispatch.rs
+++ b/node/src/filters/dispatch.rs
@@ -21,7 +21,7 @@
 use crate::upstream_client::SendError;
 
 /// Time for the head of an engine's answer.
-const HEAD_LIMIT: Duration = Duration::from_secs(2);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why there is no link to a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,9 +67,9 @@
         Ok(Link { events, organisation })
     }
 
-    /// The next event; `None` when the link ended, broke or was silent for `patience`.
-    pub async fn next(&mut self, patience: Duration) -> Option<Event> {
-        let next = tokio::time::timeout(patience, self.events.next()).await;
+    /// The next event; `None` when the link ended, broke or was silent for `max_silence`.
+    pub async fn next(&mut self, max_silence: Duration) -> Option<Event> {
+        let next = tokio::time::timeout(max_silence, self.events.next()).await;
         next.ok().flatten().and_then(Result::ok)
     }
 }
@@ -91,7 +91,7 @@
         .header("x-priority", priority)
         .body(Full::from(req.body.clone()))
         .map_err(|_| LinkError::Refused)?;
-    Link::new(upstream_client::send(request, HEAD_LIMIT).await?)
+    Link::new(upstream_client::send(request, RESPONSE_HEAD_TIMEOUT).await?)
 }
 
 /// Resumes a generation at its engine from a token's index.
@@ -106,12 +106,12 @@
     let uri =
         format!("http://{address}/v1/generations/{generation:016x}?from={from}&chat={chat}&model={model}");
     let request = Request::get(uri).body(Full::default()).map_err(|_| LinkError::Refused)?;
-    Link::new(upstream_client::send(request, HEAD_LIMIT).await?)
+    Link::new(upstream_client::send(request, RESPONSE_HEAD_TIMEOUT).await?)
 }
 
 /// A plain call's answer.
 #[derive(Debug)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// HTTP status.
     pub status: u16,
     /// Its `Content-Type`.
@@ -121,18 +121,18 @@
 }
 
 /// Bytes of a plain call's answer at most.
-const CALL_ANSWER_LIMIT: usize = 8 << 20;
+const MAX_CALL_RESPONSE_BYTES: usize = 8 << 20;
 
 /// Sends a plain call to a replica and reads its answer whole.
-pub async fn call(request: Request<Full<Bytes>>, limit: Duration) -> Result<CallAnswer, SendError> {
+pub async fn call(request: Request<Full<Bytes>>, limit: Duration) -> Result<CallResponse, SendError> {
     let exchange = async {
         let res = upstream_client::send(request, limit).await?;
         let status = res.status().as_u16();
         let header = res.headers().get("content-type").and_then(|v| v.to_str().ok());
         let content_type = header.unwrap_or("application/octet-stream").to_owned();
-        let body = http_body_util::Limited::new(res.into_body(), CALL_ANSWER_LIMIT);
+        let body = http_body_util::Limited::new(res.into_body(), MAX_CALL_RESPONSE_BYTES);
         let body = body.collect().await.map_err(|_| SendError::MayHaveRun)?.to_bytes();
-        Ok(CallAnswer { status, content_type, body })
+        Ok(CallResponse { status, content_type, body })
     };
     tokio::time::timeout(limit, exchange).await.unwrap_or(Err(SendError::TimedOut))
 }
--- a/node/src/filters/limit.rs
+++ b/node/src/filters/limit.rs
@@ -18,10 +18,10 @@
 
 /// Bytes of a body that are read and thrown away beyond the bundle's limit. Callers who are
 /// a little over it see why they are refused; nobody keeps a node busy with an endless body.
-const MOST_DISCARDED_BYTES: usize = 1 << 20;
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
 /// Time for a body that nobody wants to arrive.
-const DISCARD_WITHIN: Duration = Duration::from_millis(500);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Counts the request as open, unless a limit is reached.
 pub fn open(shared: &Arc<Shared>, cx: &Authenticated) -> Result<OpenGuard, Refusal> {
@@ -29,9 +29,9 @@
         Readiness::NoBundle | Readiness::Alone => return Err(Refusal::new(Code::NotReady)),
         Readiness::Ready | Readiness::Stopping => {}
     }
-    let most = cx.organisation.max_open;
-    let most_all = cx.bundle.bounds.max_open_per_node;
-    let open = shared.open_guard(&cx.organisation.id, most, most_all);
+    let max_open = cx.organisation.max_open;
+    let max_open_on_node = cx.bundle.bounds.max_open_per_node;
+    let open = shared.open_guard(&cx.organisation.id, max_open, max_open_on_node);
     if shared.is_closed() {
         return Err(Refusal::new(Code::Stopping));
     }
@@ -56,7 +56,7 @@
 /// 100 refusals.
 pub async fn discard(body: RequestBody) {
     // The refusal stands, whatever becomes of the body.
-    let _ = tokio::time::timeout(DISCARD_WITHIN, read_up_to(body, 0)).await;
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, read_up_to(body, 0)).await;
 }
 
 /// Reads a body of at most `most` bytes. A larger one is refused once its end has come: a
@@ -70,7 +70,7 @@
         read += chunk.len();
         if read <= most {
             buf.extend_from_slice(&chunk);
-        } else if read > most + MOST_DISCARDED_BYTES {
+        } else if read > most + MAX_DISCARDED_BYTES {
             break;
         }
     }
--- a/node/src/filters/place.rs
+++ b/node/src/filters/place.rs
@@ -73,15 +73,15 @@
 }
 
 /// Reads and checks a generation's body.
-pub fn read(cx: &Authenticated, kind: GenerationKind, body: &Bytes) -> Result<GenerationRequest, Refusal> {
-    let bad = |detail: String| Refusal::with_detail(Code::BadRequest, detail);
-    let mut whole: Value = serde_json::from_slice(body).map_err(|err| bad(err.to_string()))?;
-    let fields = Fields::deserialize(&whole).map_err(|err| bad(err.to_string()))?;
+pub fn parse(cx: &Authenticated, kind: GenerationKind, body: &Bytes) -> Result<GenerationRequest, Refusal> {
+    let bad_request = |detail: String| Refusal::with_detail(Code::BadRequest, detail);
+    let mut json: Value = serde_json::from_slice(body).map_err(|err| bad_request(err.to_string()))?;
+    let fields = Fields::deserialize(&json).map_err(|err| bad_request(err.to_string()))?;
     if fields.n.is_some_and(|n| n != 1) {
-        return Err(bad("n must be 1".to_owned()));
+        return Err(bad_request("n must be 1".to_owned()));
     }
     let prompt =
-        prompt_text(&fields, kind).ok_or_else(|| bad(format!("{} lacks its prompt", kind.path())))?;
+        prompt_text(&fields, kind).ok_or_else(|| bad_request(format!("{} lacks its prompt", kind.path())))?;
     let model = cx.bundle.model(&fields.model).ok_or_else(|| Refusal::new(Code::UnknownModel))?;
     let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32;
     if prompt_tokens > model.max_prompt_tokens {
@@ -89,9 +89,9 @@
             format!("the prompt has about {prompt_tokens} tokens, {} are allowed", model.max_prompt_tokens);
         return Err(Refusal::with_detail(Code::PromptTooLong, detail));
     }
-    let asked = fields.max_completion_tokens.or(fields.max_tokens).unwrap_or(u32::MAX);
-    let max_tokens = asked.clamp(1, model.max_output_tokens);
-    if let Some(map) = whole.as_object_mut() {
+    let requested = fields.max_completion_tokens.or(fields.max_tokens).unwrap_or(u32::MAX);
+    let max_tokens = requested.clamp(1, model.max_output_tokens);
+    if let Some(map) = json.as_object_mut() {
         map.insert("stream".to_owned(), Value::Bool(true));
         map.insert("max_tokens".to_owned(), Value::from(max_tokens));
     }
@@ -99,10 +99,10 @@
         kind,
         model: model.id.clone(),
         stream: fields.stream,
-        body: serde_json::to_vec(&whole).expect("JSON that was read serialises").into(),
+        body: serde_json::to_vec(&json).expect("JSON that was read serialises").into(),
         prompt_tokens,
         max_tokens,
-        prefix: prefix_of(&prompt),
+        prefix: prefix_hash(&prompt),
     })
 }
 
@@ -128,7 +128,7 @@
 }
 
 /// A prompt too short to be worth caching has none.
-fn prefix_of(prompt: &str) -> u64 {
+fn prefix_hash(prompt: &str) -> u64 {
     if prompt.len() < PREFIX_BYTES {
         return 0;
     }
--- a/node/src/filters/relay.rs
+++ b/node/src/filters/relay.rs
@@ -34,9 +34,9 @@
 use crate::shared::Shared;
 
 /// Pause before a broken link is resumed, on average.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+const RESUME_DELAY: Duration = Duration::from_millis(50);
 /// A silent link is looked at this often, to see a planned stop's bound.
-const STOP_CHECK: Duration = Duration::from_millis(250);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What the caller gets next.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
     link: Option<Link>,
     may_have_run: bool,
     /// Engines that were lost after they may have begun it.
-    lost: usize,
+    lost_engines: usize,
     finished: bool,
 }
 
@@ -82,7 +82,7 @@
             granted: None,
             link: None,
             may_have_run: false,
-            lost: 0,
+            lost_engines: 0,
             finished: false,
         }
     }
@@ -95,20 +95,20 @@
     /// Places and starts the generation. Once an engine may have begun it, no refusal says
     /// any more that it did not run.
     pub async fn start(&mut self) -> Result<(), Refusal> {
-        let started = self.start_on_an_engine().await;
-        started.map_err(|refusal| self.truthful(refusal))
+        let started = self.start_on_engine().await;
+        started.map_err(|refusal| self.with_actual_outcome(refusal))
     }
 
-    fn truthful(&self, refusal: Refusal) -> Refusal {
+    fn with_actual_outcome(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run && refusal.code.ran() == Ran::No {
-            return Refusal::later(Code::UpstreamLost, refusal.retry_after);
+            return Refusal::with_retry_after(Code::UpstreamLost, refusal.retry_after);
         }
         refusal
     }
 
     /// On an engine that cannot be connected to, goes on to another one, within the retry
     /// budget.
-    async fn start_on_an_engine(&mut self) -> Result<(), Refusal> {
+    async fn start_on_engine(&mut self) -> Result<(), Refusal> {
         loop {
             let generation = self.cursor.generation();
             let granted = place::place(&self.shared, &self.cx, &self.req, generation).await?;
@@ -134,13 +134,13 @@
                         "the engine does not take this request",
                     ));
                 }
-                Err(LinkError::NotSent | LinkError::Refused) => self.give_up_engine()?,
+                Err(LinkError::NotSent | LinkError::Refused) => self.abandon_engine()?,
             }
         }
     }
 
     /// Goes on with a generation that another entry may have started.
-    pub async fn take_over(&mut self, position: &StreamPosition) -> Result<(), Refusal> {
+    pub async fn resume_at(&mut self, position: &StreamPosition) -> Result<(), Refusal> {
         let upstreams = self.shared.upstreams();
         let engine = upstreams.get(&position.engine).ok_or_else(|| Refusal::new(Code::GenerationUnknown))?;
         let from = position.index.saturating_add(1);
@@ -190,7 +190,7 @@
             }
             let event = match self.next_event().await {
                 Some(event) => event,
-                None => match self.mend().await {
+                None => match self.recover_link().await {
                     Ok(()) => continue,
                     Err(refusal) => return self.fail(refusal),
                 },
@@ -207,29 +207,29 @@
     /// The next event of the link, or `None` when it broke or stalled.
     async fn next_event(&mut self) -> Option<Event> {
         let link = self.link.as_mut()?;
-        let patience = self.cx.bundle.bounds.stall_within;
+        let max_silence = self.cx.bundle.bounds.stall_within;
         let mut waited = Duration::ZERO;
-        while waited < patience {
-            let slice = STOP_CHECK.min(patience - waited);
+        while waited < max_silence {
+            let wait = STOP_CHECK_INTERVAL.min(max_silence - waited);
             let started = tokio::time::Instant::now();
-            if let Some(event) = link.next(slice).await {
+            if let Some(event) = link.next(wait).await {
                 return Some(event);
             }
-            let broke = started.elapsed() < slice;
+            let broke = started.elapsed() < wait;
             if broke || self.shared.stop_now.load(Ordering::Relaxed) {
                 return None;
             }
-            waited += slice;
+            waited += wait;
         }
         None
     }
 
     fn on_event(&mut self, event: Event) -> Option<Relayed> {
-        let verdict = match parse_engine_event_id(&event.id) {
+        let action = match parse_engine_event_id(&event.id) {
             Some((generation, index)) => self.cursor.on_event(generation, index),
             None => EventAction::BreakLink,
         };
-        match verdict {
+        match action {
             EventAction::Repeated => return None,
             EventAction::BreakLink => {
                 self.link = None;
@@ -257,7 +257,7 @@
     }
 
     /// The link broke or stalled: resumes it, starts anew, or gives the stream up.
-    async fn mend(&mut self) -> Result<(), Refusal> {
+    async fn recover_link(&mut self) -> Result<(), Refusal> {
         self.link = None;
         let mut after = self.cursor.on_break();
         loop {
@@ -271,13 +271,13 @@
                     Err(LinkError::NotSent | LinkError::Broken) => after = self.cursor.on_break(),
                 },
                 AfterBreak::Restart => {
-                    self.lost += 1;
-                    self.give_up_engine()?;
+                    self.lost_engines += 1;
+                    self.abandon_engine()?;
                     // It may be what ends them: without this one request cost all four engines of a pool.
-                    if !loss_limit::may_retry_after_loss(0, self.lost) {
+                    if !loss_limit::may_retry_after_loss(0, self.lost_engines) {
                         return Err(Refusal::new(Code::UpstreamLost));
                     }
-                    return Box::pin(self.start_on_an_engine()).await;
+                    return Box::pin(self.start_on_engine()).await;
                 }
                 AfterBreak::End => {
                     self.account.on_generation_end(EndKind::Lost);
@@ -292,7 +292,7 @@
             return Err(LinkError::Refused);
         };
         let jitter: f64 = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(RESUME_PAUSE.mul_f64(jitter)).await;
+        tokio::time::sleep(RESUME_DELAY.mul_f64(jitter)).await;
         self.shared.metrics.on_resume();
         self.account.note("relay", format!("resumes at {} from {from}", granted.upstream));
         let generation = self.cursor.generation();
@@ -301,7 +301,7 @@
 
     /// The engine is lost and the caller has nothing: a new generation may start
     /// elsewhere, within the retry budget.
-    fn give_up_engine(&mut self) -> Result<(), Refusal> {
+    fn abandon_engine(&mut self) -> Result<(), Refusal> {
         self.account.on_generation_end(EndKind::Lost);
         if let Some(granted) = self.granted.take() {
             info!(event = "engine_lost", upstream = &*granted.upstream, generation:% = format_args!("{:016x}", self.cursor.generation()); "engine lost before a token");
@@ -316,7 +316,7 @@
     }
 
     fn fail(&mut self, refusal: Refusal) -> Relayed {
-        let refusal = self.truthful(refusal);
+        let refusal = self.with_actual_outcome(refusal);
         self.finished = true;
         self.account.on_answer(refusal.code);
         Relayed::Failed(refusal)
--- a/node/src/filters/route.rs
+++ b/node/src/filters/route.rs
@@ -70,7 +70,7 @@
         if method != Method::POST {
             return Err(Refusal::new(Code::BadMethod));
         }
-        return Ok(Routed::Generation { kind, resume: resume(headers)? });
+        return Ok(Routed::Generation { kind, resume: resume_position(headers)? });
     }
     if path == "/v1/models" {
         return if method == Method::GET { Ok(Routed::Models) } else { Err(Refusal::new(Code::BadMethod)) };
@@ -80,7 +80,7 @@
     Ok(Routed::Call { repeatable, key: idempotency_key(headers)?, route })
 }
 
-fn resume(headers: &HeaderMap) -> Result<Option<StreamPosition>, Refusal> {
+fn resume_position(headers: &HeaderMap) -> Result<Option<StreamPosition>, Refusal> {
     let Some(header) = headers.get("last-event-id") else {
         return Ok(None);
     };
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -92,9 +92,9 @@
 /// A panic on the control thread would leave the node half alive; the fleet copes better
 /// with one that is gone. On a traffic thread it ends one connection only.
 fn abort_on_control_panic() {
-    let usual = std::panic::take_hook();
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        usual(panic);
+        default_hook(panic);
         if std::thread::current().name() == Some("main") {
             error!(event = "failed", reason:% = panic; "the control thread panicked");
             gateway::flush_logs();
@@ -175,13 +175,13 @@
     let path = path.ok_or(StartError::NoConfig)?;
     let yaml = std::fs::read_to_string(&path)
         .map_err(|source| StartError::Unreadable { path: path.clone(), source })?;
-    let wrong = |problems| StartError::Settings { problems };
+    let invalid_settings = |problems| StartError::Settings { problems };
     let command = match gateway::settings::interface_of(&yaml) {
         Interface::Gateway => {
-            let settings = GatewaySettings::from_yaml(&yaml).map_err(wrong)?;
+            let settings = GatewaySettings::from_yaml(&yaml).map_err(invalid_settings)?;
             Command::RunGateway(Box::new(settings), SettingsFile { path, text: yaml })
         }
-        Interface::Completions => Command::Run(Settings::from_yaml(&yaml).map_err(wrong)?),
+        Interface::Completions => Command::Run(Settings::from_yaml(&yaml).map_err(invalid_settings)?),
     };
     if check_only {
         return Ok(Command::Print("the settings are right\n".to_owned()));
@@ -208,13 +208,13 @@
     serve: fn(&Settings, Arc<Shared>) -> std::io::Result<()>,
 ) {
     let thread = std::thread::Builder::new().name(name.to_owned());
-    let body = move || {
+    let run_server = move || {
         if let Err(err) = serve(&settings, shared) {
             error!(event = "failed", server = name, reason:% = err; "a server failed");
             std::process::exit(i32::from(EXIT_FAILURE));
         }
     };
-    if let Err(err) = thread.spawn(body) {
+    if let Err(err) = thread.spawn(run_server) {
         error!(event = "failed", server = name, reason:% = err; "no thread");
         std::process::exit(i32::from(EXIT_FAILURE));
     }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -18,9 +18,10 @@
 use prometheus::TextEncoder;
 
 /// Upper edges of the time histograms, in seconds.
-const SECONDS: [f64; 14] = [0.001, 0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0];
+const TIME_BUCKETS_SECONDS: [f64; 14] =
+    [0.001, 0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// A registry, and what makes instruments in it.
+/// A registry, and description makes instruments in it.
 pub struct Instruments {
     registry: Registry,
     provider: SdkMeterProvider,
@@ -40,30 +41,30 @@
     }
 
     /// A counter.
-    pub fn counter(&self, name: &'static str, what: &'static str) -> Counter<u64> {
-        self.meter().u64_counter(name).with_description(what).build()
+    pub fn counter(&self, name: &'static str, description: &'static str) -> Counter<u64> {
+        self.meter().u64_counter(name).with_description(description).build()
     }
 
     /// A histogram of times in seconds.
-    pub fn seconds(&self, name: &'static str, what: &'static str) -> Histogram<f64> {
+    pub fn seconds(&self, name: &'static str, description: &'static str) -> Histogram<f64> {
         let meter = self.meter();
-        let builder = meter.f64_histogram(name).with_unit("s").with_description(what);
-        builder.with_boundaries(SECONDS.to_vec()).build()
+        let builder = meter.f64_histogram(name).with_unit("s").with_description(description);
+        builder.with_boundaries(TIME_BUCKETS_SECONDS.to_vec()).build()
     }
 
     /// A level.
-    pub fn gauge(&self, name: &'static str, what: &'static str) -> Gauge<u64> {
-        self.meter().u64_gauge(name).with_description(what).build()
+    pub fn gauge(&self, name: &'static str, description: &'static str) -> Gauge<u64> {
+        self.meter().u64_gauge(name).with_description(description).build()
     }
 
     /// An age in seconds.
-    pub fn age(&self, name: &'static str, what: &'static str) -> Gauge<f64> {
-        self.meter().f64_gauge(name).with_unit("s").with_description(what).build()
+    pub fn age(&self, name: &'static str, description: &'static str) -> Gauge<f64> {
+        self.meter().f64_gauge(name).with_unit("s").with_description(description).build()
     }
 
     /// A counter that goes up and down.
-    pub fn up_down(&self, name: &'static str, what: &'static str) -> UpDownCounter<i64> {
-        self.meter().i64_up_down_counter(name).with_description(what).build()
+    pub fn up_down(&self, name: &'static str, description: &'static str) -> UpDownCounter<i64> {
+        self.meter().i64_up_down_counter(name).with_description(description).build()
     }
 
     /// The Prometheus text.
@@ -96,8 +97,8 @@
     /// Makes the instruments with a registry of their own.
     pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
         let instruments = Instruments::new()?;
-        let counter = |name, what| instruments.counter(name, what);
-        let seconds = |name, what| instruments.seconds(name, what);
+        let counter = |name, description| instruments.counter(name, description);
+        let seconds = |name, description| instruments.seconds(name, description);
         Ok(Metrics {
             requests: counter("leadstage.requests", "Requests answered, by organisation and result code"),
             tokens: counter("leadstage.stream.tokens", "Tokens passed on to callers"),
--- a/node/src/orders.rs
+++ b/node/src/orders.rs
@@ -68,7 +68,7 @@
         (control.engines.clone(), address.filter(|_| held))
     };
     let answer = match address {
-        Some(address) => api.order(address, epoch, &order.action).await,
+        Some(address) => api.send_order(address, epoch, &order.action).await,
         None => OrderAnswer::Unknown,
     };
     info!(event = "order", engine = &*order.engine, action = &*order.action, epoch = epoch, answer:? = answer; "order sent");
--- a/node/src/peer_server.rs
+++ b/node/src/peer_server.rs
@@ -67,7 +67,7 @@
         params: peer::PlaceParams,
         mut results: peer::PlaceResults,
     ) -> Result<(), Error> {
-        let (key, request) = wire::read_place(params.get()?.get_req()?)?;
+        let (key, request) = wire::read_place_request(params.get()?.get_req()?)?;
         let placement = leads::place_here(&self.control, &key, request).await;
         let outcome = results.get().init_outcome();
         match placement {
@@ -98,7 +98,7 @@
         };
         let mut lines = Vec::new();
         for line in params.get_batch()? {
-            lines.push(wire::read_line(line, &entry, &key)?);
+            lines.push(wire::read_progress(line, &entry, &key)?);
         }
         let unknown = entry_book::take_report(&mut self.control.borrow_mut(), &entry, &key, &lines);
         let mut to = results.get().init_unknown(unknown.len() as u32);
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -142,7 +142,7 @@
 ) -> Result<Placement, PeerError> {
     let client = client(control, lead).await?;
     let mut call = client.place_request();
-    wire::write_place(call.get().init_req(), key, request);
+    wire::write_place_request(call.get().init_req(), key, request);
     let limit = control.borrow().shared.bundle().map_or(CALL_LIMIT, |b| b.bounds.max_wait) + 2 * CALL_LIMIT;
     let promise = finish(control, lead, limit, call.send().promise);
     let answer = tokio::select! {
@@ -191,7 +191,7 @@
         params.set_hall(&*key.hall);
         let mut batch = params.init_batch(lines.len() as u32);
         for (at, line) in lines.iter().enumerate() {
-            wire::write_line(batch.reborrow().get(at as u32), line);
+            wire::write_progress(batch.reborrow().get(at as u32), line);
         }
     }
     let answer = finish(control, lead, CALL_LIMIT, call.send().promise).await?;
--- a/node/src/platform.rs
+++ b/node/src/platform.rs
@@ -21,7 +21,7 @@
 /// A call whose answer has not begun for this long counts as failed. No limit holds for the whole
 /// of an answer: a list of 3,000 VMs (0.3 MB) on a link that has 150 kB/s left takes two seconds,
 /// and was never read whole while it had to be there within one.
-const CALL_LIMIT: Duration = Duration::from_millis(1_000);
+const RESPONSE_START_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// A watch waits this long for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
@@ -44,7 +44,7 @@
 
 /// What a read found.
 #[derive(Debug)]
-pub enum Read {
+pub enum ReadResult {
     /// The object with its version.
     Found {
         /// Its version.
@@ -60,7 +60,7 @@
 
 /// How a conditional update ended.
 #[derive(Debug)]
-enum Written {
+enum WriteOutcome {
     /// It took effect.
     Done {
         /// The new version.
@@ -96,7 +96,7 @@
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CALL_LIMIT));
+        connector.set_connect_timeout(Some(RESPONSE_START_TIMEOUT));
         Platform { address, client: Client::builder(TokioExecutor::new()).build(connector) }
     }
 
@@ -119,8 +119,8 @@
         req: Request<Full<Bytes>>,
         limit: Duration,
     ) -> Result<Response<Incoming>, PlatformError> {
-        let sending = tokio::time::timeout(limit, self.client.request(req)).await;
-        sending.map_err(|_| no_answer(format!("nothing within {limit:?}")))?.map_err(no_answer)
+        let sent = tokio::time::timeout(limit, self.client.request(req)).await;
+        sent.map_err(|_| no_answer(format!("nothing within {limit:?}")))?.map_err(no_answer)
     }
 
     fn get_request(&self, path: &str) -> Request<Full<Bytes>> {
@@ -129,36 +129,36 @@
     }
 
     /// Reads an object.
-    async fn read(&self, key: &str) -> Result<Read, PlatformError> {
+    async fn read(&self, key: &str) -> Result<ReadResult, PlatformError> {
         let req = self.get_request(&format!("/v1/objects/{key}"));
-        Self::as_read(self.call(req, CALL_LIMIT).await?)
+        Self::to_read_result(self.call(req, RESPONSE_START_TIMEOUT).await?)
     }
 
     /// Waits until an object has a higher version than `after`.
-    pub async fn watch(&self, key: &str, after: u64) -> Result<Read, PlatformError> {
+    pub async fn watch(&self, key: &str, after: u64) -> Result<ReadResult, PlatformError> {
         let wait = WATCH_WAIT.as_millis();
         let req = self.get_request(&format!("/v1/objects/{key}?after={after}&wait_ms={wait}"));
-        Self::as_read(self.call(req, WATCH_WAIT + CALL_LIMIT).await?)
+        Self::to_read_result(self.call(req, WATCH_WAIT + RESPONSE_START_TIMEOUT).await?)
     }
 
-    fn as_read((status, etag, value): (u16, Option<u64>, Bytes)) -> Result<Read, PlatformError> {
+    fn to_read_result((status, etag, value): (u16, Option<u64>, Bytes)) -> Result<ReadResult, PlatformError> {
         match (status, etag) {
-            (200, Some(version)) => Ok(Read::Found { version, value }),
-            (404, _) => Ok(Read::Absent),
-            (304, _) => Ok(Read::Unchanged),
+            (200, Some(version)) => Ok(ReadResult::Found { version, value }),
+            (404, _) => Ok(ReadResult::Absent),
+            (304, _) => Ok(ReadResult::Unchanged),
             _ => Err(PlatformError::Status { status }),
         }
     }
 
     /// Writes an object if it still has version `expected`, 0 for absent. An error
     /// may mean that it took effect.
-    async fn write(&self, key: &str, expected: u64, value: Vec<u8>) -> Result<Written, PlatformError> {
+    async fn write(&self, key: &str, expected: u64, value: Vec<u8>) -> Result<WriteOutcome, PlatformError> {
         let uri = format!("http://{}/v1/objects/{key}", self.address);
         let req = Request::put(uri).header("if-match", expected.to_string());
         let req = req.body(Full::from(value)).expect("a valid request");
-        match self.call(req, CALL_LIMIT).await? {
-            (200, Some(version), _) => Ok(Written::Done { version }),
-            (412, _, _) => Ok(Written::Conflict),
+        match self.call(req, RESPONSE_START_TIMEOUT).await? {
+            (200, Some(version), _) => Ok(WriteOutcome::Done { version }),
+            (412, _, _) => Ok(WriteOutcome::Conflict),
             (status, _, _) => Err(PlatformError::Status { status }),
         }
     }
@@ -167,29 +167,29 @@
     /// `None` when the read failed.
     pub async fn read_value(&self, key: &str) -> Option<(u64, Vec<u8>)> {
         match self.read(key).await {
-            Ok(Read::Found { version, value }) => Some((version, value.to_vec())),
-            Ok(Read::Absent) => Some((0, Vec::new())),
-            Ok(Read::Unchanged) | Err(_) => None,
+            Ok(ReadResult::Found { version, value }) => Some((version, value.to_vec())),
+            Ok(ReadResult::Absent) => Some((0, Vec::new())),
+            Ok(ReadResult::Unchanged) | Err(_) => None,
         }
     }
 
     /// Writes an object for a decision, which tells a conflict from a lost answer.
     pub async fn write_value(&self, key: &str, expected: u64, value: Vec<u8>) -> WriteResult {
         match self.write(key, expected, value).await {
-            Ok(Written::Done { version }) => WriteResult::Done { version },
-            Ok(Written::Conflict) => WriteResult::Conflict,
+            Ok(WriteOutcome::Done { version }) => WriteResult::Done { version },
+            Ok(WriteOutcome::Conflict) => WriteResult::Conflict,
             Err(_) => WriteResult::Unknown,
         }
     }
 
     /// Reads the VM list if it differs from the one with version `known`. Whole, it is
     /// by far the largest thing that a node reads; so it is read only when it changed.
-    pub async fn vms(&self, known: Option<u64>) -> Result<VmList, PlatformError> {
+    pub async fn read_vms(&self, known: Option<u64>) -> Result<VmList, PlatformError> {
         let mut req = self.get_request("/v1/vms");
         if let Some(known) = known {
             req.headers_mut().insert("if-none-match", known.into());
         }
-        let (status, version, body) = self.call(req, CALL_LIMIT).await?;
+        let (status, version, body) = self.call(req, RESPONSE_START_TIMEOUT).await?;
         match status {
             200 => {
                 let read = serde_json::from_slice(&body);
--- a/node/src/refusal.rs
+++ b/node/src/refusal.rs
@@ -14,7 +14,7 @@
 use crate::control_message::NotPlaced;
 
 /// When to come back where nothing better is known.
-const USUAL_RETRY: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why a request gets no result.
 #[derive(Clone, Debug)]
@@ -35,21 +35,21 @@
 
     /// A refusal that says more.
     pub fn with_detail(code: Code, detail: impl Into<String>) -> Self {
-        Refusal { code, retry_after: USUAL_RETRY, detail: detail.into() }
+        Refusal { code, retry_after: DEFAULT_RETRY_AFTER, detail: detail.into() }
     }
 
     /// A refusal that says when to come back.
-    pub fn later(code: Code, retry_after: Duration) -> Self {
+    pub fn with_retry_after(code: Code, retry_after: Duration) -> Self {
         Refusal { retry_after, ..Refusal::new(code) }
     }
 
-    fn tells_retry(&self) -> bool {
+    fn has_retry_after(&self) -> bool {
         self.code.retry_advice() != RetryAdvice::No
     }
 
     /// The JSON body.
     pub fn body(&self, request: u64) -> String {
-        let retry_after_ms = self.tells_retry().then_some(self.retry_after.as_millis() as u64);
+        let retry_after_ms = self.has_retry_after().then_some(self.retry_after.as_millis() as u64);
         json!({
             "error": {
                 "message": self.detail,
@@ -69,7 +69,7 @@
         let mut res = json_response(self.code.http_status(), self.body(request), request);
         let headers = res.headers_mut();
         headers.insert("x-leadstage-code", HeaderValue::from(self.code.number()));
-        if self.tells_retry() {
+        if self.has_retry_after() {
             let seconds = self.retry_after.as_millis().div_ceil(1_000).max(1) as u64;
             headers.insert("retry-after", HeaderValue::from(seconds));
         }
@@ -79,7 +79,7 @@
 
 impl From<NotPlaced> for Refusal {
     fn from(not_placed: NotPlaced) -> Self {
-        Refusal::later(not_placed.code, not_placed.retry_after)
+        Refusal::with_retry_after(not_placed.code, not_placed.retry_after)
     }
 }
 
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -100,8 +100,8 @@
     what: &str,
     problems: &mut Vec<Problem>,
 ) -> Option<T> {
-    let noted = problems.iter().any(|p| p.path == path);
-    if value.is_none() && !noted {
+    let already_reported = problems.iter().any(|p| p.path == path);
+    if value.is_none() && !already_reported {
         problems.push(Problem::new(path, format!("must be given: {what}")));
     }
     value.clone()
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -92,7 +92,7 @@
     since.as_millis() as u64
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder panics")
 }
 
@@ -133,7 +133,7 @@
         let mut current = self.in_force.write().expect("no holder panics");
         let newer = current.as_ref().is_none_or(|f| f.bundle.number < new.bundle.number);
         if newer {
-            locked(&self.retries).set_ratio(new.bundle.bounds.retry_ratio);
+            lock(&self.retries).set_ratio(new.bundle.bounds.retry_ratio);
             *current = Some(new);
         }
         newer
@@ -175,27 +175,27 @@
     /// Counts an event against its objective.
     pub fn observe(&self, indicator: Indicator, good: bool) {
         let minute = unix_millis() / 60_000;
-        locked(&self.burn).observe(indicator, good, minute);
+        lock(&self.burn).observe(indicator, good, minute);
     }
 
     /// The burn counts.
     pub fn burn(&self) -> BurnCounts {
-        locked(&self.burn).clone()
+        lock(&self.burn).clone()
     }
 
     /// Notes a decision for `leadstage explain`.
     pub fn note(&self, request: u64, filter: &'static str, what: String) {
-        locked(&self.decisions).note(request, unix_millis(), filter, what);
+        lock(&self.decisions).note(request, unix_millis(), filter, what);
     }
 
     /// A request came: it adds to the retry budget.
     pub fn on_request(&self) {
-        locked(&self.retries).on_request();
+        lock(&self.retries).on_request();
     }
 
     /// Takes a retry from the budget.
     pub fn take_retry(&self) -> bool {
-        locked(&self.retries).take()
+        lock(&self.retries).take()
     }
 
     /// The balancer's grace in a planned stop is over: from now on nothing new is taken.
@@ -218,15 +218,15 @@
     pub fn open_guard(
         self: &Arc<Self>,
         organisation: &OrganisationId,
-        most: u32,
-        most_all: u32,
+        max_open: u32,
+        max_open_on_node: u32,
     ) -> Result<OpenGuard, OpenLimit> {
-        let mut counts = locked(&self.open_by_organisation);
-        if self.open() >= most_all {
+        let mut counts = lock(&self.open_by_organisation);
+        if self.open() >= max_open_on_node {
             return Err(OpenLimit::Node);
         }
         let count = counts.entry(organisation.clone()).or_default();
-        if *count >= most {
+        if *count >= max_open {
             return Err(OpenLimit::Organisation);
         }
         *count += 1;
@@ -252,7 +252,7 @@
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
-        let mut counts = locked(&self.shared.open_by_organisation);
+        let mut counts = lock(&self.shared.open_by_organisation);
         if let Some(count) = counts.get_mut(&self.organisation) {
             *count -= 1;
             if *count == 0 {
--- a/node/src/stop.rs
+++ b/node/src/stop.rs
@@ -15,13 +15,13 @@
 /// New requests are still taken for this long, until the balancer has noticed.
 pub const BALANCER_GRACE: Duration = Duration::from_secs(3);
 /// Time between two looks at whether all is finished.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for streams that are ended at the bound to send their code.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+const ABORT_GRACE: Duration = Duration::from_millis(500);
 /// Time for the last reports and outcomes to be sent.
-const FLUSH: Duration = Duration::from_millis(400);
+const FLUSH_TIME: Duration = Duration::from_millis(400);
 /// The bound where there is no bundle.
-const BOUND_WITHOUT_BUNDLE: Duration = Duration::from_secs(5);
+const DEFAULT_STOP_BOUND: Duration = Duration::from_secs(5);
 
 /// Waits for SIGTERM or SIGINT and then for all requests to end.
 pub async fn wait(control: ControlRef) -> std::io::Result<()> {
@@ -31,41 +31,41 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    begin(&control);
+    begin_stop(&control);
     let bundle = control.borrow().shared.bundle();
-    let bound = bundle.map_or(BOUND_WITHOUT_BUNDLE, |b| b.bounds.stop_within);
+    let bound = bundle.map_or(DEFAULT_STOP_BOUND, |b| b.bounds.stop_within);
     let shared = control.borrow().shared.clone();
     let started = tokio::time::Instant::now();
     tokio::time::sleep(BALANCER_GRACE.min(bound)).await;
     // Closed before the first look at what is open: a node that looked first and found nothing took
     // calls while it sent its last reports; of four in those 400 ms it answered none.
     shared.close();
-    if tokio::time::timeout_at(started + bound, finished(&control)).await.is_err() {
+    if tokio::time::timeout_at(started + bound, wait_for_requests(&control)).await.is_err() {
         warn!(event = "stop_bound", open = shared.open(); "streams are ended at the bound");
         shared.stop_now.store(true, Ordering::Relaxed);
-        tokio::time::sleep(LAST_WORDS).await;
+        tokio::time::sleep(ABORT_GRACE).await;
     }
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(FLUSH_TIME).await;
     info!(event = "stopped"; "stopped");
     Ok(())
 }
 
 /// Waits until no request is open and nobody waits for this VM.
-async fn finished(control: &ControlRef) {
+async fn wait_for_requests(control: &ControlRef) {
     let shared = control.borrow().shared.clone();
-    while shared.open() > 0 || is_awaited(control) {
-        tokio::time::sleep(POLL).await;
+    while shared.open() > 0 || has_pending_work(control) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Others wait for what this VM leads, or outcomes are not recorded yet.
-fn is_awaited(control: &ControlRef) -> bool {
+fn has_pending_work(control: &ControlRef) -> bool {
     let control = control.borrow();
     let queued = control.leads.pools.iter().any(|(_, led)| led.waiting() > 0);
     queued || control.claims.waiting() > 0
 }
 
-fn begin(control: &ControlRef) {
+fn begin_stop(control: &ControlRef) {
     info!(event = "stopping"; "a planned stop begins");
     let mut control = control.borrow_mut();
     control.shared.set_readiness(Readiness::Stopping);
--- a/node/src/traffic.rs
+++ b/node/src/traffic.rs
@@ -33,11 +33,11 @@
 use crate::shared::Shared;
 
 /// An idle connection of a caller is closed after this.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 /// Time for a request's head to arrive.
-const HEAD_WITHIN: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes of a request's head and of unread body at most, per connection.
-const READ_BUF: usize = 64 << 10;
+const READ_BUF_BYTES: usize = 64 << 10;
 /// Headers of a request at most.
 const MAX_HEADERS: usize = 64;
 
@@ -58,9 +58,9 @@
         .serve()
         .disable_signal()
         .worker_threads(settings.traffic_threads)
-        .keep_alive_timeout(KEEP_ALIVE)
-        .request_head_timeout(HEAD_WITHIN)
-        .max_read_buf_size::<READ_BUF>()
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
+        .request_head_timeout(HEAD_TIMEOUT)
+        .max_read_buf_size::<READ_BUF_BYTES>()
         .max_request_headers::<MAX_HEADERS>()
         .bind(settings.listen)?
         .run()
@@ -101,7 +101,7 @@
             generate(shared, cx, &head, std::mem::take(body), open, kind, resume).await
         }
         Routed::Call { route, repeatable, key } => {
-            let mut account = account(shared, &cx, &head, open);
+            let mut account = new_account(shared, &cx, &head, open);
             let answered = match limit::read_body(&cx, std::mem::take(body)).await {
                 Err(refusal) => Err(refusal),
                 Ok(body) => {
@@ -114,7 +114,7 @@
                         repeatable,
                         key,
                     };
-                    call::carry_out(shared, &cx, &call, &mut account, head.id).await
+                    call::execute(shared, &cx, &call, &mut account, head.id).await
                 }
             };
             answered.inspect_err(|refusal| account.on_answer(refusal.code))
@@ -122,7 +122,7 @@
     }
 }
 
-fn account(shared: &Arc<Shared>, cx: &Authenticated, head: &Head, open: OpenGuard) -> Account {
+fn new_account(shared: &Arc<Shared>, cx: &Authenticated, head: &Head, open: OpenGuard) -> Account {
     Account::new(shared.clone(), cx.bundle.clone(), &cx.organisation.id, head.id, open)
 }
 
@@ -145,12 +145,12 @@
     kind: GenerationKind,
     resume: Option<StreamPosition>,
 ) -> Result<WebResponse, Refusal> {
-    let mut account = account(shared, &cx, head, open);
-    let read = limit::read_body(&cx, body).await.and_then(|body| place::read(&cx, kind, &body));
+    let mut account = new_account(shared, &cx, head, open);
+    let read = limit::read_body(&cx, body).await.and_then(|body| place::parse(&cx, kind, &body));
     let req = read.inspect_err(|refusal| account.on_answer(refusal.code))?;
     let mut relay = Relay::new(shared.clone(), cx, req.clone(), account);
     let started = match &resume {
-        Some(position) => relay.take_over(position).await,
+        Some(position) => relay.resume_at(position).await,
         None => relay.start().await,
     };
     started.inspect_err(|refusal| relay.account().on_answer(refusal.code))?;
--- a/node/src/upstream_client.rs
+++ b/node/src/upstream_client.rs
@@ -15,12 +15,12 @@
 use hyper_util::rt::TokioTimer;
 
 /// Time for a connection to an upstream.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// An unused connection is closed after this.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bytes read from an upstream at once; a token's event has about 200.
-const READ_BUF: usize = 2_048;
+const READ_BUF_BYTES: usize = 2_048;
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
@@ -44,11 +44,11 @@
         cell.get_or_init(|| {
             let mut connector = HttpConnector::new();
             connector.set_nodelay(true);
-            connector.set_connect_timeout(Some(CONNECT_LIMIT));
+            connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
             Client::builder(TokioExecutor::new())
-                .pool_idle_timeout(IDLE_LIMIT)
+                .pool_idle_timeout(IDLE_TIMEOUT)
                 .pool_timer(TokioTimer::new())
-                .http1_read_buf_exact_size(READ_BUF)
+                .http1_read_buf_exact_size(READ_BUF_BYTES)
                 .build(connector)
         })
         .clone()
--- a/node/src/vm_watch.rs
+++ b/node/src/vm_watch.rs
@@ -23,7 +23,7 @@
     let platform = control.borrow().platform.clone();
     let mut known = None;
     loop {
-        match platform.vms(known).await {
+        match platform.read_vms(known).await {
             Ok(VmList::Changed { version, records }) => {
                 known = version;
                 take(&mut control.borrow_mut(), records);
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -36,7 +36,11 @@
 }
 
 /// Writes a request for an engine.
-pub fn write_place(mut to: peer_capnp::place_request::Builder<'_>, key: &PoolKey, request: &PlaceRequest) {
+pub fn write_place_request(
+    mut to: peer_capnp::place_request::Builder<'_>,
+    key: &PoolKey,
+    request: &PlaceRequest,
+) {
     to.set_generation(request.generation);
     to.set_organisation(&*request.organisation);
     to.set_model(&*key.model);
@@ -49,7 +53,7 @@
 }
 
 /// Reads a request for an engine.
-pub fn read_place(
+pub fn read_place_request(
     from: peer_capnp::place_request::Reader<'_>,
 ) -> Result<(PoolKey, PlaceRequest), capnp::Error> {
     let key = PoolKey { model: text(from.get_model()?)?.into(), hall: text(from.get_hall()?)?.into() };
@@ -66,7 +70,7 @@
 }
 
 /// Writes a line of a report.
-pub fn write_line(mut to: peer_capnp::progress::Builder<'_>, line: &Line) {
+pub fn write_progress(mut to: peer_capnp::progress::Builder<'_>, line: &Line) {
     let request = &line.running.request;
     to.set_generation(request.generation);
     to.set_tokens(line.tokens);
@@ -91,7 +95,7 @@
 }
 
 /// Reads a line of a report by `entry` on a pool.
-pub fn read_line(
+pub fn read_progress(
     from: peer_capnp::progress::Reader<'_>,
     entry: &VmId,
     key: &PoolKey,
