--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin port: health, readiness, metrics, status and explanations.
+//! The admin port: health, readiness, metrics, status and the decisions for `leadstage explain`.
 
 use std::sync::Arc;
 
--- a/node/src/call.rs
+++ b/node/src/call.rs
@@ -1,5 +1,5 @@
-//! A plain call: claimed if it may not repeat and has a key, sent to a replica, and
-//! answered as done, not run, or unknown.
+//! Runs a plain call: claims its idempotency key if it has one and is not repeatable, sends it to a
+//! replica, and answers with its result, or with a code for a call that did not run or may have run.
 
 use std::sync::Arc;
 
@@ -30,38 +30,38 @@
 use crate::shared::UpstreamAddress;
 use crate::upstream_client::SendError;
 
-/// Replicas tried at most for one call.
+/// Replicas that one call is sent to at most.
 const MAX_ATTEMPTS: u32 = 3;
-/// Request headers that are passed on.
+/// Request headers that are forwarded to the replica.
 const FORWARDED_HEADERS: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
 
-/// A plain call with all that was read of it.
+/// A plain call, read completely.
 #[derive(Debug)]
 pub struct PlainCall {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query as the caller sent them.
     pub path_and_query: String,
-    /// Its headers.
+    /// The request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
-    /// The bundle's route.
+    /// The route of the bundle that matches the path.
     pub route: Route,
-    /// Whether it may be sent again.
+    /// Whether it may be sent again after it may have run.
     pub repeatable: bool,
     /// The caller's `Idempotency-Key`.
     pub key: Option<String>,
 }
 
-/// How sending a call to replicas ended.
+/// The result of sending a call to replicas.
 enum SendOutcome {
     Answered(CallResponse),
     NotRun(Code),
     Unknown(Code),
 }
 
-/// Carries a plain call out.
+/// Runs a plain call and returns its response.
 pub async fn execute(
     shared: &Arc<Shared>,
     cx: &Authenticated,
@@ -75,7 +75,7 @@
         Some(key) => match claim::claim(shared, &cx.organisation.id, key, &digest(call)).await? {
             ClaimResult::Owned(owned) => Some(owned),
             ClaimResult::Recorded(outcome) => {
-                account.note("claim", format!("the key has outcome {}", outcome.code));
+                account.note("claim", format!("the key has recorded outcome {}", outcome.code));
                 return Ok(replay(outcome, account, request));
             }
         },
@@ -120,7 +120,7 @@
     }
 }
 
-/// The recorded outcome of an earlier arrival of the key.
+/// Builds the response from the outcome recorded by an earlier request with the same key.
 fn replay(outcome: ClaimOutcome, account: &mut Account, request: u64) -> WebResponse {
     let code = Code::from_number(outcome.code).unwrap_or(Code::UpstreamLost);
     account.on_answer(code);
@@ -143,8 +143,8 @@
     res
 }
 
-/// Sends the call to a replica. It goes to another one only if not a byte of it reached
-/// the first, or if it may be repeated; both within the retry budget.
+/// Sends the call to a replica. Retries on another one only if no byte of it reached the first, or if it
+/// is repeatable; both within the retry budget.
 async fn send(shared: &Arc<Shared>, cx: &Authenticated, call: &PlainCall, account: &Account) -> SendOutcome {
     let mut tried: Vec<UpstreamAddress> = Vec::new();
     let mut last = SendOutcome::NotRun(Code::NoUpstream);
@@ -184,7 +184,7 @@
     last
 }
 
-/// A usable replica that was not tried, in this hall if there is one.
+/// Chooses a usable replica that has not been tried, in this node's hall if there is one.
 fn choose_replica(shared: &Shared, call: &PlainCall, tried: &[UpstreamAddress]) -> Option<UpstreamAddress> {
     let table = shared.upstreams();
     let was_tried = |id: &str| tried.iter().any(|t| &*t.id == id);
--- a/node/src/chunk.rs
+++ b/node/src/chunk.rs
@@ -1,4 +1,4 @@
-//! What leadstage reads of an engine's events: the text and the finish reason.
+//! Parses the events of an engine's stream, as far as leadstage needs them: the text and the finish reason.
 
 use serde::Deserialize;
 
@@ -28,12 +28,12 @@
     chunk.choices.into_iter().next()
 }
 
-/// Whether an event is the one with the finish reason.
+/// Whether an event carries the finish reason and so is the last one.
 pub fn is_last(data: &str) -> bool {
     first_choice(data).is_some_and(|choice| choice.finish_reason.is_some())
 }
 
-/// The text of an event, and the finish reason if it has one.
+/// Returns the text of an event, and its finish reason if it has one.
 pub fn text_of(data: &str) -> (String, Option<String>) {
     let Some(choice) = first_choice(data) else {
         return Default::default();
--- a/node/src/engine_api.rs
+++ b/node/src/engine_api.rs
@@ -1,4 +1,4 @@
-//! Calls of the control thread to engines: load, priority, cancel.
+//! Requests of the control thread to engines: load, orders, priority and cancellation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use leadstage_lib::pool_event::LoadReport;
 use serde::Deserialize;
 
-/// A call without an answer for this long counts as failed.
+/// Timeout of a request to an engine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes of an answer at most.
+/// Size limit of a response body.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// An engine's report as it sends it.
+/// The load report of an engine, in its wire format.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EngineReport {
     running: u32,
@@ -32,32 +32,32 @@
     block_tokens: u32,
     max_batch: u32,
     step_us: u64,
-    /// The engine is about to be taken back.
+    /// Whether the engine is about to be reclaimed.
     #[serde(default)]
     pub leaving: bool,
-    /// Adapters that it has loaded.
+    /// Adapters that the engine has loaded.
     #[serde(default)]
     pub loaded: Vec<String>,
 }
 
-/// How an engine took an order.
+/// An engine's response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It carries it out.
+    /// The engine executes the order.
     Taken,
-    /// It knows a higher fence.
+    /// The engine has seen a higher fence and rejects the order.
     OldFence,
-    /// It did not answer; it may carry it out.
+    /// No response, or an unexpected one; the engine may execute the order.
     Unknown,
 }
 
 impl EngineReport {
-    /// The sizes in it.
+    /// Returns the engine's limits.
     pub fn limits(&self) -> EngineLimits {
         EngineLimits { blocks: self.total_blocks, block_tokens: self.block_tokens, max_batch: self.max_batch }
     }
 
-    /// The load in it.
+    /// Returns the engine's load.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             running: self.running,
@@ -68,14 +68,14 @@
     }
 }
 
-/// The client; clones share their connections.
+/// HTTP client for the API of the engines; clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct EngineApi {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl EngineApi {
-    /// A client for all engines.
+    /// Creates a client for all engines.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -83,7 +83,7 @@
         EngineApi { client: Client::builder(TokioExecutor::new()).build(connector) }
     }
 
-    /// A call's status and body, or `None` without an answer in time.
+    /// Returns the response status and body, or `None` without a response in time.
     async fn exchange(&self, method: Method, uri: String, body: Bytes) -> Option<(u16, Bytes)> {
         let req = Request::builder().method(method).uri(uri).body(Full::from(body)).ok()?;
         let exchange = async {
@@ -100,7 +100,7 @@
         (status == 200).then_some(body)
     }
 
-    /// Sends an order under a fence.
+    /// Sends an order with the fence `epoch`.
     pub async fn send_order(&self, address: SocketAddr, epoch: u64, action: &str) -> OrderAnswer {
         let body = serde_json::json!({"fence": epoch, "action": action}).to_string();
         let answer = self.exchange(Method::POST, format!("http://{address}/v1/orders"), body.into()).await;
@@ -111,19 +111,19 @@
         }
     }
 
-    /// The engine's load, or `None` when it does not answer.
+    /// Fetches the engine's load; `None` without a valid response.
     pub async fn load(&self, address: SocketAddr) -> Option<EngineReport> {
         let body = self.call(Method::GET, format!("http://{address}/v1/load")).await?;
         serde_json::from_slice(&body).ok()
     }
 
-    /// Changes a generation's priority; a failure changes nothing.
+    /// Changes a generation's priority. A failure is ignored: the priority then stays.
     pub async fn set_priority(self, address: SocketAddr, generation: GenerationId, priority: i32) {
         let uri = format!("http://{address}/v1/generations/{generation:016x}/priority?value={priority}");
         self.call(Method::POST, uri).await;
     }
 
-    /// Cancels a generation; a failure leaves it to run to its end.
+    /// Cancels a generation. A failure is ignored: the generation then runs to its end.
     pub async fn cancel(self, address: SocketAddr, generation: GenerationId) {
         self.call(Method::DELETE, format!("http://{address}/v1/generations/{generation:016x}")).await;
     }
--- a/node/src/filters.rs
+++ b/node/src/filters.rs
@@ -1,5 +1,5 @@
-//! The filters of a caller's request, one module each, with a typed message between
-//! two of them:
+//! The stages that a caller's request passes through, one module each, with a typed value between two
+//! stages:
 //!
 //! authenticate -> route -> limit -> claim -> place -> dispatch -> relay -> account
 
--- a/node/src/filters/account.rs
+++ b/node/src/filters/account.rs
@@ -1,5 +1,5 @@
-//! Counts what a stream did: times for metrics and service levels, and its end for
-//! the pool's lead.
+//! Tracks a request for metrics, service levels and the request log, and reports the end of its
+//! generation to the pool's lead.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -18,11 +18,11 @@
 use crate::shared::OpenGuard;
 use crate::shared::Shared;
 
-/// A gap longer than this is time without progress.
+/// Gaps between tokens that are longer than this count as time without progress.
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// Follows one request to its end. What it has not been told by the time it is
-/// dropped counts as the caller's leaving.
+/// Tracks one request until it is dropped. A request that is dropped without an answer counts as one whose
+/// caller disconnected.
 pub struct Account {
     shared: Arc<Shared>,
     bundle: Arc<Bundle>,
@@ -38,7 +38,7 @@
 }
 
 impl Account {
-    /// Starts to follow a request.
+    /// Starts tracking a request.
     pub fn new(
         shared: Arc<Shared>,
         bundle: Arc<Bundle>,
@@ -62,14 +62,15 @@
         }
     }
 
-    /// A generation was dispatched; `tokens` is what the caller has of it already.
+    /// Called when a generation is dispatched; `tokens` is the number that the caller has received already.
+    /// Returns the counter of delivered tokens.
     pub fn on_start(&mut self, generation: GenerationId, tokens: u32) -> Arc<AtomicU32> {
         self.running = Some(generation);
         self.tokens = Arc::new(AtomicU32::new(tokens));
         self.tokens.clone()
     }
 
-    /// A token goes to the caller.
+    /// Called when a token is sent to the caller.
     pub fn on_token(&mut self) {
         let now = Instant::now();
         self.tokens.fetch_add(1, Ordering::Relaxed);
@@ -92,26 +93,26 @@
         }
     }
 
-    /// The generation ended or was given up at its engine.
+    /// Called when the generation ended or was abandoned at its engine.
     pub fn on_generation_end(&mut self, how: EndKind) {
         if let Some(generation) = self.running.take() {
             let _ = self.shared.control.send(ControlMessage::Ended { generation, how });
         }
     }
 
-    /// The request is answered with this code.
+    /// Called when the request is answered with `code`.
     pub fn on_answer(&mut self, code: Code) {
         self.code = Some(code);
     }
 
-    /// A plain call was answered.
+    /// Called when a plain call was answered.
     pub fn on_call(&self) {
         let took = self.started.elapsed();
         self.shared.metrics.on_call(took);
         self.shared.observe(Indicator::Calls, took <= self.bundle.service_levels.calls.within);
     }
 
-    /// Notes a decision for `leadstage explain`.
+    /// Records a decision for `leadstage explain`.
     pub fn note(&self, filter: &'static str, what: String) {
         self.shared.note(self.request, filter, what);
     }
--- a/node/src/filters/authenticate.rs
+++ b/node/src/filters/authenticate.rs
@@ -1,4 +1,4 @@
-//! Which organisation a request belongs to, by its bearer token.
+//! Identifies the organisation of a request by its bearer token.
 
 use std::sync::Arc;
 
@@ -11,16 +11,16 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// A request of a known organisation, under the bundle that was in force when it came.
+/// The organisation of a request, with the bundle that was in force when the request arrived.
 #[derive(Clone, Debug)]
 pub struct Authenticated {
     /// The bundle.
     pub bundle: Arc<Bundle>,
-    /// The organisation, as the bundle has it.
+    /// The organisation, as defined in the bundle.
     pub organisation: Organisation,
 }
 
-/// Finds the organisation; the bundle holds only hashes of the tokens.
+/// Looks the organisation up by the hash of the token; the bundle holds only hashes.
 pub fn authenticate(shared: &Shared, headers: &HeaderMap) -> Result<Authenticated, Refusal> {
     let bundle = shared.bundle().ok_or_else(|| Refusal::new(Code::NotReady))?;
     let header = headers.get("authorization").ok_or_else(|| Refusal::new(Code::Unauthorised))?;
--- a/node/src/filters/claim.rs
+++ b/node/src/filters/claim.rs
@@ -1,5 +1,5 @@
-//! Makes a call that may not repeat run at most once: its `Idempotency-Key` is claimed
-//! in the object API before a byte of it can reach an upstream.
+//! Runs a call that is not repeatable at most once: its `Idempotency-Key` is claimed in the object API
+//! before any byte of the call can reach an upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// Time for a claim in all; then the call is not run.
+/// Timeout of a claim, with all its steps; the call is not run after it.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
-/// When to come back then.
+/// `Retry-After` of a call whose claim timed out.
 const RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Characters of a hash that are kept.
+/// Length to which hex hashes of keys and requests are truncated.
 const HASH_HEX_DIGITS: usize = 32;
 
-/// A key that this arrival owns.
+/// An idempotency key that this request has claimed.
 pub struct OwnedKey {
     shared: Arc<Shared>,
     key: String,
@@ -32,15 +32,16 @@
     settled: bool,
 }
 
-/// What a claim led to.
+/// The result of a claim.
 pub enum ClaimResult {
-    /// This arrival may dispatch, once.
+    /// This request owns the key and may be dispatched once.
     Owned(OwnedKey),
-    /// An earlier arrival had this outcome.
+    /// An earlier request with the key ended with this outcome.
     Recorded(ClaimOutcome),
 }
 
-/// Claims a key. Keys of different organisations never meet.
+/// Claims a key. The organisation is part of the stored key, so keys of different organisations never
+/// collide.
 pub async fn claim(
     shared: &Arc<Shared>,
     organisation: &OrganisationId,
@@ -72,7 +73,7 @@
 }
 
 impl OwnedKey {
-    /// Records the outcome for later arrivals.
+    /// Records the outcome for later requests with the key.
     pub fn record(mut self, outcome: ClaimOutcome) {
         self.send(outcome);
         self.settled = true;
@@ -85,8 +86,8 @@
 }
 
 impl Drop for OwnedKey {
-    /// Nothing was dispatched under this claim, and nothing will be: a claim that took
-    /// effect unnoticed is released, so that the caller may come back with its key.
+    /// Without an outcome, nothing was or will be dispatched under this claim. The claim may have taken
+    /// effect although no confirmation arrived: it is released, so that the caller may retry with its key.
     fn drop(&mut self) {
         if !self.settled {
             self.send(ClaimOutcome::not_run(Code::UpstreamRefused));
--- a/node/src/filters/dispatch.rs
+++ b/node/src/filters/dispatch.rs
@@ -1,5 +1,5 @@
-//! Sends a generation to its engine, or resumes it there, and reads the engine's
-//! events; sends a plain call to a replica.
+//! Starts a generation at its engine, or resumes it there, and reads the engine's events; sends a plain call
+//! to a replica.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,19 +20,19 @@
 use crate::upstream_client;
 use crate::upstream_client::SendError;
 
-/// Time for the head of an engine's answer.
+/// Timeout for the head of an engine's response.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why there is no link to a generation.
+/// Why a link to a generation could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkError {
-    /// The engine could not be connected to.
+    /// The connection to the engine failed, so the request was not sent.
     NotSent,
-    /// The link broke or nothing came in time.
+    /// The connection broke or the response timed out.
     Broken,
-    /// The engine does not know the generation, or cannot take it now.
+    /// The engine does not know the generation, or cannot accept it now.
     Refused,
-    /// The engine finds fault with the request itself.
+    /// The engine considers the request itself invalid.
     Rejected,
 }
 
@@ -48,7 +48,7 @@
 /// An open stream of a generation's events.
 pub struct Link {
     events: std::pin::Pin<Box<EngineEvents>>,
-    /// The organisation that the engine was given with the generation.
+    /// The organisation that the generation was started for, as the engine returns it.
     pub organisation: Option<String>,
 }
 
@@ -67,15 +67,15 @@
         Ok(Link { events, organisation })
     }
 
-    /// The next event; `None` when the link ended, broke or was silent for `max_silence`.
+    /// Returns the next event, or `None` when the link ended, broke or was silent for `max_silence`.
     pub async fn next(&mut self, max_silence: Duration) -> Option<Event> {
         let next = tokio::time::timeout(max_silence, self.events.next()).await;
         next.ok().flatten().and_then(Result::ok)
     }
 }
 
-/// Starts a generation at its engine. The engine takes a second start of the same id
-/// as the first one, so this may be sent again.
+/// Starts a generation at its engine. Engines treat a second start with the same id as the first one, so
+/// this may be sent again.
 pub async fn start(
     address: SocketAddr,
     generation: GenerationId,
@@ -94,7 +94,7 @@
     Link::new(upstream_client::send(request, RESPONSE_HEAD_TIMEOUT).await?)
 }
 
-/// Resumes a generation at its engine from a token's index.
+/// Resumes a generation at its engine from the token with index `from`.
 pub async fn resume(
     address: SocketAddr,
     generation: GenerationId,
@@ -109,21 +109,21 @@
     Link::new(upstream_client::send(request, RESPONSE_HEAD_TIMEOUT).await?)
 }
 
-/// A plain call's answer.
+/// The response to a plain call.
 #[derive(Debug)]
 pub struct CallResponse {
-    /// HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its `Content-Type`.
+    /// The `Content-Type`.
     pub content_type: String,
-    /// Its body.
+    /// The response body.
     pub body: Bytes,
 }
 
-/// Bytes of a plain call's answer at most.
+/// Size limit of the response to a plain call.
 const MAX_CALL_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Sends a plain call to a replica and reads its answer whole.
+/// Sends a plain call to a replica and reads its complete response.
 pub async fn call(request: Request<Full<Bytes>>, limit: Duration) -> Result<CallResponse, SendError> {
     let exchange = async {
         let res = upstream_client::send(request, limit).await?;
--- a/node/src/filters/limit.rs
+++ b/node/src/filters/limit.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a request may cost: open requests, and the body's size and time.
+//! Limits on the number of open requests and on the size and transfer time of request bodies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::shared::Readiness;
 use crate::shared::Shared;
 
-/// Bytes of a body that are read and thrown away beyond the bundle's limit. Callers who are
-/// a little over it see why they are refused; nobody keeps a node busy with an endless body.
+/// Bytes of a body beyond the bundle's limit that are read and discarded. A caller slightly over the limit
+/// then receives the refusal, while an endless body cannot keep a node busy.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// Time for a body that nobody wants to arrive.
+/// Timeout for reading a body that is discarded.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Counts the request as open, unless a limit is reached.
+/// Counts the request as open. Refuses it if the node is not ready or closed, or if a limit is reached.
 pub fn open(shared: &Arc<Shared>, cx: &Authenticated) -> Result<OpenGuard, Refusal> {
     match shared.readiness() {
         Readiness::NoBundle | Readiness::Alone => return Err(Refusal::new(Code::NotReady)),
@@ -41,7 +41,7 @@
     })
 }
 
-/// Reads the body whole, within the bundle's size and time.
+/// Reads the complete body, within the bundle's limits of size and time.
 pub async fn read_body(cx: &Authenticated, body: RequestBody) -> Result<Bytes, Refusal> {
     let bounds = &cx.bundle.bounds;
     let reading = read_up_to(body, bounds.max_body_bytes);
@@ -51,22 +51,24 @@
     }
 }
 
-/// Reads what a refused request left unread, within bounds. A connection with unread bytes is closed,
-/// and a caller that used it again at once had its next request broken: on a busy machine after 5 in
-/// 100 refusals.
+/// Reads and discards the unread body of a refused request, within limits of size and time. The server
+/// closes a connection with unread bytes; a caller that reuses it immediately has its next request broken
+/// (on a busy machine, after 5 in 100 refusals).
 pub async fn discard(body: RequestBody) {
-    // The refusal stands, whatever becomes of the body.
+    // The request is refused whether or not its body can be read.
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, read_up_to(body, 0)).await;
 }
 
-/// Reads a body of at most `most` bytes. A larger one is refused once its end has come: a
-/// connection that is closed with bytes unread is reset, and the refusal is lost with it.
+/// Reads a body of at most `most` bytes. A larger one is refused only after it was read to its end: a
+/// connection that is closed with unread bytes is reset, and the caller does not receive the refusal.
 async fn read_up_to(body: RequestBody, most: usize) -> Result<Bytes, Refusal> {
     let mut body = std::pin::pin!(body);
     let mut buf = BytesMut::new();
     let mut read: usize = 0;
     while let Some(chunk) = body.as_mut().data().await {
-        let chunk = chunk.map_err(|_| Refusal::with_detail(Code::BadRequest, "the body broke off"))?;
+        let chunk = chunk.map_err(|_| {
+            Refusal::with_detail(Code::BadRequest, "the connection broke while the body was read")
+        })?;
         read += chunk.len();
         if read <= most {
             buf.extend_from_slice(&chunk);
--- a/node/src/filters/place.rs
+++ b/node/src/filters/place.rs
@@ -1,4 +1,4 @@
-//! Reads a generation request and gets an engine for it from the control thread.
+//! Parses a generation request and requests an engine for it from the control thread.
 
 use std::sync::Arc;
 
@@ -20,28 +20,28 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// Bytes of prompt taken as one token, as leadstage has no tokenizer: a little less
-/// than usual text has, so that memory is rather over- than underestimated.
+/// Prompt bytes counted as one token, as leadstage has no tokenizer. Typical text has slightly more bytes
+/// per token, so memory is overestimated rather than underestimated.
 const BYTES_PER_TOKEN: usize = 4;
-/// Bytes at the start of a prompt that are hashed as its prefix.
+/// Bytes at the start of a prompt that are hashed to recognise prompts with a common prefix.
 const PREFIX_BYTES: usize = 1_024;
 
-/// A generation request that was read and checked.
+/// A parsed and validated generation request.
 #[derive(Clone, Debug)]
 pub struct GenerationRequest {
-    /// Chat or text.
+    /// Chat or text completion.
     pub kind: GenerationKind,
     /// The model.
     pub model: ModelId,
     /// Whether the caller wants a stream.
     pub stream: bool,
-    /// The body for the engine: the caller's, always as a stream.
+    /// The body for the engine: the caller's, but with streaming on and `max_tokens` set.
     pub body: Bytes,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Output tokens at most.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Hash of the prompt's start.
+    /// Hash of the prompt's first bytes, 0 for a short prompt.
     pub prefix: u64,
 }
 
@@ -72,7 +72,7 @@
     content: Value,
 }
 
-/// Reads and checks a generation's body.
+/// Parses and validates the body of a generation request.
 pub fn parse(cx: &Authenticated, kind: GenerationKind, body: &Bytes) -> Result<GenerationRequest, Refusal> {
     let bad_request = |detail: String| Refusal::with_detail(Code::BadRequest, detail);
     let mut json: Value = serde_json::from_slice(body).map_err(|err| bad_request(err.to_string()))?;
@@ -81,12 +81,14 @@
         return Err(bad_request("n must be 1".to_owned()));
     }
     let prompt =
-        prompt_text(&fields, kind).ok_or_else(|| bad_request(format!("{} lacks its prompt", kind.path())))?;
+        prompt_text(&fields, kind).ok_or_else(|| bad_request(format!("{} needs a prompt", kind.path())))?;
     let model = cx.bundle.model(&fields.model).ok_or_else(|| Refusal::new(Code::UnknownModel))?;
     let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32;
     if prompt_tokens > model.max_prompt_tokens {
-        let detail =
-            format!("the prompt has about {prompt_tokens} tokens, {} are allowed", model.max_prompt_tokens);
+        let detail = format!(
+            "the prompt has about {prompt_tokens} tokens, more than the {} allowed",
+            model.max_prompt_tokens
+        );
         return Err(Refusal::with_detail(Code::PromptTooLong, detail));
     }
     let requested = fields.max_completion_tokens.or(fields.max_tokens).unwrap_or(u32::MAX);
@@ -127,7 +129,7 @@
     }
 }
 
-/// A prompt too short to be worth caching has none.
+/// Hashes the prompt's prefix; 0 for a prompt that is too short to be worth caching.
 fn prefix_hash(prompt: &str) -> u64 {
     if prompt.len() < PREFIX_BYTES {
         return 0;
@@ -136,7 +138,7 @@
     rendezvous::weight("prefix", &hash).max(1)
 }
 
-/// Gets an engine; dropping the future withdraws the request from the lead's queue.
+/// Requests an engine from the lead. Dropping the future removes the request from the lead's queue.
 pub async fn place(
     shared: &Arc<Shared>,
     cx: &Authenticated,
@@ -151,7 +153,7 @@
     Ok(placed?)
 }
 
-/// What the lead needs to know of a generation.
+/// Builds the request for the lead, with what it needs to place the generation.
 pub fn place_request(
     shared: &Shared,
     cx: &Authenticated,
--- a/node/src/filters/relay.rs
+++ b/node/src/filters/relay.rs
@@ -1,5 +1,5 @@
-//! Passes a generation's tokens on to its caller: once, in order, from one
-//! generation, over however many engine links that takes.
+//! Forwards a generation's tokens to its caller, each once and in order, all from one generation, over as
+//! many engine links as needed.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -33,28 +33,28 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// Pause before a broken link is resumed, on average.
+/// Mean delay before a broken link is resumed; the actual delay is jittered.
 const RESUME_DELAY: Duration = Duration::from_millis(50);
-/// A silent link is looked at this often, to see a planned stop's bound.
+/// While a link is silent, how often to check whether the time limit of a planned stop is reached.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the caller gets next.
+/// The next item for the caller.
 #[derive(Debug)]
 pub enum Relayed {
-    /// An event of the engine, with its position.
+    /// An event of the engine.
     Event {
-        /// Where the caller is with it.
+        /// The position in the stream after this event.
         position: StreamPosition,
-        /// The engine's JSON.
+        /// The JSON data of the engine's event.
         data: String,
     },
     /// The generation is complete.
     Done,
-    /// It ended early.
+    /// The generation ended early.
     Failed(Refusal),
 }
 
-/// One caller's generation.
+/// Relays one generation to its caller.
 pub struct Relay {
     shared: Arc<Shared>,
     cx: Authenticated,
@@ -64,13 +64,13 @@
     granted: Option<Granted>,
     link: Option<Link>,
     may_have_run: bool,
-    /// Engines that were lost after they may have begun it.
+    /// Number of engines lost after they may have started the generation.
     lost_engines: usize,
     finished: bool,
 }
 
 impl Relay {
-    /// A new generation, not placed yet.
+    /// Creates a relay for a new generation, which is not placed yet.
     pub fn new(shared: Arc<Shared>, cx: Authenticated, req: GenerationRequest, account: Account) -> Self {
         let cursor = StreamCursor::new(new_generation(), 0);
         Relay {
@@ -87,13 +87,13 @@
         }
     }
 
-    /// The request's bookkeeping.
+    /// Returns the tracker of the request.
     pub fn account(&mut self) -> &mut Account {
         &mut self.account
     }
 
-    /// Places and starts the generation. Once an engine may have begun it, no refusal says
-    /// any more that it did not run.
+    /// Places and starts the generation. Once an engine may have started it, a refusal no longer states that
+    /// it did not run.
     pub async fn start(&mut self) -> Result<(), Refusal> {
         let started = self.start_on_engine().await;
         started.map_err(|refusal| self.with_actual_outcome(refusal))
@@ -106,13 +106,13 @@
         refusal
     }
 
-    /// On an engine that cannot be connected to, goes on to another one, within the retry
-    /// budget.
+    /// Places the generation and starts it. If the engine cannot be reached or refuses, retries on another
+    /// one, within the retry budget.
     async fn start_on_engine(&mut self) -> Result<(), Refusal> {
         loop {
             let generation = self.cursor.generation();
             let granted = place::place(&self.shared, &self.cx, &self.req, generation).await?;
-            let lead = granted.lead.as_deref().unwrap_or("none, alone");
+            let lead = granted.lead.as_deref().unwrap_or("none (placed by this node)");
             let what = format!("generation {generation:016x} on {} by lead {lead}", granted.upstream);
             self.account.note("place", what);
             self.report_start(&granted);
@@ -129,17 +129,14 @@
                 Err(LinkError::Broken) => return Ok(()),
                 Err(LinkError::Rejected) => {
                     self.account.on_generation_end(EndKind::Cancelled);
-                    return Err(Refusal::with_detail(
-                        Code::BadRequest,
-                        "the engine does not take this request",
-                    ));
+                    return Err(Refusal::with_detail(Code::BadRequest, "the engine rejected the request"));
                 }
                 Err(LinkError::NotSent | LinkError::Refused) => self.abandon_engine()?,
             }
         }
     }
 
-    /// Goes on with a generation that another entry may have started.
+    /// Resumes a generation that may have been started by another entry.
     pub async fn resume_at(&mut self, position: &StreamPosition) -> Result<(), Refusal> {
         let upstreams = self.shared.upstreams();
         let engine = upstreams.get(&position.engine).ok_or_else(|| Refusal::new(Code::GenerationUnknown))?;
@@ -158,7 +155,7 @@
             priority: self.cx.organisation.priority,
             lead: None,
         };
-        self.account.note("relay", format!("taken over at {position}"));
+        self.account.note("relay", format!("resumed at {position}"));
         self.report_start(&granted);
         self.granted = Some(granted);
         self.link = Some(link);
@@ -179,7 +176,7 @@
         let _ = self.shared.control.send(ControlMessage::Started(running));
     }
 
-    /// What the caller gets next.
+    /// Returns the next item for the caller.
     pub async fn next(&mut self) -> Relayed {
         if self.finished {
             return Relayed::Done;
@@ -204,7 +201,7 @@
         }
     }
 
-    /// The next event of the link, or `None` when it broke or stalled.
+    /// Returns the next event of the link, or `None` when it broke or stalled.
     async fn next_event(&mut self) -> Option<Event> {
         let link = self.link.as_mut()?;
         let max_silence = self.cx.bundle.bounds.stall_within;
@@ -256,7 +253,7 @@
         }
     }
 
-    /// The link broke or stalled: resumes it, starts anew, or gives the stream up.
+    /// After the link broke or stalled, resumes it, restarts the generation elsewhere, or ends the stream.
     async fn recover_link(&mut self) -> Result<(), Refusal> {
         self.link = None;
         let mut after = self.cursor.on_break();
@@ -273,7 +270,8 @@
                 AfterBreak::Restart => {
                     self.lost_engines += 1;
                     self.abandon_engine()?;
-                    // It may be what ends them: without this one request cost all four engines of a pool.
+                    // The request itself may crash its engines: without this limit, one request cost all
+                    // four engines of a pool.
                     if !loss_limit::may_retry_after_loss(0, self.lost_engines) {
                         return Err(Refusal::new(Code::UpstreamLost));
                     }
@@ -294,18 +292,18 @@
         let jitter: f64 = rand::rng().random_range(0.5..1.5);
         tokio::time::sleep(RESUME_DELAY.mul_f64(jitter)).await;
         self.shared.metrics.on_resume();
-        self.account.note("relay", format!("resumes at {} from {from}", granted.upstream));
+        self.account.note("relay", format!("resumes on {} from token {from}", granted.upstream));
         let generation = self.cursor.generation();
         dispatch::resume(granted.address, generation, from, self.req.kind, &self.req.model).await
     }
 
-    /// The engine is lost and the caller has nothing: a new generation may start
-    /// elsewhere, within the retry budget.
+    /// Abandons an engine that was lost before the caller received a token. A new generation may start on
+    /// another engine, within the retry budget.
     fn abandon_engine(&mut self) -> Result<(), Refusal> {
         self.account.on_generation_end(EndKind::Lost);
         if let Some(granted) = self.granted.take() {
-            info!(event = "engine_lost", upstream = &*granted.upstream, generation:% = format_args!("{:016x}", self.cursor.generation()); "engine lost before a token");
-            self.account.note("dispatch", format!("{} lost before a token", granted.upstream));
+            info!(event = "engine_lost", upstream = &*granted.upstream, generation:% = format_args!("{:016x}", self.cursor.generation()); "engine lost before its first token");
+            self.account.note("dispatch", format!("{} lost before its first token", granted.upstream));
             let _ = self.shared.control.send(ControlMessage::UpstreamFailed(granted.upstream));
         }
         if !self.shared.take_retry() {
--- a/node/src/filters/route.rs
+++ b/node/src/filters/route.rs
@@ -1,4 +1,4 @@
-//! What a request is for: a generation, the list of models, or a plain service.
+//! Routes a request: to a generation, the list of models, or a plain service.
 
 use leadstage_lib::bundle::Route;
 use leadstage_lib::code::Code;
@@ -9,10 +9,10 @@
 use crate::filters::authenticate::Authenticated;
 use crate::refusal::Refusal;
 
-/// Bytes of an `Idempotency-Key` at most.
+/// Maximum length of an `Idempotency-Key`.
 const MAX_KEY_BYTES: usize = 255;
 
-/// The two shapes of a generation.
+/// The API through which a generation is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GenerationKind {
     /// `/v1/chat/completions`.
@@ -22,7 +22,7 @@
 }
 
 impl GenerationKind {
-    /// Its path, here and at the engines.
+    /// Returns the path of the API, which is the same at the gateway and at the engines.
     pub fn path(self) -> &'static str {
         match self {
             GenerationKind::Chat => "/v1/chat/completions",
@@ -31,30 +31,30 @@
     }
 }
 
-/// Where a request goes.
+/// The destination of a request.
 #[derive(Clone, Debug)]
 pub enum Routed {
-    /// To an engine.
+    /// A generation, run by an engine.
     Generation {
-        /// Which shape.
+        /// The API that the caller uses.
         kind: GenerationKind,
-        /// Where the caller was in a stream that it wants to go on with.
+        /// The position from which the caller resumes a stream.
         resume: Option<StreamPosition>,
     },
-    /// Answered here.
+    /// The list of models, answered by this node.
     Models,
-    /// To a plain service.
+    /// A call to a plain service.
     Call {
-        /// The bundle's route.
+        /// The route of the bundle that matches the path.
         route: Route,
-        /// Whether it may be sent again.
+        /// Whether it may be sent again after it may have run.
         repeatable: bool,
         /// The caller's `Idempotency-Key`.
         key: Option<String>,
     },
 }
 
-/// Finds where a request goes.
+/// Determines the destination of a request.
 pub fn route(
     cx: &Authenticated,
     method: &Method,
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `leadstaged`: the entry process of leadstage, one on each VM.
+//! `leadstaged`: the entry process of leadstage, which runs on each VM.
 
 mod admin;
 mod bundle_fetch;
@@ -55,7 +55,7 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// Exit code for wrong arguments or settings.
+/// Exit code for invalid arguments or settings.
 const EXIT_USAGE: u8 = 2;
 /// Exit code for a failure at run time.
 const EXIT_FAILURE: u8 = 1;
@@ -89,14 +89,14 @@
     Settings { problems: Vec<Problem> },
 }
 
-/// A panic on the control thread would leave the node half alive; the fleet copes better
-/// with one that is gone. On a traffic thread it ends one connection only.
+/// Aborts the process when the control thread panics. Otherwise the node would keep running without
+/// control; the fleet handles a dead node better. A panic on a traffic thread ends only one connection.
 fn abort_on_control_panic() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         default_hook(panic);
         if std::thread::current().name() == Some("main") {
-            error!(event = "failed", reason:% = panic; "the control thread panicked");
+            error!(event = "failed", reason:% = panic; "control thread panicked");
             gateway::flush_logs();
             std::process::abort();
         }
@@ -125,7 +125,7 @@
         }
     };
     if let Err(err) = start_logging(&command) {
-        eprintln!("leadstaged: no logs: {err}");
+        eprintln!("leadstaged: cannot start logging: {err}");
         return ExitCode::from(EXIT_FAILURE);
     }
     abort_on_control_panic();
@@ -145,8 +145,8 @@
     code
 }
 
-/// A gateway node logs to standard output, as its platform collects that; the other
-/// interface to standard error.
+/// A node with the gateway interface logs to standard output, which its platform collects; with the other
+/// interface it logs to standard error.
 fn start_logging(command: &Command) -> std::io::Result<()> {
     if matches!(command, Command::RunGateway(..)) {
         return gateway::start_logging();
@@ -200,7 +200,7 @@
     Ok(())
 }
 
-/// Runs a server on a thread of its own; the process ends if it fails.
+/// Runs a server on its own thread. The process exits if the server fails.
 fn spawn(
     name: &'static str,
     settings: Settings,
@@ -210,12 +210,12 @@
     let thread = std::thread::Builder::new().name(name.to_owned());
     let run_server = move || {
         if let Err(err) = serve(&settings, shared) {
-            error!(event = "failed", server = name, reason:% = err; "a server failed");
+            error!(event = "failed", server = name, reason:% = err; "server failed");
             std::process::exit(i32::from(EXIT_FAILURE));
         }
     };
     if let Err(err) = thread.spawn(run_server) {
-        error!(event = "failed", server = name, reason:% = err; "no thread");
+        error!(event = "failed", server = name, reason:% = err; "cannot spawn the server thread");
         std::process::exit(i32::from(EXIT_FAILURE));
     }
 }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics, by opentelemetry, exported as Prometheus text. docs/OPERATIONS.md
-//! has the table. Label values are bounded: codes, and organisations of the bundle.
+//! The OpenTelemetry metrics, exported in the Prometheus text format. docs/OPERATIONS.md lists them. The sets
+//! of label values are bounded: codes, and organisations of the bundle.
 
 use std::time::Duration;
 
@@ -17,18 +17,18 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Upper edges of the time histograms, in seconds.
+/// Upper bounds of the buckets of the time histograms, in seconds.
 const TIME_BUCKETS_SECONDS: [f64; 14] =
     [0.001, 0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// A registry, and description makes instruments in it.
+/// Creates instruments and exports their registry.
 pub struct Instruments {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
 impl Instruments {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build()?;
@@ -40,47 +40,47 @@
         self.provider.meter("leadstage")
     }
 
-    /// A counter.
+    /// Creates a counter.
     pub fn counter(&self, name: &'static str, description: &'static str) -> Counter<u64> {
         self.meter().u64_counter(name).with_description(description).build()
     }
 
-    /// A histogram of times in seconds.
+    /// Creates a histogram of times in seconds.
     pub fn seconds(&self, name: &'static str, description: &'static str) -> Histogram<f64> {
         let meter = self.meter();
         let builder = meter.f64_histogram(name).with_unit("s").with_description(description);
         builder.with_boundaries(TIME_BUCKETS_SECONDS.to_vec()).build()
     }
 
-    /// A level.
+    /// Creates a gauge.
     pub fn gauge(&self, name: &'static str, description: &'static str) -> Gauge<u64> {
         self.meter().u64_gauge(name).with_description(description).build()
     }
 
-    /// An age in seconds.
+    /// Creates a gauge for an age in seconds.
     pub fn age(&self, name: &'static str, description: &'static str) -> Gauge<f64> {
         self.meter().f64_gauge(name).with_unit("s").with_description(description).build()
     }
 
-    /// A counter that goes up and down.
+    /// Creates a counter that can increase and decrease.
     pub fn up_down(&self, name: &'static str, description: &'static str) -> UpDownCounter<i64> {
         self.meter().i64_up_down_counter(name).with_description(description).build()
     }
 
-    /// The Prometheus text.
+    /// Exports all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut buf = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
             Ok(()) => String::from_utf8_lossy(&buf).into_owned(),
             Err(err) => {
-                warn!(event = "metrics_unreadable", reason:% = err; "the metrics can't be written as text");
+                warn!(event = "metrics_unreadable", reason:% = err; "cannot export the metrics as text");
                 String::new()
             }
         }
     }
 }
 
-/// The instruments.
+/// The metrics of a node.
 pub struct Metrics {
     instruments: Instruments,
     requests: Counter<u64>,
@@ -94,7 +94,7 @@
 }
 
 impl Metrics {
-    /// Makes the instruments with a registry of their own.
+    /// Creates the metrics in a new registry.
     pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
         let instruments = Instruments::new()?;
         let counter = |name, description| instruments.counter(name, description);
@@ -112,7 +112,7 @@
         })
     }
 
-    /// A request was answered.
+    /// Counts an answered request.
     pub fn on_answer(&self, organisation: &str, code: Code) {
         let labels = [
             KeyValue::new("organisation", organisation.to_owned()),
@@ -121,42 +121,42 @@
         self.requests.add(1, &labels);
     }
 
-    /// Tokens were passed on.
+    /// Counts tokens sent to callers.
     pub fn on_tokens(&self, tokens: u64) {
         self.tokens.add(tokens, &[]);
     }
 
-    /// An engine link was resumed.
+    /// Counts the resumption of an engine link.
     pub fn on_resume(&self) {
         self.resumes.add(1, &[]);
     }
 
-    /// A request opened (1) or closed (-1).
+    /// Adjusts the number of open requests: `change` is 1 when one opens and -1 when one closes.
     pub fn on_open(&self, change: i64) {
         self.open.add(change, &[]);
     }
 
-    /// A first token was passed on.
+    /// Records the time from a request to its first token.
     pub fn on_first_token(&self, after: Duration) {
         self.first_token.record(after.as_secs_f64(), &[]);
     }
 
-    /// A later token was passed on.
+    /// Records the time between two tokens.
     pub fn on_token_gap(&self, gap: Duration) {
         self.token_gap.record(gap.as_secs_f64(), &[]);
     }
 
-    /// A stream ended that had sat without progress for so long.
+    /// Records the total time without progress of a stream that ended.
     pub fn on_stall(&self, stall: Duration) {
         self.stall.record(stall.as_secs_f64(), &[]);
     }
 
-    /// A plain call was answered.
+    /// Records the duration of an answered plain call.
     pub fn on_call(&self, took: Duration) {
         self.call.record(took.as_secs_f64(), &[]);
     }
 
-    /// The Prometheus text.
+    /// Exports all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.instruments.text()
     }
--- a/node/src/platform.rs
+++ b/node/src/platform.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's object API and VM list.
+//! HTTP client for the platform's object API and VM list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,73 +18,73 @@
 use leadstage_lib::upstreams::VmRecord;
 use leadstage_platform::connect::read_on;
 
-/// A call whose answer has not begun for this long counts as failed. No limit holds for the whole
-/// of an answer: a list of 3,000 VMs (0.3 MB) on a link that has 150 kB/s left takes two seconds,
-/// and was never read whole while it had to be there within one.
+/// Timeout for the start of a response. There is no timeout for a complete response: a list of 3,000 VMs
+/// (0.3 MB) takes two seconds on a link with 150 kB/s to spare, and a limit of one second for the whole
+/// response prevented it from ever being read.
 const RESPONSE_START_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A watch waits this long for a change.
+/// How long the platform holds a watch request open without a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// A call to the platform failed.
+/// An error of a request to the platform.
 #[derive(Debug, Display, Error)]
 pub enum PlatformError {
-    /// No answer in time, or no connection.
+    /// No response in time, no connection, or an unreadable response.
     #[display("no answer: {reason}")]
     NoAnswer {
-        /// What the client said.
+        /// The error of the HTTP client or of the parser.
         reason: String,
     },
-    /// An answer that is no success.
+    /// An unexpected HTTP status.
     #[display("HTTP status {status}")]
     Status {
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
 }
 
-/// What a read found.
+/// The result of reading an object.
 #[derive(Debug)]
 pub enum ReadResult {
-    /// The object with its version.
+    /// The object exists.
     Found {
         /// Its version.
         version: u64,
         /// Its value.
         value: Bytes,
     },
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The watch ended without a change.
     Unchanged,
 }
 
-/// How a conditional update ended.
+/// The result of a conditional write.
 #[derive(Debug)]
 enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Done {
         /// The new version.
         version: u64,
     },
-    /// The object had another version.
+    /// The object has a version other than the expected one.
     Conflict,
 }
 
-/// What a read of the VM list found.
+/// The result of reading the VM list.
 #[derive(Debug)]
 pub enum VmList {
-    /// It is another one.
+    /// The list differs from the known version.
     Changed {
-        /// Its version, where the platform tells one.
+        /// Its version, if the platform reports one.
         version: Option<u64>,
         /// All VMs.
         records: Vec<VmRecord>,
     },
-    /// It is the known one.
+    /// The list still has the known version.
     Unchanged,
 }
 
-/// The client; clones share their connections.
+/// HTTP client for the platform; clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct Platform {
     address: SocketAddr,
@@ -92,7 +92,7 @@
 }
 
 impl Platform {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -100,8 +100,8 @@
         Platform { address, client: Client::builder(TokioExecutor::new()).build(connector) }
     }
 
-    /// Sends a request whose answer must begin within `limit`, and then may take as long as it
-    /// comes on.
+    /// Sends a request. The response must start within `limit`; then it may take any time as long as data
+    /// keeps arriving.
     async fn call(
         &self,
         req: Request<Full<Bytes>>,
@@ -120,7 +120,7 @@
         limit: Duration,
     ) -> Result<Response<Incoming>, PlatformError> {
         let sent = tokio::time::timeout(limit, self.client.request(req)).await;
-        sent.map_err(|_| no_answer(format!("nothing within {limit:?}")))?.map_err(no_answer)
+        sent.map_err(|_| no_answer(format!("no response within {limit:?}")))?.map_err(no_answer)
     }
 
     fn get_request(&self, path: &str) -> Request<Full<Bytes>> {
@@ -134,7 +134,7 @@
         Self::to_read_result(self.call(req, RESPONSE_START_TIMEOUT).await?)
     }
 
-    /// Waits until an object has a higher version than `after`.
+    /// Waits until an object has a version higher than `after`, for a limited time.
     pub async fn watch(&self, key: &str, after: u64) -> Result<ReadResult, PlatformError> {
         let wait = WATCH_WAIT.as_millis();
         let req = self.get_request(&format!("/v1/objects/{key}?after={after}&wait_ms={wait}"));
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Writes an object if it still has version `expected`, 0 for absent. An error
-    /// may mean that it took effect.
+    /// Writes an object if it has version `expected`, where 0 means that it does not exist. The write may
+    /// have taken effect even if an error is returned.
     async fn write(&self, key: &str, expected: u64, value: Vec<u8>) -> Result<WriteOutcome, PlatformError> {
         let uri = format!("http://{}/v1/objects/{key}", self.address);
         let req = Request::put(uri).header("if-match", expected.to_string());
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Reads an object for a decision: version and value, (0, empty) when it is absent,
-    /// `None` when the read failed.
+    /// Reads an object's version and value; they are 0 and empty if it does not exist. Returns `None` when
+    /// the read failed.
     pub async fn read_value(&self, key: &str) -> Option<(u64, Vec<u8>)> {
         match self.read(key).await {
             Ok(ReadResult::Found { version, value }) => Some((version, value.to_vec())),
@@ -173,7 +173,8 @@
         }
     }
 
-    /// Writes an object for a decision, which tells a conflict from a lost answer.
+    /// Writes an object if it has version `expected`. The result distinguishes a conflict from a failure
+    /// after which the write may have taken effect.
     pub async fn write_value(&self, key: &str, expected: u64, value: Vec<u8>) -> WriteResult {
         match self.write(key, expected, value).await {
             Ok(WriteOutcome::Done { version }) => WriteResult::Done { version },
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Reads the VM list if it differs from the one with version `known`. Whole, it is
-    /// by far the largest thing that a node reads; so it is read only when it changed.
+    /// Reads the VM list if its version differs from `known`. The list is by far the largest object that a
+    /// node reads, so it is transferred only when it has changed.
     pub async fn read_vms(&self, known: Option<u64>) -> Result<VmList, PlatformError> {
         let mut req = self.get_request("/v1/vms");
         if let Some(known) = known {
--- a/node/src/readiness.rs
+++ b/node/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the balancer may send requests to this node.
+//! Determines whether the load balancer may send requests to this node.
 
 use leadstage_lib::ids::Timestamp;
 use log::info;
@@ -6,12 +6,11 @@
 use crate::control::Control;
 use crate::shared::Readiness;
 
-/// Works the readiness out anew.
+/// Recomputes the node's readiness.
 ///
-/// A node without a bundle is not ready. One that for longer than the bound has
-/// reached neither the object API nor any peer that should be alive cannot know of a
-/// newer bundle and is not ready either; an outage of the object API alone never
-/// does that.
+/// A node without a bundle is not ready. Neither is a node that, for longer than the bundle's limit, has
+/// reached neither the object API nor any peer that should be alive, as it cannot learn of a newer bundle.
+/// An outage of the object API alone never makes a node unready.
 pub fn update(control: &mut Control) {
     let before = control.shared.readiness();
     let now = control.now();
--- a/node/src/refusal.rs
+++ b/node/src/refusal.rs
@@ -1,5 +1,5 @@
-//! The answer to a request that got no result: the OpenAI error shape with the
-//! numbered code, and `Retry-After` where coming back helps.
+//! The response to a request without a result: an error in the format of the OpenAI API, with the numbered
+//! code, and `Retry-After` where a retry may succeed.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use crate::control_message::NotPlaced;
 
-/// When to come back where nothing better is known.
+/// `Retry-After` of refusals that set no time of their own.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why a request gets no result.
@@ -21,24 +21,24 @@
 pub struct Refusal {
     /// The code.
     pub code: Code,
-    /// When to come back; told only where coming back helps.
+    /// When to retry; sent only if the code advises a retry.
     pub retry_after: Duration,
-    /// What exactly is wrong.
+    /// The error message for the caller.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal with the code's own meaning.
+    /// Creates a refusal with the code's standard message.
     pub fn new(code: Code) -> Self {
         Refusal::with_detail(code, code.meaning())
     }
 
-    /// A refusal that says more.
+    /// Creates a refusal with a specific message.
     pub fn with_detail(code: Code, detail: impl Into<String>) -> Self {
         Refusal { code, retry_after: DEFAULT_RETRY_AFTER, detail: detail.into() }
     }
 
-    /// A refusal that says when to come back.
+    /// Creates a refusal with the code's standard message and a time to retry after.
     pub fn with_retry_after(code: Code, retry_after: Duration) -> Self {
         Refusal { retry_after, ..Refusal::new(code) }
     }
@@ -47,7 +47,7 @@
         self.code.retry_advice() != RetryAdvice::No
     }
 
-    /// The JSON body.
+    /// Returns the JSON body of the response.
     pub fn body(&self, request: u64) -> String {
         let retry_after_ms = self.has_retry_after().then_some(self.retry_after.as_millis() as u64);
         json!({
@@ -64,7 +64,7 @@
         .to_string()
     }
 
-    /// The HTTP response.
+    /// Builds the HTTP response.
     pub fn response(&self, request: u64) -> WebResponse {
         let mut res = json_response(self.code.http_status(), self.body(request), request);
         let headers = res.headers_mut();
@@ -83,7 +83,7 @@
     }
 }
 
-/// A response with a JSON body and the request's id.
+/// Builds a response with a JSON body and the request's id.
 pub fn json_response(status: u16, body: impl Into<Bytes>, request: u64) -> WebResponse {
     let body: Bytes = body.into();
     let mut res = WebResponse::new(ResponseBody::from(body));
@@ -94,7 +94,7 @@
     res
 }
 
-/// A request's id as a header.
+/// Returns a request's id as a header value.
 pub fn id_header(request: u64) -> HeaderValue {
     HeaderValue::try_from(format!("{request:016x}")).expect("hex digits are a valid header")
 }
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The node's settings file.
+//! Reads and validates the node's settings file.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use leadstage_lib::signing::decode_key;
 use serde::Deserialize;
 
-/// Traffic threads at most.
+/// Maximum number of traffic threads.
 const MAX_TRAFFIC_THREADS: usize = 64;
 
-/// The file as written.
+/// The settings file before validation.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct SettingsFile {
@@ -29,29 +29,29 @@
     traffic_threads: Option<usize>,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This VM's id, as in the VM list.
+    /// This VM's id in the VM list.
     pub vm: VmId,
-    /// The hall that it is in.
+    /// The hall of this VM.
     pub hall: HallId,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where health, metrics and status are served.
+    /// Address that serves health, metrics and status.
     pub admin: SocketAddr,
-    /// Where the other nodes connect.
+    /// Address that other nodes connect to.
     pub peer: SocketAddr,
-    /// The platform's object API and VM list.
+    /// Address of the platform's object API and VM list.
     pub platform: SocketAddr,
-    /// Whose sign-offs count, and how many a bundle needs.
+    /// Keys of the operators whose sign-offs count, and how many sign-offs a bundle needs.
     pub trust: Trust,
-    /// Threads for traffic.
+    /// Number of traffic threads.
     pub traffic_threads: usize,
 }
 
 impl Settings {
-    /// Reads and checks a settings file; the error lists every mistake.
+    /// Parses and validates a settings file; the error lists every problem.
     pub fn from_yaml(yaml: &str) -> Result<Settings, Vec<Problem>> {
         let (file, mut problems) = checked_yaml::read::<SettingsFile>(yaml);
         let file = file.unwrap_or_default();
--- a/node/src/shared.rs
+++ b/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes and the traffic threads read.
+//! State shared by the control thread and the traffic threads.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,54 +28,54 @@
 use crate::decision_log::DecisionLog;
 use crate::metrics::Metrics;
 
-/// Whether the balancer may send requests here.
+/// Whether the load balancer may send requests to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// No bundle yet.
+    /// Not ready: the node has no bundle yet.
     NoBundle,
-    /// Yes.
+    /// Ready.
     Ready,
-    /// Neither the object API nor a peer was reached within the bound.
+    /// Not ready: neither the object API nor a peer was reached within the bundle's limit.
     Alone,
-    /// A planned stop has begun.
+    /// Not ready: a planned stop has begun.
     Stopping,
 }
 
-/// An upstream that can be called.
+/// An upstream with its address.
 #[derive(Clone, Debug)]
 pub struct UpstreamAddress {
     /// Its id.
     pub id: UpstreamId,
     /// Its address.
     pub address: SocketAddr,
-    /// The hall that it is in.
+    /// Its hall.
     pub hall: HallId,
     /// The model or service that it serves.
     pub serves: String,
-    /// Whether it may get new work.
+    /// Whether new requests may be sent to it.
     pub usable: bool,
 }
 
 /// All upstreams, by id.
 pub type UpstreamTable = HashMap<UpstreamId, UpstreamAddress>;
 
-/// State between the control thread and the traffic threads.
+/// State shared by the control thread and the traffic threads.
 pub struct Shared {
-    /// This VM.
+    /// The id of this VM.
     pub vm: VmId,
-    /// Its hall.
+    /// The hall of this VM.
     pub hall: HallId,
-    /// To the control thread.
+    /// Sends messages to the control thread.
     pub control: UnboundedSender<ControlMessage>,
-    /// The metrics' instruments.
+    /// The metrics of this node.
     pub metrics: Metrics,
-    /// The last decisions, by request.
+    /// The latest decisions, by request.
     pub decisions: Mutex<DecisionLog>,
-    /// Retries that are left.
+    /// The retry budget.
     pub retries: Mutex<RetryBudget>,
-    /// The planned stop's bound is reached: streams end now.
+    /// Set when the time limit of a planned stop is reached: all streams end.
     pub stop_now: AtomicBool,
-    /// Nothing new is taken.
+    /// Whether new requests are refused.
     closed: AtomicBool,
     in_force: RwLock<Option<BundleInForce>>,
     readiness: RwLock<Readiness>,
@@ -86,7 +86,7 @@
     open_by_organisation: Mutex<HashMap<OrganisationId, u32>>,
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the milliseconds since the Unix epoch.
 pub fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
@@ -97,7 +97,7 @@
 }
 
 impl Shared {
-    /// The state of a node that has just started.
+    /// Creates the state of a node that has just started.
     pub fn new(vm: VmId, hall: HallId, control: UnboundedSender<ControlMessage>, metrics: Metrics) -> Self {
         Shared {
             vm,
@@ -118,17 +118,17 @@
         }
     }
 
-    /// The bundle in force with its envelope.
+    /// Returns the bundle in force with its envelope.
     pub fn in_force(&self) -> Option<BundleInForce> {
         self.in_force.read().expect("no holder panics").clone()
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force.
     pub fn bundle(&self) -> Option<Arc<Bundle>> {
         self.in_force.read().expect("no holder panics").as_ref().map(|f| f.bundle.clone())
     }
 
-    /// Puts a bundle in force; a lower or equal number is not taken.
+    /// Puts a bundle in force if its number is higher than the current one. Returns whether it did.
     pub fn set_in_force(&self, new: BundleInForce) -> bool {
         let mut current = self.in_force.write().expect("no holder panics");
         let newer = current.as_ref().is_none_or(|f| f.bundle.number < new.bundle.number);
@@ -139,12 +139,12 @@
         newer
     }
 
-    /// Whether the balancer may send requests here.
+    /// Returns whether the load balancer may send requests to this node.
     pub fn readiness(&self) -> Readiness {
         *self.readiness.read().expect("no holder panics")
     }
 
-    /// Sets it; a stop is never taken back.
+    /// Sets the readiness. Has no effect after a planned stop has begun.
     pub fn set_readiness(&self, new: Readiness) {
         let mut current = self.readiness.write().expect("no holder panics");
         if *current != Readiness::Stopping {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// All upstreams.
+    /// Returns all upstreams.
     pub fn upstreams(&self) -> Arc<UpstreamTable> {
         self.upstreams.read().expect("no holder panics").clone()
     }
@@ -162,7 +162,7 @@
         *self.upstreams.write().expect("no holder panics") = Arc::new(table);
     }
 
-    /// The latest status.
+    /// Returns the latest status.
     pub fn status(&self) -> NodeStatus {
         self.status.read().expect("no holder panics").clone()
     }
@@ -172,49 +172,50 @@
         *self.status.write().expect("no holder panics") = status;
     }
 
-    /// Counts an event against its objective.
+    /// Counts a good or bad event for its service level objective.
     pub fn observe(&self, indicator: Indicator, good: bool) {
         let minute = unix_millis() / 60_000;
         lock(&self.burn).observe(indicator, good, minute);
     }
 
-    /// The burn counts.
+    /// Returns the counts for the error budgets.
     pub fn burn(&self) -> BurnCounts {
         lock(&self.burn).clone()
     }
 
-    /// Notes a decision for `leadstage explain`.
+    /// Records a decision for `leadstage explain`.
     pub fn note(&self, request: u64, filter: &'static str, what: String) {
         lock(&self.decisions).note(request, unix_millis(), filter, what);
     }
 
-    /// A request came: it adds to the retry budget.
+    /// Called when a request arrives; it adds to the retry budget.
     pub fn on_request(&self) {
         lock(&self.retries).on_request();
     }
 
-    /// Takes a retry from the budget.
+    /// Takes a retry from the budget. Returns whether one was left.
     pub fn take_retry(&self) -> bool {
         lock(&self.retries).take()
     }
 
-    /// The balancer's grace in a planned stop is over: from now on nothing new is taken.
+    /// Refuses new requests from now on. Called in a planned stop after the grace period for the load
+    /// balancer.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Whether nothing new is taken. Whoever takes a request counts it as open first and asks then:
-    /// a stop closes first and looks at the count then, so that one of both sees the other.
+    /// Returns whether new requests are refused. A request is counted as open before this is checked, and a
+    /// stop closes before it reads the count, so that at least one of the two sees the other.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Requests open now.
+    /// Returns the number of open requests.
     pub fn open(&self) -> u32 {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Counts a request as open until the guard is dropped; `None` at a limit.
+    /// Counts a request as open until the guard is dropped. Fails if a limit is reached.
     pub fn open_guard(
         self: &Arc<Self>,
         organisation: &OrganisationId,
@@ -235,16 +236,16 @@
     }
 }
 
-/// Which limit on open requests was reached.
+/// The limit on open requests that was reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenLimit {
-    /// The node's.
+    /// The limit of the node.
     Node,
-    /// The organisation's.
+    /// The limit of the organisation.
     Organisation,
 }
 
-/// Counts one request as open.
+/// Counts one request as open until dropped.
 pub struct OpenGuard {
     shared: Arc<Shared>,
     organisation: OrganisationId,
--- a/node/src/stop.rs
+++ b/node/src/stop.rs
@@ -1,5 +1,5 @@
-//! The planned stop: not ready to the balancer, leads handed over, every stream
-//! finished, then the process ends.
+//! The planned stop of a node: it becomes unready for the load balancer, hands over its leads, finishes every
+//! stream, and then the process ends.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 use crate::control::ControlRef;
 use crate::shared::Readiness;
 
-/// New requests are still taken for this long, until the balancer has noticed.
+/// How long new requests are still accepted, until the load balancer has noticed that the node is unready.
 pub const BALANCER_GRACE: Duration = Duration::from_secs(3);
-/// Time between two looks at whether all is finished.
+/// Interval between checks for remaining work.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for streams that are ended at the bound to send their code.
+/// Time that streams ended at the time limit have to send their error code.
 const ABORT_GRACE: Duration = Duration::from_millis(500);
-/// Time for the last reports and outcomes to be sent.
+/// Time to send the last reports and outcomes.
 const FLUSH_TIME: Duration = Duration::from_millis(400);
-/// The bound where there is no bundle.
+/// Time limit of the stop if there is no bundle.
 const DEFAULT_STOP_BOUND: Duration = Duration::from_secs(5);
 
-/// Waits for SIGTERM or SIGINT and then for all requests to end.
+/// Waits for SIGTERM or SIGINT, then stops the node and waits until all requests have ended or the time
+/// limit is reached.
 pub async fn wait(control: ControlRef) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -37,11 +38,11 @@
     let shared = control.borrow().shared.clone();
     let started = tokio::time::Instant::now();
     tokio::time::sleep(BALANCER_GRACE.min(bound)).await;
-    // Closed before the first look at what is open: a node that looked first and found nothing took
-    // calls while it sent its last reports; of four in those 400 ms it answered none.
+    // Must precede the first check for open requests. Otherwise a node that finds none still accepts calls
+    // while it sends its last reports; it answered none of four calls in those 400 ms.
     shared.close();
     if tokio::time::timeout_at(started + bound, wait_for_requests(&control)).await.is_err() {
-        warn!(event = "stop_bound", open = shared.open(); "streams are ended at the bound");
+        warn!(event = "stop_bound", open = shared.open(); "stop time limit reached; ending all streams");
         shared.stop_now.store(true, Ordering::Relaxed);
         tokio::time::sleep(ABORT_GRACE).await;
     }
@@ -50,7 +51,7 @@
     Ok(())
 }
 
-/// Waits until no request is open and nobody waits for this VM.
+/// Waits until no request is open and no other node waits for this one.
 async fn wait_for_requests(control: &ControlRef) {
     let shared = control.borrow().shared.clone();
     while shared.open() > 0 || has_pending_work(control) {
@@ -58,7 +59,8 @@
     }
 }
 
-/// Others wait for what this VM leads, or outcomes are not recorded yet.
+/// Returns whether requests of other nodes wait in the pools that this VM leads, or outcomes are not
+/// recorded yet.
 fn has_pending_work(control: &ControlRef) -> bool {
     let control = control.borrow();
     let queued = control.leads.pools.iter().any(|(_, led)| led.waiting() > 0);
@@ -66,7 +68,7 @@
 }
 
 fn begin_stop(control: &ControlRef) {
-    info!(event = "stopping"; "a planned stop begins");
+    info!(event = "stopping"; "planned stop begins");
     let mut control = control.borrow_mut();
     control.shared.set_readiness(Readiness::Stopping);
     control.membership.leave();
--- a/node/src/traffic.rs
+++ b/node/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The callers' port: takes each request through the filters.
+//! Serves the port for callers and passes each request through the filters.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,16 +32,16 @@
 use crate::shared::OpenGuard;
 use crate::shared::Shared;
 
-/// An idle connection of a caller is closed after this.
+/// Time after which an idle connection of a caller is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
-/// Time for a request's head to arrive.
+/// Timeout for receiving the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of a request's head and of unread body at most, per connection.
+/// Read buffer of a connection: the limit of a request's head and of the buffered part of its body.
 const READ_BUF_BYTES: usize = 64 << 10;
-/// Headers of a request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// A request's head, taken out of the server's context.
+/// The head of a request, copied from the server's context.
 struct Head {
     method: Method,
     path: String,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Answers a request. Its body is taken when it is read: a refusal may leave it.
+/// Answers a request. `body` is taken when it is read; after a refusal it may still be unread.
 async fn answer(shared: &Arc<Shared>, head: Head, body: &mut RequestBody) -> Result<WebResponse, Refusal> {
     let cx = authenticate::authenticate(shared, &head.headers)?;
     let routed = route::route(&cx, &head.method, &head.path, &head.headers)?;
--- a/node/src/upstream_client.rs
+++ b/node/src/upstream_client.rs
@@ -1,5 +1,4 @@
-//! The HTTP client of a traffic thread, one for each, so that no connection is shared
-//! between threads.
+//! The HTTP client of the traffic threads. Each thread has its own, so that threads share no connections.
 
 use std::cell::OnceCell;
 use std::time::Duration;
@@ -14,12 +13,12 @@
 use hyper_util::rt::TokioExecutor;
 use hyper_util::rt::TokioTimer;
 
-/// Time for a connection to an upstream.
+/// Timeout for connecting to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// An unused connection is closed after this.
+/// Time after which an unused connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes read from an upstream at once; a token's event has about 200.
+/// Size of the read buffer of a connection; the event of a token has about 200 bytes.
 const READ_BUF_BYTES: usize = 2_048;
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
@@ -28,14 +27,14 @@
     static CLIENT: OnceCell<HttpClient> = const { OnceCell::new() };
 }
 
-/// Why an upstream gave no answer.
+/// Why a request to an upstream got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection: not a byte of the request reached it.
+    /// The connection failed: no byte of the request reached the upstream.
     NotSent,
-    /// The request may have reached it.
+    /// The request failed later; it may have reached the upstream.
     MayHaveRun,
-    /// Nothing came back in time; the request may have reached it.
+    /// The response timed out; the request may have reached the upstream.
     TimedOut,
 }
 
@@ -55,7 +54,7 @@
     })
 }
 
-/// Sends a request and waits `limit` for the head of the answer.
+/// Sends a request and waits up to `limit` for the head of the response.
 pub async fn send(req: Request<Full<Bytes>>, limit: Duration) -> Result<Response<Incoming>, SendError> {
     match tokio::time::timeout(limit, client().request(req)).await {
         Ok(Ok(res)) => Ok(res),
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversions between the Cap'n Proto messages and the types of the decisions.
+//! Conversions between Cap'n Proto messages and the node's own types.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -17,25 +17,25 @@
 use crate::entry_book::Line;
 use crate::leads::PoolKey;
 
-/// What travels on probes.
+/// The gossip that probes and their responses carry.
 #[derive(Clone, Debug)]
 pub struct Gossip {
-    /// The sender.
+    /// The sending VM.
     pub from: VmId,
-    /// News of VMs.
+    /// Membership updates.
     pub news: Vec<MemberUpdate>,
-    /// The sender's bundle, 0 for none.
+    /// The number of the sender's bundle, 0 if it has none.
     pub bundle: BundleNumber,
-    /// Upstreams that the sender knows to be leaving.
+    /// Upstreams that are leaving, as far as the sender knows.
     pub leaving: Vec<UpstreamId>,
 }
 
-/// Reads a text as UTF-8.
+/// Reads a text field as UTF-8.
 pub fn text(reader: capnp::text::Reader<'_>) -> Result<&str, capnp::Error> {
     reader.to_str().map_err(|err| capnp::Error::failed(err.to_string()))
 }
 
-/// Writes a request for an engine.
+/// Writes a placement request.
 pub fn write_place_request(
     mut to: peer_capnp::place_request::Builder<'_>,
     key: &PoolKey,
@@ -52,7 +52,7 @@
     to.set_entry(&*request.entry);
 }
 
-/// Reads a request for an engine.
+/// Reads a placement request.
 pub fn read_place_request(
     from: peer_capnp::place_request::Reader<'_>,
 ) -> Result<(PoolKey, PlaceRequest), capnp::Error> {
@@ -69,7 +69,7 @@
     Ok((key, request))
 }
 
-/// Writes a line of a report.
+/// Writes the entry of one generation in a progress report.
 pub fn write_progress(mut to: peer_capnp::progress::Builder<'_>, line: &Line) {
     let request = &line.running.request;
     to.set_generation(request.generation);
@@ -94,7 +94,7 @@
     to.set_prefix(request.prefix);
 }
 
-/// Reads a line of a report by `entry` on a pool.
+/// Reads the entry of one generation in a progress report by the entry node `entry` on a pool.
 pub fn read_progress(
     from: peer_capnp::progress::Reader<'_>,
     entry: &VmId,
@@ -126,7 +126,7 @@
     Ok(Line { running, tokens: from.get_tokens(), ended, brief: from.get_brief() })
 }
 
-/// Writes gossip.
+/// Writes a gossip message.
 pub fn write_gossip(mut to: peer_capnp::gossip::Builder<'_>, gossip: &Gossip) {
     to.set_from(&*gossip.from);
     to.set_bundle_number(gossip.bundle);
@@ -148,7 +148,7 @@
     }
 }
 
-/// Reads gossip.
+/// Reads a gossip message.
 pub fn read_gossip(from: peer_capnp::gossip::Reader<'_>) -> Result<Gossip, capnp::Error> {
     let mut news = Vec::new();
     for item in from.get_news()? {
