--- a/node/src/filters/limit.rs
+++ b/node/src/filters/limit.rs
@@ -66,9 +66,7 @@
     let mut buf = BytesMut::new();
     let mut read: usize = 0;
     while let Some(chunk) = body.as_mut().data().await {
-        let chunk = chunk.map_err(|_| {
-            Refusal::with_detail(Code::BadRequest, "the connection broke while the body was read")
-        })?;
+        let chunk = chunk.map_err(|_| Refusal::with_detail(Code::BadRequest, "the body is incomplete"))?;
         read += chunk.len();
         if read <= most {
             buf.extend_from_slice(&chunk);
