--- a/cli/src/args.rs
+++ b/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,16 +7,16 @@
 
 use crate::error::CliError;
 
-/// Where a side of a comparison comes from.
+/// Where one of the two bundles of a comparison is read from.
 #[derive(Debug)]
-pub enum Side {
-    /// A bundle's file.
+pub enum BundleSource {
+    /// A bundle file.
     File(PathBuf),
-    /// The accepted bundle.
+    /// The accepted bundle, from the object API at this address.
     Accepted(SocketAddr),
 }
 
-/// The help texts.
+/// The full help text.
 pub const HELP: &str = "\
 leadstage: the operators' command
 
@@ -59,78 +59,80 @@
 3 the roll-out was overtaken by another one, 4 the roll-out's outcome is not known.
 ";
 
-/// The help of the command that `words` begin: its lines of the whole text, or all of it.
-fn help(words: &[&str]) -> String {
-    let command = words.join(" ");
+/// The lines of the help text about the command that starts with `positional`, or the full text if there are
+/// none.
+fn help_text(positional: &[&str]) -> String {
+    let command = positional.join(" ");
     let usage = format!("leadstage {command}");
-    let is_its = |line: &&str| line.trim_start().starts_with(&usage) || line.starts_with(&command);
-    let own: Vec<&str> = HELP.lines().filter(is_its).collect();
-    if words.is_empty() || own.is_empty() {
+    let belongs_to_command =
+        |line: &&str| line.trim_start().starts_with(&usage) || line.starts_with(&command);
+    let lines: Vec<&str> = HELP.lines().filter(belongs_to_command).collect();
+    if positional.is_empty() || lines.is_empty() {
         return HELP.to_owned();
     }
-    format!("{}\n\nSee `leadstage --help` for the options and exit codes.\n", own.join("\n"))
+    format!("{}\n\nSee `leadstage --help` for the options and exit codes.\n", lines.join("\n"))
 }
 
-/// How to print.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// For programs.
+    /// JSON.
     Json,
 }
 
-/// What to do.
+/// A parsed command.
 #[derive(Debug)]
 pub enum Command {
-    /// Print a text.
+    /// Print this text.
     Print(String),
-    /// Check a bundle.
+    /// Check a bundle file.
     Check(PathBuf),
-    /// Sign a bundle.
+    /// Sign a bundle file.
     Sign {
-        /// The bundle.
+        /// The bundle file.
         bundle: PathBuf,
-        /// The signing key's file.
+        /// The file with the signing key.
         key: PathBuf,
-        /// Who signs.
+        /// Name of the signing operator.
         operator: String,
-        /// The envelope to add to.
+        /// The envelope file that receives the signature; created if absent.
         envelope: PathBuf,
     },
-    /// Roll an envelope out.
+    /// Roll out an envelope.
     RollOut {
-        /// The envelope.
+        /// The envelope file.
         envelope: PathBuf,
-        /// The object API.
+        /// Address of the object API.
         platform: SocketAddr,
-        /// Who rolls it out, if not the first signer.
+        /// Name of the operator who rolls it out, if not the first signer.
         operator: Option<String>,
     },
     /// Show the accepted bundle.
     Show(SocketAddr),
     /// Compare two bundles.
-    Diff(Side, Side),
-    /// Make a signing key.
+    Diff(BundleSource, BundleSource),
+    /// Create a signing key in this file.
     NewKey(PathBuf),
-    /// Show the nodes' status.
+    /// Show the status of nodes.
     Status(Vec<SocketAddr>),
-    /// Explain a request.
+    /// Show the decisions about the request with this ID, from the nodes' admin ports.
     Explain(String, Vec<SocketAddr>),
-    /// Explain a gateway's request from logs.
+    /// Show the log lines about the gateway request with this ID.
     ExplainLogs(String, Vec<PathBuf>),
-    /// Report what became of a gateway's streams, from logs.
+    /// Report the outcomes of a gateway's streams from logs, with an optional plot file.
     Losses(Vec<PathBuf>, Option<PathBuf>),
-    /// Report how changes spread among a gateway's nodes, from logs.
+    /// Report how changes propagate among a gateway's nodes from logs, with an optional plot file.
     Fleet(Vec<PathBuf>, Option<PathBuf>),
-    /// Report the burn.
+    /// Report the burn rate of the error budgets, with an optional plot file.
     Burn(Vec<SocketAddr>, Option<PathBuf>),
 }
 
 #[derive(Default)]
 struct Options {
-    words: Vec<String>,
+    positional: Vec<String>,
     nodes: Vec<SocketAddr>,
     logs: Vec<PathBuf>,
     platform: Option<SocketAddr>,
@@ -144,18 +146,18 @@
     help: bool,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 pub fn parse(parser: lexopt::Parser) -> Result<(Command, Format), CliError> {
-    let options = read(parser)?;
+    let options = parse_options(parser)?;
     let format = options.format;
-    Ok((command(options)?, format))
+    Ok((build_command(options)?, format))
 }
 
-fn read(mut args: lexopt::Parser) -> Result<Options, CliError> {
+fn parse_options(mut args: lexopt::Parser) -> Result<Options, CliError> {
     let mut options = Options::default();
     while let Some(arg) = args.next()? {
         match arg {
-            Value(word) => options.words.push(word.string()?),
+            Value(argument) => options.positional.push(argument.string()?),
             Long("node") => options.nodes.push(args.value()?.parse()?),
             Long("logs") => options.logs.push(args.value()?.into()),
             Long("platform") => options.platform = Some(args.value()?.parse()?),
@@ -183,20 +185,20 @@
     Ok(options)
 }
 
-fn command(options: Options) -> Result<Command, CliError> {
+fn build_command(options: Options) -> Result<Command, CliError> {
     if let Some(text) = options.print {
         return Ok(Command::Print(text));
     }
-    let words: Vec<&str> = options.words.iter().map(String::as_str).collect();
+    let positional: Vec<&str> = options.positional.iter().map(String::as_str).collect();
     if options.help {
-        return Ok(Command::Print(help(&words)));
+        return Ok(Command::Print(help_text(&positional)));
     }
     let platform = || options.platform.ok_or(CliError::Missing("--platform IP:PORT"));
     let nodes = || match options.nodes.is_empty() {
         true => Err(CliError::Missing("--node IP:PORT")),
         false => Ok(options.nodes.clone()),
     };
-    match words[..] {
+    match positional[..] {
         ["bundle", "check", file] => Ok(Command::Check(file.into())),
         ["bundle", "sign", file] => Ok(Command::Sign {
             bundle: file.into(),
@@ -210,8 +212,12 @@
             operator: options.operator,
         }),
         ["bundle", "show"] => Ok(Command::Show(platform()?)),
-        ["bundle", "diff", old, new] => Ok(Command::Diff(Side::File(old.into()), Side::File(new.into()))),
-        ["bundle", "diff", new] => Ok(Command::Diff(Side::Accepted(platform()?), Side::File(new.into()))),
+        ["bundle", "diff", old, new] => {
+            Ok(Command::Diff(BundleSource::File(old.into()), BundleSource::File(new.into())))
+        }
+        ["bundle", "diff", new] => {
+            Ok(Command::Diff(BundleSource::Accepted(platform()?), BundleSource::File(new.into())))
+        }
         ["keys", "new"] => Ok(Command::NewKey(options.out.ok_or(CliError::Missing("--out FILE"))?)),
         ["status"] => Ok(Command::Status(nodes()?)),
         ["explain", id] if !options.logs.is_empty() => {
@@ -219,19 +225,19 @@
         }
         ["explain", id] => Ok(Command::Explain(id.to_owned(), nodes()?)),
         ["report", "losses", ref files @ ..] => {
-            Ok(Command::Losses(logs(&options.logs, files)?, options.plot.clone()))
+            Ok(Command::Losses(log_files(&options.logs, files)?, options.plot.clone()))
         }
         ["report", "fleet", ref files @ ..] => {
-            Ok(Command::Fleet(logs(&options.logs, files)?, options.plot.clone()))
+            Ok(Command::Fleet(log_files(&options.logs, files)?, options.plot.clone()))
         }
         ["report", "burn"] => Ok(Command::Burn(nodes()?, options.plot.clone())),
         [] => Err(CliError::Missing("a command")),
-        _ => Err(lexopt::Error::from(format!("unknown command: {}", words.join(" "))).into()),
+        _ => Err(lexopt::Error::from(format!("unknown command: {}", positional.join(" "))).into()),
     }
 }
 
-/// The log files, named by an option or not; at least one.
-fn logs(named: &[PathBuf], files: &[&str]) -> Result<Vec<PathBuf>, CliError> {
+/// Collects the log files named by `--logs` and as positional arguments; fails if there are none.
+fn log_files(named: &[PathBuf], files: &[&str]) -> Result<Vec<PathBuf>, CliError> {
     let logs: Vec<PathBuf> = named.iter().cloned().chain(files.iter().map(PathBuf::from)).collect();
     if logs.is_empty() { Err(CliError::Missing("FILE")) } else { Ok(logs) }
 }
--- a/node/src/call.rs
+++ b/node/src/call.rs
@@ -1,5 +1,5 @@
-//! A plain call: claimed if it may not repeat and has a key, sent to a replica, and
-//! answered as done, not run, or unknown.
+//! Runs a plain call: claims its idempotency key if it has one and is not repeatable, sends it to a
+//! replica, and answers with its result, or with a code for a call that did not run or may have run.
 
 use std::sync::Arc;
 
@@ -23,46 +23,46 @@
 use crate::filters::claim::ClaimResult;
 use crate::filters::claim::OwnedKey;
 use crate::filters::dispatch;
-use crate::filters::dispatch::CallAnswer;
+use crate::filters::dispatch::CallResponse;
 use crate::refusal::Refusal;
 use crate::refusal::json_response;
 use crate::shared::Shared;
 use crate::shared::UpstreamAddress;
 use crate::upstream_client::SendError;
 
-/// Replicas tried at most for one call.
-const MAX_TRIES: u32 = 3;
-/// Request headers that are passed on.
-const PASSED_HEADERS: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
+/// Replicas that one call is sent to at most.
+const MAX_ATTEMPTS: u32 = 3;
+/// Request headers that are forwarded to the replica.
+const FORWARDED_HEADERS: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
 
-/// A plain call with all that was read of it.
+/// A plain call, read completely.
 #[derive(Debug)]
 pub struct PlainCall {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query as the caller sent them.
     pub path_and_query: String,
-    /// Its headers.
+    /// The request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
-    /// The bundle's route.
+    /// The route of the bundle that matches the path.
     pub route: Route,
-    /// Whether it may be sent again.
+    /// Whether it may be sent again after it may have run.
     pub repeatable: bool,
     /// The caller's `Idempotency-Key`.
     pub key: Option<String>,
 }
 
-/// How sending a call to replicas ended.
-enum Sent {
-    Answered(CallAnswer),
+/// The result of sending a call to replicas.
+enum SendOutcome {
+    Answered(CallResponse),
     NotRun(Code),
     Unknown(Code),
 }
 
-/// Carries a plain call out.
-pub async fn carry_out(
+/// Runs a plain call and returns its response.
+pub async fn execute(
     shared: &Arc<Shared>,
     cx: &Authenticated,
     call: &PlainCall,
@@ -74,25 +74,25 @@
         None => None,
         Some(key) => match claim::claim(shared, &cx.organisation.id, key, &digest(call)).await? {
             ClaimResult::Owned(owned) => Some(owned),
-            ClaimResult::Earlier(outcome) => {
+            ClaimResult::Recorded(outcome) => {
                 account.note("claim", format!("the key has outcome {}", outcome.code));
-                return Ok(earlier(outcome, account, request));
+                return Ok(replay(outcome, account, request));
             }
         },
     };
     let sent = send(shared, cx, call, account).await;
     match sent {
-        Sent::Answered(answer) => {
+        SendOutcome::Answered(answer) => {
             account.on_answer(Code::Done);
             account.on_call();
-            record(owned, kept(&answer));
+            record(owned, recorded_outcome(&answer));
             Ok(respond(answer, request))
         }
-        Sent::NotRun(code) => {
+        SendOutcome::NotRun(code) => {
             record(owned, ClaimOutcome::not_run(code));
             Err(Refusal::new(code))
         }
-        Sent::Unknown(code) => {
+        SendOutcome::Unknown(code) => {
             let unknown = ClaimOutcome { status: code.http_status(), ..ClaimOutcome::not_run(code) };
             record(owned, unknown);
             Err(Refusal::new(code))
@@ -111,7 +111,7 @@
     sha256_hex(&[head.as_bytes(), &call.body].concat())
 }
 
-fn kept(answer: &CallAnswer) -> ClaimOutcome {
+fn recorded_outcome(answer: &CallResponse) -> ClaimOutcome {
     ClaimOutcome {
         code: Code::Done.number(),
         status: answer.status,
@@ -120,21 +120,22 @@
     }
 }
 
-/// The recorded outcome of an earlier arrival of the key.
-fn earlier(outcome: ClaimOutcome, account: &mut Account, request: u64) -> WebResponse {
+/// Builds the response from the outcome recorded by an earlier request with the same key.
+fn replay(outcome: ClaimOutcome, account: &mut Account, request: u64) -> WebResponse {
     let code = Code::from_number(outcome.code).unwrap_or(Code::UpstreamLost);
     account.on_answer(code);
     if code != Code::Done {
         return Refusal::new(code).response(request);
     }
     let body = outcome.body.unwrap_or_default();
-    let answer = CallAnswer { status: outcome.status, content_type: outcome.content_type, body: body.into() };
+    let answer =
+        CallResponse { status: outcome.status, content_type: outcome.content_type, body: body.into() };
     let mut res = respond(answer, request);
     res.headers_mut().insert("idempotency-replayed", http::HeaderValue::from_static("true"));
     res
 }
 
-fn respond(answer: CallAnswer, request: u64) -> WebResponse {
+fn respond(answer: CallResponse, request: u64) -> WebResponse {
     let mut res = json_response(answer.status, answer.body, request);
     if let Ok(value) = http::HeaderValue::try_from(answer.content_type) {
         res.headers_mut().insert("content-type", value);
@@ -142,49 +143,49 @@
     res
 }
 
-/// Sends the call to a replica. It goes to another one only if not a byte of it reached
-/// the first, or if it may be repeated; both within the retry budget.
-async fn send(shared: &Arc<Shared>, cx: &Authenticated, call: &PlainCall, account: &Account) -> Sent {
+/// Sends the call to a replica. Retries on another one only if no byte of it reached the first, or if it
+/// is repeatable; both within the retry budget.
+async fn send(shared: &Arc<Shared>, cx: &Authenticated, call: &PlainCall, account: &Account) -> SendOutcome {
     let mut tried: Vec<UpstreamAddress> = Vec::new();
-    let mut last = Sent::NotRun(Code::NoUpstream);
+    let mut last = SendOutcome::NotRun(Code::NoUpstream);
     let mut lost = 0;
-    for _ in 0..MAX_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         if !tried.is_empty() && !shared.take_retry() {
             return last;
         }
-        let Some(replica) = choose(shared, call, &tried) else {
+        let Some(replica) = choose_replica(shared, call, &tried) else {
             return last;
         };
         account.note("dispatch", format!("{} {} to {}", call.method, call.route.service, replica.id));
         let Some(request) = request_for(call, &replica) else {
-            return Sent::NotRun(Code::BadHeader);
+            return SendOutcome::NotRun(Code::BadHeader);
         };
         match dispatch::call(request, cx.bundle.bounds.call_within).await {
-            Ok(answer) => return Sent::Answered(answer),
+            Ok(answer) => return SendOutcome::Answered(answer),
             Err(SendError::NotSent) => {
                 let _ = shared.control.send(ControlMessage::UpstreamFailed(replica.id.clone()));
-                if !matches!(last, Sent::Unknown(_)) {
-                    last = Sent::NotRun(Code::UpstreamRefused);
+                if !matches!(last, SendOutcome::Unknown(_)) {
+                    last = SendOutcome::NotRun(Code::UpstreamRefused);
                 }
             }
             Err(SendError::MayHaveRun) if call.repeatable => {
-                last = Sent::Unknown(Code::UpstreamLost);
+                last = SendOutcome::Unknown(Code::UpstreamLost);
                 lost += 1;
                 if !loss_limit::may_retry_after_loss(0, lost) {
                     return last;
                 }
             }
-            Err(SendError::TimedOut) if call.repeatable => last = Sent::Unknown(Code::UpstreamTimeout),
-            Err(SendError::MayHaveRun) => return Sent::Unknown(Code::UpstreamLost),
-            Err(SendError::TimedOut) => return Sent::Unknown(Code::UpstreamTimeout),
+            Err(SendError::TimedOut) if call.repeatable => last = SendOutcome::Unknown(Code::UpstreamTimeout),
+            Err(SendError::MayHaveRun) => return SendOutcome::Unknown(Code::UpstreamLost),
+            Err(SendError::TimedOut) => return SendOutcome::Unknown(Code::UpstreamTimeout),
         }
         tried.push(replica);
     }
     last
 }
 
-/// A usable replica that was not tried, in this hall if there is one.
-fn choose(shared: &Shared, call: &PlainCall, tried: &[UpstreamAddress]) -> Option<UpstreamAddress> {
+/// Chooses a usable replica that has not been tried, in this node's hall if there is one.
+fn choose_replica(shared: &Shared, call: &PlainCall, tried: &[UpstreamAddress]) -> Option<UpstreamAddress> {
     let table = shared.upstreams();
     let was_tried = |id: &str| tried.iter().any(|t| &*t.id == id);
     let usable: Vec<&UpstreamAddress> = table
@@ -199,7 +200,7 @@
 fn request_for(call: &PlainCall, replica: &UpstreamAddress) -> Option<Request<Full<Bytes>>> {
     let uri = format!("http://{}{}", replica.address, call.path_and_query);
     let mut request = Request::builder().method(call.method.clone()).uri(uri);
-    for name in PASSED_HEADERS {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = call.headers.get(name) {
             request = request.header(name, value.clone());
         }
--- a/node/src/claim_driver.rs
+++ b/node/src/claim_driver.rs
@@ -1,5 +1,5 @@
-//! Drives [`leadstage_lib::claims`]: claims go to the shard's preferred writer, which
-//! commits many of them in one conditional update; without it an entry writes itself.
+//! Drives [`leadstage_lib::claims`]: sends each claim to the shard's preferred writer, which commits many
+//! claims in one conditional update. An entry that cannot reach that writer writes the shard itself.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,48 +23,48 @@
 
 use crate::control::Control;
 use crate::control::ControlRef;
-use crate::control_message::Claimed;
+use crate::control_message::ClaimDecision;
 use crate::peers;
 use crate::peers::RemoteClaim;
 use crate::shared::unix_millis;
 
-/// A claim or record that is not settled by then is answered "unreachable".
-const PATIENCE: Duration = Duration::from_millis(1_200);
-/// When to come back if the object API cannot be reached.
+/// A claim or record that is not settled within this time is answered "unreachable".
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// `Retry-After` when the object API cannot be reached.
 const PLATFORM_RETRY: Duration = Duration::from_secs(5);
-/// When to come back if a shard is full, or a claim is in progress.
+/// `Retry-After` when a shard is full or a claim is in progress.
 const BUSY_RETRY: Duration = Duration::from_secs(2);
-/// Tries to record an outcome.
-const RECORD_TRIES: u32 = 5;
-/// Pause between them.
-const RECORD_PAUSE: Duration = Duration::from_millis(1_000);
+/// Attempts to record an outcome before it is abandoned.
+const MAX_RECORD_ATTEMPTS: u32 = 5;
+/// Pause between two attempts to record an outcome.
+const RECORD_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
 struct Shard {
     writer: ClaimWriter,
     replies: HashMap<Ticket, oneshot::Sender<ClaimVerdict>>,
 }
 
-/// The shards that this VM writes.
+/// The claim shards that this VM writes.
 #[derive(Default)]
 pub struct ClaimShards {
     shards: HashMap<u32, Shard>,
     bounds: Bounds,
-    tickets: Ticket,
+    last_ticket: Ticket,
 }
 
 impl ClaimShards {
-    /// Another bundle is in force; writers are made anew, waiting requests are answered
-    /// "unreachable" by the drop of their replies.
+    /// Applies the bounds of a new bundle. If the bounds of claims changed, all writers are dropped and
+    /// created again on demand; requests that wait are answered "unreachable" as their reply channels close.
     pub fn set_bounds(&mut self, bounds: &Bounds) {
-        let same =
+        let claims_unchanged =
             bounds.claim_commit == self.bounds.claim_commit && bounds.claims_kept == self.bounds.claims_kept;
         self.bounds = bounds.clone();
-        if !same {
+        if !claims_unchanged {
             self.shards.clear();
         }
     }
 
-    /// Claims and outcomes that wait for a write.
+    /// The number of claims and outcomes that wait for a write.
     pub fn waiting(&self) -> usize {
         self.shards.values().map(|s| s.writer.waiting()).sum()
     }
@@ -72,14 +72,14 @@
     fn shard(&mut self, shard: u32) -> &mut Shard {
         let (commit, kept) = (self.bounds.claim_commit, self.bounds.claims_kept);
         self.shards.entry(shard).or_insert_with(|| Shard {
-            writer: ClaimWriter::new(commit, kept, PATIENCE),
+            writer: ClaimWriter::new(commit, kept, SETTLE_TIMEOUT),
             replies: HashMap::new(),
         })
     }
 }
 
-/// Claims a key for an arrival at this VM.
-pub async fn claim(control: &ControlRef, key: String, nonce: Nonce, digest: String) -> Claimed {
+/// Claims a key for a request that arrived at this VM.
+pub async fn claim(control: &ControlRef, key: String, nonce: Nonce, digest: String) -> ClaimDecision {
     let shard = claims::shard_of(&key, control.borrow().claims.bounds.claim_shards);
     let writer = preferred_writer(&control.borrow(), shard);
     if let Some(writer) = writer {
@@ -92,20 +92,27 @@
     claim_here(control, shard, key, ClaimRequest::Claim { nonce, by, digest }).await
 }
 
-/// Claims a key in a shard that this VM writes, for an arrival here or at a peer.
-pub async fn claim_here(control: &ControlRef, shard: u32, key: String, request: ClaimRequest) -> Claimed {
-    match ask(control, shard, key, request).await {
-        ClaimVerdict::Claimed | ClaimVerdict::Recorded => Claimed::Owned,
-        ClaimVerdict::Known { outcome: Some(outcome), .. } => Claimed::Outcome(outcome),
+/// Claims a key in a shard that this VM writes, for a request that arrived here or at a peer.
+pub async fn claim_here(
+    control: &ControlRef,
+    shard: u32,
+    key: String,
+    request: ClaimRequest,
+) -> ClaimDecision {
+    match submit_and_wait(control, shard, key, request).await {
+        ClaimVerdict::Claimed | ClaimVerdict::Recorded => ClaimDecision::Owned,
+        ClaimVerdict::Known { outcome: Some(outcome), .. } => ClaimDecision::Outcome(outcome),
         ClaimVerdict::Known { by, outcome: None } => {
             let code =
                 if is_alive(&control.borrow(), &by) { Code::KeyInProgress } else { Code::ClaimantLost };
-            Claimed::Refused { code, retry_after: BUSY_RETRY }
+            ClaimDecision::Refused { code, retry_after: BUSY_RETRY }
+        }
+        ClaimVerdict::KeyReused => {
+            ClaimDecision::Refused { code: Code::KeyReused, retry_after: Duration::ZERO }
         }
-        ClaimVerdict::KeyReused => Claimed::Refused { code: Code::KeyReused, retry_after: Duration::ZERO },
-        ClaimVerdict::Full => Claimed::Refused { code: Code::ClaimShardFull, retry_after: BUSY_RETRY },
+        ClaimVerdict::Full => ClaimDecision::Refused { code: Code::ClaimShardFull, retry_after: BUSY_RETRY },
         ClaimVerdict::Unreachable | ClaimVerdict::NotOwned => {
-            Claimed::Refused { code: Code::PlatformDown, retry_after: PLATFORM_RETRY }
+            ClaimDecision::Refused { code: Code::PlatformDown, retry_after: PLATFORM_RETRY }
         }
     }
 }
@@ -114,7 +121,8 @@
     *vm == control.settings.vm || control.membership.liveness(vm) == Some(Liveness::Alive)
 }
 
-/// The live VM that writes a shard, so that writers rarely conflict; `None` for this one.
+/// The live VM that should write a shard, or `None` if it is this VM. As all VMs prefer the same writer,
+/// conditional updates rarely conflict.
 fn preferred_writer(control: &Control, shard: u32) -> Option<VmId> {
     let name = claims::object_key(shard);
     let own = &control.settings.vm;
@@ -123,10 +131,10 @@
     (writer != own).then(|| writer.clone())
 }
 
-/// Records an outcome for an arrival at this VM; tries again for a while.
+/// Records the outcome of a request that arrived at this VM. Makes up to `MAX_RECORD_ATTEMPTS` attempts.
 pub async fn record(control: ControlRef, key: String, nonce: Nonce, outcome: ClaimOutcome) {
     let shard = claims::shard_of(&key, control.borrow().claims.bounds.claim_shards);
-    for _ in 0..RECORD_TRIES {
+    for _ in 0..MAX_RECORD_ATTEMPTS {
         let writer = preferred_writer(&control.borrow(), shard);
         if let Some(writer) = writer
             && peers::record(&control, &writer, shard, &key, nonce, &outcome).await.is_ok()
@@ -136,12 +144,12 @@
         if record_here(&control, shard, key.clone(), nonce, outcome.clone()).await {
             return;
         }
-        tokio::time::sleep(RECORD_PAUSE).await;
+        tokio::time::sleep(RECORD_RETRY_PAUSE).await;
     }
-    warn!(event = "outcome_not_recorded", code = outcome.code; "a later arrival of the key learns only that it was claimed");
+    warn!(event = "outcome_not_recorded", code = outcome.code; "outcome not recorded; a later request with the key learns only that it was claimed");
 }
 
-/// Records an outcome in a shard that this VM writes; false when it should be tried again.
+/// Records an outcome in a shard that this VM writes. Returns false if the caller should retry.
 pub async fn record_here(
     control: &ControlRef,
     shard: u32,
@@ -149,26 +157,31 @@
     nonce: Nonce,
     outcome: ClaimOutcome,
 ) -> bool {
-    let verdict = ask(control, shard, key, ClaimRequest::Record { nonce, outcome }).await;
+    let verdict = submit_and_wait(control, shard, key, ClaimRequest::Record { nonce, outcome }).await;
     matches!(verdict, ClaimVerdict::Recorded | ClaimVerdict::NotOwned)
 }
 
-async fn ask(control: &ControlRef, shard: u32, key: String, request: ClaimRequest) -> ClaimVerdict {
+async fn submit_and_wait(
+    control: &ControlRef,
+    shard: u32,
+    key: String,
+    request: ClaimRequest,
+) -> ClaimVerdict {
     let (reply, rx) = oneshot::channel();
     {
         let mut control = control.borrow_mut();
         let now = control.now();
-        control.claims.tickets += 1;
-        let ticket = control.claims.tickets;
+        control.claims.last_ticket += 1;
+        let ticket = control.claims.last_ticket;
         let shard = control.claims.shard(shard);
         shard.replies.insert(ticket, reply);
         shard.writer.submit(ticket, key, request, now);
     }
-    pump(control, shard);
+    advance_shard(control, shard);
     rx.await.unwrap_or(ClaimVerdict::Unreachable)
 }
 
-/// Moves on the shards that wait for their commit interval.
+/// Advances the shards that have requests waiting for the commit interval.
 pub fn tick(control: &ControlRef) {
     let waiting: Vec<u32> = {
         let control = control.borrow();
@@ -176,20 +189,20 @@
         shards.filter(|(_, s)| s.writer.waiting() > 0).map(|(id, _)| *id).collect()
     };
     for shard in waiting {
-        pump(control, shard);
+        advance_shard(control, shard);
     }
 }
 
-fn pump(control: &ControlRef, shard: u32) {
+fn advance_shard(control: &ControlRef, shard: u32) {
     let actions = {
         let mut control = control.borrow_mut();
         let now = control.now();
         control.claims.shard(shard).writer.advance(now, unix_millis())
     };
-    carry_out(control, shard, actions);
+    execute_actions(control, shard, actions);
 }
 
-fn carry_out(control: &ControlRef, shard: u32, actions: Vec<ClaimAction>) {
+fn execute_actions(control: &ControlRef, shard: u32, actions: Vec<ClaimAction>) {
     for action in actions {
         match action {
             ClaimAction::Read => _ = tokio::task::spawn_local(read(control.clone(), shard)),
@@ -215,8 +228,8 @@
         let now = control.now();
         control.claims.shard(shard).writer.on_read(found, now, unix_millis())
     };
-    carry_out(&control, shard, actions);
-    pump(&control, shard);
+    execute_actions(&control, shard, actions);
+    advance_shard(&control, shard);
 }
 
 async fn write(control: ControlRef, shard: u32, expected: u64, value: Vec<u8>) {
@@ -227,6 +240,6 @@
         control.on_platform_call(result != WriteResult::Unknown);
         control.claims.shard(shard).writer.on_write(result)
     };
-    carry_out(&control, shard, actions);
-    pump(&control, shard);
+    execute_actions(&control, shard, actions);
+    advance_shard(&control, shard);
 }
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: the platform, the peers, the pools that this VM leads, and
-//! what the traffic threads ask. One thread, as capnp-rpc is `!Send`.
+//! The control thread: handles the platform, the peers, the pools that this VM leads, and the requests of the
+//! traffic threads. All of this runs on one thread because capnp-rpc is `!Send`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -27,8 +27,8 @@
 use crate::control_message::ControlMessage;
 use crate::engine_api::EngineApi;
 use crate::entry;
-use crate::entry_book;
-use crate::entry_book::EntryBook;
+use crate::entry_generations;
+use crate::entry_generations::EntryGenerations;
 use crate::leads;
 use crate::leads::Leads;
 use crate::membership_driver;
@@ -44,7 +44,7 @@
 use crate::stop;
 use crate::vm_watch;
 
-/// Time between two looks at what is due.
+/// Interval between two runs of the periodic tasks.
 pub const TICK: Duration = Duration::from_millis(100);
 
 /// The control thread's state.
@@ -55,30 +55,31 @@
     pub shared: Arc<Shared>,
     /// The object API and the VM list.
     pub platform: Platform,
-    /// Calls to engines that are not traffic.
+    /// Client for calls to engines other than generations: load reports, orders, priorities and
+    /// cancellations.
     pub engines: EngineApi,
-    /// The start of this process's timestamps.
+    /// Time since boot at which this process started; [`Control::now`] counts from here.
     pub started: Timestamp,
-    /// Upstreams and entry VMs.
+    /// The upstreams and entry VMs of the VM list.
     pub directory: Directory,
-    /// Which entry VMs are alive.
+    /// The liveness of the entry VMs.
     pub membership: Membership,
     /// Connections to other entry VMs.
     pub peers: Peers,
     /// Whether a peer's bundle is being fetched.
-    pub fetches_bundle: bool,
+    pub fetching_bundle: bool,
     /// The pools that this VM leads.
     pub leads: Leads,
-    /// The generations of this VM's own callers.
-    pub book: EntryBook,
+    /// The generations of requests that arrived at this VM.
+    pub entry_generations: EntryGenerations,
     /// Claim shards that this VM writes.
     pub claims: ClaimShards,
-    /// When the object API last answered, since the start or the latest pause.
+    /// When the object API last answered; `None` if it did not since the start or the latest process pause.
     pub platform_contact: Option<Timestamp>,
-    /// Whether its latest call worked.
+    /// Whether the latest call to the object API succeeded.
     pub platform_reached: bool,
-    /// Wakes the bundle watch: a pause of the process may have broken it unnoticed.
-    pub rewatch: Rc<Notify>,
+    /// Restarts the bundle watch, whose connection may have broken unnoticed while the process was paused.
+    pub restart_watch: Rc<Notify>,
     last_tick: Timestamp,
 }
 
@@ -96,33 +97,33 @@
             directory: Directory::default(),
             membership: Membership::new(settings.vm.clone(), incarnation, seed),
             peers: Peers::default(),
-            fetches_bundle: false,
+            fetching_bundle: false,
             leads: Leads::default(),
-            book: EntryBook::default(),
+            entry_generations: EntryGenerations::default(),
             claims: ClaimShards::default(),
             platform_contact: None,
             platform_reached: false,
-            rewatch: Rc::new(Notify::new()),
+            restart_watch: Rc::new(Notify::new()),
             last_tick: Timestamp::ZERO,
             settings,
             shared,
         }
     }
 
-    /// Time since the process's start, suspensions of the VM included.
+    /// Time since the process started, including the time that the VM was suspended.
     pub fn now(&self) -> Timestamp {
         clock::since_boot().saturating_sub(self.started)
     }
 
-    /// Notes whether a call to the object API worked.
-    pub fn on_platform_call(&mut self, worked: bool) {
-        self.platform_reached = worked;
-        if worked {
+    /// Updates the state of the object API after a call to it.
+    pub fn on_platform_call(&mut self, succeeded: bool) {
+        self.platform_reached = succeeded;
+        if succeeded {
             self.platform_contact = Some(self.now());
         }
     }
 
-    /// Puts a bundle in force if it is newer.
+    /// Puts a bundle in force if it is newer than the current one.
     pub fn put_in_force(&mut self, new: BundleInForce) {
         let bundle = new.bundle.clone();
         let hash = new.hash.clone();
@@ -136,25 +137,25 @@
         readiness::update(self);
     }
 
-    /// Carries out what changed in the membership.
+    /// Applies membership changes to the connections to peers and to the pools.
     pub fn on_membership(&mut self, actions: &[MembershipAction]) {
         for action in actions {
-            let MembershipAction::Changed(news) = action else {
+            let MembershipAction::Changed(update) = action else {
                 continue;
             };
-            info!(event = "member", vm = &*news.vm, liveness:? = news.liveness; "member changed");
-            if matches!(news.liveness, Liveness::Dead | Liveness::Left) {
-                self.peers.forget(&news.vm);
+            info!(event = "member", vm = &*update.vm, liveness:? = update.liveness; "member changed");
+            if matches!(update.liveness, Liveness::Dead | Liveness::Left) {
+                self.peers.forget(&update.vm);
             }
-            if news.liveness == Liveness::Dead {
+            if update.liveness == Liveness::Dead {
                 let now = self.now();
-                self.leads.all_pools(now, |_| PoolEvent::EntryGone(news.vm.clone()));
+                self.leads.notify_all_pools(now, |_| PoolEvent::EntryGone(update.vm.clone()));
             }
         }
     }
 }
 
-/// Runs the control thread until the planned stop is over.
+/// Runs the control thread until the graceful shutdown has finished.
 pub fn run(
     settings: Settings,
     shared: Arc<Shared>,
@@ -167,31 +168,31 @@
         peer_server::listen(control.clone()).await?;
         tokio::task::spawn_local(bundle_watch::run(control.clone()));
         tokio::task::spawn_local(vm_watch::run(control.clone()));
-        tokio::task::spawn_local(tick_for_ever(control.clone()));
-        tokio::task::spawn_local(answer_traffic(control.clone(), rx));
+        tokio::task::spawn_local(run_ticks(control.clone()));
+        tokio::task::spawn_local(serve_traffic(control.clone(), rx));
         stop::wait(control).await
     })
 }
 
-async fn tick_for_ever(control: ControlRef) {
+async fn run_ticks(control: ControlRef) {
     let mut interval = tokio::time::interval(TICK);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        notice_pause(&control);
+        detect_pause(&control);
         membership_driver::tick(&control);
         leads::tick(&control);
         orders::tick(&control);
-        entry_book::tick(&control);
+        entry_generations::tick(&control);
         claim_driver::tick(&control);
         readiness::update(&mut control.borrow_mut());
         status_report::tick(&control);
     }
 }
 
-/// A process that was frozen can't know what it missed: it doubts its contacts and
-/// reads the bundle anew.
-fn notice_pause(control: &ControlRef) {
+/// Detects that the process was paused, for example by a suspension of the VM. As changes may have been
+/// missed, the last contact with the object API no longer counts, and the bundle is read again.
+fn detect_pause(control: &ControlRef) {
     let mut control = control.borrow_mut();
     let now = control.now();
     let paused = now.saturating_sub(control.last_tick) > PAUSE_THRESHOLD;
@@ -199,11 +200,11 @@
     if paused {
         info!(event = "pause"; "the process was paused");
         control.platform_contact = None;
-        control.rewatch.notify_one();
+        control.restart_watch.notify_one();
     }
 }
 
-async fn answer_traffic(control: ControlRef, mut rx: UnboundedReceiver<ControlMessage>) {
+async fn serve_traffic(control: ControlRef, mut rx: UnboundedReceiver<ControlMessage>) {
     while let Some(message) = rx.recv().await {
         match message {
             ControlMessage::Place { request, model, mut reply } => {
@@ -216,8 +217,8 @@
                     let _ = reply.send(outcome);
                 });
             }
-            ControlMessage::Started(running) => control.borrow_mut().book.start(running),
-            ControlMessage::Ended { generation, how } => entry_book::end(&control, generation, how),
+            ControlMessage::Started(running) => control.borrow_mut().entry_generations.start(running),
+            ControlMessage::Ended { generation, how } => entry_generations::end(&control, generation, how),
             ControlMessage::UpstreamFailed(upstream) => {
                 let mut control = control.borrow_mut();
                 let now = control.now();
--- a/node/src/engine_polls.rs
+++ b/node/src/engine_polls.rs
@@ -1,5 +1,5 @@
-//! Reads the loads of the engines of the pools that this VM leads, and keeps the pools'
-//! engines in line with the VM list, the notices and the bundle.
+//! Polls the load of the engines in the pools that this VM leads, and synchronises the pools' engines with
+//! the VM list, the notices of leaving upstreams and the bundle.
 
 use leadstage_lib::bundle::Model;
 use leadstage_lib::ids::Timestamp;
@@ -15,26 +15,26 @@
 use crate::leads;
 use crate::leads::PoolKey;
 
-/// Reads of an engine's load within the bundle's time for a leaving upstream.
-const POLLS_WITHIN_BOUND: u32 = 3;
-/// Reads without an answer after which an engine counts as gone.
-const GONE_AFTER: u32 = 3;
+/// Polls of an engine within the bundle's `leaving_within`.
+const POLLS_PER_LEAVING_BOUND: u32 = 3;
+/// Consecutive failed polls after which an engine is considered gone.
+const GONE_AFTER_FAILURES: u32 = 3;
 
-/// An engine as it was last read.
+/// The polling state of an engine.
 #[derive(Default)]
 pub struct PolledEngine {
     next_poll: Timestamp,
     polling: bool,
-    /// Reads without an answer since the latest one.
+    /// Failed polls since the latest successful one.
     pub failures: u32,
-    /// It answered the latest read.
-    pub known: bool,
-    /// Adapters that it has loaded.
+    /// Whether the engine answered the latest poll.
+    pub answered_last: bool,
+    /// The adapters that the engine has loaded.
     pub loaded: Vec<String>,
 }
 
-/// Brings the pools' engines in line with the VM list, the notices and the bundle.
-pub fn list_engines(control: &mut Control) {
+/// Synchronises the pools' engines with the VM list, the notices of leaving upstreams and the bundle.
+pub fn sync_engines(control: &mut Control) {
     let now = control.now();
     let bundle = control.shared.bundle();
     let mut leaving = Vec::new();
@@ -46,21 +46,21 @@
                 .entry(record.id.clone())
                 .or_insert_with(|| PolledEngine { next_poll: now, ..Default::default() });
         }
-        let refused = led.engines.keys().filter(|id| !gets_work(&control.directory, model, id));
-        leaving.extend(refused.map(|id| (key.clone(), id.clone())));
+        let unavailable = led.engines.keys().filter(|id| !accepts_work(&control.directory, model, id));
+        leaving.extend(unavailable.map(|id| (key.clone(), id.clone())));
     }
     for (key, id) in leaving {
         leads::handle(control, &key, PoolEvent::EngineLeaving(id));
     }
 }
 
-/// Whether an engine may get new work: listed, not leaving, and not drained by the bundle.
-fn gets_work(directory: &Directory, model: Option<&Model>, id: &UpstreamId) -> bool {
+/// Whether an engine may get new work: it is listed, not leaving, and not drained by the bundle.
+fn accepts_work(directory: &Directory, model: Option<&Model>, id: &UpstreamId) -> bool {
     let drained = model.is_some_and(|m| m.drained.contains(id));
     directory.get(id).is_some() && !drained && !directory.is_leaving(id)
 }
 
-/// Reads the loads that are due.
+/// Starts the polls that are due.
 pub fn poll_due(control: &ControlRef) {
     let mut due = Vec::new();
     {
@@ -92,7 +92,7 @@
     let jitter: f64 = rand::rng().random_range(0.8..1.2);
     let bundle = control.shared.bundle();
     let bounds = bundle.as_ref().map(|b| b.bounds.clone()).unwrap_or_default();
-    let interval = bounds.leaving_within / POLLS_WITHIN_BOUND;
+    let interval = bounds.leaving_within / POLLS_PER_LEAVING_BOUND;
     let Some(engine) = control.leads.pools.get_mut(key).and_then(|led| led.engines.get_mut(id)) else {
         return;
     };
@@ -101,13 +101,13 @@
     match report {
         Some(report) => {
             engine.failures = 0;
-            engine.known = true;
+            engine.answered_last = true;
             engine.loaded = report.loaded.clone();
             if report.leaving {
                 control.directory.on_leaving(id, now);
             }
             let model = bundle.as_ref().and_then(|b| b.model(&key.model));
-            if gets_work(&control.directory, model, id) {
+            if accepts_work(&control.directory, model, id) {
                 let up = PoolEvent::EngineUp { engine: id.clone(), limits: report.limits() };
                 leads::handle(control, key, up);
             }
@@ -115,8 +115,8 @@
         }
         None => {
             engine.failures += 1;
-            engine.known = false;
-            let gone = engine.failures >= GONE_AFTER;
+            engine.answered_last = false;
+            let gone = engine.failures >= GONE_AFTER_FAILURES;
             let listed = control.directory.get(id).is_some();
             let event =
                 if gone { PoolEvent::EngineGone(id.clone()) } else { PoolEvent::EngineLeaving(id.clone()) };
@@ -131,8 +131,9 @@
     }
 }
 
-/// An entry lost an engine: it gets no new work until it answers again.
-pub fn on_lost(control: &mut Control, key: &PoolKey, id: &UpstreamId) {
+/// Handles an entry's report that it lost its connection to an engine: the engine gets no new work until it
+/// answers a poll, which is made due at once.
+pub fn on_engine_lost(control: &mut Control, key: &PoolKey, id: &UpstreamId) {
     let now = control.now();
     if let Some(engine) = control.leads.pools.get_mut(key).and_then(|led| led.engines.get_mut(id)) {
         engine.next_poll = now;
--- a/node/src/filters/relay.rs
+++ b/node/src/filters/relay.rs
@@ -1,5 +1,5 @@
-//! Passes a generation's tokens on to its caller: once, in order, from one
-//! generation, over however many engine links that takes.
+//! Forwards a generation's tokens to its caller, each once and in order, all from one generation, over as
+//! many engine links as needed.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -22,7 +22,7 @@
 use crate::chunk;
 use crate::control_message::ControlMessage;
 use crate::control_message::Granted;
-use crate::control_message::Running;
+use crate::control_message::RunningGeneration;
 use crate::filters::account::Account;
 use crate::filters::authenticate::Authenticated;
 use crate::filters::dispatch;
@@ -33,28 +33,28 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// Pause before a broken link is resumed, on average.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// A silent link is looked at this often, to see a planned stop's bound.
-const STOP_CHECK: Duration = Duration::from_millis(250);
+/// Mean delay before a broken link is resumed; the actual delay is jittered.
+const RESUME_DELAY: Duration = Duration::from_millis(50);
+/// While a link is silent, how often to check whether the time limit of a planned stop is reached.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the caller gets next.
+/// The next item for the caller.
 #[derive(Debug)]
 pub enum Relayed {
-    /// An event of the engine, with its position.
+    /// An event of the engine.
     Event {
-        /// Where the caller is with it.
+        /// The position in the stream after this event.
         position: StreamPosition,
-        /// The engine's JSON.
+        /// The JSON data of the engine's event.
         data: String,
     },
     /// The generation is complete.
     Done,
-    /// It ended early.
+    /// The generation ended early.
     Failed(Refusal),
 }
 
-/// One caller's generation.
+/// Relays one generation to its caller.
 pub struct Relay {
     shared: Arc<Shared>,
     cx: Authenticated,
@@ -64,13 +64,13 @@
     granted: Option<Granted>,
     link: Option<Link>,
     may_have_run: bool,
-    /// Engines that were lost after they may have begun it.
-    lost: usize,
+    /// Number of engines lost after they may have started the generation.
+    lost_engines: usize,
     finished: bool,
 }
 
 impl Relay {
-    /// A new generation, not placed yet.
+    /// Creates a relay for a new generation, which is not placed yet.
     pub fn new(shared: Arc<Shared>, cx: Authenticated, req: GenerationRequest, account: Account) -> Self {
         let cursor = StreamCursor::new(new_generation(), 0);
         Relay {
@@ -82,33 +82,33 @@
             granted: None,
             link: None,
             may_have_run: false,
-            lost: 0,
+            lost_engines: 0,
             finished: false,
         }
     }
 
-    /// The request's bookkeeping.
+    /// Returns the tracker of the request.
     pub fn account(&mut self) -> &mut Account {
         &mut self.account
     }
 
-    /// Places and starts the generation. Once an engine may have begun it, no refusal says
-    /// any more that it did not run.
+    /// Places and starts the generation. Once an engine may have started it, a refusal no longer states that
+    /// it did not run.
     pub async fn start(&mut self) -> Result<(), Refusal> {
-        let started = self.start_on_an_engine().await;
-        started.map_err(|refusal| self.truthful(refusal))
+        let started = self.start_on_engine().await;
+        started.map_err(|refusal| self.with_actual_outcome(refusal))
     }
 
-    fn truthful(&self, refusal: Refusal) -> Refusal {
+    fn with_actual_outcome(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run && refusal.code.ran() == Ran::No {
-            return Refusal::later(Code::UpstreamLost, refusal.retry_after);
+            return Refusal::with_retry_after(Code::UpstreamLost, refusal.retry_after);
         }
         refusal
     }
 
-    /// On an engine that cannot be connected to, goes on to another one, within the retry
-    /// budget.
-    async fn start_on_an_engine(&mut self) -> Result<(), Refusal> {
+    /// Places the generation and starts it. If the engine cannot be reached or refuses, retries on another
+    /// one, within the retry budget.
+    async fn start_on_engine(&mut self) -> Result<(), Refusal> {
         loop {
             let generation = self.cursor.generation();
             let granted = place::place(&self.shared, &self.cx, &self.req, generation).await?;
@@ -134,13 +134,13 @@
                         "the engine does not take this request",
                     ));
                 }
-                Err(LinkError::NotSent | LinkError::Refused) => self.give_up_engine()?,
+                Err(LinkError::NotSent | LinkError::Refused) => self.abandon_engine()?,
             }
         }
     }
 
-    /// Goes on with a generation that another entry may have started.
-    pub async fn take_over(&mut self, position: &StreamPosition) -> Result<(), Refusal> {
+    /// Resumes a generation that may have been started by another entry.
+    pub async fn resume_at(&mut self, position: &StreamPosition) -> Result<(), Refusal> {
         let upstreams = self.shared.upstreams();
         let engine = upstreams.get(&position.engine).ok_or_else(|| Refusal::new(Code::GenerationUnknown))?;
         let from = position.index.saturating_add(1);
@@ -168,7 +168,7 @@
     fn report_start(&mut self, granted: &Granted) {
         let generation = self.cursor.generation();
         let tokens = self.account.on_start(generation, self.cursor.next() as u32);
-        let running = Running {
+        let running = RunningGeneration {
             request: place::place_request(&self.shared, &self.cx, &self.req, generation),
             model: self.req.model.clone(),
             hall: granted.hall.clone(),
@@ -179,7 +179,7 @@
         let _ = self.shared.control.send(ControlMessage::Started(running));
     }
 
-    /// What the caller gets next.
+    /// Returns the next item for the caller.
     pub async fn next(&mut self) -> Relayed {
         if self.finished {
             return Relayed::Done;
@@ -190,7 +190,7 @@
             }
             let event = match self.next_event().await {
                 Some(event) => event,
-                None => match self.mend().await {
+                None => match self.recover_link().await {
                     Ok(()) => continue,
                     Err(refusal) => return self.fail(refusal),
                 },
@@ -204,32 +204,32 @@
         }
     }
 
-    /// The next event of the link, or `None` when it broke or stalled.
+    /// Returns the next event of the link, or `None` when it broke or stalled.
     async fn next_event(&mut self) -> Option<Event> {
         let link = self.link.as_mut()?;
-        let patience = self.cx.bundle.bounds.stall_within;
+        let max_silence = self.cx.bundle.bounds.stall_within;
         let mut waited = Duration::ZERO;
-        while waited < patience {
-            let slice = STOP_CHECK.min(patience - waited);
+        while waited < max_silence {
+            let wait = STOP_CHECK_INTERVAL.min(max_silence - waited);
             let started = tokio::time::Instant::now();
-            if let Some(event) = link.next(slice).await {
+            if let Some(event) = link.next(wait).await {
                 return Some(event);
             }
-            let broke = started.elapsed() < slice;
+            let broke = started.elapsed() < wait;
             if broke || self.shared.stop_now.load(Ordering::Relaxed) {
                 return None;
             }
-            waited += slice;
+            waited += wait;
         }
         None
     }
 
     fn on_event(&mut self, event: Event) -> Option<Relayed> {
-        let verdict = match parse_engine_event_id(&event.id) {
+        let action = match parse_engine_event_id(&event.id) {
             Some((generation, index)) => self.cursor.on_event(generation, index),
             None => EventAction::BreakLink,
         };
-        match verdict {
+        match action {
             EventAction::Repeated => return None,
             EventAction::BreakLink => {
                 self.link = None;
@@ -256,8 +256,8 @@
         }
     }
 
-    /// The link broke or stalled: resumes it, starts anew, or gives the stream up.
-    async fn mend(&mut self) -> Result<(), Refusal> {
+    /// After the link broke or stalled, resumes it, restarts the generation elsewhere, or ends the stream.
+    async fn recover_link(&mut self) -> Result<(), Refusal> {
         self.link = None;
         let mut after = self.cursor.on_break();
         loop {
@@ -271,13 +271,14 @@
                     Err(LinkError::NotSent | LinkError::Broken) => after = self.cursor.on_break(),
                 },
                 AfterBreak::Restart => {
-                    self.lost += 1;
-                    self.give_up_engine()?;
-                    // It may be what ends them: without this one request cost all four engines of a pool.
-                    if !loss_limit::may_retry_after_loss(0, self.lost) {
+                    self.lost_engines += 1;
+                    self.abandon_engine()?;
+                    // The request itself may crash its engines: without this limit, one request cost all
+                    // four engines of a pool.
+                    if !loss_limit::may_retry_after_loss(0, self.lost_engines) {
                         return Err(Refusal::new(Code::UpstreamLost));
                     }
-                    return Box::pin(self.start_on_an_engine()).await;
+                    return Box::pin(self.start_on_engine()).await;
                 }
                 AfterBreak::End => {
                     self.account.on_generation_end(EndKind::Lost);
@@ -292,19 +293,19 @@
             return Err(LinkError::Refused);
         };
         let jitter: f64 = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(RESUME_PAUSE.mul_f64(jitter)).await;
+        tokio::time::sleep(RESUME_DELAY.mul_f64(jitter)).await;
         self.shared.metrics.on_resume();
         self.account.note("relay", format!("resumes at {} from {from}", granted.upstream));
         let generation = self.cursor.generation();
         dispatch::resume(granted.address, generation, from, self.req.kind, &self.req.model).await
     }
 
-    /// The engine is lost and the caller has nothing: a new generation may start
-    /// elsewhere, within the retry budget.
-    fn give_up_engine(&mut self) -> Result<(), Refusal> {
+    /// Abandons an engine that was lost before the caller received a token. A new generation may start on
+    /// another engine, within the retry budget.
+    fn abandon_engine(&mut self) -> Result<(), Refusal> {
         self.account.on_generation_end(EndKind::Lost);
         if let Some(granted) = self.granted.take() {
-            info!(event = "engine_lost", upstream = &*granted.upstream, generation:% = format_args!("{:016x}", self.cursor.generation()); "engine lost before a token");
+            info!(event = "engine_lost", upstream = &*granted.upstream, generation:% = format_args!("{:016x}", self.cursor.generation()); "engine lost before its first token");
             self.account.note("dispatch", format!("{} lost before a token", granted.upstream));
             let _ = self.shared.control.send(ControlMessage::UpstreamFailed(granted.upstream));
         }
@@ -316,7 +317,7 @@
     }
 
     fn fail(&mut self, refusal: Refusal) -> Relayed {
-        let refusal = self.truthful(refusal);
+        let refusal = self.with_actual_outcome(refusal);
         self.finished = true;
         self.account.on_answer(refusal.code);
         Relayed::Failed(refusal)
--- a/node/src/gateway.rs
+++ b/node/src/gateway.rs
@@ -1,12 +1,13 @@
-//! The gateway interface: requests pass unaltered to replicas that the platform lists.
+//! The gateway interface: forwards requests unaltered to the replicas that the platform lists.
 //!
-//! The control thread follows the store, keeps what is believed of the replicas and
-//! chooses among them; the traffic thread serves callers and replicas. They talk through
+//! The control thread watches the store, keeps the state of the replicas and chooses among them; the
+//! traffic thread serves callers and connects to replicas. The two threads communicate through
 //! [`messages`]; the routing table is published in [`shared`].
 
 mod balancer_port;
 mod control;
 mod held_bytes;
+mod http_port;
 mod ingress;
 mod messages;
 mod observability;
@@ -17,7 +18,6 @@
 mod request;
 pub mod settings;
 mod shared;
-mod small_port;
 mod start;
 mod stop;
 mod upstream;
--- a/node/src/gateway/ingress/plain.rs
+++ b/node/src/gateway/ingress/plain.rs
@@ -1,4 +1,4 @@
-//! Plain calls: answered whole by one replica, sent again only where that is allowed.
+//! Plain calls: answered in full by one replica, and retried only where that is allowed.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use crate::gateway::peers::peer_message::Wanted;
 use crate::gateway::reply::Refusal;
 use crate::gateway::reply::Reply;
+use crate::gateway::reply_body::BufferedBody;
 use crate::gateway::reply_body::ReplyBody;
-use crate::gateway::reply_body::WholeBody;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::shared::RunGuard;
 use crate::gateway::upstream::connections::ConnectionChoice;
@@ -25,20 +25,20 @@
 use crate::gateway::upstream::exchange::SendError;
 use crate::gateway::upstream::traffic::Traffic;
 
-/// Replicas that a request may fail to reach, beyond those that it was sent to.
-const MOST_UNREACHED: u32 = 3;
+/// Maximum number of replicas that a request may fail to reach, not counting those that it was sent to.
+const MAX_UNREACHED: u32 = 3;
 
-/// What one attempt came to.
+/// Outcome of one attempt.
 enum Attempt {
-    /// The replica's answer, to be passed on.
+    /// The replica's response, to be forwarded.
     Answer(BufferedResponse),
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
     /// The replica did not run it.
     NotRun,
     /// It may have run.
     Unknown(Code),
-    /// It got no answer on a kept connection, and is to be sent again on a new one.
+    /// No response arrived on a kept connection; the request is to be sent again on a new one.
     ConnectionSilent(Code),
 }
 
@@ -56,7 +56,8 @@
         }
         let mut placed = place(traffic, req, &tried).await;
         if placed.is_err() && choice == ConnectionChoice::New {
-            // No other replica has room: the connection was in doubt, not the replica.
+            // No other replica has room. The connection was in doubt, not the replica, so any replica may
+            // be used again.
             placed = place(traffic, req, &[]).await;
         }
         let run = match placed {
@@ -72,7 +73,7 @@
             Attempt::Answer(answer) => return Ok(reply(answer)),
             Attempt::NotSent => {
                 unreached += 1;
-                if unreached > MOST_UNREACHED {
+                if unreached > MAX_UNREACHED {
                     break;
                 }
                 continue;
@@ -134,7 +135,7 @@
     let sent = exchange::send(traffic, &replica, req, &added, choice, sent).await;
     let exchanged = match sent {
         Ok(exchanged) => exchanged,
-        Err(err) => return failed(req, run, err),
+        Err(err) => return on_send_error(req, run, err),
     };
     if exchanged.says_not_run() {
         traffic.on_not_run(req, &run, exchanged.status);
@@ -153,11 +154,11 @@
             run.end(if is_error { Outcome::Errored } else { Outcome::Answered });
             Attempt::Answer(answer)
         }
-        Err(err) => failed(req, run, err),
+        Err(err) => on_send_error(req, run, err),
     }
 }
 
-fn failed(req: &CallerRequest, run: RunGuard, err: SendError) -> Attempt {
+fn on_send_error(req: &CallerRequest, run: RunGuard, err: SendError) -> Attempt {
     match exchange::end_failed_run(req, run, &err) {
         Some(code) if matches!(err, SendError::ConnectionSilent) => Attempt::ConnectionSilent(code),
         Some(code) => Attempt::Unknown(code),
@@ -165,10 +166,10 @@
     }
 }
 
-/// A replica's answer as the caller gets it.
+/// Builds the response to the caller from a replica's response.
 pub fn reply(answer: BufferedResponse) -> Reply {
-    let body = WholeBody::new(answer.body, Some(answer.held));
-    let mut res = Response::new(ReplyBody::Whole(body));
+    let body = BufferedBody::new(answer.body, Some(answer.held));
+    let mut res = Response::new(ReplyBody::Buffered(body));
     *res.status_mut() = answer.status;
     *res.headers_mut() = headers::for_caller(&answer.headers);
     res
--- a/node/src/gateway/reply.rs
+++ b/node/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, and refusals with their numbered code.
+//! Responses to callers, and refusals with their numeric code.
 
 use std::time::Duration;
 
@@ -8,36 +8,36 @@
 use leadstage_lib::code::Code;
 use serde_json::json;
 
+use crate::gateway::reply_body::BufferedBody;
 use crate::gateway::reply_body::ReplyBody;
-use crate::gateway::reply_body::WholeBody;
 
-/// A refusal that names no time gets this one.
+/// Retry delay of a refusal that sets none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// A request that leadstage answers itself.
+/// Refusal of a request, sent by leadstage itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub code: Code,
-    /// When to come back.
+    /// When the caller should retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal without a time of its own.
+    /// Creates a refusal that sets no retry delay.
     pub fn new(code: Code) -> Self {
         Refusal { code, retry_after: None }
     }
 
-    /// The answer.
+    /// Builds the response.
     pub fn reply(&self) -> Reply {
         let body = json!({"error": {
             "code": self.code.number(), "type": self.code.name(), "message": self.code.meaning(),
         }});
-        let mut res = Response::new(ReplyBody::Whole(WholeBody::new(body.to_string().into(), None)));
+        let mut res = Response::new(ReplyBody::Buffered(BufferedBody::new(body.to_string().into(), None)));
         *res.status_mut() = self.code.http_status().try_into().expect("codes have valid statuses");
         let headers = res.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/node/src/gateway/start.rs
+++ b/node/src/gateway/start.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway node: the control thread's tasks here, traffic on a thread of its own.
+//! Starts a gateway node: the control tasks on this thread, traffic on a separate thread.
 
 use std::convert::Infallible;
 use std::io;
@@ -20,6 +20,7 @@
 use crate::gateway::control::config_intake;
 use crate::gateway::control::control_loop::Control;
 use crate::gateway::control::first_read;
+use crate::gateway::http_port;
 use crate::gateway::ingress::caller_port;
 use crate::gateway::messages::ToControl;
 use crate::gateway::observability::logging;
@@ -32,19 +33,18 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::shared::Phase;
 use crate::gateway::shared::Shared;
-use crate::gateway::small_port;
 use crate::gateway::stop;
 
-/// Why a node did not start.
+/// Reason why a node did not start.
 #[derive(Debug, Display, Error)]
 pub enum RunError {
-    /// No runtime or thread.
+    /// The runtime or a thread could not be created.
     #[display("no runtime: {_0}")]
     Runtime(io::Error),
-    /// No metrics.
+    /// The metrics could not be set up.
     #[display("no metrics: {_0}")]
     Metrics(#[error(not(source))] String),
-    /// A port is not free.
+    /// A port could not be bound.
     #[display("port {address}: {source}")]
     Port {
         /// The address.
@@ -52,16 +52,16 @@
         /// The cause.
         source: io::Error,
     },
-    /// No signal handler.
+    /// A signal handler could not be installed.
     #[display("no signal handler: {_0}")]
     Signal(io::Error),
 }
 
 /// The file that the settings were read from.
 pub struct SettingsFile {
-    /// Where it is.
+    /// Its path.
     pub path: PathBuf,
-    /// What was in it.
+    /// Its content.
     pub text: String,
 }
 
@@ -73,9 +73,9 @@
     let settings = &shared.settings;
     info!(event = "start", vm = &*settings.vm, hall = &*settings.hall, first = settings.first_start, listen:% = settings.listen, version = env!("CARGO_PKG_VERSION"); "leadstaged starts");
     let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
-    // Open before the node can call itself ready: opened by the traffic thread, it came after that
-    // at 2 to 4 of 20 nodes that started beside other load.
-    let callers = runtime.block_on(listen(settings.listen))?;
+    // Bound before the node can report itself ready: when the traffic thread bound the port, that came
+    // after the report at 2 to 4 of 20 nodes that started beside other load.
+    let callers = runtime.block_on(bind_tcp(settings.listen))?;
     let callers = callers.into_std().map_err(|source| RunError::Port { address: settings.listen, source })?;
     let traffic = shared.clone();
     let thread = std::thread::Builder::new().name("traffic".to_owned());
@@ -88,28 +88,28 @@
     rx: mpsc::UnboundedReceiver<ToControl>,
     file: SettingsFile,
 ) -> Result<(), RunError> {
-    let ready = listen(shared.settings.ready).await?;
-    tokio::task::spawn_local(small_port::serve(shared.clone(), ready, "ready", balancer_port::answer));
-    let metrics = listen(shared.settings.metrics).await?;
-    tokio::task::spawn_local(small_port::serve(shared.clone(), metrics, "metrics", metrics_port::answer));
+    let ready = bind_tcp(shared.settings.ready).await?;
+    tokio::task::spawn_local(http_port::serve(shared.clone(), ready, "ready", balancer_port::answer));
+    let metrics = bind_tcp(shared.settings.metrics).await?;
+    tokio::task::spawn_local(http_port::serve(shared.clone(), metrics, "metrics", metrics_port::answer));
     if !shared.settings.first_start {
         tokio::task::spawn_local(config_intake::read_at_start(shared.clone()));
         tokio::task::spawn_local(first_read::read_until_replicas_known(shared.clone()));
     }
-    let peer = listen(shared.settings.peer).await?;
+    let peer = bind_tcp(shared.settings.peer).await?;
     tokio::task::spawn_local(peer_port::serve(shared.clone(), peer));
-    let socket = Arc::new(datagrams(shared.settings.peer).await?);
+    let socket = Arc::new(bind_udp(shared.settings.peer).await?);
     tokio::task::spawn_local(outbox::receive(socket.clone(), shared.clone()));
     let outbox = Outbox::new(socket, shared.clone());
     tokio::task::spawn_local(Control::new(shared.clone(), outbox).run(rx));
-    let reloads = reload::follow(shared.clone(), file.path, file.text);
+    let reloads = reload::watch_file(shared.clone(), file.path, file.text);
     tokio::select! {
         stopped = stop::wait(&shared) => stopped.map_err(RunError::Signal),
         failed = reloads => failed.map_err(RunError::Signal),
     }
 }
 
-/// Serves callers; without this thread the node is of no use, so its failure ends the process.
+/// Serves callers. The node is useless without this thread, so its failure ends the process.
 fn traffic_thread(shared: Arc<Shared>, callers: std::net::TcpListener) {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime);
     let result =
@@ -125,14 +125,15 @@
     let listener = TcpListener::from_std(callers).map_err(|source| RunError::Port { address, source })?;
     caller_port::serve(shared.clone(), listener).await;
     shared.advance(Phase::Closed);
-    // Streams whose callers left are ended at their engines meanwhile.
+    // Keeps the thread running: streams whose callers have disconnected are still being stopped at their
+    // engines.
     std::future::pending().await
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
+async fn bind_tcp(address: SocketAddr) -> Result<TcpListener, RunError> {
     TcpListener::bind(address).await.map_err(|source| RunError::Port { address, source })
 }
 
-async fn datagrams(address: SocketAddr) -> Result<UdpSocket, RunError> {
+async fn bind_udp(address: SocketAddr) -> Result<UdpSocket, RunError> {
     UdpSocket::bind(address).await.map_err(|source| RunError::Port { address, source })
 }
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -27,7 +27,7 @@
 use crate::gateway::messages::StreamCommand;
 use crate::gateway::messages::StreamHandle;
 use crate::gateway::messages::ToControl;
-use crate::gateway::reply_body::PartsSender;
+use crate::gateway::reply_body::StreamingBodySender;
 use crate::gateway::request::CallerRequest;
 use crate::gateway::upstream::copying::MoveTarget;
 use crate::gateway::upstream::copying::TaskEvent;
@@ -62,7 +62,7 @@
     req: Arc<CallerRequest>,
     handle: StreamHandle,
     engine_stream: EngineStream,
-    tx: PartsSender,
+    tx: StreamingBodySender,
     events: EventSplitter,
     tokens_per_event: u32,
     task_events_tx: UnboundedSender<TaskEvent>,
@@ -98,7 +98,7 @@
         handle: StreamHandle,
         engine_stream: EngineStream,
         sent: u32,
-        tx: PartsSender,
+        tx: StreamingBodySender,
     ) -> Self {
         let service = req.table.service(&req.service);
         let engine = service.and_then(|s| s.engine.as_ref());
@@ -131,7 +131,7 @@
     /// Relays events until the stream ends.
     pub async fn run(mut self, mut commands: UnboundedReceiver<StreamCommand>) {
         let end = self.relay(&mut commands).await;
-        let took = self.req.came.elapsed().as_millis() as u64;
+        let took = self.req.received_at.elapsed().as_millis() as u64;
         info!(event = "stream_end", request = self.req.id(), route = &*self.req.route.name, end:% = end, upstream = &*self.engine_stream.run.placed.replica.id, events = self.events.events(), moves = self.moves, first_ms = self.pace.first.unwrap_or_default().as_millis() as u64, gap_ms = self.pace.longest_gap.as_millis() as u64, took_ms = took; "stream ended");
         let metrics = &self.traffic.shared.metrics;
         metrics.on_stream(self.pace.first, self.pace.longest_gap);
@@ -148,7 +148,7 @@
         let tx = self.tx.clone();
         self.close(outcome);
         if end != StreamEnd::Done && end != StreamEnd::CallerLeft {
-            tx.break_off();
+            tx.abort();
         }
     }
 
@@ -156,7 +156,7 @@
     fn report_pace(&self) {
         let (first, gaps) = (self.pace.first.unwrap_or_default(), self.events.events().saturating_sub(1));
         if self.moves == 0 && gaps >= MIN_GAPS_FOR_PACE {
-            let took = self.req.came.elapsed().saturating_sub(first) / gaps as u32;
+            let took = self.req.received_at.elapsed().saturating_sub(first) / gaps as u32;
             self.traffic.sample_pace(&self.req, &self.engine_stream.run.placed.replica, took);
         }
     }
@@ -191,7 +191,7 @@
         tokio::select! {
             biased;
             () = tx.closed() => Err(StreamEnd::CallerLeft),
-            () = tokio::time::sleep_until(self.req.until()) => Err(StreamEnd::TimedOut),
+            () = tokio::time::sleep_until(self.req.deadline()) => Err(StreamEnd::TimedOut),
             Some(command) = commands.recv() => self.on_command(command),
             Some(event) = self.task_events.recv() => self.on_task_event(event).await,
             frame = self.engine_stream.frame() => match frame {
@@ -228,7 +228,7 @@
             let took = run.placed_at.elapsed();
             self.traffic.sample_answer(&self.req, &run.placed.replica, false, took);
         }
-        self.pace.on_event(self.req.came);
+        self.pace.on_event(self.req.received_at);
         let tokens = self.events.events() as u32 * self.tokens_per_event;
         self.handle.produced.store(tokens, Ordering::Relaxed);
         self.send_to_caller(complete).await
@@ -238,7 +238,7 @@
     /// reads large events at 40 kB a second held its engine for 20.6 s instead of the 3 s that it waits,
     /// by the test of such a caller.
     async fn send_to_caller(&self, events: Bytes) -> Result<(), StreamEnd> {
-        let sending = tokio::time::timeout_at(self.req.until(), self.tx.send(events));
+        let sending = tokio::time::timeout_at(self.req.deadline(), self.tx.send(events));
         sending.await.map_err(|_| StreamEnd::TimedOut)?.map_err(|_| StreamEnd::CallerLeft)
     }
 
--- a/node/src/gateway/upstream/silence.rs
+++ b/node/src/gateway/upstream/silence.rs
@@ -39,7 +39,7 @@
     }
     let (began, began_at) = (Instant::now(), clock::since_boot());
     let objective_at = began + req.route.objective;
-    let retry_at = (began + req.left().mul_f64(RETRY_AFTER_FRACTION)).max(objective_at);
+    let retry_at = (began + req.time_left().mul_f64(RETRY_AFTER_FRACTION)).max(objective_at);
     if let Ok(answer) = tokio::time::timeout_at(objective_at, &mut sending).await {
         return Some(answer);
     }
--- a/node/src/gateway/upstream/traffic.rs
+++ b/node/src/gateway/upstream/traffic.rs
@@ -67,7 +67,7 @@
         let policy = self.shared.settings.policy;
         let is_enabled = if req.route.resumable { policy.resume_streams } else { policy.repeat };
         is_enabled
-            && req.may_repeat(sent)
+            && req.allows_retry(sent)
             && self.may_retry_after_loss(req).await
             && self.spend_retry(&req.service)
     }
@@ -107,7 +107,7 @@
             },
             priority: req.priority(),
             patience: req.first_event_due(),
-            leaves_after: stop::may_wait(&self.shared, req),
+            leaves_after: stop::max_placement_wait(&self.shared, req),
             stream: Some(handle.clone()),
         };
         self.place(request).await
--- a/node/src/orders.rs
+++ b/node/src/orders.rs
@@ -1,5 +1,5 @@
-//! Drives [`leadstage_lib::fence`]: has the engines of the pools that this VM leads load
-//! the adapters that the bundle wants, one order of a pool at a time.
+//! Drives [`leadstage_lib::fence`]: orders the engines of the pools that this VM leads to load the adapters
+//! that the bundle lists, one order per pool at a time.
 
 use leadstage_lib::fence;
 use leadstage_lib::fence::FenceAction;
@@ -12,10 +12,10 @@
 use crate::leads::PoolKey;
 use crate::shared::unix_millis;
 
-/// Goes on with the next order of each pool.
+/// Advances the order of each pool that has an engine with a missing adapter.
 pub fn tick(control: &ControlRef) {
     for (key, action) in due(&mut control.borrow_mut()) {
-        tokio::task::spawn_local(carry_out(control.clone(), key, action));
+        tokio::task::spawn_local(execute(control.clone(), key, action));
     }
 }
 
@@ -23,13 +23,13 @@
     let Some(bundle) = control.shared.bundle() else {
         return Vec::new();
     };
-    let wanted: Vec<(PoolKey, Order)> = control
+    let missing: Vec<(PoolKey, Order)> = control
         .leads
         .pools
         .iter()
         .filter_map(|(key, led)| {
             let model = bundle.model(&key.model)?;
-            Some((key.clone(), led.first_lacking(&model.adapters)?))
+            Some((key.clone(), led.next_adapter_load(&model.adapters)?))
         })
         .collect();
     let now = unix_millis();
@@ -37,10 +37,10 @@
         let action = control.leads.orders_mut(&key)?.advance(Some(&order), now)?;
         Some((key, action))
     };
-    wanted.into_iter().filter_map(advance).collect()
+    missing.into_iter().filter_map(advance).collect()
 }
 
-async fn carry_out(control: ControlRef, key: PoolKey, action: FenceAction) {
+async fn execute(control: ControlRef, key: PoolKey, action: FenceAction) {
     let platform = control.borrow().platform.clone();
     let object = fence::object_key(&key.model, &key.hall);
     match action {
@@ -68,7 +68,7 @@
         (control.engines.clone(), address.filter(|_| held))
     };
     let answer = match address {
-        Some(address) => api.order(address, epoch, &order.action).await,
+        Some(address) => api.send_order(address, epoch, &order.action).await,
         None => OrderAnswer::Unknown,
     };
     info!(event = "order", engine = &*order.engine, action = &*order.action, epoch = epoch, answer:? = answer; "order sent");
--- a/node/src/peer_server.rs
+++ b/node/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers calls of other entry VMs.
+//! Serves the calls of other entry VMs.
 
 use std::rc::Rc;
 
@@ -19,8 +19,8 @@
 
 use crate::claim_driver;
 use crate::control::ControlRef;
-use crate::control_message::Claimed;
-use crate::entry_book;
+use crate::control_message::ClaimDecision;
+use crate::entry_generations;
 use crate::leads;
 use crate::leads::Placement;
 use crate::leads::PoolKey;
@@ -32,7 +32,7 @@
     control: ControlRef,
 }
 
-/// Listens for peers; returns once the port is open.
+/// Listens for connections from peers. Returns once the port is bound.
 pub async fn listen(control: ControlRef) -> std::io::Result<()> {
     let address = control.borrow().settings.peer;
     let listener = TcpListener::bind(address).await?;
@@ -46,7 +46,7 @@
         match listener.accept().await {
             Ok((stream, _)) => serve(stream, &client),
             Err(err) => {
-                warn!(event = "peer_accept", reason:% = err; "no connection taken");
+                warn!(event = "peer_accept", reason:% = err; "failed to accept a connection from a peer");
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
         }
@@ -67,7 +67,7 @@
         params: peer::PlaceParams,
         mut results: peer::PlaceResults,
     ) -> Result<(), Error> {
-        let (key, request) = wire::read_place(params.get()?.get_req()?)?;
+        let (key, request) = wire::read_place_request(params.get()?.get_req()?)?;
         let placement = leads::place_here(&self.control, &key, request).await;
         let outcome = results.get().init_outcome();
         match placement {
@@ -96,11 +96,11 @@
             model: wire::text(params.get_model()?)?.into(),
             hall: wire::text(params.get_hall()?)?.into(),
         };
-        let mut lines = Vec::new();
+        let mut reports = Vec::new();
         for line in params.get_batch()? {
-            lines.push(wire::read_line(line, &entry, &key)?);
+            reports.push(wire::read_progress(line, &entry, &key)?);
         }
-        let unknown = entry_book::take_report(&mut self.control.borrow_mut(), &entry, &key, &lines);
+        let unknown = entry_generations::apply_report(&mut self.control.borrow_mut(), &entry, &key, &reports);
         let mut to = results.get().init_unknown(unknown.len() as u32);
         for (at, generation) in unknown.iter().enumerate() {
             to.set(at as u32, *generation);
@@ -162,12 +162,12 @@
         let claimed = claim_driver::claim_here(&self.control, shard, key, request).await;
         let mut reply = results.get().init_reply();
         match claimed {
-            Claimed::Owned => reply.set_state(ClaimState::Claimed),
-            Claimed::Outcome(outcome) => {
+            ClaimDecision::Owned => reply.set_state(ClaimState::Claimed),
+            ClaimDecision::Outcome(outcome) => {
                 reply.set_state(ClaimState::Known);
                 reply.set_outcome(&serde_json::to_vec(&outcome).expect("plain data serialises"));
             }
-            Claimed::Refused { code, retry_after } => {
+            ClaimDecision::Refused { code, retry_after } => {
                 reply.set_state(ClaimState::Refused);
                 reply.set_code(code.number());
                 reply.set_retry_after_ms(retry_after.as_millis() as u32);
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,5 +1,5 @@
-//! Calls to other entry VMs over capnp-rpc. Connections are made when needed and
-//! dropped after a failure, so that a link that stalls without breaking is replaced.
+//! Calls to other entry VMs over capnp-rpc. A connection is opened on demand and dropped after a failed call,
+//! so that a connection that stalls without breaking is replaced.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,38 +29,38 @@
 
 use crate::control::Control;
 use crate::control::ControlRef;
-use crate::control_message::Claimed;
-use crate::entry_book::Line;
+use crate::control_message::ClaimDecision;
+use crate::entry_generations::GenerationReport;
 use crate::leads::Placement;
 use crate::leads::PoolKey;
 use crate::wire;
 use crate::wire::Gossip;
 
-/// Time for a connection to a peer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// Time for a call that is answered at once.
-const CALL_LIMIT: Duration = Duration::from_millis(500);
-/// Time for a claim: a commit interval, a read and a write.
-const CLAIM_LIMIT: Duration = Duration::from_millis(1_500);
-/// While a call waits in a lead's queue, the lead's liveness is looked at this often.
-const LIVENESS_CHECK: Duration = Duration::from_millis(100);
+/// Timeout for connecting to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout for a call that the peer answers without waiting.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for a claim, which takes a commit interval, a read and a write.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval between checks of the lead's liveness while a call waits in its queue.
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A call to a peer failed; it may have been carried out.
+/// The error of a call to a peer. The call may have taken effect nevertheless.
 #[derive(Debug, Display, Error, From)]
 pub enum PeerError {
     /// The VM list does not name the peer.
     #[display("the peer is not in the VM list")]
     Unknown,
-    /// No connection.
+    /// The connection failed.
     #[display("no connection: {_0}")]
     Connect(std::io::Error),
     /// The call failed.
     #[display("the call failed: {_0}")]
     Call(capnp::Error),
-    /// No answer in time, or the peer is suspected.
+    /// The peer did not answer in time, or is suspected.
     #[display("no answer")]
     NoAnswer,
-    /// The answer is none that this version knows.
+    /// The answer has a value that this version does not know.
     #[display("malformed answer")]
     Malformed,
 }
@@ -72,7 +72,7 @@
 }
 
 impl Peers {
-    /// Drops the connection to a VM; the next call makes a new one.
+    /// Drops the connection to a VM; the next call opens a new one.
     pub fn forget(&mut self, vm: &VmId) {
         self.clients.remove(vm);
     }
@@ -93,20 +93,21 @@
     Ok(client)
 }
 
-/// Where a peer listens, by the VM list.
+/// The address on which a peer listens, according to the VM list.
 pub fn address_of(control: &Control, vm: &VmId) -> Result<SocketAddr, PeerError> {
     control.directory.get(vm).map(|r| r.address).ok_or(PeerError::Unknown)
 }
 
 /// Opens a connection to a peer.
 pub async fn open(address: SocketAddr) -> Result<TcpStream, PeerError> {
-    let connecting = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| PeerError::NoAnswer)??;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// The peer at the other end of a connection, and what runs the connection.
+/// Returns a client for the peer at the other end of a connection, and the RPC system that must be polled to
+/// drive the connection.
 pub fn bootstrap(
     reader: impl AsyncRead + Unpin + 'static,
     writer: impl AsyncWrite + Unpin + 'static,
@@ -116,8 +117,8 @@
     (system.bootstrap(Side::Server), system)
 }
 
-/// Waits for a call within `limit`; a failure drops the connection.
-async fn finish<T>(
+/// Waits for the result of a call for at most `limit`. Drops the connection if the call fails.
+async fn await_call<T>(
     control: &ControlRef,
     vm: &VmId,
     limit: Duration,
@@ -133,7 +134,7 @@
     result
 }
 
-/// Asks a lead for an engine; waits in its queue for as long as the lead is alive.
+/// Requests an engine from a lead. The request waits in the lead's queue for as long as the lead is alive.
 pub async fn place(
     control: &ControlRef,
     lead: &VmId,
@@ -142,9 +143,10 @@
 ) -> Result<Placement, PeerError> {
     let client = client(control, lead).await?;
     let mut call = client.place_request();
-    wire::write_place(call.get().init_req(), key, request);
-    let limit = control.borrow().shared.bundle().map_or(CALL_LIMIT, |b| b.bounds.max_wait) + 2 * CALL_LIMIT;
-    let promise = finish(control, lead, limit, call.send().promise);
+    wire::write_place_request(call.get().init_req(), key, request);
+    let limit =
+        control.borrow().shared.bundle().map_or(CALL_TIMEOUT, |b| b.bounds.max_wait) + 2 * CALL_TIMEOUT;
+    let promise = await_call(control, lead, limit, call.send().promise);
     let answer = tokio::select! {
         answer = promise => answer?,
         () = until_suspected(control, lead) => return Err(PeerError::NoAnswer),
@@ -154,7 +156,7 @@
 
 async fn until_suspected(control: &ControlRef, vm: &VmId) {
     loop {
-        tokio::time::sleep(LIVENESS_CHECK).await;
+        tokio::time::sleep(LIVENESS_CHECK_INTERVAL).await;
         if control.borrow().membership.liveness(vm) != Some(Liveness::Alive) {
             return;
         }
@@ -175,12 +177,13 @@
     }
 }
 
-/// Reports generations of one pool to its lead; returns those that it needs all about.
+/// Reports generations of one pool to its lead. Returns the generations whose complete records the lead
+/// needs.
 pub async fn report(
     control: &ControlRef,
     lead: &VmId,
     key: &PoolKey,
-    lines: &[Line],
+    reports: &[GenerationReport],
 ) -> Result<Vec<GenerationId>, PeerError> {
     let client = client(control, lead).await?;
     let mut call = client.report_request();
@@ -189,30 +192,30 @@
         params.set_entry(&*control.borrow().settings.vm);
         params.set_model(&*key.model);
         params.set_hall(&*key.hall);
-        let mut batch = params.init_batch(lines.len() as u32);
-        for (at, line) in lines.iter().enumerate() {
-            wire::write_line(batch.reborrow().get(at as u32), line);
+        let mut batch = params.init_batch(reports.len() as u32);
+        for (at, report) in reports.iter().enumerate() {
+            wire::write_progress(batch.reborrow().get(at as u32), report);
         }
     }
-    let answer = finish(control, lead, CALL_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, lead, CALL_TIMEOUT, call.send().promise).await?;
     Ok(answer.get()?.get_unknown()?.iter().collect())
 }
 
-/// Probes a peer with news, and returns its news.
+/// Probes a peer with this VM's gossip, and returns the peer's gossip.
 pub async fn probe(control: &ControlRef, vm: &VmId, gossip: &Gossip) -> Result<Gossip, PeerError> {
     let client = client(control, vm).await?;
     let mut call = client.probe_request();
     wire::write_gossip(call.get().init_gossip(), gossip);
-    let answer = finish(control, vm, CALL_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, vm, CALL_TIMEOUT, call.send().promise).await?;
     Ok(wire::read_gossip(answer.get()?.get_gossip()?)?)
 }
 
-/// Asks a peer to probe another one.
+/// Requests that a peer probe another one. Returns whether the target answered it.
 pub async fn probe_for(control: &ControlRef, via: &VmId, target: &VmId) -> Result<bool, PeerError> {
     let client = client(control, via).await?;
     let mut call = client.probe_for_request();
     call.get().set_target(&**target);
-    let answer = finish(control, via, 2 * CALL_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, via, 2 * CALL_TIMEOUT, call.send().promise).await?;
     Ok(answer.get()?.get_alive())
 }
 
@@ -223,19 +226,19 @@
     pub shard: u32,
     /// The key.
     pub key: &'a str,
-    /// The arrival.
+    /// Identifies the request that claims the key.
     pub nonce: Nonce,
     /// Hash of the request.
     pub digest: &'a str,
 }
 
-/// Claims a key through the shard's preferred writer. After an error the claim may
-/// have taken effect; the same nonce finds it.
+/// Claims a key through the shard's preferred writer. After an error the claim may have taken effect
+/// nevertheless; a retry with the same nonce finds it.
 pub async fn claim(
     control: &ControlRef,
     writer: &VmId,
     claim: &RemoteClaim<'_>,
-) -> Result<Claimed, PeerError> {
+) -> Result<ClaimDecision, PeerError> {
     let client = client(control, writer).await?;
     let mut call = client.claim_request();
     {
@@ -246,20 +249,20 @@
         params.set_digest(claim.digest);
         params.set_by(&*control.borrow().settings.vm);
     }
-    let answer = finish(control, writer, CLAIM_LIMIT, call.send().promise).await?;
+    let answer = await_call(control, writer, CLAIM_TIMEOUT, call.send().promise).await?;
     let reply = answer.get()?.get_reply()?;
     let state = reply.get_state().map_err(|_| PeerError::Malformed)?;
     match state {
-        ClaimState::Claimed => Ok(Claimed::Owned),
+        ClaimState::Claimed => Ok(ClaimDecision::Owned),
         ClaimState::Known => {
             let outcome: ClaimOutcome =
                 serde_json::from_slice(reply.get_outcome()?).map_err(|_| PeerError::Malformed)?;
-            Ok(Claimed::Outcome(outcome))
+            Ok(ClaimDecision::Outcome(outcome))
         }
         ClaimState::Refused => {
             let code = Code::from_number(reply.get_code()).ok_or(PeerError::Malformed)?;
             let retry_after = Duration::from_millis(u64::from(reply.get_retry_after_ms()));
-            Ok(Claimed::Refused { code, retry_after })
+            Ok(ClaimDecision::Refused { code, retry_after })
         }
     }
 }
@@ -282,6 +285,6 @@
         params.set_nonce(nonce);
         params.set_outcome(&serde_json::to_vec(outcome).expect("plain data serialises"));
     }
-    finish(control, writer, CLAIM_LIMIT, call.send().promise).await?;
+    await_call(control, writer, CLAIM_TIMEOUT, call.send().promise).await?;
     Ok(())
 }
--- a/node/src/refusal.rs
+++ b/node/src/refusal.rs
@@ -1,5 +1,5 @@
-//! The answer to a request that got no result: the OpenAI error shape with the
-//! numbered code, and `Retry-After` where coming back helps.
+//! The response to a request without a result: an error in the format of the OpenAI API, with the numbered
+//! code, and `Retry-After` where a retry may succeed.
 
 use std::time::Duration;
 
@@ -13,43 +13,43 @@
 
 use crate::control_message::NotPlaced;
 
-/// When to come back where nothing better is known.
-const USUAL_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` of refusals that set no time of their own.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why a request gets no result.
 #[derive(Clone, Debug)]
 pub struct Refusal {
     /// The code.
     pub code: Code,
-    /// When to come back; told only where coming back helps.
+    /// When to retry; sent only if the code advises a retry.
     pub retry_after: Duration,
-    /// What exactly is wrong.
+    /// The error message for the caller.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal with the code's own meaning.
+    /// Creates a refusal with the code's standard message.
     pub fn new(code: Code) -> Self {
         Refusal::with_detail(code, code.meaning())
     }
 
-    /// A refusal that says more.
+    /// Creates a refusal with a specific message.
     pub fn with_detail(code: Code, detail: impl Into<String>) -> Self {
-        Refusal { code, retry_after: USUAL_RETRY, detail: detail.into() }
+        Refusal { code, retry_after: DEFAULT_RETRY_AFTER, detail: detail.into() }
     }
 
-    /// A refusal that says when to come back.
-    pub fn later(code: Code, retry_after: Duration) -> Self {
+    /// Creates a refusal with the code's standard message and a time to retry after.
+    pub fn with_retry_after(code: Code, retry_after: Duration) -> Self {
         Refusal { retry_after, ..Refusal::new(code) }
     }
 
-    fn tells_retry(&self) -> bool {
+    fn has_retry_after(&self) -> bool {
         self.code.retry_advice() != RetryAdvice::No
     }
 
-    /// The JSON body.
+    /// Returns the JSON body of the response.
     pub fn body(&self, request: u64) -> String {
-        let retry_after_ms = self.tells_retry().then_some(self.retry_after.as_millis() as u64);
+        let retry_after_ms = self.has_retry_after().then_some(self.retry_after.as_millis() as u64);
         json!({
             "error": {
                 "message": self.detail,
@@ -64,12 +64,12 @@
         .to_string()
     }
 
-    /// The HTTP response.
+    /// Builds the HTTP response.
     pub fn response(&self, request: u64) -> WebResponse {
         let mut res = json_response(self.code.http_status(), self.body(request), request);
         let headers = res.headers_mut();
         headers.insert("x-leadstage-code", HeaderValue::from(self.code.number()));
-        if self.tells_retry() {
+        if self.has_retry_after() {
             let seconds = self.retry_after.as_millis().div_ceil(1_000).max(1) as u64;
             headers.insert("retry-after", HeaderValue::from(seconds));
         }
@@ -79,11 +79,11 @@
 
 impl From<NotPlaced> for Refusal {
     fn from(not_placed: NotPlaced) -> Self {
-        Refusal::later(not_placed.code, not_placed.retry_after)
+        Refusal::with_retry_after(not_placed.code, not_placed.retry_after)
     }
 }
 
-/// A response with a JSON body and the request's id.
+/// Builds a response with a JSON body and the request's id.
 pub fn json_response(status: u16, body: impl Into<Bytes>, request: u64) -> WebResponse {
     let body: Bytes = body.into();
     let mut res = WebResponse::new(ResponseBody::from(body));
@@ -94,7 +94,7 @@
     res
 }
 
-/// A request's id as a header.
+/// Returns a request's id as a header value.
 pub fn id_header(request: u64) -> HeaderValue {
     HeaderValue::try_from(format!("{request:016x}")).expect("hex digits are a valid header")
 }
--- a/node/src/stop.rs
+++ b/node/src/stop.rs
@@ -1,5 +1,5 @@
-//! The planned stop: not ready to the balancer, leads handed over, every stream
-//! finished, then the process ends.
+//! The planned stop of a node: it becomes unready for the load balancer, hands over its leads, finishes every
+//! stream, and then the process ends.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 use crate::control::ControlRef;
 use crate::shared::Readiness;
 
-/// New requests are still taken for this long, until the balancer has noticed.
+/// How long new requests are still accepted, until the load balancer has noticed that the node is unready.
 pub const BALANCER_GRACE: Duration = Duration::from_secs(3);
-/// Time between two looks at whether all is finished.
-const POLL: Duration = Duration::from_millis(50);
-/// Time for streams that are ended at the bound to send their code.
-const LAST_WORDS: Duration = Duration::from_millis(500);
-/// Time for the last reports and outcomes to be sent.
-const FLUSH: Duration = Duration::from_millis(400);
-/// The bound where there is no bundle.
-const BOUND_WITHOUT_BUNDLE: Duration = Duration::from_secs(5);
+/// Interval between checks for remaining work.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time that streams ended at the time limit have to send their error code.
+const ABORT_GRACE: Duration = Duration::from_millis(500);
+/// Time to send the last reports and outcomes.
+const FLUSH_TIME: Duration = Duration::from_millis(400);
+/// Time limit of the stop if there is no bundle.
+const DEFAULT_STOP_BOUND: Duration = Duration::from_secs(5);
 
-/// Waits for SIGTERM or SIGINT and then for all requests to end.
+/// Waits for SIGTERM or SIGINT, then stops the node and waits until all requests have ended or the time
+/// limit is reached.
 pub async fn wait(control: ControlRef) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -31,42 +32,43 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    begin(&control);
+    begin_stop(&control);
     let bundle = control.borrow().shared.bundle();
-    let bound = bundle.map_or(BOUND_WITHOUT_BUNDLE, |b| b.bounds.stop_within);
+    let bound = bundle.map_or(DEFAULT_STOP_BOUND, |b| b.bounds.stop_within);
     let shared = control.borrow().shared.clone();
     let started = tokio::time::Instant::now();
     tokio::time::sleep(BALANCER_GRACE.min(bound)).await;
-    // Closed before the first look at what is open: a node that looked first and found nothing took
-    // calls while it sent its last reports; of four in those 400 ms it answered none.
+    // Must precede the first check for open requests. Otherwise a node that finds none still accepts calls
+    // while it sends its last reports; it answered none of four calls in those 400 ms.
     shared.close();
-    if tokio::time::timeout_at(started + bound, finished(&control)).await.is_err() {
-        warn!(event = "stop_bound", open = shared.open(); "streams are ended at the bound");
+    if tokio::time::timeout_at(started + bound, wait_for_requests(&control)).await.is_err() {
+        warn!(event = "stop_bound", open = shared.open(); "stop time limit reached; ending all streams");
         shared.stop_now.store(true, Ordering::Relaxed);
-        tokio::time::sleep(LAST_WORDS).await;
+        tokio::time::sleep(ABORT_GRACE).await;
     }
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(FLUSH_TIME).await;
     info!(event = "stopped"; "stopped");
     Ok(())
 }
 
-/// Waits until no request is open and nobody waits for this VM.
-async fn finished(control: &ControlRef) {
+/// Waits until no request is open and no other node waits for this one.
+async fn wait_for_requests(control: &ControlRef) {
     let shared = control.borrow().shared.clone();
-    while shared.open() > 0 || is_awaited(control) {
-        tokio::time::sleep(POLL).await;
+    while shared.open() > 0 || has_pending_work(control) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Others wait for what this VM leads, or outcomes are not recorded yet.
-fn is_awaited(control: &ControlRef) -> bool {
+/// Returns whether requests of other nodes wait in the pools that this VM leads, or outcomes are not
+/// recorded yet.
+fn has_pending_work(control: &ControlRef) -> bool {
     let control = control.borrow();
     let queued = control.leads.pools.iter().any(|(_, led)| led.waiting() > 0);
     queued || control.claims.waiting() > 0
 }
 
-fn begin(control: &ControlRef) {
-    info!(event = "stopping"; "a planned stop begins");
+fn begin_stop(control: &ControlRef) {
+    info!(event = "stopping"; "planned stop begins");
     let mut control = control.borrow_mut();
     control.shared.set_readiness(Readiness::Stopping);
     control.membership.leave();
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversions between the Cap'n Proto messages and the types of the decisions.
+//! Conversions between Cap'n Proto messages and the node's own types.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -13,30 +13,34 @@
 use leadstage_proto::peer_capnp;
 use leadstage_proto::peer_capnp::RunState;
 
-use crate::control_message::Running;
-use crate::entry_book::Line;
+use crate::control_message::RunningGeneration;
+use crate::entry_generations::GenerationReport;
 use crate::leads::PoolKey;
 
-/// What travels on probes.
+/// The gossip that probes and their responses carry.
 #[derive(Clone, Debug)]
 pub struct Gossip {
-    /// The sender.
+    /// The sending VM.
     pub from: VmId,
-    /// News of VMs.
+    /// Membership updates.
     pub news: Vec<MemberUpdate>,
-    /// The sender's bundle, 0 for none.
+    /// The number of the sender's bundle, 0 if it has none.
     pub bundle: BundleNumber,
-    /// Upstreams that the sender knows to be leaving.
+    /// Upstreams that are leaving, as far as the sender knows.
     pub leaving: Vec<UpstreamId>,
 }
 
-/// Reads a text as UTF-8.
+/// Reads a text field as UTF-8.
 pub fn text(reader: capnp::text::Reader<'_>) -> Result<&str, capnp::Error> {
     reader.to_str().map_err(|err| capnp::Error::failed(err.to_string()))
 }
 
-/// Writes a request for an engine.
-pub fn write_place(mut to: peer_capnp::place_request::Builder<'_>, key: &PoolKey, request: &PlaceRequest) {
+/// Writes a placement request.
+pub fn write_place_request(
+    mut to: peer_capnp::place_request::Builder<'_>,
+    key: &PoolKey,
+    request: &PlaceRequest,
+) {
     to.set_generation(request.generation);
     to.set_organisation(&*request.organisation);
     to.set_model(&*key.model);
@@ -48,8 +52,8 @@
     to.set_entry(&*request.entry);
 }
 
-/// Reads a request for an engine.
-pub fn read_place(
+/// Reads a placement request.
+pub fn read_place_request(
     from: peer_capnp::place_request::Reader<'_>,
 ) -> Result<(PoolKey, PlaceRequest), capnp::Error> {
     let key = PoolKey { model: text(from.get_model()?)?.into(), hall: text(from.get_hall()?)?.into() };
@@ -65,8 +69,8 @@
     Ok((key, request))
 }
 
-/// Writes a line of a report.
-pub fn write_line(mut to: peer_capnp::progress::Builder<'_>, line: &Line) {
+/// Writes the entry of one generation in a progress report.
+pub fn write_progress(mut to: peer_capnp::progress::Builder<'_>, line: &GenerationReport) {
     let request = &line.running.request;
     to.set_generation(request.generation);
     to.set_tokens(line.tokens);
@@ -90,12 +94,12 @@
     to.set_prefix(request.prefix);
 }
 
-/// Reads a line of a report by `entry` on a pool.
-pub fn read_line(
+/// Reads the entry of one generation in a progress report by the entry node `entry` on a pool.
+pub fn read_progress(
     from: peer_capnp::progress::Reader<'_>,
     entry: &VmId,
     key: &PoolKey,
-) -> Result<Line, capnp::Error> {
+) -> Result<GenerationReport, capnp::Error> {
     let request = PlaceRequest {
         generation: from.get_generation(),
         organisation: text(from.get_organisation()?)?.into(),
@@ -105,7 +109,7 @@
         priority: from.get_priority(),
         prefix: from.get_prefix(),
     };
-    let running = Running {
+    let running = RunningGeneration {
         request,
         model: key.model.clone(),
         hall: key.hall.clone(),
@@ -119,10 +123,10 @@
         RunState::Cancelled => Some(EndKind::Cancelled),
         RunState::Lost => Some(EndKind::Lost),
     };
-    Ok(Line { running, tokens: from.get_tokens(), ended, brief: from.get_brief() })
+    Ok(GenerationReport { running, tokens: from.get_tokens(), ended, brief: from.get_brief() })
 }
 
-/// Writes gossip.
+/// Writes a gossip message.
 pub fn write_gossip(mut to: peer_capnp::gossip::Builder<'_>, gossip: &Gossip) {
     to.set_from(&*gossip.from);
     to.set_bundle_number(gossip.bundle);
@@ -144,7 +148,7 @@
     }
 }
 
-/// Reads gossip.
+/// Reads a gossip message.
 pub fn read_gossip(from: peer_capnp::gossip::Reader<'_>) -> Result<Gossip, capnp::Error> {
     let mut news = Vec::new();
     for item in from.get_news()? {
