--- a/node/src/bundle_fetch.rs
+++ b/node/src/bundle_fetch.rs
@@ -14,8 +14,8 @@
 use futures::AsyncReadExt;
 use leadstage_lib::ids::BundleNumber;
 use leadstage_lib::ids::VmId;
-use leadstage_platform::connect::LEAST_PROGRESS;
-use leadstage_platform::connect::STALLED_AFTER;
+use leadstage_platform::connect::MIN_PROGRESS_BYTES;
+use leadstage_platform::connect::STALL_TIMEOUT;
 use log::warn;
 use tokio_util::compat::TokioAsyncReadCompatExt;
 use tokio_util::task::AbortOnDropHandle;
@@ -70,10 +70,10 @@
     let mut call = pin!(call);
     loop {
         let before = received.get();
-        if let Ok(result) = tokio::time::timeout(STALLED_AFTER, call.as_mut()).await {
+        if let Ok(result) = tokio::time::timeout(STALL_TIMEOUT, call.as_mut()).await {
             return Ok(result?);
         }
-        if received.get() - before < LEAST_PROGRESS {
+        if received.get() - before < MIN_PROGRESS_BYTES {
             return Err(PeerError::NoAnswer);
         }
     }
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -288,7 +288,7 @@
 }
 
 async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
-    let shown = match health::ask(&replica, &path, ASK_LIMIT).await {
+    let shown = match health::check(&replica, &path, ASK_LIMIT).await {
         Health::Well { .. } | Health::Unwell | Health::Leaving => Shown::Lives,
         Health::Other => Shown::Replaced,
         Health::Closed => Shown::PortClosed,
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -137,7 +137,7 @@
         let list = self.store.list::<K>(self.age, note_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::List, list.is_ok());
         let list = list?;
-        self.note_undecided(&list.undecided);
+        self.note_undecided(&list.unknown_fields);
         // If the history does not reach back to an old list, the next one is to be new.
         self.age = Age::Newest;
         self.is_new = true;
@@ -151,7 +151,7 @@
         let changes = self.store.watch::<K>(at, wait, note_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::Watch, changes.is_ok());
         let changes = changes?;
-        self.note_undecided(&changes.undecided);
+        self.note_undecided(&changes.unknown_fields);
         self.is_new = false;
         self.on_answer(changes.at);
         self.shared.tell((self.wrap)(News::Changed(changes)));
@@ -163,8 +163,8 @@
     }
 
     /// Logs each field once that nobody has decided on: the platform may ask for something that is not built.
-    fn note_undecided(&mut self, undecided: &BTreeSet<String>) {
-        for field in undecided {
+    fn note_undecided(&mut self, unknown_fields: &BTreeSet<String>) {
+        for field in unknown_fields {
             if self.noted.len() < MOST_NOTED && self.noted.insert(field.clone()) {
                 warn!(event = "field_undecided", kind = K::NAME, field = field.as_str(); "an object has a field that is not read, and nobody has said why");
             }
@@ -213,7 +213,7 @@
     async fn on_failure(&mut self, err: StoreError) {
         // What does not lapse in an outage is watched on from where it was: the configuration is up to
         // 1 MB, 0.84 s of a link of 10 Mbit/s, and each list is priced.
-        if K::LAPSES {
+        if K::EXPIRES {
             self.at = None;
         }
         self.shared.set_store_answers(false);
--- a/node/src/gateway/control/lookout.rs
+++ b/node/src/gateway/control/lookout.rs
@@ -51,6 +51,6 @@
 }
 
 async fn ask(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
-    let health = health::ask(&replica, &path, HEALTH_TIMEOUT).await;
+    let health = health::check(&replica, &path, HEALTH_TIMEOUT).await;
     shared.tell(ToControl::Health(replica.incarnation(), health));
 }
--- a/node/src/gateway/control/suspect_store.rs
+++ b/node/src/gateway/control/suspect_store.rs
@@ -9,7 +9,7 @@
 use leadstage_platform::store::Revision;
 use leadstage_platform::store::Store;
 use leadstage_platform::store::StoreError;
-use leadstage_platform::store::Written;
+use leadstage_platform::store::WriteOutcome;
 use leadstage_platform::store_kinds::Suspects;
 use log::info;
 
@@ -53,9 +53,9 @@
             };
             self.shared.metrics.on_store_call(StoreCall::Write, written.is_ok());
             match written? {
-                Written::Done(at) => return Ok(Some(StoredSuspect::Kept(suspect, at))),
-                Written::Missing => replaces = None,
-                Written::Other(held, at) => {
+                WriteOutcome::Done(at) => return Ok(Some(StoredSuspect::Kept(suspect, at))),
+                WriteOutcome::Missing => replaces = None,
+                WriteOutcome::Conflict(held, at) => {
                     let (all, is_held) = union(suspect, held);
                     if is_held {
                         return Ok(Some(StoredSuspect::Kept(all, at)));
--- a/node/src/gateway/control/upgrade_store.rs
+++ b/node/src/gateway/control/upgrade_store.rs
@@ -7,10 +7,10 @@
 
 use leadstage_lib::gateway::upgrade::Stage;
 use leadstage_platform::store::Store;
-use leadstage_platform::store::Written;
+use leadstage_platform::store::WriteOutcome;
 use leadstage_platform::store_kinds::StoredUpgrade;
+use leadstage_platform::store_kinds::UpgradeReport;
 use leadstage_platform::store_kinds::UpgradeState;
-use leadstage_platform::store_kinds::UpgradeWord;
 use leadstage_platform::store_kinds::Upgrades;
 use log::info;
 
@@ -30,7 +30,7 @@
 
 /// What the operator is to be told, if the store says something else. `stage` is that of the order, unless it can't
 /// be followed.
-pub fn word_due(held: &StoredUpgrade, stage: Option<Stage>) -> Option<UpgradeWord> {
+pub fn word_due(held: &StoredUpgrade, stage: Option<Stage>) -> Option<UpgradeReport> {
     if held.state.and_then(stage_of).is_some() {
         return None;
     }
@@ -38,7 +38,7 @@
         Ok(order) => order,
         Err(reason) => {
             let (state, target) = (UpgradeState::RolledBack, "".into());
-            return Some(UpgradeWord { state, target, reason: Some(reason.clone()) });
+            return Some(UpgradeReport { state, target, reason: Some(reason.clone()) });
         }
     };
     let state = match stage? {
@@ -47,20 +47,20 @@
         Stage::Reverted => UpgradeState::RolledBack,
         Stage::Failed | Stage::Succeeded => return None,
     };
-    let word = UpgradeWord { state, target: order.target.clone(), reason: None };
+    let word = UpgradeReport { state, target: order.target.clone(), reason: None };
     (held.state != Some(state)).then_some(word)
 }
 
 /// Writes it, and tells the control loop what the store holds then, if that is known.
-pub async fn write(shared: Arc<Shared>, held: StoredUpgrade, word: UpgradeWord) {
+pub async fn write(shared: Arc<Shared>, held: StoredUpgrade, word: UpgradeReport) {
     let mut store = Store::new(shared.settings.store);
     let written = store.replace_status::<Upgrades>(&held.service, &word, held.revision).await;
     shared.metrics.on_store_call(StoreCall::Write, written.is_ok());
     let service = held.service.clone();
     let held = match written {
-        Ok(Written::Done(revision)) => Some(StoredUpgrade { revision, state: Some(word.state), ..held }),
-        Ok(Written::Other(other, _)) => Some(other),
-        Ok(Written::Missing) => None,
+        Ok(WriteOutcome::Done(revision)) => Some(StoredUpgrade { revision, state: Some(word.state), ..held }),
+        Ok(WriteOutcome::Conflict(other, _)) => Some(other),
+        Ok(WriteOutcome::Missing) => None,
         Err(err) => {
             info!(event = "upgrade_not_stored", service = &*service, reason:% = err; "the store did not take what became of an upgrade");
             None
--- a/node/src/gateway/control/watching.rs
+++ b/node/src/gateway/control/watching.rs
@@ -9,8 +9,8 @@
 use leadstage_lib::gateway::watchers::PulseNumber;
 use leadstage_lib::gateway::watchers::StoreState;
 use leadstage_lib::gateway::watchers::WatchRole;
-use leadstage_platform::store::Glance;
 use leadstage_platform::store::Store;
+use leadstage_platform::store::StoreProbe;
 use leadstage_platform::store_kinds::Configuration;
 use leadstage_platform::store_kinds::Evacuations;
 use leadstage_platform::store_kinds::Replicas;
@@ -123,11 +123,11 @@
             number += 1;
             shared.tell(ToControl::OwnPulse(number, state));
         };
-        let Glance { answers, listed } = {
-            let glance = store.glance::<Evacuations>(PULSE_LIMIT, follow::note_unreadable::<Evacuations>);
-            let mut answer = std::pin::pin!(glance);
+        let StoreProbe { answers, listed } = {
+            let probe = store.probe::<Evacuations>(PULSE_LIMIT, follow::note_unreadable::<Evacuations>);
+            let mut answer = std::pin::pin!(probe);
             match tokio::time::timeout(PULSE_LATE, &mut answer).await {
-                Ok(glance) => glance,
+                Ok(probe) => probe,
                 Err(_) => {
                     tell(StoreState::Late);
                     answer.await
--- a/node/src/gateway/ingress/plain.rs
+++ b/node/src/gateway/ingress/plain.rs
@@ -8,7 +8,7 @@
 use leadstage_lib::gateway::waiting::NoRoom;
 use leadstage_lib::ids::UpstreamId;
 use leadstage_platform::headers;
-use leadstage_platform::headers::Added;
+use leadstage_platform::headers::AddedHeaders;
 
 use crate::gateway::messages::Outcome;
 use crate::gateway::messages::PlaceRequest;
@@ -130,7 +130,7 @@
     sent: u32,
 ) -> Attempt {
     let replica = run.placed.replica.clone();
-    let added = Added { priority: None, ..req.added(&replica.id, None) };
+    let added = AddedHeaders { priority: None, ..req.added(&replica.id, None) };
     let sent = exchange::send(traffic, &replica, req, &added, choice, sent).await;
     let exchanged = match sent {
         Ok(exchanged) => exchanged,
--- a/node/src/gateway/peers/fetching.rs
+++ b/node/src/gateway/peers/fetching.rs
@@ -18,7 +18,7 @@
 use leadstage_lib::gateway::config_text::PartialConfig;
 use leadstage_lib::gateway::replica_list::ReplicaList;
 use leadstage_lib::gateway::routing::ConfigVersion;
-use leadstage_platform::connect::Link;
+use leadstage_platform::connect::PersistentClient;
 use leadstage_platform::store::Revision;
 use log::info;
 
@@ -85,7 +85,9 @@
     }
     let mut part = part;
     let mut had = part.as_ref().map_or(0, |part| part.buf.len());
-    let answer = Link::new(from).fetch_into(req, ANSWER_LIMIT, |res| buf_for(res, &mut part, &mut had)).await;
+    let answer = PersistentClient::new(from)
+        .fetch_into(req, ANSWER_LIMIT, |res| buf_for(res, &mut part, &mut had))
+        .await;
     let has = part.as_ref().map_or(0, |part| part.buf.len());
     shared.metrics.on_peer_bytes(PeerBytes::FetchedIn, has.saturating_sub(had));
     match answer {
@@ -137,7 +139,7 @@
 }
 
 async fn ask_for_replicas(shared: &Shared, from: SocketAddr, path: &str) -> HandedReplicas {
-    let answer = Link::new(from).fetch(get(from, path), ANSWER_LIMIT).await;
+    let answer = PersistentClient::new(from).fetch(get(from, path), ANSWER_LIMIT).await;
     match answer {
         Ok(answer) if answer.status == StatusCode::OK => {
             shared.metrics.on_peer_bytes(PeerBytes::FetchedIn, answer.body.len());
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -29,7 +29,7 @@
 use leadstage_lib::ids::Timestamp;
 use leadstage_platform::engine::Resume;
 use leadstage_platform::headers;
-use leadstage_platform::headers::Added;
+use leadstage_platform::headers::AddedHeaders;
 use tokio::time::Instant;
 
 use crate::clock;
@@ -179,8 +179,8 @@
     }
 
     /// What leadstage adds to it for an engine.
-    pub fn added<'a>(&'a self, target: &'a str, resume: Option<&'a Resume>) -> Added<'a> {
-        Added {
+    pub fn added<'a>(&'a self, target: &'a str, resume: Option<&'a Resume>) -> AddedHeaders<'a> {
+        AddedHeaders {
             deadline: self.left(),
             target,
             organisation: self.organisation.as_ref().map(|o| &*o.name),
@@ -216,7 +216,7 @@
     let (head, body) = req.into_parts();
     let refuse = |unrouted| refuse(unrouted, shared.lacks_newer_config());
     let route = table.route(host(&head.uri, &head.headers), head.uri.path()).map_err(refuse)?;
-    let organisation = table.organisation(&route, headers::key(&head.headers)).map_err(refuse)?;
+    let organisation = table.organisation(&route, headers::api_key(&head.headers)).map_err(refuse)?;
     let patience = headers::deadline(&head.headers).unwrap_or(route.timeout).min(route.timeout);
     if !shared.held.takes_requests() {
         return Err(memory_full());
--- a/node/src/gateway/small_port.rs
+++ b/node/src/gateway/small_port.rs
@@ -31,7 +31,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if let Err(err) = connect::notice_silence(&stream) {
+                if let Err(err) = connect::detect_dead_peer(&stream) {
                     warn!(event = "socket_options", port, reason:% = err; "a socket takes no options");
                 }
                 return stream;
--- a/node/src/gateway/upstream/connections.rs
+++ b/node/src/gateway/upstream/connections.rs
@@ -163,7 +163,7 @@
 
 /// Opens a connection to a replica.
 pub async fn open(replica: &ReplicaRecord) -> Result<Connection, ConnectError> {
-    let stream = connect::connect(replica.address, connect::CONNECT_LIMIT).await?;
+    let stream = connect::connect(replica.address, connect::CONNECT_TIMEOUT).await?;
     let mut builder = http1::Builder::new();
     builder.max_buf_size(MOST_READ_AHEAD);
     let (sender, driver) = builder.handshake(TokioIo::new(stream)).await?;
--- a/node/src/gateway/upstream/exchange.rs
+++ b/node/src/gateway/upstream/exchange.rs
@@ -15,7 +15,7 @@
 use leadstage_lib::code::Code;
 use leadstage_lib::gateway::replica_record::ReplicaRecord;
 use leadstage_platform::headers;
-use leadstage_platform::headers::Added;
+use leadstage_platform::headers::AddedHeaders;
 use log::info;
 use tokio::time::Instant;
 
@@ -135,7 +135,7 @@
     traffic: &Traffic,
     replica: &ReplicaRecord,
     req: &CallerRequest,
-    added: &Added<'_>,
+    added: &AddedHeaders<'_>,
     choice: Choice,
     sent: u32,
 ) -> Result<Exchange, SendError> {
@@ -195,7 +195,7 @@
     }
 }
 
-fn request(req: &CallerRequest, added: &Added<'_>) -> Request<Full<Bytes>> {
+fn request(req: &CallerRequest, added: &AddedHeaders<'_>) -> Request<Full<Bytes>> {
     let mut out = Request::new(Full::new(req.body.clone()));
     *out.method_mut() = req.method.clone();
     *out.uri_mut() = req.uri.clone();
@@ -206,7 +206,7 @@
 impl Exchange {
     /// Whether the replica says that it did not run the request.
     pub fn says_not_run(&self) -> bool {
-        headers::says_not_run(self.status, &self.headers)
+        headers::reports_not_run(self.status, &self.headers)
     }
 
     /// Whether the body's end can be told from a connection that just closes.
@@ -246,8 +246,8 @@
             Err(err) => return Err(SendError::Cut(err.to_string())),
         };
         let held = held.unwrap_or_else(|| node.nothing());
-        if !headers::closes(&self.headers) {
-            connections.put(replica, self.connection, headers::keeps_for(&self.headers));
+        if !headers::closes_connection(&self.headers) {
+            connections.put(replica, self.connection, headers::keep_alive_timeout(&self.headers));
         }
         Ok(WholeAnswer { status: self.status, headers: self.headers, body, held })
     }
--- a/node/src/gateway/upstream/relay/silent_connection.rs
+++ b/node/src/gateway/upstream/relay/silent_connection.rs
@@ -60,7 +60,7 @@
 
 /// Whether the engine has made clearly more events than the `came` that its connection passed on.
 async fn is_ahead(req: &Arc<CallerRequest>, engine: &ReplicaRecord, came: u64) -> bool {
-    let made = engine::events_made(engine.address, req.id(), REPORT_LIMIT).await;
+    let made = engine::fetch_event_count(engine.address, req.id(), REPORT_LIMIT).await;
     let is_ahead = matches!(made, Ok(Some(made)) if made >= came + EVENTS_AHEAD);
     info!(event = "connection_doubted", request = req.id(), upstream = &*engine.id, came = came, made:? = made, silent = is_ahead; "a stream is silent");
     is_ahead
--- a/node/src/gateway/upstream/replica_words.rs
+++ b/node/src/gateway/upstream/replica_words.rs
@@ -79,17 +79,17 @@
     /// The head of an answer came to a request that was sent at `sent`.
     pub fn on_head(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
         self.note_headers(&head.headers);
-        if headers::says_leaving(&head.headers) {
+        if headers::announces_leaving(&head.headers) {
             self.on_said_leaving(req, replica);
         }
         self.on_rest_word(req, replica, head, sent);
-        self.on_limit_word(replica, headers::limit_word(head.status, &head.headers), sent);
+        self.on_limit_word(replica, headers::limit_report(head.status, &head.headers), sent);
     }
 
     /// The replica asks for rest, or does not.
     fn on_rest_word(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
         let mut rests = self.rests.borrow_mut();
-        match headers::rest_asked(head.status, &head.headers) {
+        match headers::requested_backoff(head.status, &head.headers) {
             Some(rest) => {
                 rests.on_retry_after(replica, rest, self.shared.now());
                 info!(event = "rest_asked", request = req.id(), upstream = &*replica.id, rest_ms = rest.as_millis() as u64; "a replica asks this node for rest");
@@ -116,7 +116,7 @@
                 continue;
             }
             seen.insert(name.clone());
-            if !fields::knows_header(name.as_str()) {
+            if !fields::is_known_header(name.as_str()) {
                 warn!(event = "field_undecided", kind = "answer", field = name.as_str(); "an answer has a header that is not read, and nobody has said why");
             }
         }
--- a/node/src/gateway/upstream/stall.rs
+++ b/node/src/gateway/upstream/stall.rs
@@ -71,7 +71,7 @@
     let Some(service) = req.table.service(&req.service) else {
         return false;
     };
-    let health = health::ask(engine, &service.health_path, HEALTH_LIMIT).await;
+    let health = health::check(engine, &service.health_path, HEALTH_LIMIT).await;
     info!(event = "silence_doubted", request = req.id(), upstream = &*engine.id, health:? = health; "an engine is silent");
     let is_gone = matches!(health, Health::Silent | Health::Closed | Health::Other);
     if is_gone {
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -91,8 +91,8 @@
         let Some(service) = req.table.service(&req.service) else {
             return false;
         };
-        let health = health::ask(replica, &service.health_path, HEALTH_LIMIT).await;
-        health.is_answer()
+        let health = health::check(replica, &service.health_path, HEALTH_LIMIT).await;
+        health.is_from_replica()
     }
 
     /// Whether a request is sent to no replica.
--- a/node/src/platform.rs
+++ b/node/src/platform.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::TokioExecutor;
 use leadstage_lib::claim_writer::WriteResult;
 use leadstage_lib::upstreams::VmRecord;
-use leadstage_platform::connect::read_on;
+use leadstage_platform::connect::read_body;
 
 /// A call whose answer has not begun for this long counts as failed. No limit holds for the whole
 /// of an answer: a list of 3,000 VMs (0.3 MB) on a link that has 150 kB/s left takes two seconds,
@@ -110,7 +110,7 @@
         let (head, mut body) = self.send(req, limit).await?.into_parts();
         let etag = head.headers.get("etag").and_then(|v| v.to_str().ok()).and_then(|v| v.parse().ok());
         let mut buf = BytesMut::new();
-        read_on(&mut body, &mut buf).await.map_err(no_answer)?;
+        read_body(&mut body, &mut buf).await.map_err(no_answer)?;
         Ok((head.status.as_u16(), etag, buf.freeze()))
     }
 
