--- a/node/tests/crashing_fleet.rs
+++ b/node/tests/crashing_fleet.rs
@@ -71,18 +71,18 @@
     pub async fn add_replica(&mut self) {
         let id = format!("{}-{}", self.service, self.replicas.len() + 1);
         let running = self.gateway.start_replica(self.service, &id, EVENTS).await;
-        running.replica.set_ends_on(ENDS_REPLICAS);
+        running.replica.set_crash_on(ENDS_REPLICAS);
         self.replicas.push(running);
     }
 
     /// Replicas that have ended.
     pub fn ended(&self) -> usize {
-        self.replicas.iter().filter(|running| running.replica.has_ended()).count()
+        self.replicas.iter().filter(|running| running.replica.has_crashed()).count()
     }
 
     /// Requests with the body that reached replicas.
     pub fn sends(&self) -> usize {
-        let seen = self.replicas.iter().flat_map(|running| running.replica.seen());
+        let seen = self.replicas.iter().flat_map(|running| running.replica.received_requests());
         seen.filter(|seen| seen.body == ENDS_REPLICAS).count()
     }
 
@@ -103,7 +103,7 @@
 
     /// Ended replicas are no longer listed, some time after their end.
     fn lapse(&self) {
-        for running in self.replicas.iter().filter(|running| running.replica.has_ended()) {
+        for running in self.replicas.iter().filter(|running| running.replica.has_crashed()) {
             let (store, id) = (self.gateway.store.clone(), running.replica.id.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(LAPSES_AFTER).await;
--- a/node/tests/gateway_environment.rs
+++ b/node/tests/gateway_environment.rs
@@ -24,8 +24,8 @@
 use leadstage_lib::gateway::upgrade::AnnouncedUpgrades;
 use leadstage_lib::status::NodeStatus;
 use leadstage_testutils::faulty_proxy::FaultyProxy;
-use leadstage_testutils::gateway_replica::Engines;
 use leadstage_testutils::gateway_replica::GatewayReplica;
+use leadstage_testutils::gateway_replica::SharedEngineState;
 use leadstage_testutils::loopback::Server;
 use leadstage_testutils::metadata_store::MetadataStore;
 use leadstage_testutils::metadata_store::replica_entry;
@@ -64,7 +64,7 @@
     pub store: Arc<MetadataStore>,
     store_server: Server,
     /// What the engines share.
-    pub engines: Arc<Engines>,
+    pub engines: Arc<SharedEngineState>,
     nodes: Vec<Child>,
     net: String,
     dir: TempDir,
--- a/node/tests/loaded_fleet.rs
+++ b/node/tests/loaded_fleet.rs
@@ -111,14 +111,14 @@
 
     /// When requests came to a replica, from a moment on.
     pub fn arrivals(&self, replica: usize, from: Instant) -> Vec<Instant> {
-        let seen = self.replicas[replica].replica.seen();
+        let seen = self.replicas[replica].replica.received_requests();
         seen.into_iter().map(|seen| seen.at).filter(|at| *at >= from).collect()
     }
 
     /// When requests of one node's callers came to a replica, from a moment on.
     pub fn arrivals_through(&self, node: usize, replica: usize, from: Instant) -> Vec<Instant> {
         let through = format!("{node}-");
-        let seen = self.replicas[replica].replica.seen();
+        let seen = self.replicas[replica].replica.received_requests();
         let its = seen
             .into_iter()
             .filter(|seen| seen.header("leadstage-request-id").is_some_and(|id| id.starts_with(&through)));
--- a/node/tests/test_bundles.rs
+++ b/node/tests/test_bundles.rs
@@ -42,7 +42,7 @@
     let yaml = format!("{}\n# {}\n", bundle_yaml(2, &env.options.bounds), "x".repeat(300_000));
     env.put_bundle(envelope(2, &yaml, "test").to_bytes()).await;
     env.until_bundle(1, 2).await;
-    proxy.set(LinkFault::Thin(100_000));
+    proxy.set(LinkFault::Throttle(100_000));
     env.fault("platform", "down").await;
     env.start_node(2);
     env.until_bundle(2, 2).await;
--- a/node/tests/test_gateway_asked_rests.rs
+++ b/node/tests/test_gateway_asked_rests.rs
@@ -33,8 +33,8 @@
 /// The first replicas turn all requests away and ask for rest.
 fn shed(fleet: &LoadedFleet, replicas: usize) -> Instant {
     for running in &fleet.replicas[..replicas] {
-        running.replica.set_rest(Some(ASKED));
-        running.replica.set_fault(ReplicaFault::NotRun);
+        running.replica.set_retry_after(Some(ASKED));
+        running.replica.set_fault(ReplicaFault::NotExecuted);
     }
     Instant::now()
 }
--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -18,7 +18,7 @@
 }
 
 fn arrivals(replicas: &[RunningReplica]) -> usize {
-    replicas.iter().map(|running| running.replica.seen().len()).sum()
+    replicas.iter().map(|running| running.replica.received_requests().len()).sum()
 }
 
 #[tokio::test]
@@ -47,7 +47,7 @@
     let called = gateway.call(0, req).await;
     assert_eq!((called.status, called.body.as_str()), (200, "booking-1 answers /book/a%20b?x=1&y"));
     assert_eq!(called.header("leadstage-server-signature"), Some("sig-booking-1"));
-    let seen = bookings[0].replica.seen().pop().expect("it arrived");
+    let seen = bookings[0].replica.received_requests().pop().expect("it arrived");
     assert_eq!(seen.line, "POST /book/a%20b?x=1&y");
     assert_eq!(seen.body, "a body");
     let deadline: u64 =
@@ -99,11 +99,11 @@
     let mut rows = Vec::new();
     for fault in [
         ReplicaFault::None,
-        ReplicaFault::NotRun,
+        ReplicaFault::NotExecuted,
         ReplicaFault::Fails,
         ReplicaFault::Breaks,
-        ReplicaFault::ForeignAnswer,
-        ReplicaFault::CutsBody,
+        ReplicaFault::WrongRequestId,
+        ReplicaFault::TruncatesBody,
     ] {
         set_faults(&bookings, fault);
         for path in ["/read/x", "/book/x"] {
@@ -140,7 +140,9 @@
     gateway.until("it runs", async || bookings[0].replica.running() == 1).await;
     calling.abort();
     let asked = tokio::time::Instant::now();
-    gateway.until("the replica sees it", async || bookings[0].replica.left() == ["r-left"]).await;
+    gateway
+        .until("the replica sees it", async || bookings[0].replica.abandoned_requests() == ["r-left"])
+        .await;
     assert!(asked.elapsed() < Duration::from_millis(500), "seen after {:?}", asked.elapsed());
 }
 
@@ -182,7 +184,7 @@
 #[tokio::test]
 async fn test_forgotten_connections_fail_few_calls() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
-    set_faults(&bookings, ReplicaFault::ForgetsConnections);
+    set_faults(&bookings, ReplicaFault::ClosesReusedConnections);
     let mut failed = 0;
     for _ in 0..16 {
         let called = gateway.call(0, request("POST", "/book/x", KEY, "r-1")).await;
--- a/node/tests/test_gateway_closed_halls.rs
+++ b/node/tests/test_gateway_closed_halls.rs
@@ -59,26 +59,28 @@
 async fn test_nothing_new_goes_to_a_closed_hall_until_it_is_opened() {
     let (gateway, bookings, models) = two_halls().await;
     let (running, ()) = tokio::join!(gateway.call(0, chat("runs")), async {
-        gateway.until("it runs", async || models.iter().any(|m| !m.replica.seen().is_empty())).await;
+        gateway
+            .until("it runs", async || models.iter().any(|m| !m.replica.received_requests().is_empty()))
+            .await;
         gateway.store.put("evacuations", "hall-1", json!({}));
         until_closed(&gateway, 0, &["hall-1"]).await;
-        let before = [&bookings[0], &models[0]].map(|r| r.replica.seen().len());
+        let before = [&bookings[0], &models[0]].map(|r| r.replica.received_requests().len());
         for n in 0..12 {
             assert_eq!(gateway.status_of(0, "/book/x", KEY).await, 200);
             let chat = gateway.call(0, chat(&format!("c-{n}"))).await;
             assert!(chat.whole && chat.events() == Some(60), "{chat:?}");
         }
-        let after = [&bookings[0], &models[0]].map(|r| r.replica.seen().len());
+        let after = [&bookings[0], &models[0]].map(|r| r.replica.received_requests().len());
         assert_eq!(after, before, "{}", gateway.logs());
     });
     assert!(running.whole && running.events() == Some(60), "what ran there ends by itself: {running:?}");
     gateway.store.delete("evacuations", "hall-1");
     until_closed(&gateway, 0, &[]).await;
-    let before = bookings[0].replica.seen().len();
+    let before = bookings[0].replica.received_requests().len();
     gateway
         .until("a call there", async || {
             gateway.status_of(0, "/read/x", KEY).await;
-            bookings[0].replica.seen().len() > before
+            bookings[0].replica.received_requests().len() > before
         })
         .await;
 }
@@ -90,7 +92,8 @@
     let (gateway, bookings, models) = two_halls().await;
     HALLS.iter().for_each(|hall| gateway.store.put("evacuations", hall, json!({})));
     until_closed(&gateway, 0, &HALLS).await;
-    let before: Vec<usize> = bookings.iter().chain(&models).map(|r| r.replica.seen().len()).collect();
+    let before: Vec<usize> =
+        bookings.iter().chain(&models).map(|r| r.replica.received_requests().len()).collect();
     for req in [chat("r-1"), request("GET", "/read/x", KEY, "r-2"), request("GET", "/book/x", KEY, "r-3")] {
         let asked = tokio::time::Instant::now();
         let refused = gateway.call(0, req).await;
@@ -101,7 +104,8 @@
         let told_in = asked.elapsed();
         assert!(told_in < Duration::from_secs(2), "{told_in:?}");
     }
-    let after: Vec<usize> = bookings.iter().chain(&models).map(|r| r.replica.seen().len()).collect();
+    let after: Vec<usize> =
+        bookings.iter().chain(&models).map(|r| r.replica.received_requests().len()).collect();
     assert_eq!(after, before);
 }
 
@@ -133,7 +137,7 @@
 #[tokio::test]
 async fn test_a_store_without_history_still_tells_which_halls_are_closed() {
     let (gateway, _bookings, _models) = two_halls().await;
-    gateway.store.set_fault(StoreFault::ForgetsHistory);
+    gateway.store.set_fault(StoreFault::LosesHistory);
     gateway.store.put("evacuations", "hall-1", json!({}));
     until_closed(&gateway, 0, &["hall-1"]).await;
     gateway.store.delete("evacuations", "hall-1");
--- a/node/tests/test_gateway_config_ways.rs
+++ b/node/tests/test_gateway_config_ways.rs
@@ -13,8 +13,8 @@
 use leadstage_testutils::faulty_proxy::FaultyProxy;
 use leadstage_testutils::faulty_proxy::LinkFault;
 use leadstage_testutils::loopback;
-use leadstage_testutils::loopback::Answerer;
 use leadstage_testutils::loopback::Body;
+use leadstage_testutils::loopback::RequestHandler;
 use leadstage_testutils::loopback::Server;
 use leadstage_testutils::metadata_store::MetadataStore;
 use leadstage_testutils::metadata_store::StoreFault;
@@ -93,7 +93,7 @@
     let lacking = Lacking::start().await;
     lacking.own_store.set_fault(StoreFault::Refuses);
     let between = FaultyProxy::start(&lacking.gateway.replicas_ip(), lacking.peer(lacking.has)).await;
-    between.set(LinkFault::Thin(30_000));
+    between.set(LinkFault::Throttle(30_000));
     tell_of_config(between.address, 2, 0, lacking.peer(lacking.lacks)).await;
     // Datagrams don't pass between: 2.3 s after it was told the node may take the other one for dead.
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -131,7 +131,7 @@
     let lacking = Lacking::start().await;
     lacking.own_store.set_fault(StoreFault::Refuses);
     let slow = FaultyProxy::start(&lacking.gateway.replicas_ip(), lacking.peer(lacking.has)).await;
-    slow.set(LinkFault::Thin(12_000));
+    slow.set(LinkFault::Throttle(12_000));
     tell_of_config(slow.address, 2, 0, lacking.peer(lacking.lacks)).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let took = lacking.takes_from_the_other().await;
@@ -143,7 +143,7 @@
 #[tokio::test]
 async fn test_a_slow_read_of_the_store_does_not_keep_a_configuration_from_one_that_others_have() {
     let lacking = Lacking::start().await;
-    lacking.before_store.set(LinkFault::Thin(16_000));
+    lacking.before_store.set(LinkFault::Throttle(16_000));
     lacking.own_store.put("config", "main", large_config(2, MOST_ROUTES));
     let ip = lacking.gateway.replicas_ip();
     for port in 9..12 {
@@ -163,7 +163,7 @@
     gateway.store.put("config", "main", config(1));
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
     let proxy = FaultyProxy::start(&gateway.own_store_ip(), gateway.store_address()).await;
-    proxy.set(LinkFault::Thin(350_000));
+    proxy.set(LinkFault::Throttle(350_000));
     let node = gateway.start_node_at(proxy.address);
     gateway.until_ready(node).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -187,7 +187,7 @@
     let counting = Arc::new(Counting { store: gateway.store.clone(), lists: AtomicU64::new(0) });
     let server = loopback::serve(&gateway.own_store_ip(), counting.clone()).await;
     let proxy = FaultyProxy::start(&gateway.own_store_ip(), server.address).await;
-    proxy.set(LinkFault::Thin(350_000));
+    proxy.set(LinkFault::Throttle(350_000));
     let node = gateway.start_node_at(proxy.address);
     gateway.until_ready(node).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -206,12 +206,15 @@
     asked: AtomicU64,
 }
 
-impl Answerer for Unreadable {
-    async fn answer(self: Arc<Self>, _req: Request<Bytes>) -> Response<Body> {
+impl RequestHandler for Unreadable {
+    async fn handle(self: Arc<Self>, _req: Request<Bytes>) -> Response<Body> {
         self.asked.fetch_add(1, Ordering::Relaxed);
         let text = ConfigText::new(2, Bytes::from_static(b"{\"version\":2}"), None);
         let (edition, bytes) = text.encoded_for(0).expect("it can be compressed");
-        Response::builder().header("etag", edition.to_string()).body(loopback::whole(bytes)).expect("valid")
+        Response::builder()
+            .header("etag", edition.to_string())
+            .body(loopback::full_body(bytes))
+            .expect("valid")
     }
 }
 
@@ -233,13 +236,13 @@
     asked: AtomicU64,
 }
 
-impl Answerer for Busy {
-    async fn answer(self: Arc<Self>, _req: Request<Bytes>) -> Response<Body> {
+impl RequestHandler for Busy {
+    async fn handle(self: Arc<Self>, _req: Request<Bytes>) -> Response<Body> {
         self.asked.fetch_add(1, Ordering::Relaxed);
         Response::builder()
             .status(503)
             .header("retry-after", "1.000")
-            .body(loopback::whole(""))
+            .body(loopback::full_body(""))
             .expect("valid")
     }
 }
@@ -315,13 +318,13 @@
     lists: AtomicU64,
 }
 
-impl Answerer for Counting {
-    async fn answer(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
+impl RequestHandler for Counting {
+    async fn handle(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
         let watches = req.uri().query().is_some_and(|query| query.contains("watch="));
         if req.uri().path() == "/v1/objects/config" && !watches {
             self.lists.fetch_add(1, Ordering::Relaxed);
         }
-        self.store.clone().answer(req).await
+        self.store.clone().handle(req).await
     }
 }
 
@@ -361,7 +364,7 @@
     let node = gateway.start_node();
     gateway.until_ready(node).await;
     gateway.until("it watches", async || gateway.log(node).contains("event=store_watch")).await;
-    gateway.store.set_fault(StoreFault::ForgetsHistory);
+    gateway.store.set_fault(StoreFault::LosesHistory);
     let before = gateway.store.calls();
     tokio::time::sleep(Duration::from_secs(3)).await;
     // Two kinds are listed and watched once a second, and pulses come beside them.
--- a/node/tests/test_gateway_crash_evidence.rs
+++ b/node/tests/test_gateway_crash_evidence.rs
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn test_an_answer_that_is_cut_off_is_no_end() {
     let mut fleet = CrashingFleet::start(BOOKING).await;
-    fleet.replicas.iter().for_each(|running| running.replica.set_fault(ReplicaFault::CutsBody));
+    fleet.replicas.iter().for_each(|running| running.replica.set_fault(ReplicaFault::TruncatesBody));
     let read = |id: &str| request("GET", "/read/x", KEY, id);
     for _ in 0..6 {
         assert_eq!(fleet.attempt(read).await.status, 502);
@@ -89,7 +89,7 @@
             let running = reached().expect("one");
             fleet.gateway.drain(BOOKING, running);
             tokio::time::sleep(ASKED_WITHIN).await;
-            running.replica.end();
+            running.replica.crash();
         };
         let (called, ()) = tokio::join!(calling, ending);
         assert_eq!(called.status, 502, "{called:?}");
@@ -118,10 +118,10 @@
                 gateway.call(n as usize % NODES, req).await.status
             }
         });
-        let live: Vec<_> = fleet.replicas.iter().filter(|running| !running.replica.has_ended()).collect();
+        let live: Vec<_> = fleet.replicas.iter().filter(|running| !running.replica.has_crashed()).collect();
         let ends = async {
             tokio::time::sleep(Duration::from_millis(150)).await;
-            live.iter().take(REPLICAS / 2).for_each(|running| running.replica.end());
+            live.iter().take(REPLICAS / 2).for_each(|running| running.replica.crash());
         };
         let (statuses, ()) = tokio::join!(futures::future::join_all(calls), ends);
         let served = statuses.iter().filter(|status| **status == 200).count();
--- a/node/tests/test_gateway_fleet.rs
+++ b/node/tests/test_gateway_fleet.rs
@@ -114,7 +114,8 @@
     gateway.drain("booking", &bookings[0]);
     gateway
         .until("the new replica", async || {
-            gateway.status_of(second, "/read/x", "key-b").await == 200 && !added.replica.seen().is_empty()
+            gateway.status_of(second, "/read/x", "key-b").await == 200
+                && !added.replica.received_requests().is_empty()
         })
         .await;
 }
@@ -122,7 +123,7 @@
 #[tokio::test]
 async fn test_a_forgotten_history_is_listed_anew() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
-    gateway.store.set_fault(StoreFault::ForgetsHistory);
+    gateway.store.set_fault(StoreFault::LosesHistory);
     gateway.until("it lists", async || gateway.log(0).contains("event=store_history_gone")).await;
     gateway.store.set_fault(StoreFault::None);
     let mut newer = config(2);
--- a/node/tests/test_gateway_foreign_entries.rs
+++ b/node/tests/test_gateway_foreign_entries.rs
@@ -41,12 +41,15 @@
     }
     gateway.until("they were read", async || gateway.log(0).contains("name=foreign-20")).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let before = foreign.replica.seen().len();
+    let before = foreign.replica.received_requests().len();
     for _ in 0..20 {
         assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
     }
-    assert_eq!(foreign.replica.seen().len(), before, "{}", gateway.logs());
-    assert!(bookings.iter().all(|booking| !booking.replica.seen().is_empty()), "the others hold");
+    assert_eq!(foreign.replica.received_requests().len(), before, "{}", gateway.logs());
+    assert!(
+        bookings.iter().all(|booking| !booking.replica.received_requests().is_empty()),
+        "the others hold"
+    );
     // A node that starts reads them in a list.
     let mut gateway = gateway;
     let second = gateway.start_node();
@@ -54,13 +57,13 @@
     for _ in 0..20 {
         assert_eq!(gateway.status_of(second, "/read/x", KEY).await, 200);
     }
-    assert_eq!(foreign.replica.seen().len(), before, "{}", gateway.logs());
+    assert_eq!(foreign.replica.received_requests().len(), before, "{}", gateway.logs());
     // Its own next entry names it again.
     gateway.store.put("servers", "foreign", sound());
     gateway
         .until("it is used again", async || {
             gateway.status_of(0, "/read/x", KEY).await;
-            foreign.replica.seen().len() > before
+            foreign.replica.received_requests().len() > before
         })
         .await;
 }
--- a/node/tests/test_gateway_large_config.rs
+++ b/node/tests/test_gateway_large_config.rs
@@ -39,7 +39,7 @@
 /// Path of the last of them.
 const LAST_ROUTE: &str = "/more-4999/x";
 /// Bytes a second: a configuration of that size takes three seconds whole.
-const THIN: LinkFault = LinkFault::Thin(350_000);
+const THIN: LinkFault = LinkFault::Throttle(350_000);
 
 /// A node reads the store when it starts. However small its link, what it reads comes in the end.
 #[tokio::test]
@@ -119,7 +119,7 @@
 #[tokio::test]
 async fn test_a_large_configuration_is_handed_over_a_thin_link() {
     let pair = Pair::start().await;
-    pair.between.set(LinkFault::Thin(20_000));
+    pair.between.set(LinkFault::Throttle(20_000));
     pair.tell_until("handed over", |log| log.contains("config_in_force version=2")).await;
 }
 
@@ -147,7 +147,7 @@
     let pair = Pair::start().await;
     let (gateway, lacks) = (&pair.gateway, pair.lacks);
     assert_eq!(gateway.status_of(lacks, LAST_ROUTE, KEY).await, 404);
-    pair.between.set(LinkFault::Thin(20_000));
+    pair.between.set(LinkFault::Throttle(20_000));
     let lacking: SocketAddr = gateway.peer(lacks).parse().expect("an address");
     gateway
         .until("it waits", async || {
--- a/node/tests/test_gateway_limits.rs
+++ b/node/tests/test_gateway_limits.rs
@@ -48,7 +48,7 @@
     let mut req = request("GET", "/read/x", KEY, "r-2");
     req.headers_mut().insert("x-large", "x".repeat(12_000).parse().expect("valid"));
     assert_eq!(gateway.call(0, req).await.status, 200);
-    assert_eq!(bookings[0].replica.seen().len(), 1);
+    assert_eq!(bookings[0].replica.received_requests().len(), 1);
 }
 
 #[tokio::test]
@@ -103,7 +103,7 @@
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
     let calls = HELD_BACK_MS.map(|held| late_stream(&gateway, held));
     let answers = futures::future::join_all(calls).await;
-    let seen = models[0].replica.seen();
+    let seen = models[0].replica.received_requests();
     let mut cut = Vec::new();
     for (held, answer) in HELD_BACK_MS.iter().zip(answers) {
         let id = format!("r-{held}");
--- a/node/tests/test_gateway_regions.rs
+++ b/node/tests/test_gateway_regions.rs
@@ -67,7 +67,7 @@
 }
 
 fn seen(replicas: &ByHall) -> Vec<usize> {
-    replicas.iter().map(|running| running.replica.seen().len()).collect()
+    replicas.iter().map(|running| running.replica.received_requests().len()).collect()
 }
 
 #[tokio::test]
@@ -89,7 +89,7 @@
         assert_eq!(gateway.status_of(0, "/book/x", KEY).await, 200);
     }
     assert!(seen(&bookings)[0] > 0, "{}", gateway.logs());
-    let headers = models.iter().chain(&bookings).flat_map(|running| running.replica.seen());
+    let headers = models.iter().chain(&bookings).flat_map(|running| running.replica.received_requests());
     assert!(headers.into_iter().all(|seen| seen.header("kv-backup").is_none()), "no copy is kept elsewhere");
 }
 
@@ -131,14 +131,14 @@
         });
         assert!(chat.whole && chat.events() == Some(EVENTS), "{chat:?}\n{}", gateway.logs());
         assert!(gateway.log(node).contains("event=moved"), "{}", gateway.logs());
-        assert_eq!(models[2].replica.seen().len(), 0, "{}", gateway.logs());
+        assert_eq!(models[2].replica.received_requests().len(), 0, "{}", gateway.logs());
     }
 }
 
 #[tokio::test]
 async fn test_a_call_that_fails_in_its_region_is_sent_nowhere_else() {
     let (gateway, bookings, _models) = fleet(restricted(&[("read", json!("south"))], Value::Null)).await;
-    bookings[2].replica.set_fault(ReplicaFault::NotRun);
+    bookings[2].replica.set_fault(ReplicaFault::NotExecuted);
     let refused = gateway.call(0, request("GET", "/read/x", KEY, "r-1")).await;
     assert_eq!(refused.status, 503, "{refused:?}");
     assert_eq!(seen(&bookings)[..2], [0, 0], "{}", gateway.logs());
--- a/node/tests/test_gateway_restarts.rs
+++ b/node/tests/test_gateway_restarts.rs
@@ -46,8 +46,10 @@
 
 /// The replica that a request has reached.
 async fn reached<'a>(gateway: &Gateway, replicas: &'a [RunningReplica]) -> &'a RunningReplica {
-    gateway.until("it arrives", async || replicas.iter().any(|r| !r.replica.seen().is_empty())).await;
-    replicas.iter().find(|r| !r.replica.seen().is_empty()).expect("one")
+    gateway
+        .until("it arrives", async || replicas.iter().any(|r| !r.replica.received_requests().is_empty()))
+        .await;
+    replicas.iter().find(|r| !r.replica.received_requests().is_empty()).expect("one")
 }
 
 async fn until_restarted(gateway: &Gateway) {
@@ -67,7 +69,7 @@
         start_at(&gateway, MODEL, engine, 100);
     });
     assert!(called.whole && called.events() == Some(60), "{called:?}\n{}", gateway.logs());
-    let arrivals = models.iter().filter(|model| !model.replica.seen().is_empty()).count();
+    let arrivals = models.iter().filter(|model| !model.replica.received_requests().is_empty()).count();
     assert_eq!(arrivals, 2, "it went on at the other engine");
     assert_eq!(gateway.log(0).matches("event=replica_restarted").count(), 1, "{}", gateway.logs());
 }
@@ -83,7 +85,7 @@
         until_restarted(&gateway).await;
     });
     assert!(!called.whole && called.events().is_some(), "{called:?}");
-    let arrivals: usize = models.iter().map(|model| model.replica.seen().len()).sum();
+    let arrivals: usize = models.iter().map(|model| model.replica.received_requests().len()).sum();
     assert_eq!(arrivals, 1, "it is sent once");
 }
 
@@ -100,6 +102,6 @@
         until_restarted(&gateway).await;
     });
     assert!(called.status >= 500 && called.status != 503, "{called:?}");
-    let arrivals: usize = bookings.iter().map(|booking| booking.replica.seen().len()).sum();
+    let arrivals: usize = bookings.iter().map(|booking| booking.replica.received_requests().len()).sum();
     assert_eq!(arrivals, 1, "{}", gateway.logs());
 }
--- a/node/tests/test_gateway_resuming.rs
+++ b/node/tests/test_gateway_resuming.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use leadstage_testutils::gateway_replica::Seen;
+use leadstage_testutils::gateway_replica::ReceivedRequest;
 use leadstage_testutils::gateway_replica::StreamFault;
 
 use crate::gateway_environment::Gateway;
@@ -28,7 +28,7 @@
     Case { name: "none", faults: &[] },
     Case { name: "dies before its head", faults: &[StreamFault::NoHead] },
     Case { name: "fails it", faults: &[StreamFault::Fails] },
-    Case { name: "did not run it", faults: &[StreamFault::NotRun] },
+    Case { name: "did not run it", faults: &[StreamFault::NotExecuted] },
     Case { name: "answers late", faults: &[StreamFault::Late(LATE)] },
     Case { name: "never answers", faults: &[StreamFault::Hangs] },
     Case { name: "breaks before an event", faults: &[StreamFault::BreaksAfter(0)] },
@@ -47,8 +47,8 @@
     Case { name: "the second starts over", faults: &[StreamFault::BreaksAfter(7), StreamFault::StartsOver] },
 ];
 
-fn arrivals(models: &[RunningReplica]) -> Vec<Seen> {
-    models.iter().flat_map(|model| model.replica.seen()).collect()
+fn arrivals(models: &[RunningReplica]) -> Vec<ReceivedRequest> {
+    models.iter().flat_map(|model| model.replica.received_requests()).collect()
 }
 
 /// The signature of the engine whose head went to the caller.
@@ -119,8 +119,12 @@
     let mut other = chat("r-2");
     other.headers_mut().insert("last-event-id", "40".parse().expect("valid"));
     assert_eq!(gateway.call(0, other).await.events(), Some(EVENTS));
-    let named: Vec<bool> =
-        models[0].replica.seen().iter().map(|seen| seen.header("last-event-id").is_some()).collect();
+    let named: Vec<bool> = models[0]
+        .replica
+        .received_requests()
+        .iter()
+        .map(|seen| seen.header("last-event-id").is_some())
+        .collect();
     assert_eq!(named, [true, false]);
 }
 
--- a/node/tests/test_gateway_said_leaving.rs
+++ b/node/tests/test_gateway_said_leaving.rs
@@ -98,7 +98,7 @@
     fleet.replicas[0].replica.set_leaving(Some("1"));
     fleet.replicas[0].replica.set_partial_fault(PartialFault {
         fault: ReplicaFault::Fails,
-        one_of: 2,
+        every_nth: 2,
         prefix: "/read/".to_owned(),
     });
     assert_all_served(&fleet.load(&[8.0; NODES], LASTS, read).await, &fleet);
--- a/node/tests/test_gateway_silent.rs
+++ b/node/tests/test_gateway_silent.rs
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn test_calls_that_may_repeat_outlive_silent_connections() {
     let (gateway, _replicas, proxies) = with_unused_connections(2).await;
-    proxies.iter().for_each(FaultyProxy::silence_open);
+    proxies.iter().for_each(FaultyProxy::silence_open_links);
     let mut rows = Vec::new();
     for n in 0..6 {
         let (called, took) = timed(&gateway, "/read/x", &format!("r-{n}")).await;
@@ -89,10 +89,10 @@
 #[tokio::test]
 async fn test_a_call_goes_to_the_same_replica_again_where_there_is_no_other() {
     let (gateway, replicas, proxies) = with_unused_connections(1).await;
-    proxies.iter().for_each(FaultyProxy::silence_open);
+    proxies.iter().for_each(FaultyProxy::silence_open_links);
     let (called, _took) = timed(&gateway, "/read/x", "r-1").await;
     assert_eq!(called.status, 200, "{}", gateway.logs());
-    let arrivals = replicas[0].replica.seen();
+    let arrivals = replicas[0].replica.received_requests();
     let arrivals = arrivals.iter().filter(|seen| seen.header("leadstage-request-id") == Some("r-1"));
     assert_eq!(arrivals.count(), 1);
 }
@@ -103,14 +103,14 @@
 #[tokio::test]
 async fn test_one_silent_connection_to_a_replica_condemns_its_others() {
     let (gateway, replicas, proxies) = with_unused_connections(2).await;
-    proxies.iter().for_each(FaultyProxy::silence_open);
+    proxies.iter().for_each(FaultyProxy::silence_open_links);
     let mut failed = 0;
     for n in 0..8 {
         let (called, _took) = timed(&gateway, "/book/x", &format!("r-{n}")).await;
         failed += usize::from(called.status != 200);
     }
     assert!(failed <= replicas.len(), "{failed} of 8 failed\n{}", gateway.logs());
-    let seen: Vec<_> = replicas.iter().flat_map(|running| running.replica.seen()).collect();
+    let seen: Vec<_> = replicas.iter().flat_map(|running| running.replica.received_requests()).collect();
     let ids: HashSet<_> = seen.iter().filter_map(|seen| seen.header("leadstage-request-id")).collect();
     assert_eq!(ids.len(), seen.len(), "nothing is sent twice");
 }
@@ -146,7 +146,7 @@
 async fn silence_midway(gateway: &Gateway, models: &[RunningReplica], proxies: &[FaultyProxy]) {
     gateway.until("it runs", async || models.iter().any(|model| model.replica.running() > 0)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    proxies.iter().for_each(FaultyProxy::silence_open);
+    proxies.iter().for_each(FaultyProxy::silence_open_links);
 }
 
 /// The longest silence between two events of the node's only stream, by its log, which a thread of its
@@ -182,10 +182,10 @@
     assert!(called.whole && called.events() == Some(200), "{called:?}\n{}", gateway.logs());
     let gap = longest_gap(&gateway).await;
     assert!(gap < CALLERS_LEAVE_AFTER, "silent for {gap:?}\n{}", gateway.logs());
-    let seen: Vec<_> = models.iter().flat_map(|model| model.replica.seen()).collect();
+    let seen: Vec<_> = models.iter().flat_map(|model| model.replica.received_requests()).collect();
     let fresh = seen.iter().filter(|seen| seen.header("kv-from").is_none()).count();
     assert_eq!(fresh, 1, "a generation starts once");
-    let used = models.iter().filter(|model| !model.replica.seen().is_empty()).count();
+    let used = models.iter().filter(|model| !model.replica.received_requests().is_empty()).count();
     assert_eq!(used, 1, "it goes on where it ran: the other engine may be full");
     let running: usize = models.iter().map(|model| model.replica.running()).sum();
     assert_eq!(running, 0, "no engine works on it any more");
@@ -217,7 +217,7 @@
     gateway.until_ready(0).await;
     gateway.until("it watches", async || gateway.log(0).contains("event=store_watch")).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    proxy.silence_open();
+    proxy.silence_open_links();
     let mut newer = config(2);
     newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
     gateway.store.put("config", "main", newer);
--- a/node/tests/test_gateway_slow_readers.rs
+++ b/node/tests/test_gateway_slow_readers.rs
@@ -40,7 +40,7 @@
     config["services"][1]["engine"]["kvCacheTokens"] = 10_000_000.into();
     gateway.store.put("config", "main", config);
     let booking = gateway.start_replica(BOOKING, "booking-1", 4).await;
-    let long = PartialFault { fault: ReplicaFault::Long(answer), one_of: 1, prefix: "/read/".to_owned() };
+    let long = PartialFault { fault: ReplicaFault::Long(answer), every_nth: 1, prefix: "/read/".to_owned() };
     booking.replica.set_partial_fault(long);
     let mut models = Vec::new();
     for n in 0..ENGINES {
@@ -166,7 +166,7 @@
     let mut most = (0, 0);
     let mut refused = 0;
     for _ in 0..60 {
-        let before = booking.replica.seen().len();
+        let before = booking.replica.received_requests().len();
         let called = gateway.call(0, request("POST", "/book/x", KEY, "b-1")).await;
         if called.status == 503 {
             assert_eq!(called.code(), 2112, "{called:?}");
@@ -174,7 +174,7 @@
             refused += 1;
         } else {
             assert_eq!(called.status, 200, "{called:?}\n{}", gateway.logs());
-            assert!(booking.replica.seen().len() > before);
+            assert!(booking.replica.received_requests().len() > before);
         }
         most = (most.0.max(memory_mb(&gateway)), most.1.max(held_bytes(&gateway).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/node/tests/test_gateway_soak.rs
+++ b/node/tests/test_gateway_soak.rs
@@ -136,7 +136,7 @@
                 self.replace_engine(at).await;
             }
             6 => self.gateway.store.set_fault(StoreFault::Refuses),
-            7 => self.gateway.store.set_fault(StoreFault::ForgetsHistory),
+            7 => self.gateway.store.set_fault(StoreFault::LosesHistory),
             8 => self.gateway.store.set_fault(StoreFault::None),
             9 => {
                 self.version += 1;
@@ -170,9 +170,9 @@
             12 => {
                 let faults = [
                     ReplicaFault::Breaks,
-                    ReplicaFault::CutsBody,
-                    ReplicaFault::ForeignAnswer,
-                    ReplicaFault::ForgetsConnections,
+                    ReplicaFault::TruncatesBody,
+                    ReplicaFault::WrongRequestId,
+                    ReplicaFault::ClosesReusedConnections,
                     ReplicaFault::None,
                 ];
                 let (at, fault) = (self.pick(ENGINES), faults[self.pick(faults.len())]);
@@ -201,11 +201,11 @@
         match self.words.random_range(0..10) {
             0 => self.engines[at].replica.set_leaving(Some("1")),
             1 => {
-                self.bookings[at].replica.set_rest(Some("0.4"));
-                self.bookings[at].replica.set_fault(ReplicaFault::NotRun);
+                self.bookings[at].replica.set_retry_after(Some("0.4"));
+                self.bookings[at].replica.set_fault(ReplicaFault::NotExecuted);
             }
             2 => match self.copy.take() {
-                Some(copy) => self.come_back_from(copy),
+                Some(copy) => self.restore_from(copy),
                 None => self.copy = Some(self.gateway.store.copy()),
             },
             _ => {}
@@ -213,8 +213,8 @@
     }
 
     /// The operator and the replicas write again what they wrote since, and what is gone goes again.
-    fn come_back_from(&mut self, copy: Copy) {
-        self.gateway.store.come_back_from(copy);
+    fn restore_from(&mut self, copy: Copy) {
+        self.gateway.store.restore_from(copy);
         self.gateway.store.put("config", "main", config(self.version));
         self.bookings.iter().for_each(|running| self.gateway.write_entry(BOOKING, running, "ready"));
         self.engines.iter().for_each(|running| self.gateway.write_entry(MODEL, running, "ready"));
@@ -315,11 +315,11 @@
     // Whatever a replica turned away has not run there.
     let mut turned_away: BTreeMap<String, usize> = BTreeMap::new();
     for replica in ever {
-        for id in replica.turned_away() {
+        for id in replica.rejected_requests() {
             *turned_away.entry(id).or_default() += 1;
         }
     }
-    for seen in ever.iter().flat_map(|replica| replica.seen()) {
+    for seen in ever.iter().flat_map(|replica| replica.received_requests()) {
         if seen.header("kv-from").is_none()
             && let Some(id) = seen.header("leadstage-request-id")
         {
--- a/node/tests/test_gateway_stop.rs
+++ b/node/tests/test_gateway_stop.rs
@@ -80,7 +80,7 @@
         });
     }
     let mut answered: Vec<String> = calls.join_all().await.into_iter().flatten().collect();
-    let seen = bookings[0].replica.seen();
+    let seen = bookings[0].replica.received_requests();
     let mut taken: Vec<String> =
         seen.iter().filter_map(|seen| seen.header("leadstage-request-id").map(str::to_owned)).collect();
     taken.sort();
@@ -193,7 +193,7 @@
     });
     assert_eq!(first.events(), Some(220), "it ends before the node does: {first:?}");
     assert_eq!((waited.status, waited.code()), (503, 2108), "{waited:?}\n{}", gateway.logs());
-    assert_eq!(model.replica.seen().len(), 1, "the second was sent to no engine");
+    assert_eq!(model.replica.received_requests().len(), 1, "the second was sent to no engine");
     assert!(gateway.end_of(node).await, "the stop is no failure");
 }
 
--- a/node/tests/test_gateway_store_copies.rs
+++ b/node/tests/test_gateway_store_copies.rs
@@ -43,7 +43,7 @@
 async fn come_back(fleet: &LoadedFleet, copy: Copy) {
     fleet.gateway.store.set_fault(StoreFault::Refuses);
     tokio::time::sleep(AWAY).await;
-    fleet.gateway.store.come_back_from(copy);
+    fleet.gateway.store.restore_from(copy);
     tokio::time::sleep(KNOWN_WITHIN).await;
 }
 
@@ -80,7 +80,7 @@
     let new = fleet.gateway.start_replica(BOOKING, "booking-new", 4).await;
     tokio::time::sleep(LEFT_WITHIN).await;
     assert_all_served(&fleet.load(&[8.0; NODES], LASTS, read).await, &fleet);
-    let seen = new.replica.seen();
+    let seen = new.replica.received_requests();
     let through = |node: usize| {
         let of_node = |id: &str| id.starts_with(&format!("{node}-"));
         seen.iter().filter(|seen| seen.header("leadstage-request-id").is_some_and(of_node)).count()
@@ -105,7 +105,7 @@
     in_force(2).await;
     fleet.gateway.store.set_fault(StoreFault::Refuses);
     tokio::time::sleep(AWAY).await;
-    fleet.gateway.store.come_back_from(copy);
+    fleet.gateway.store.restore_from(copy);
     fleet.gateway.store.put("config", "main", config(3));
     write_others(&fleet, 2 * LOST);
     in_force(3).await;
@@ -149,12 +149,12 @@
         .gateway
         .until("it is used", async || {
             fleet.load(&[4.0; NODES], Duration::from_millis(250), read).await;
-            new.replica.seen().len() > NODES
+            new.replica.received_requests().len() > NODES
         })
         .await;
     fleet.gateway.store.set_fault(StoreFault::Refuses);
     tokio::time::sleep(AWAY).await;
-    fleet.gateway.store.come_back_from(copy);
+    fleet.gateway.store.restore_from(copy);
     let loaded = async { fleet.load(&[8.0; NODES], LASTS, read).await };
     let written = async {
         tokio::time::sleep(AWAY).await;
--- a/node/tests/test_gateway_streams.rs
+++ b/node/tests/test_gateway_streams.rs
@@ -50,7 +50,7 @@
 ) -> &'a mut RunningReplica {
     gateway.until("it runs", async || models.iter().any(|m| m.replica.running() > 0)).await;
     let at = models.iter().position(|m| m.replica.running() > 0).expect("it runs");
-    let pause = models[at].replica.pace * made as u32;
+    let pause = models[at].replica.event_interval * made as u32;
     tokio::time::sleep(pause).await;
     &mut models[at]
 }
@@ -66,7 +66,7 @@
         Fault::DiesWhileCopying => {
             engine.replica.set_copy_fault(CopyFault::CopyHangs);
             gateway.drain(MODEL, engine);
-            tokio::time::sleep(engine.replica.pace * 10).await;
+            tokio::time::sleep(engine.replica.event_interval * 10).await;
             engine.server = None;
         }
         Fault::StopHangs => {
@@ -101,7 +101,7 @@
 async fn play(fault: Fault) -> (Called, usize, String) {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(3).await;
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), strike(&gateway, &mut models, fault));
-    let starts = models.iter().flat_map(|m| m.replica.seen());
+    let starts = models.iter().flat_map(|m| m.replica.received_requests());
     let fresh = starts.clone().filter(|seen| seen.header("kv-from").is_none()).count();
     assert_eq!(fresh, 1, "{fault:?}: a generation starts once\n{}", gateway.logs());
     (called, starts.count(), gateway.logs())
@@ -146,7 +146,7 @@
     assert_eq!(models[0].replica.running(), 1);
     drop((connection, res));
     gateway.until("it ends", async || models[0].replica.running() == 0).await;
-    assert_eq!(models[0].replica.left(), ["r-1"]);
+    assert_eq!(models[0].replica.abandoned_requests(), ["r-1"]);
 }
 
 /// What the engines do, one after the other, with a stream and with the calls to go on with it.
@@ -160,21 +160,21 @@
 const RELUCTANT: [Reluctance; 4] = [
     Reluctance {
         name: "the target turns it away, then the source does",
-        faults: &[StreamFault::None, StreamFault::NotRun, StreamFault::NotRun],
+        faults: &[StreamFault::None, StreamFault::NotExecuted, StreamFault::NotExecuted],
     },
     Reluctance {
         name: "both turn it away twice",
         faults: &[
             StreamFault::None,
-            StreamFault::NotRun,
-            StreamFault::NotRun,
-            StreamFault::NotRun,
-            StreamFault::NotRun,
+            StreamFault::NotExecuted,
+            StreamFault::NotExecuted,
+            StreamFault::NotExecuted,
+            StreamFault::NotExecuted,
         ],
     },
     Reluctance {
         name: "the target fails it, and the source turns it away",
-        faults: &[StreamFault::None, StreamFault::Fails, StreamFault::NotRun],
+        faults: &[StreamFault::None, StreamFault::Fails, StreamFault::NotExecuted],
     },
     Reluctance { name: "both fail it", faults: &[StreamFault::None, StreamFault::Fails, StreamFault::Fails] },
 ];
@@ -215,7 +215,7 @@
 #[tokio::test]
 async fn test_a_generation_whose_stop_was_never_sent_runs_on() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
-    let refusals = std::iter::repeat_n(StreamFault::NotRun, REFUSALS);
+    let refusals = std::iter::repeat_n(StreamFault::NotExecuted, REFUSALS);
     gateway.engines.set_stream_faults(std::iter::once(StreamFault::None).chain(refusals));
     let leave = async {
         let engine = engine_of(&gateway, &mut models, MIDWAY).await;
@@ -225,7 +225,7 @@
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), leave);
     assert!(called.whole, "{:?} events\n{}", called.events(), gateway.logs());
     assert_eq!(called.events(), Some(EVENTS));
-    let asked: usize = models.iter().map(|m| m.replica.seen().len()).sum();
+    let asked: usize = models.iter().map(|m| m.replica.received_requests().len()).sum();
     assert_eq!(asked, 1, "no engine is asked to go on with what still runs\n{}", gateway.logs());
 }
 
@@ -247,7 +247,8 @@
         first.replica.set_copy_fault(CopyFault::StopLate(STOP_ANSWERED_AFTER));
         let first_id = first.replica.id.clone();
         gateway.drain(MODEL, first);
-        let is_asked = |m: &RunningReplica| m.replica.id != first_id && !m.replica.seen().is_empty();
+        let is_asked =
+            |m: &RunningReplica| m.replica.id != first_id && !m.replica.received_requests().is_empty();
         gateway.until("it is to go on", async || models.iter().any(is_asked)).await;
         let second = models.iter().find(|m| is_asked(m)).expect("it is to go on");
         gateway.drain(MODEL, second);
@@ -255,7 +256,7 @@
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), leave_twice);
     assert!(called.whole, "{}", gateway.logs());
     assert_eq!(called.events(), Some(EVENTS));
-    let engines = models.iter().filter(|m| !m.replica.seen().is_empty()).count();
+    let engines = models.iter().filter(|m| !m.replica.received_requests().is_empty()).count();
     assert_eq!(engines, 3, "it left the second engine too\n{}", gateway.logs());
 }
 
@@ -297,7 +298,7 @@
         let engine = engine_of(&gateway, &mut models, MIDWAY).await;
         let server = engine.server.as_ref().expect("it serves");
         server.close_port.notify_one();
-        tokio::time::sleep(engine.replica.pace).await;
+        tokio::time::sleep(engine.replica.event_interval).await;
         gateway.drain(MODEL, engine);
         gateway.until("it is to leave", async || gateway.log(0).contains("event=replica_leaves")).await;
         tokio::time::sleep(OUT_OF_REACH_FOR).await;
@@ -306,7 +307,7 @@
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), leave);
     assert!(called.whole, "{}", gateway.logs());
     assert_eq!(called.events(), Some(EVENTS));
-    let engines = models.iter().filter(|m| !m.replica.seen().is_empty()).count();
+    let engines = models.iter().filter(|m| !m.replica.received_requests().is_empty()).count();
     assert_eq!(engines, 2, "it left the engine\n{}", gateway.logs());
 }
 
--- a/node/tests/test_gateway_upgrade_judges.rs
+++ b/node/tests/test_gateway_upgrade_judges.rs
@@ -40,7 +40,7 @@
 }
 
 fn all_fail(prefix: &str) -> PartialFault {
-    PartialFault { fault: ReplicaFault::Fails, one_of: 1, prefix: prefix.to_owned() }
+    PartialFault { fault: ReplicaFault::Fails, every_nth: 1, prefix: prefix.to_owned() }
 }
 
 /// Plays an upgrade to a version all of whose answers fail from [`TURNS_BAD_AT`] on, while something happens to
@@ -101,7 +101,7 @@
         fleet.at(Duration::from_millis(suspended_at_ms)).await;
         fleet.gateway().signal(judge, "-STOP");
         fleet.at(TURNS_BAD_AT).await;
-        fleet.set_fault(&PartialFault { one_of: 3, ..all_fail("/") });
+        fleet.set_fault(&PartialFault { every_nth: 3, ..all_fail("/") });
         let concluded = fleet.conclude(WITHIN + TOLD_WITHIN).await;
         fleet.gateway().signal(judge, "-CONT");
         load.await.expect("the load ends");
@@ -243,7 +243,8 @@
     fleet.order(WITHIN, None).await;
     let all_know = async || {
         let knows = |node| fleet.gateway().log(node).contains("event=upgrade_stage");
-        (0..NODES).all(knows) && fleet.new.iter().any(|running| !running.replica.seen().is_empty())
+        (0..NODES).all(knows)
+            && fleet.new.iter().any(|running| !running.replica.received_requests().is_empty())
     };
     fleet.gateway().until("all know the order", all_know).await;
     fleet.gateway().store.set_fault(StoreFault::Refuses);
--- a/node/tests/test_gateway_upgrade_soak.rs
+++ b/node/tests/test_gateway_upgrade_soak.rs
@@ -116,7 +116,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let is_bad = seed % 2 == 1;
     let turns_bad_at = Duration::from_millis(rng.random_range(0..4_000));
-    let bad = PartialFault { fault: ReplicaFault::Fails, one_of: 2, prefix: "/".to_owned() };
+    let bad = PartialFault { fault: ReplicaFault::Fails, every_nth: 2, prefix: "/".to_owned() };
     let fleet = UpgradedFleet::start(BOOKING, NODES, REPLICAS).await;
     let mut soak = UpgradeSoak { fleet, rng, suspended: Vec::new() };
     let mut clients = JoinSet::new();
--- a/node/tests/test_gateway_upgrades.rs
+++ b/node/tests/test_gateway_upgrades.rs
@@ -146,7 +146,9 @@
             know += usize::from(fleet.gateway().log(node).contains("event=upgrade_stage"));
         }
         let is_told = fleet.status()["state"] == "running";
-        know == 6 && is_told && fleet.new.iter().any(|running| !running.replica.seen().is_empty())
+        know == 6
+            && is_told
+            && fleet.new.iter().any(|running| !running.replica.received_requests().is_empty())
     };
     fleet.gateway().until("all know the order", all_know).await;
     fleet.gateway().store.set_fault(StoreFault::Refuses);
@@ -165,7 +167,7 @@
     let mut fleet = UpgradedFleet::start(BOOKING, 6, REPLICAS).await;
     let load = fleet.load(PER_SECOND, 2 * WITHIN, calls);
     fleet.order(WITHIN, None).await;
-    let is_used = async || fleet.new.iter().any(|running| !running.replica.seen().is_empty());
+    let is_used = async || fleet.new.iter().any(|running| !running.replica.received_requests().is_empty());
     fleet.gateway().until("it is tried", is_used).await;
     fleet.gateway().store.set_fault(StoreFault::Refuses);
     let bad = fault(ReplicaFault::Fails, 2, "/").expect("a fault");
--- a/node/tests/test_vm_list_size.rs
+++ b/node/tests/test_vm_list_size.rs
@@ -16,8 +16,8 @@
 use leadstage_testutils::faulty_proxy::FaultyProxy;
 use leadstage_testutils::faulty_proxy::LinkFault;
 use leadstage_testutils::loopback;
-use leadstage_testutils::loopback::Answerer;
 use leadstage_testutils::loopback::Body;
+use leadstage_testutils::loopback::RequestHandler;
 use serde_json::json;
 
 use crate::gateway_environment::Gateway;
@@ -31,17 +31,17 @@
     was_read: AtomicBool,
 }
 
-impl Answerer for ManyVms {
-    async fn answer(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
+impl RequestHandler for ManyVms {
+    async fn handle(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
         if req.uri().path() != "/v1/vms" {
-            return Response::builder().status(404).body(loopback::whole("")).expect("valid");
+            return Response::builder().status(404).body(loopback::full_body("")).expect("valid");
         }
         self.asked.fetch_add(1, Ordering::Relaxed);
         if req.headers().contains_key("if-none-match") {
             self.was_read.store(true, Ordering::Relaxed);
-            return Response::builder().status(304).body(loopback::whole("")).expect("valid");
+            return Response::builder().status(304).body(loopback::full_body("")).expect("valid");
         }
-        Response::builder().header("etag", "1").body(loopback::whole(self.list.clone())).expect("valid")
+        Response::builder().header("etag", "1").body(loopback::full_body(self.list.clone())).expect("valid")
     }
 }
 
@@ -59,7 +59,7 @@
     let platform = Arc::new(ManyVms { list, asked: AtomicU64::new(0), was_read: AtomicBool::new(false) });
     let server = loopback::serve(&platform_ip, platform.clone()).await;
     let proxy = FaultyProxy::start(&platform_ip, server.address).await;
-    proxy.set(LinkFault::Thin(rate));
+    proxy.set(LinkFault::Throttle(rate));
     let dir = tempfile::TempDir::new().expect("a folder");
     let path = dir.path().join("node.yaml");
     let key = encode_key(&SigningKey::from_bytes(&[5; 32]).verifying_key());
--- a/node/tests/upgraded_fleet.rs
+++ b/node/tests/upgraded_fleet.rs
@@ -106,7 +106,7 @@
 
     /// Requests that the new version got from a moment on.
     pub fn new_arrivals(&self, from: Instant) -> Vec<Instant> {
-        let arrivals = self.new.iter().flat_map(|running| running.replica.seen());
+        let arrivals = self.new.iter().flat_map(|running| running.replica.received_requests());
         let mut arrivals: Vec<Instant> = arrivals.map(|seen| seen.at).filter(|at| *at >= from).collect();
         arrivals.sort();
         arrivals
@@ -181,7 +181,7 @@
     /// Requests that old and new replicas got between the order and `until`.
     pub fn got(&self, until: Instant) -> (usize, usize) {
         let of = |running: &[RunningReplica]| {
-            let arrivals = running.iter().flat_map(|running| running.replica.seen());
+            let arrivals = running.iter().flat_map(|running| running.replica.received_requests());
             arrivals.filter(|seen| seen.at >= self.ordered && seen.at < until).count()
         };
         (of(&self.fleet.replicas), of(&self.new))
@@ -202,7 +202,7 @@
     /// Asserts that a version that was given up gets nothing a moment later.
     pub fn assert_gets_nothing(&self, concluded: &Concluded) {
         let from = concluded.at + REVERTED_EVERYWHERE;
-        let arrivals = self.new.iter().flat_map(|running| running.replica.seen());
+        let arrivals = self.new.iter().flat_map(|running| running.replica.received_requests());
         let late = arrivals.filter(|seen| seen.at >= from).count();
         assert_eq!(late, 0, "requests went to a version that was given up\n{}", self.logs());
     }
@@ -245,10 +245,10 @@
 /// One of so many requests on a path meets a fault.
 pub fn fault(
     fault: leadstage_testutils::gateway_replica::ReplicaFault,
-    one_of: usize,
+    every_nth: usize,
     prefix: &str,
 ) -> Option<PartialFault> {
-    Some(PartialFault { fault, one_of, prefix: prefix.to_owned() })
+    Some(PartialFault { fault, every_nth, prefix: prefix.to_owned() })
 }
 
 /// The share of the answers that are good.
--- a/testutils/examples/load.rs
+++ b/testutils/examples/load.rs
@@ -43,24 +43,24 @@
 }
 
 /// What one way measured.
-struct Way {
+struct PathStats {
     first: Mutex<Histogram<u64>>,
     gaps: Mutex<Histogram<u64>>,
     open: AtomicUsize,
-    most_open: AtomicUsize,
+    max_open: AtomicUsize,
     tokens: AtomicUsize,
     failed: AtomicUsize,
     failures: Mutex<BTreeMap<(Failure, u64), usize>>,
 }
 
-impl Way {
-    fn new() -> Arc<Way> {
+impl PathStats {
+    fn new() -> Arc<PathStats> {
         let histogram = || Mutex::new(Histogram::new(3).expect("three digits are allowed"));
-        Arc::new(Way {
+        Arc::new(PathStats {
             first: histogram(),
             gaps: histogram(),
             open: AtomicUsize::new(0),
-            most_open: AtomicUsize::new(0),
+            max_open: AtomicUsize::new(0),
             tokens: AtomicUsize::new(0),
             failed: AtomicUsize::new(0),
             failures: Mutex::default(),
@@ -110,7 +110,7 @@
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let options = options()?;
     let before = options.node_pid.and_then(resident_kb);
-    let (direct, through) = (Way::new(), Way::new());
+    let (direct, via_node) = (PathStats::new(), PathStats::new());
     let clients: Vec<HttpClient> = (0..CLIENTS).map(|_| http_client::client()).collect();
     let count = (options.rate * options.seconds as f64) as usize;
     let start = Instant::now();
@@ -118,18 +118,18 @@
     for n in 0..count {
         let due = start + Duration::from_secs_f64(n as f64 / options.rate);
         tokio::time::sleep_until(due.into()).await;
-        let (way, address) = match options.engine {
+        let (stats, address) = match options.engine {
             Some(engine) if n % 2 == 0 => (&direct, engine),
-            Some(_) => (&through, options.nodes[n / 2 % options.nodes.len()]),
-            None => (&through, options.nodes[n % options.nodes.len()]),
+            Some(_) => (&via_node, options.nodes[n / 2 % options.nodes.len()]),
+            None => (&via_node, options.nodes[n % options.nodes.len()]),
         };
         let req = request(&options, address);
-        tasks.push(tokio::spawn(follow(
+        tasks.push(tokio::spawn(run_request(
             clients[n / 2 % CLIENTS].clone(),
             req,
             due,
             due - start,
-            way.clone(),
+            stats.clone(),
         )));
     }
     let at_peak = options.node_pid.and_then(resident_kb);
@@ -137,8 +137,8 @@
         task.await?;
     }
     match options.engine {
-        Some(_) => report(&options, &direct, &through, before.zip(at_peak)),
-        None => report_failures(&through, count),
+        Some(_) => report(&options, &direct, &via_node, before.zip(at_peak)),
+        None => report_failures(&via_node, count),
     }
     Ok(())
 }
@@ -158,15 +158,21 @@
 }
 
 /// Times count from when the request was due, so that a late start is not hidden.
-async fn follow(client: HttpClient, req: Request<Full<Bytes>>, due: Instant, at: Duration, way: Arc<Way>) {
-    let open = way.open.fetch_add(1, Ordering::Relaxed) + 1;
-    way.most_open.fetch_max(open, Ordering::Relaxed);
-    if let Err(failure) = read(client, req, due, &way).await {
-        way.failed.fetch_add(1, Ordering::Relaxed);
-        let mut failures = way.failures.lock().expect("no holder panics");
+async fn run_request(
+    client: HttpClient,
+    req: Request<Full<Bytes>>,
+    due: Instant,
+    at: Duration,
+    stats: Arc<PathStats>,
+) {
+    let open = stats.open.fetch_add(1, Ordering::Relaxed) + 1;
+    stats.max_open.fetch_max(open, Ordering::Relaxed);
+    if let Err(failure) = read_stream(client, req, due, &stats).await {
+        stats.failed.fetch_add(1, Ordering::Relaxed);
+        let mut failures = stats.failures.lock().expect("no holder panics");
         *failures.entry((failure, at.as_secs())).or_default() += 1;
     }
-    way.open.fetch_sub(1, Ordering::Relaxed);
+    stats.open.fetch_sub(1, Ordering::Relaxed);
 }
 
 /// How a request failed.
@@ -180,7 +186,12 @@
     NoAnswer,
 }
 
-async fn read(client: HttpClient, req: Request<Full<Bytes>>, due: Instant, way: &Way) -> Result<(), Failure> {
+async fn read_stream(
+    client: HttpClient,
+    req: Request<Full<Bytes>>,
+    due: Instant,
+    stats: &PathStats,
+) -> Result<(), Failure> {
     let Ok(res) = client.request(req).await else {
         return Err(Failure::NoAnswer);
     };
@@ -198,11 +209,11 @@
         }
         let now = Instant::now();
         let (histogram, since) = match last {
-            None => (&way.first, due),
-            Some(last) => (&way.gaps, last),
+            None => (&stats.first, due),
+            Some(last) => (&stats.gaps, last),
         };
         let _ = histogram.lock().expect("no holder panics").record((now - since).as_micros() as u64);
-        way.tokens.fetch_add(1, Ordering::Relaxed);
+        stats.tokens.fetch_add(1, Ordering::Relaxed);
         last = Some(now);
     }
     Err(Failure::Ended)
@@ -214,43 +225,45 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-fn report(options: &Options, direct: &Way, through: &Way, memory: Option<(u64, u64)>) {
-    let rate = |way: &Way| way.tokens.load(Ordering::Relaxed) as f64 / (options.seconds as f64);
+fn report(options: &Options, direct: &PathStats, via_node: &PathStats, memory: Option<(u64, u64)>) {
+    let rate = |stats: &PathStats| stats.tokens.load(Ordering::Relaxed) as f64 / (options.seconds as f64);
     println!("| ms | direct | through the node | added |");
     println!("|---|---|---|---|");
     for (name, quantile) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
-        let (d, t) = (Way::quantile(&direct.first, quantile), Way::quantile(&through.first, quantile));
+        let (d, t) =
+            (PathStats::quantile(&direct.first, quantile), PathStats::quantile(&via_node.first, quantile));
         println!("| first token {name} | {d:.2} | {t:.2} | {:.2} |", t - d);
     }
     for (name, quantile) in [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)] {
-        let (d, t) = (Way::quantile(&direct.gaps, quantile), Way::quantile(&through.gaps, quantile));
+        let (d, t) =
+            (PathStats::quantile(&direct.gaps, quantile), PathStats::quantile(&via_node.gaps, quantile));
         println!("| between tokens {name} | {d:.2} | {t:.2} | {:.2} |", t - d);
     }
     println!();
-    let most = through.most_open.load(Ordering::Relaxed);
+    let max_open = via_node.max_open.load(Ordering::Relaxed);
     println!(
-        "Most streams open at once: {} direct, {most} through the node.",
-        direct.most_open.load(Ordering::Relaxed)
+        "Most streams open at once: {} direct, {max_open} through the node.",
+        direct.max_open.load(Ordering::Relaxed)
     );
-    println!("Tokens a second: {:.0} direct, {:.0} through the node.", rate(direct), rate(through));
-    let failed = |way: &Way| way.failed.load(Ordering::Relaxed);
-    println!("Failed: {} direct, {} through the node.", failed(direct), failed(through));
+    println!("Tokens a second: {:.0} direct, {:.0} through the node.", rate(direct), rate(via_node));
+    let failed = |stats: &PathStats| stats.failed.load(Ordering::Relaxed);
+    println!("Failed: {} direct, {} through the node.", failed(direct), failed(via_node));
     if let Some((before, at_peak)) = memory {
-        let each = (at_peak.saturating_sub(before)) as f64 / most.max(1) as f64;
+        let each = (at_peak.saturating_sub(before)) as f64 / max_open.max(1) as f64;
         println!(
             "Memory of the node: {before} KB before, {at_peak} KB at the peak, {each:.1} KB for each open stream."
         );
     }
 }
 
-fn report_failures(way: &Way, offered: usize) {
-    let failed = way.failed.load(Ordering::Relaxed);
-    let (p50, p99) = (Way::quantile(&way.first, 0.5), Way::quantile(&way.first, 0.99));
-    let most_gap = Way::quantile(&way.gaps, 1.0);
+fn report_failures(stats: &PathStats, offered: usize) {
+    let failed = stats.failed.load(Ordering::Relaxed);
+    let (p50, p99) = (PathStats::quantile(&stats.first, 0.5), PathStats::quantile(&stats.first, 0.99));
+    let max_gap = PathStats::quantile(&stats.gaps, 1.0);
     println!(
-        "{offered} offered, {failed} failed; first token p50 {p50:.0} ms, p99 {p99:.0} ms; longest gap {most_gap:.0} ms"
+        "{offered} offered, {failed} failed; first token p50 {p50:.0} ms, p99 {p99:.0} ms; longest gap {max_gap:.0} ms"
     );
-    for ((failure, second), count) in way.failures.lock().expect("no holder panics").iter() {
+    for ((failure, second), count) in stats.failures.lock().expect("no holder panics").iter() {
         println!("  due in second {second}: {count} {failure:?}");
     }
 }
--- a/testutils/src/engine_model.rs
+++ b/testutils/src/engine_model.rs
@@ -10,7 +10,7 @@
 /// Blocks kept free when a sequence is admitted, one in this many.
 const WATERMARK_DIVISOR: u64 = 100;
 /// Cached prefixes kept at most.
-const CACHE_ENTRIES: usize = 64;
+const MAX_CACHED_PREFIXES: usize = 64;
 
 /// Sizes and speed of an engine.
 #[derive(Clone, Copy, Debug)]
@@ -161,7 +161,7 @@
     waiting: Vec<Sequence>,
     cache: VecDeque<u64>,
     free_blocks: u64,
-    stolen_blocks: u64,
+    disabled_blocks: u64,
     arrivals: u64,
     last_step: Duration,
 }
@@ -175,7 +175,7 @@
             waiting: Vec::new(),
             cache: VecDeque::new(),
             free_blocks: config.blocks,
-            stolen_blocks: 0,
+            disabled_blocks: 0,
             arrivals: 0,
             last_step: config.step.mul_f64(config.slowdown),
         }
@@ -192,29 +192,29 @@
     }
 
     /// Takes `blocks` away from all sequences, as a fault.
-    pub fn steal_blocks(&mut self, blocks: u64) {
+    pub fn disable_blocks(&mut self, blocks: u64) {
         let taken = blocks.min(self.free_blocks);
         self.free_blocks -= taken;
-        self.stolen_blocks += taken;
+        self.disabled_blocks += taken;
     }
 
     /// Accepts a generation; a known id is ignored.
     pub fn submit(&mut self, submission: Submission) {
-        if self.knows(submission.generation) {
+        if self.contains(submission.generation) {
             return;
         }
-        self.push(submission, 0, false);
+        self.enqueue(submission, 0, false);
     }
 
     /// Accepts a generation that has made `produced` tokens elsewhere and whose memory was copied here; a
     /// known id is ignored.
     pub fn submit_copied(&mut self, submission: Submission, produced: u64) {
-        if !self.knows(submission.generation) {
-            self.push(submission, produced, true);
+        if !self.contains(submission.generation) {
+            self.enqueue(submission, produced, true);
         }
     }
 
-    fn push(&mut self, submission: Submission, produced: u64, copied: bool) {
+    fn enqueue(&mut self, submission: Submission, produced: u64, copied: bool) {
         self.arrivals += 1;
         let arrival = self.arrivals;
         self.waiting.push(Sequence { submission, arrival, produced, prefilled: 0, blocks: 0, copied });
@@ -222,14 +222,14 @@
 
     /// Forgets a generation and frees its memory; false when unknown.
     pub fn cancel(&mut self, generation: GenerationId) -> bool {
-        let is_it = |s: &Sequence| s.submission.generation == generation;
-        if let Some(at) = self.running.iter().position(is_it) {
+        let has_id = |s: &Sequence| s.submission.generation == generation;
+        if let Some(at) = self.running.iter().position(has_id) {
             let sequence = self.running.remove(at);
             self.free_blocks += sequence.blocks;
             return true;
         }
         let before = self.waiting.len();
-        self.waiting.retain(|s| !is_it(s));
+        self.waiting.retain(|s| !has_id(s));
         before != self.waiting.len()
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Whether a generation waits or runs here.
-    pub fn knows(&self, generation: GenerationId) -> bool {
+    pub fn contains(&self, generation: GenerationId) -> bool {
         self.running.iter().chain(self.waiting.iter()).any(|s| s.submission.generation == generation)
     }
 
@@ -272,13 +272,13 @@
         self.admit();
         let prefilled = self.prefill(&mut events);
         let decoded = self.decode(&mut events);
-        self.shrink_cache(&mut events);
-        let duration = self.step_time(prefilled, decoded);
+        self.evict_prefixes(&mut events);
+        let duration = self.step_duration(prefilled, decoded);
         self.last_step = duration;
         StepOutcome { duration, events }
     }
 
-    fn step_time(&self, prefilled: u64, decoded: usize) -> Duration {
+    fn step_duration(&self, prefilled: u64, decoded: usize) -> Duration {
         let batch = decoded as f64 / self.config.max_batch as f64;
         let prefill = prefilled as f64 / self.config.prefill_tokens_per_step as f64;
         let factor = 1.0 + self.config.batch_cost * batch + self.config.prefill_cost * prefill;
@@ -295,7 +295,7 @@
         while self.running.len() < self.config.max_batch && !self.waiting.is_empty() {
             let needed = self.blocks_for(self.waiting[0].context() + 1);
             let reserve = if self.running.is_empty() { 0 } else { watermark };
-            if needed + reserve > self.free_blocks && !self.never_fits(needed) {
+            if needed + reserve > self.free_blocks && !self.exceeds_capacity(needed) {
                 break;
             }
             let mut sequence = self.waiting.remove(0);
@@ -309,8 +309,8 @@
         }
     }
 
-    fn never_fits(&self, blocks: u64) -> bool {
-        self.running.is_empty() && blocks > self.config.blocks - self.stolen_blocks
+    fn exceeds_capacity(&self, blocks: u64) -> bool {
+        self.running.is_empty() && blocks > self.config.blocks - self.disabled_blocks
     }
 
     fn cached_tokens(&self, sequence: &Sequence) -> u64 {
@@ -323,15 +323,15 @@
         let mut budget = self.config.prefill_tokens_per_step;
         let mut stored = Vec::new();
         for sequence in &mut self.running {
-            let work = (sequence.context() - sequence.prefilled).min(budget);
+            let count = (sequence.context() - sequence.prefilled).min(budget);
             if sequence.prefilled < sequence.submission.prompt_tokens
-                && sequence.prefilled + work >= sequence.submission.prompt_tokens
+                && sequence.prefilled + count >= sequence.submission.prompt_tokens
                 && sequence.submission.prefix != 0
             {
                 stored.push(sequence.submission.prefix);
             }
-            sequence.prefilled += work;
-            budget -= work;
+            sequence.prefilled += count;
+            budget -= count;
         }
         for prefix in stored {
             if !self.cache.contains(&prefix) {
@@ -352,27 +352,27 @@
         order.reverse();
         let mut decoded = 0;
         while let Some(generation) = order.pop() {
-            let Some(at) = self.position(generation) else {
+            let Some(at) = self.running_index(generation) else {
                 continue;
             };
-            if !self.make_room(generation, events) {
+            if !self.allocate_next_token(generation, events) {
                 continue;
             }
-            let at = self.position(generation).unwrap_or(at);
+            let at = self.running_index(generation).unwrap_or(at);
             decoded += 1;
-            self.produce(at, events);
+            self.produce_token(at, events);
         }
         decoded
     }
 
-    fn position(&self, generation: GenerationId) -> Option<usize> {
+    fn running_index(&self, generation: GenerationId) -> Option<usize> {
         self.running.iter().position(|s| s.submission.generation == generation)
     }
 
     /// Makes sure the sequence's next token fits; false when it was preempted itself.
-    fn make_room(&mut self, generation: GenerationId, events: &mut Vec<EngineEvent>) -> bool {
+    fn allocate_next_token(&mut self, generation: GenerationId, events: &mut Vec<EngineEvent>) -> bool {
         loop {
-            let Some(at) = self.position(generation) else {
+            let Some(at) = self.running_index(generation) else {
                 return false;
             };
             let needed = self.blocks_for(self.running[at].context() + 1);
@@ -402,24 +402,25 @@
         self.waiting.push(sequence);
     }
 
-    fn produce(&mut self, at: usize, events: &mut Vec<EngineEvent>) {
+    fn produce_token(&mut self, at: usize, events: &mut Vec<EngineEvent>) {
         let sequence = &mut self.running[at];
         let generation = sequence.submission.generation;
         events.push(EngineEvent::Token { generation, index: sequence.produced });
         sequence.produced += 1;
         sequence.prefilled += 1;
-        let full = sequence.context() >= (self.config.blocks - self.stolen_blocks) * self.config.block_tokens;
-        let done = sequence.produced >= sequence.submission.output_tokens;
-        if done || full {
-            let reason = if done { FinishReason::Stop } else { FinishReason::Length };
+        let is_full =
+            sequence.context() >= (self.config.blocks - self.disabled_blocks) * self.config.block_tokens;
+        let is_done = sequence.produced >= sequence.submission.output_tokens;
+        if is_done || is_full {
+            let reason = if is_done { FinishReason::Stop } else { FinishReason::Length };
             let sequence = self.running.remove(at);
             self.free_blocks += sequence.blocks;
             events.push(EngineEvent::Finished { generation, reason });
         }
     }
 
-    fn shrink_cache(&mut self, events: &mut Vec<EngineEvent>) {
-        let keep = CACHE_ENTRIES.min(self.free_blocks as usize);
+    fn evict_prefixes(&mut self, events: &mut Vec<EngineEvent>) {
+        let keep = MAX_CACHED_PREFIXES.min(self.free_blocks as usize);
         while self.cache.len() > keep {
             let Some(prefix) = self.cache.pop_front() else { break };
             events.push(EngineEvent::PrefixEvicted { prefix });
--- a/testutils/src/engine_server.rs
+++ b/testutils/src/engine_server.rs
@@ -44,13 +44,13 @@
 /// Characters at the start of a prompt that are cached together.
 const PREFIX_CHARS: u64 = 1_024;
 /// How long an ended generation can still be resumed.
-const KEEP_ENDED: Duration = Duration::from_secs(120);
+const ENDED_RETENTION: Duration = Duration::from_secs(120);
 /// One cache event in this many is lost.
-const CACHE_EVENT_GAP: u64 = 10;
+const CACHE_EVENTS_PER_LOSS: u64 = 10;
 /// Past loads that are kept, to report an old one.
-const LOADS_KEPT: usize = 5_000;
+const MAX_LOADS: usize = 5_000;
 /// Sleep of an engine with nothing to do.
-const IDLE_SLEEP: Duration = Duration::from_millis(1);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Settings of the stand-in.
 #[derive(Clone, Copy, Debug)]
@@ -75,7 +75,7 @@
     cancelled: bool,
 }
 
-struct Tracked {
+struct GenerationState {
     organisation: String,
     progress: watch::Sender<Progress>,
     ended: Option<Instant>,
@@ -83,7 +83,7 @@
 
 struct State {
     model: EngineModel,
-    tracked: HashMap<GenerationId, Tracked>,
+    generations: HashMap<GenerationId, GenerationState>,
     loads: VecDeque<(Instant, EngineLoad)>,
     cache_events: VecDeque<(Instant, u64, bool)>,
     cache_sequence: u64,
@@ -103,8 +103,8 @@
     state: Arc<Mutex<State>>,
     frozen: Arc<AtomicBool>,
     reclaimed: Arc<AtomicBool>,
-    cuts: Arc<AtomicU64>,
-    stalls: Arc<AtomicU64>,
+    cut_count: Arc<AtomicU64>,
+    stall_count: Arc<AtomicU64>,
 }
 
 #[derive(Deserialize)]
@@ -135,7 +135,7 @@
     pub fn start(config: EngineServerConfig) -> Self {
         let state = State {
             model: EngineModel::new(config.engine),
-            tracked: HashMap::new(),
+            generations: HashMap::new(),
             loads: VecDeque::new(),
             cache_events: VecDeque::new(),
             cache_sequence: 0,
@@ -152,11 +152,11 @@
             state: Arc::new(Mutex::new(state)),
             frozen: Arc::default(),
             reclaimed: Arc::default(),
-            cuts: Arc::default(),
-            stalls: Arc::default(),
+            cut_count: Arc::default(),
+            stall_count: Arc::default(),
         };
-        let stepper = server.clone();
-        std::thread::spawn(move || stepper.step_for_ever());
+        let stepping_server = server.clone();
+        std::thread::spawn(move || stepping_server.run_steps());
         server
     }
 
@@ -164,20 +164,20 @@
         self.state.lock().expect("no holder panics")
     }
 
-    fn step_for_ever(&self) {
+    fn run_steps(&self) {
         let mut due = Instant::now();
         loop {
             if self.frozen.load(Ordering::Relaxed) {
-                std::thread::sleep(IDLE_SLEEP);
+                std::thread::sleep(IDLE_POLL_INTERVAL);
                 continue;
             }
             let outcome = self.lock().model.step();
             let idle = outcome.events.is_empty() && outcome.duration.is_zero();
             due = (due + outcome.duration).max(Instant::now());
             std::thread::sleep(due - Instant::now());
-            self.lock().finish_step(&outcome.events);
+            self.lock().publish_step(&outcome.events);
             if idle {
-                std::thread::sleep(IDLE_SLEEP);
+                std::thread::sleep(IDLE_POLL_INTERVAL);
             }
         }
     }
@@ -188,28 +188,28 @@
         }
     }
 
-    fn generate(&self, req: &Request, chat: bool) -> WebResponse {
+    fn handle_generate(&self, req: &Request, chat: bool) -> WebResponse {
         let body: GenerateBody = match serde_json::from_slice(&req.body) {
             Ok(body) => body,
             Err(err) => return respond_json(400, &json!({"error": {"message": err.to_string()}})),
         };
-        let Some(generation) = req.header("x-generation-id").and_then(parse_generation) else {
+        let Some(generation) = req.header("x-generation-id").and_then(parse_generation_id) else {
             return respond_json(400, &json!({"error": {"message": "x-generation-id missing"}}));
         };
         let organisation = req.header("x-organisation").unwrap_or("").to_owned();
         let priority = req.header("x-priority").and_then(|v| v.parse().ok()).unwrap_or(0);
         self.lock().submit(generation, organisation, priority, &body, &self.config);
         if body.stream {
-            return self.stream(generation, 0, chat, body.model);
+            return self.stream_response(generation, 0, chat, body.model);
         }
-        self.whole(generation, chat, body.model)
+        self.full_response(generation, chat, body.model)
     }
 
-    fn whole(&self, generation: GenerationId, chat: bool, model: String) -> WebResponse {
+    fn full_response(&self, generation: GenerationId, chat: bool, model: String) -> WebResponse {
         let Some(mut rx) = self.subscribe(generation) else {
             return respond(404, "unknown generation");
         };
-        let stream = async_stream(move |tx| async move {
+        let stream = channel_stream(move |tx| async move {
             while rx.borrow_and_update().finished.is_none() {
                 if rx.changed().await.is_err() {
                     return;
@@ -217,7 +217,7 @@
             }
             let produced = rx.borrow().produced;
             let text: String = (0..produced).map(|index| token_text(generation, index)).collect();
-            let body = whole_body(generation, &model, &text, chat, produced);
+            let body = completion_body(generation, &model, &text, chat, produced);
             let _ = tx.send(Ok(Bytes::from(body))).await;
         });
         let mut res = respond_stream(stream);
@@ -228,25 +228,26 @@
 
     fn subscribe(&self, generation: GenerationId) -> Option<watch::Receiver<Progress>> {
         let state = self.lock();
-        state.tracked.get(&generation).map(|t| t.progress.subscribe())
+        state.generations.get(&generation).map(|t| t.progress.subscribe())
     }
 
-    fn stream(&self, generation: GenerationId, from: u64, chat: bool, model: String) -> WebResponse {
+    fn stream_response(&self, generation: GenerationId, from: u64, chat: bool, model: String) -> WebResponse {
         let Some(mut rx) = self.subscribe(generation) else {
             return respond_json(404, &json!({"error": {"message": "unknown generation"}}));
         };
-        let organisation = self.lock().tracked[&generation].organisation.clone();
-        let cuts = self.cuts.clone();
-        let stalls = self.stalls.clone();
-        let (cut_at, stall_at) = (cuts.load(Ordering::Relaxed), stalls.load(Ordering::Relaxed));
-        let stream = async_stream(move |tx| async move {
+        let organisation = self.lock().generations[&generation].organisation.clone();
+        let cut_count = self.cut_count.clone();
+        let stall_count = self.stall_count.clone();
+        let (initial_cuts, initial_stalls) =
+            (cut_count.load(Ordering::Relaxed), stall_count.load(Ordering::Relaxed));
+        let stream = channel_stream(move |tx| async move {
             let mut next = from;
             loop {
                 let progress = *rx.borrow_and_update();
-                if stalls.load(Ordering::Relaxed) != stall_at {
+                if stall_count.load(Ordering::Relaxed) != initial_stalls {
                     std::future::pending::<()>().await;
                 }
-                if cuts.load(Ordering::Relaxed) != cut_at {
+                if cut_count.load(Ordering::Relaxed) != initial_cuts {
                     let _ = tx.send(Err(std::io::Error::other("cut"))).await;
                     return;
                 }
@@ -256,7 +257,7 @@
                     next += 1;
                 }
                 if let Some(reason) = progress.finished {
-                    chunk.push_str(&last_events(generation, next, &model, chat, reason));
+                    chunk.push_str(&final_events(generation, next, &model, chat, reason));
                 }
                 if !chunk.is_empty() && tx.send(Ok(Bytes::from(chunk))).await.is_err() {
                     return;
@@ -277,28 +278,28 @@
         res
     }
 
-    fn fault(&self, kind: &str, req: &Request) -> WebResponse {
+    fn inject_fault(&self, kind: &str, req: &Request) -> WebResponse {
         match kind {
             "die" => std::process::exit(1),
             "freeze" => self.frozen.store(true, Ordering::Relaxed),
             "reclaim" => self.reclaimed.store(true, Ordering::Relaxed),
             "thaw" => self.frozen.store(false, Ordering::Relaxed),
-            "cut" => _ = self.cuts.fetch_add(1, Ordering::Relaxed),
-            "stall" => _ = self.stalls.fetch_add(1, Ordering::Relaxed),
+            "cut" => _ = self.cut_count.fetch_add(1, Ordering::Relaxed),
+            "stall" => _ = self.stall_count.fetch_add(1, Ordering::Relaxed),
             "slow" => {
                 let factor = req.query_value("factor").and_then(|v| v.parse().ok()).unwrap_or(2.0);
                 self.lock().model.set_slowdown(factor);
             }
             "fill" => {
                 let blocks = req.query_value("blocks").and_then(|v| v.parse().ok()).unwrap_or(u64::MAX);
-                self.lock().model.steal_blocks(blocks);
+                self.lock().model.disable_blocks(blocks);
             }
             _ => return respond(404, "unknown fault"),
         }
         respond(200, "ok")
     }
 
-    fn order(&self, req: &Request) -> WebResponse {
+    fn handle_order(&self, req: &Request) -> WebResponse {
         let Ok(order) = serde_json::from_slice::<Order>(&req.body) else {
             return respond(400, "order");
         };
@@ -316,7 +317,7 @@
 
     fn on_generation(&self, req: &Request, rest: &str) -> WebResponse {
         let (id, tail) = rest.split_once('/').unwrap_or((rest, ""));
-        let Some(generation) = parse_generation(id) else {
+        let Some(generation) = parse_generation_id(id) else {
             return respond(400, "generation id");
         };
         match (req.method.as_str(), tail) {
@@ -324,7 +325,7 @@
                 let from = req.query_value("from").and_then(|v| v.parse().ok()).unwrap_or(0);
                 let chat = req.query_value("chat") != Some("0");
                 let model = req.query_value("model").unwrap_or("").to_owned();
-                self.stream(generation, from, chat, model)
+                self.stream_response(generation, from, chat, model)
             }
             ("DELETE", _) => {
                 let known = self.lock().cancel(generation);
@@ -349,7 +350,7 @@
         body: &GenerateBody,
         config: &EngineServerConfig,
     ) {
-        if self.tracked.contains_key(&generation) {
+        if self.generations.contains_key(&generation) {
             return;
         }
         let messages = body.messages.iter().flatten().map(|m| m.content.as_str());
@@ -362,17 +363,17 @@
             prompt_tokens: (chars as u64).div_ceil(CHARS_PER_TOKEN).max(1),
             output_tokens: body.stand_in_tokens.unwrap_or(drawn).min(limit).max(1),
             priority,
-            prefix: prefix_of(&prompt),
+            prefix: prefix_hash(&prompt),
             prefix_tokens: PREFIX_CHARS / CHARS_PER_TOKEN,
         });
         self.started += 1;
         let progress = watch::Sender::new(Progress::default());
-        self.tracked.insert(generation, Tracked { organisation, progress, ended: None });
+        self.generations.insert(generation, GenerationState { organisation, progress, ended: None });
     }
 
     fn cancel(&mut self, generation: GenerationId) -> bool {
         let known = self.model.cancel(generation);
-        if let Some(tracked) = self.tracked.get_mut(&generation) {
+        if let Some(tracked) = self.generations.get_mut(&generation) {
             tracked.progress.send_modify(|p| p.cancelled = true);
             tracked.ended = Some(Instant::now());
         }
@@ -381,40 +382,40 @@
     }
 
     /// The step's time has passed: its tokens are there.
-    fn finish_step(&mut self, events: &[EngineEvent]) {
+    fn publish_step(&mut self, events: &[EngineEvent]) {
         let now = Instant::now();
-        self.tracked.retain(|_, t| t.ended.is_none_or(|at| now - at < KEEP_ENDED));
+        self.generations.retain(|_, t| t.ended.is_none_or(|at| now - at < ENDED_RETENTION));
         for event in events {
-            self.apply(*event, now);
+            self.publish_event(*event, now);
         }
         self.loads.push_back((now, self.model.load()));
-        while self.loads.len() > LOADS_KEPT {
+        while self.loads.len() > MAX_LOADS {
             self.loads.pop_front();
         }
     }
 
-    fn apply(&mut self, event: EngineEvent, now: Instant) {
+    fn publish_event(&mut self, event: EngineEvent, now: Instant) {
         match event {
             EngineEvent::Token { generation, .. } => {
-                if let Some(tracked) = self.tracked.get(&generation) {
+                if let Some(tracked) = self.generations.get(&generation) {
                     tracked.progress.send_modify(|p| p.produced += 1);
                 }
             }
             EngineEvent::Finished { generation, reason } => {
-                if let Some(tracked) = self.tracked.get_mut(&generation) {
+                if let Some(tracked) = self.generations.get_mut(&generation) {
                     tracked.ended = Some(now);
                     tracked.progress.send_modify(|p| p.finished = Some(reason));
                 }
             }
             EngineEvent::Preempted { .. } => self.preemptions += 1,
-            EngineEvent::PrefixStored { prefix } => self.cache_event(now, prefix, true),
-            EngineEvent::PrefixEvicted { prefix } => self.cache_event(now, prefix, false),
+            EngineEvent::PrefixStored { prefix } => self.push_cache_event(now, prefix, true),
+            EngineEvent::PrefixEvicted { prefix } => self.push_cache_event(now, prefix, false),
         }
     }
 
-    fn cache_event(&mut self, now: Instant, prefix: u64, stored: bool) {
+    fn push_cache_event(&mut self, now: Instant, prefix: u64, stored: bool) {
         self.cache_sequence += 1;
-        if !self.cache_sequence.is_multiple_of(CACHE_EVENT_GAP) {
+        if !self.cache_sequence.is_multiple_of(CACHE_EVENTS_PER_LOSS) {
             self.cache_events.push_back((now, prefix, stored));
         }
         if self.cache_events.len() > 1_000 {
@@ -436,15 +437,15 @@
 impl Handler for EngineServer {
     async fn handle(&self, req: Request) -> WebResponse {
         if let Some(kind) = req.path.strip_prefix("/fault/") {
-            return self.fault(kind, &req);
+            return self.inject_fault(kind, &req);
         }
         self.wait_while_frozen().await;
         if let Some(rest) = req.path.strip_prefix("/v1/generations/") {
             return self.on_generation(&req, rest);
         }
         match req.path.as_str() {
-            "/v1/chat/completions" => self.generate(&req, true),
-            "/v1/completions" => self.generate(&req, false),
+            "/v1/chat/completions" => self.handle_generate(&req, true),
+            "/v1/completions" => self.handle_generate(&req, false),
             "/v1/load" => {
                 let state = self.lock();
                 let load = state.lagged_load(self.config.load_lag);
@@ -457,7 +458,7 @@
                     state.cache_events.iter().map(|e| json!({"prefix": e.1, "stored": e.2})).collect();
                 respond_json(200, &events)
             }
-            "/v1/orders" => self.order(&req),
+            "/v1/orders" => self.handle_order(&req),
             "/stand-in/orders" => respond_json(200, &self.lock().orders),
             _ => respond(404, "no such path"),
         }
@@ -487,7 +488,7 @@
 }
 
 /// Hash of a prompt's start; 0 for a prompt that is too short to be cached.
-fn prefix_of(prompt: &str) -> u64 {
+fn prefix_hash(prompt: &str) -> u64 {
     let Some(start) = prompt.as_bytes().get(..PREFIX_CHARS as usize) else {
         return 0;
     };
@@ -496,7 +497,7 @@
     hasher.finish().max(1)
 }
 
-fn parse_generation(text: &str) -> Option<GenerationId> {
+fn parse_generation_id(text: &str) -> Option<GenerationId> {
     u64::from_str_radix(text, 16).ok()
 }
 
@@ -519,7 +520,13 @@
     format!("id: {generation:016x}:{index}\ndata: {data}\n\n")
 }
 
-fn last_events(generation: GenerationId, next: u64, model: &str, chat: bool, reason: FinishReason) -> String {
+fn final_events(
+    generation: GenerationId,
+    next: u64,
+    model: &str,
+    chat: bool,
+    reason: FinishReason,
+) -> String {
     let reason = match reason {
         FinishReason::Stop => "stop",
         FinishReason::Length => "length",
@@ -531,7 +538,7 @@
     )
 }
 
-fn whole_body(generation: GenerationId, model: &str, text: &str, chat: bool, produced: u64) -> String {
+fn completion_body(generation: GenerationId, model: &str, text: &str, chat: bool, produced: u64) -> String {
     let choice = if chat {
         json!({"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"})
     } else {
@@ -548,13 +555,13 @@
 }
 
 /// Runs `body` with a channel whose other end is the returned stream.
-fn async_stream<F, Fut>(body: F) -> impl Stream<Item = std::io::Result<Bytes>>
+fn channel_stream<F, Fut>(producer: F) -> impl Stream<Item = std::io::Result<Bytes>>
 where
     F: FnOnce(tokio::sync::mpsc::Sender<std::io::Result<Bytes>>) -> Fut,
     Fut: Future<Output = ()> + 'static,
 {
     let (tx, rx) = tokio::sync::mpsc::channel(4);
-    let task = body(tx);
+    let task = producer(tx);
     tokio::task::spawn_local(task);
     futures::stream::unfold(rx, |mut rx| async move { rx.recv().await.map(|item| (item, rx)) })
 }
--- a/testutils/src/faulty_proxy.rs
+++ b/testutils/src/faulty_proxy.rs
@@ -18,7 +18,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 /// Bytes passed on at once.
-const BUF: usize = 4 << 10;
+const BUF_BYTES: usize = 4 << 10;
 
 /// What happens to the bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// They pass later.
     Delay(Duration),
     /// What the server sends on a connection passes at so many bytes a second, as over a small link.
-    Thin(u32),
+    Throttle(u32),
     /// Connections are reset.
     Reset,
     /// What the server sends is held up.
@@ -39,26 +39,26 @@
 
 /// Which way bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToServer,
     ToClient,
 }
 
 /// How often open links were silenced for good so far.
-type Silences = u32;
+type SilenceCount = u32;
 
 /// What a link looks at while it passes bytes on.
 #[derive(Clone)]
-struct LinkWatch {
+struct LinkFaults {
     faults: watch::Receiver<LinkFault>,
-    silences: watch::Receiver<Silences>,
+    silences: watch::Receiver<SilenceCount>,
     /// Silences before it was open.
-    opened_after: Silences,
+    opened_after: SilenceCount,
 }
 
-impl LinkWatch {
+impl LinkFaults {
     /// Never returns for a link that was silenced for good.
-    async fn pass_unless_silenced(&self) {
+    async fn block_if_silenced(&self) {
         if *self.silences.borrow() != self.opened_after {
             std::future::pending::<()>().await;
         }
@@ -70,8 +70,8 @@
     /// Where clients connect.
     pub address: SocketAddr,
     fault: watch::Sender<LinkFault>,
-    silences: watch::Sender<Silences>,
-    _accepting: AbortOnDropHandle<()>,
+    silences: watch::Sender<SilenceCount>,
+    _accept_task: AbortOnDropHandle<()>,
 }
 
 impl FaultyProxy {
@@ -83,15 +83,15 @@
         let faults = fault.subscribe();
         let silences = watch::Sender::new(0);
         let silenced = silences.subscribe();
-        let accepting = tokio::spawn(async move {
+        let accept_task = tokio::spawn(async move {
             let mut links = JoinSet::new();
             while let Ok((client, _)) = listener.accept().await {
                 let opened_after = *silenced.borrow();
-                let watch = LinkWatch { faults: faults.clone(), silences: silenced.clone(), opened_after };
-                links.spawn(link(client, server, watch));
+                let watch = LinkFaults { faults: faults.clone(), silences: silenced.clone(), opened_after };
+                links.spawn(run_link(client, server, watch));
             }
         });
-        FaultyProxy { address, fault, silences, _accepting: AbortOnDropHandle::new(accepting) }
+        FaultyProxy { address, fault, silences, _accept_task: AbortOnDropHandle::new(accept_task) }
     }
 
     /// Sets the fault of all links, open ones included.
@@ -101,12 +101,12 @@
 
     /// Links that are open now pass nothing on any more, the end of either side included. Links
     /// that open later work.
-    pub fn silence_open(&self) {
+    pub fn silence_open_links(&self) {
         self.silences.send_modify(|silences| *silences += 1);
     }
 }
 
-async fn link(client: TcpStream, server: SocketAddr, watch: LinkWatch) {
+async fn run_link(client: TcpStream, server: SocketAddr, watch: LinkFaults) {
     let Ok(server) = TcpStream::connect(server).await else {
         return;
     };
@@ -114,42 +114,47 @@
     let (from_server, to_server) = server.into_split();
     // Either way's end ends the link: the other half is dropped.
     tokio::select! {
-        () = pump(from_client, to_server, Way::ToServer, watch.clone()) => {}
-        () = pump(from_server, to_client, Way::ToClient, watch.clone()) => {}
-        () = reset(watch) => {}
+        () = forward(from_client, to_server, Direction::ToServer, watch.clone()) => {}
+        () = forward(from_server, to_client, Direction::ToClient, watch.clone()) => {}
+        () = wait_for_reset(watch) => {}
     }
 }
 
-async fn reset(mut watch: LinkWatch) {
+async fn wait_for_reset(mut watch: LinkFaults) {
     // The sender lives as long as the proxy.
     let _ = watch.faults.wait_for(|fault| *fault == LinkFault::Reset).await;
-    watch.pass_unless_silenced().await;
+    watch.block_if_silenced().await;
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: Way, mut watch: LinkWatch) {
-    let mut buf = vec![0; BUF];
+async fn forward(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    direction: Direction,
+    mut watch: LinkFaults,
+) {
+    let mut buf = vec![0; BUF_BYTES];
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
-        watch.pass_unless_silenced().await;
+        watch.block_if_silenced().await;
         if read == 0 {
             return;
         }
-        let holds = |fault: &LinkFault| match fault {
+        let withholds = |fault: &LinkFault| match fault {
             LinkFault::Silent => true,
-            LinkFault::OneWay => way == Way::ToClient,
+            LinkFault::OneWay => direction == Direction::ToClient,
             _ => false,
         };
-        let _ = watch.faults.wait_for(|fault| !holds(fault)).await;
+        let _ = watch.faults.wait_for(|fault| !withholds(fault)).await;
         let fault = *watch.faults.borrow();
-        let holds_for = match fault {
+        let delay_before_write = match fault {
             LinkFault::Delay(delay) => delay,
-            LinkFault::Thin(rate) if way == Way::ToClient => {
+            LinkFault::Throttle(rate) if direction == Direction::ToClient => {
                 Duration::from_secs_f64(read as f64 / f64::from(rate))
             }
             _ => Duration::ZERO,
         };
-        if !holds_for.is_zero() {
-            tokio::time::sleep(holds_for).await;
+        if !delay_before_write.is_zero() {
+            tokio::time::sleep(delay_before_write).await;
         }
         if to.write_all(&buf[..read]).await.is_err() {
             return;
--- a/testutils/src/gateway_replica.rs
+++ b/testutils/src/gateway_replica.rs
@@ -19,15 +19,15 @@
 use tokio::sync::Notify;
 
 use crate::loopback;
-use crate::loopback::Answerer;
 use crate::loopback::Body;
+use crate::loopback::RequestHandler;
 use crate::loopback::RequestNumber;
 use crate::loopback::Server;
 
 /// A replica that ends because of a request does so this long after it has begun to run it.
-const ENDS_AFTER: Duration = Duration::from_millis(20);
+const CRASH_DELAY: Duration = Duration::from_millis(20);
 /// A port that is to close has closed after this.
-const PORT_CLOSES_WITHIN: Duration = Duration::from_millis(20);
+const PORT_CLOSE_DELAY: Duration = Duration::from_millis(20);
 
 /// How a replica treats requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     #[default]
     None,
     /// Says that it did not run them.
-    NotRun,
+    NotExecuted,
     /// Runs them and fails.
     Fails,
     /// Runs them and never answers.
@@ -44,11 +44,11 @@
     /// Runs them and closes the connection.
     Breaks,
     /// Answers with another request's id.
-    ForeignAnswer,
+    WrongRequestId,
     /// Cuts the body short.
-    CutsBody,
+    TruncatesBody,
     /// Breaks the connection at its second request, as if it had forgotten it.
-    ForgetsConnections,
+    ClosesReusedConnections,
     /// Answers after this time.
     Late(Duration),
     /// Answers with so many bytes.
@@ -92,7 +92,7 @@
     /// Answers with an error of its own.
     Fails,
     /// Says that it did not run it.
-    NotRun,
+    NotExecuted,
     /// Breaks off after so many events.
     BreaksAfter(u64),
     /// Breaks off in the middle of the event after so many.
@@ -107,7 +107,7 @@
 
 /// What a stand-in's generation does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
+enum NextStep {
     /// Makes the event after so many.
     Event(u64),
     /// Breaks off.
@@ -118,7 +118,7 @@
 
 /// A request that a replica saw.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// When it came.
     pub at: Instant,
     /// `METHOD path?query`.
@@ -129,7 +129,7 @@
     pub body: Bytes,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// A header's text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -138,14 +138,14 @@
 
 /// What the engines of one fleet share.
 #[derive(Default)]
-pub struct Engines {
+pub struct SharedEngineState {
     /// Copies of generations, by the engine that made them and their handle.
     copies: Mutex<HashMap<String, u64>>,
     /// How the next streams are treated, one after the other, at whichever engine they arrive.
     stream_faults: Mutex<VecDeque<StreamFault>>,
 }
 
-impl Engines {
+impl SharedEngineState {
     /// Sets how the next streams are treated, one after the other; all that follow are made.
     pub fn set_stream_faults(&self, faults: impl IntoIterator<Item = StreamFault>) {
         *self.stream_faults.lock().expect("no holder panics") = faults.into_iter().collect();
@@ -162,7 +162,7 @@
     /// The fault.
     pub fault: ReplicaFault,
     /// One of so many requests meets it,
-    pub one_of: usize,
+    pub every_nth: usize,
     /// of those whose path begins so.
     pub prefix: String,
 }
@@ -172,36 +172,36 @@
     fault: ReplicaFault,
     partial_fault: Option<PartialFault>,
     /// Requests that the partial fault is for.
-    concerned: usize,
+    prefixed_requests: usize,
     copy_fault: CopyFault,
-    seen: Vec<Seen>,
+    received: Vec<ReceivedRequest>,
     /// Running generations and the events that they made.
     runs: HashMap<String, u64>,
     stopped: Vec<String>,
     /// Bytes that each event has beyond its token.
     padding: usize,
     /// Calls for its report.
-    reports: usize,
+    report_calls: usize,
     /// Calls to copy a generation.
     copy_calls: usize,
     /// Callers that closed their connection before the answer's end.
-    left: Vec<String>,
+    abandoned: Vec<String>,
     address: Option<SocketAddr>,
     /// Closes its port.
     close_port: Option<Arc<Notify>>,
     /// Ends its server.
-    end: Option<Arc<Notify>>,
+    shutdown: Option<Arc<Notify>>,
     /// It ends when it runs a request with this body.
-    ends_on: Option<Bytes>,
-    has_ended: bool,
+    crash_on: Option<Bytes>,
+    has_crashed: bool,
     /// The limit that it names in its answers, as it stands there.
     limit: Option<String>,
     /// What its answers say of its leaving, as it stands there.
     leaving: Option<String>,
     /// Requests that it turned away.
-    turned_away: Vec<String>,
+    rejected: Vec<String>,
     /// The rest that it asks for when it turns a request away, as it stands there.
-    rest: Option<String>,
+    retry_after: Option<String>,
 }
 
 /// A replica.
@@ -211,8 +211,8 @@
     /// Events of a generation.
     pub events: u64,
     /// Time between two events.
-    pub pace: Duration,
-    engines: Arc<Engines>,
+    pub event_interval: Duration,
+    engines: Arc<SharedEngineState>,
     state: Mutex<State>,
 }
 
@@ -235,25 +235,30 @@
         let mut state = self.replica.state();
         state.runs.remove(&self.id);
         if !self.done {
-            state.left.push(self.id.clone());
+            state.abandoned.push(self.id.clone());
         }
     }
 }
 
 impl GatewayReplica {
     /// A replica that serves on a free port of `ip`.
-    pub async fn start(ip: &str, id: &str, events: u64, engines: Arc<Engines>) -> (Arc<Self>, Server) {
+    pub async fn start(
+        ip: &str,
+        id: &str,
+        events: u64,
+        engines: Arc<SharedEngineState>,
+    ) -> (Arc<Self>, Server) {
         let replica = Arc::new(GatewayReplica {
             id: id.to_owned(),
             events,
-            pace: Duration::from_millis(15),
+            event_interval: Duration::from_millis(15),
             engines,
             state: Mutex::default(),
         });
         let server = loopback::serve(ip, replica.clone()).await;
         replica.state().address = Some(server.address);
         replica.state().close_port = Some(server.close_port.clone());
-        replica.state().end = Some(server.end.clone());
+        replica.state().shutdown = Some(server.shutdown.clone());
         (replica, server)
     }
 
@@ -283,8 +288,8 @@
         let Some(partial) = partial.filter(|partial| req.uri().path().starts_with(&partial.prefix)) else {
             return state.fault;
         };
-        state.concerned += 1;
-        if state.concerned.is_multiple_of(partial.one_of) { partial.fault } else { state.fault }
+        state.prefixed_requests += 1;
+        if state.prefixed_requests.is_multiple_of(partial.every_nth) { partial.fault } else { state.fault }
     }
 
     /// Sets how it treats calls to copy.
@@ -298,8 +303,8 @@
     }
 
     /// Has it end with all its connections soon after it begins to run a request with this body.
-    pub fn set_ends_on(&self, body: &str) {
-        self.state().ends_on = Some(Bytes::copy_from_slice(body.as_bytes()));
+    pub fn set_crash_on(&self, body: &str) {
+        self.state().crash_on = Some(Bytes::copy_from_slice(body.as_bytes()));
     }
 
     /// Has it name a limit in its answers from now on, or none.
@@ -313,30 +318,30 @@
     }
 
     /// Has it ask for rest when it turns a request away from now on, or no more.
-    pub fn set_rest(&self, rest: Option<&str>) {
-        self.state().rest = rest.map(str::to_owned);
+    pub fn set_retry_after(&self, retry_after: Option<&str>) {
+        self.state().retry_after = retry_after.map(str::to_owned);
     }
 
     /// The requests that it turned away as its fault says.
-    pub fn turned_away(&self) -> Vec<String> {
-        self.state().turned_away.clone()
+    pub fn rejected_requests(&self) -> Vec<String> {
+        self.state().rejected.clone()
     }
 
     /// Ends it with all its connections at once.
-    pub fn end(&self) {
+    pub fn crash(&self) {
         let mut state = self.state();
-        state.has_ended = true;
-        state.end.as_ref().expect("it serves").notify_one();
+        state.has_crashed = true;
+        state.shutdown.as_ref().expect("it serves").notify_one();
     }
 
     /// Whether it has ended.
-    pub fn has_ended(&self) -> bool {
-        self.state().has_ended
+    pub fn has_crashed(&self) -> bool {
+        self.state().has_crashed
     }
 
     /// What it saw.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state().seen.clone()
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        self.state().received.clone()
     }
 
     /// Generations and calls that it works on.
@@ -345,8 +350,8 @@
     }
 
     /// How often it was asked for its report.
-    pub fn reports(&self) -> usize {
-        self.state().reports
+    pub fn report_calls(&self) -> usize {
+        self.state().report_calls
     }
 
     /// How often it was asked to copy a generation.
@@ -355,14 +360,14 @@
     }
 
     /// Requests whose caller closed the connection.
-    pub fn left(&self) -> Vec<String> {
-        self.state().left.clone()
+    pub fn abandoned_requests(&self) -> Vec<String> {
+        self.state().abandoned.clone()
     }
 
-    fn headers(&self, req: &HeaderMap, fault: ReplicaFault) -> HeaderMap {
+    fn response_headers(&self, req: &HeaderMap, fault: ReplicaFault) -> HeaderMap {
         let mut headers = HeaderMap::new();
         let id = req.get("leadstage-request-id").cloned();
-        if fault == ReplicaFault::ForeignAnswer {
+        if fault == ReplicaFault::WrongRequestId {
             headers.insert("leadstage-request-id", "another".parse().expect("valid"));
         } else if let Some(id) = id {
             headers.insert("leadstage-request-id", id);
@@ -374,42 +379,42 @@
         headers
     }
 
-    fn not_run(&self, req: &HeaderMap) -> Response<Body> {
-        let mut res = Response::new(loopback::whole(""));
+    fn not_executed(&self, req: &HeaderMap) -> Response<Body> {
+        let mut res = Response::new(loopback::full_body(""));
         *res.status_mut() = http::StatusCode::SERVICE_UNAVAILABLE;
-        *res.headers_mut() = self.headers(req, ReplicaFault::None);
+        *res.headers_mut() = self.response_headers(req, ReplicaFault::None);
         res.headers_mut().insert("leadstage-not-executed", "1".parse().expect("valid"));
-        if let Some(rest) = &self.state().rest {
-            res.headers_mut().insert("retry-after", rest.parse().expect("valid"));
+        if let Some(retry_after) = &self.state().retry_after {
+            res.headers_mut().insert("retry-after", retry_after.parse().expect("valid"));
         }
         res
     }
 
     /// Whether this request ends it; if so, that comes about soon.
-    fn ends_on(self: &Arc<Self>, req: &Request<Bytes>) -> bool {
-        let ends = self.state().ends_on.as_ref() == Some(req.body());
-        if ends {
+    fn crashes_on(self: &Arc<Self>, req: &Request<Bytes>) -> bool {
+        let crashes = self.state().crash_on.as_ref() == Some(req.body());
+        if crashes {
             let replica = self.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(ENDS_AFTER).await;
-                replica.end();
+                tokio::time::sleep(CRASH_DELAY).await;
+                replica.crash();
             });
         }
-        ends
+        crashes
     }
 
     /// The answer to a request that ends it: a stream's has begun by then, a plain call's has not.
-    async fn cut_off(&self, req: &Request<Bytes>) -> Response<Body> {
+    async fn crash_response(&self, req: &Request<Bytes>) -> Response<Body> {
         if !req.headers().contains_key("leadstage-model") {
             std::future::pending::<()>().await;
         }
-        let mut res = Response::new(loopback::parts(futures::stream::pending()));
-        *res.headers_mut() = self.headers(req.headers(), ReplicaFault::None);
+        let mut res = Response::new(loopback::stream_body(futures::stream::pending()));
+        *res.headers_mut() = self.response_headers(req.headers(), ReplicaFault::None);
         res
     }
 
-    async fn call(self: Arc<Self>, req: Request<Bytes>, fault: ReplicaFault) -> Response<Body> {
-        let id = text(req.headers(), "leadstage-request-id");
+    async fn handle_call(self: Arc<Self>, req: Request<Bytes>, fault: ReplicaFault) -> Response<Body> {
+        let id = header_text(req.headers(), "leadstage-request-id");
         self.state().runs.insert(id.clone(), 0);
         let mut guard = RunGuard { replica: self.clone(), id, done: false };
         if fault == ReplicaFault::Hangs {
@@ -422,27 +427,27 @@
         let cut = futures::stream::iter([Ok(Bytes::from("cut")), Err(std::io::Error::other("cut"))]);
         let body = match fault {
             ReplicaFault::Breaks => {
-                loopback::parts(futures::stream::iter([Err(std::io::Error::other("cut"))]))
+                loopback::stream_body(futures::stream::iter([Err(std::io::Error::other("cut"))]))
             }
-            ReplicaFault::CutsBody => loopback::parts(cut),
-            ReplicaFault::Long(bytes) => loopback::whole("x".repeat(bytes)),
-            _ => loopback::whole(format!("{} answers {}", self.id, req.uri())),
+            ReplicaFault::TruncatesBody => loopback::stream_body(cut),
+            ReplicaFault::Long(bytes) => loopback::full_body("x".repeat(bytes)),
+            _ => loopback::full_body(format!("{} answers {}", self.id, req.uri())),
         };
         let mut res = Response::new(body);
-        *res.headers_mut() = self.headers(req.headers(), fault);
+        *res.headers_mut() = self.response_headers(req.headers(), fault);
         if fault == ReplicaFault::Fails {
             *res.status_mut() = http::StatusCode::INTERNAL_SERVER_ERROR;
         }
         res
     }
 
-    async fn stream(self: Arc<Self>, req: &Request<Bytes>) -> Response<Body> {
-        let id = text(req.headers(), "leadstage-request-id");
+    async fn handle_stream(self: Arc<Self>, req: &Request<Bytes>) -> Response<Body> {
+        let id = header_text(req.headers(), "leadstage-request-id");
         let fault = self.engines.next_stream_fault();
         match fault {
             StreamFault::NoHead => {
                 let broken = futures::stream::iter([Err(std::io::Error::other("no head"))]);
-                return Response::new(loopback::parts(broken));
+                return Response::new(loopback::stream_body(broken));
             }
             StreamFault::Hangs => {
                 self.state().runs.insert(id.clone(), 0);
@@ -451,34 +456,34 @@
                 unreachable!("nothing ends it");
             }
             StreamFault::Fails => {
-                let mut res = status(500);
-                *res.headers_mut() = self.headers(req.headers(), ReplicaFault::None);
+                let mut res = status_response(500);
+                *res.headers_mut() = self.response_headers(req.headers(), ReplicaFault::None);
                 return res;
             }
-            StreamFault::NotRun => return self.not_run(req.headers()),
+            StreamFault::NotExecuted => return self.not_executed(req.headers()),
             StreamFault::Late(after) => tokio::time::sleep(after).await,
             _ => {}
         }
         let from = match req.headers().get("kv-from") {
             Some(_) if self.state().copy_fault == CopyFault::ResumeFails => {
-                let mut res = status(500);
-                *res.headers_mut() = self.headers(req.headers(), ReplicaFault::None);
+                let mut res = status_response(500);
+                *res.headers_mut() = self.response_headers(req.headers(), ReplicaFault::None);
                 return res;
             }
             Some(copy) => {
                 let copy = copy.to_str().unwrap_or("").to_owned();
                 let used = self.engines.copies.lock().expect("no holder panics").remove(&copy);
                 if used.is_none() {
-                    return self.not_run(req.headers());
+                    return self.not_executed(req.headers());
                 }
                 self.state().stopped.retain(|stopped| *stopped != id);
-                text(req.headers(), "last-event-id").parse().unwrap_or(0)
+                header_text(req.headers(), "last-event-id").parse().unwrap_or(0)
             }
             None if fault == StreamFault::StartsOver => 0,
-            None => text(req.headers(), "last-event-id").parse().unwrap_or(0),
+            None => header_text(req.headers(), "last-event-id").parse().unwrap_or(0),
         };
-        let mut res = Response::new(loopback::parts(self.clone().generate(id, from, fault)));
-        *res.headers_mut() = self.headers(req.headers(), ReplicaFault::None);
+        let mut res = Response::new(loopback::stream_body(self.clone().generate(id, from, fault)));
+        *res.headers_mut() = self.response_headers(req.headers(), ReplicaFault::None);
         res.headers_mut().insert("content-type", "text/event-stream".parse().expect("valid"));
         if fault == StreamFault::Unframed {
             *res.version_mut() = Version::HTTP_10;
@@ -496,44 +501,44 @@
     ) -> impl futures::Stream<Item = std::io::Result<Bytes>> + Send {
         self.state().runs.insert(id.clone(), from);
         let guard = RunGuard { replica: self.clone(), id, done: false };
-        futures::stream::unfold((guard, Next::Event(from)), move |(mut guard, next)| async move {
+        futures::stream::unfold((guard, NextStep::Event(from)), move |(mut guard, next)| async move {
             let replica = guard.replica.clone();
             let made = match next {
-                Next::Event(made) => made,
-                Next::Break => {
+                NextStep::Event(made) => made,
+                NextStep::Break => {
                     // What was made is sent before the connection breaks.
-                    tokio::time::sleep(replica.pace).await;
+                    tokio::time::sleep(replica.event_interval).await;
                     guard.finish();
-                    return Some((Err(std::io::Error::other("stopped")), (guard, Next::End)));
+                    return Some((Err(std::io::Error::other("stopped")), (guard, NextStep::End)));
                 }
-                Next::End => return None,
+                NextStep::End => return None,
             };
             if fault == StreamFault::StallsAfter(made) {
                 std::future::pending::<()>().await;
             }
             if fault == StreamFault::BreaksAfter(made) {
-                return Some((Ok(Bytes::new()), (guard, Next::Break)));
+                return Some((Ok(Bytes::new()), (guard, NextStep::Break)));
             }
             if made == replica.events {
                 guard.finish();
                 return None;
             }
-            tokio::time::sleep(replica.pace).await;
+            tokio::time::sleep(replica.event_interval).await;
             let mut state = replica.state();
             if state.stopped.contains(&guard.id) || fault == StreamFault::BreaksInside(made) {
                 drop(state);
                 let part = format!("id: {}\ndata: tok", made + 1);
-                return Some((Ok(Bytes::from(part)), (guard, Next::Break)));
+                return Some((Ok(Bytes::from(part)), (guard, NextStep::Break)));
             }
             state.runs.insert(guard.id.clone(), made + 1);
             let padding = "x".repeat(state.padding);
             drop(state);
             let event = format!("id: {}\ndata: token {}{padding}\n\n", made + 1, made + 1);
-            Some((Ok(Bytes::from(event)), (guard, Next::Event(made + 1))))
+            Some((Ok(Bytes::from(event)), (guard, NextStep::Event(made + 1))))
         })
     }
 
-    async fn copy(&self, req: Request<Bytes>) -> Response<Body> {
+    async fn handle_copy(&self, req: Request<Bytes>) -> Response<Body> {
         let call: serde_json::Value = serde_json::from_slice(req.body()).unwrap_or_default();
         let (id, last) = (call["id"].as_str().unwrap_or("").to_owned(), call["last"] == true);
         let (fault, made, address) = {
@@ -542,10 +547,10 @@
             (state.copy_fault, state.runs.get(&id).copied(), state.address)
         };
         let Some(made) = made else {
-            return status(404);
+            return status_response(404);
         };
         match fault {
-            CopyFault::NoRoom => return status(503),
+            CopyFault::NoRoom => return status_response(503),
             CopyFault::CopyHangs if !last => std::future::pending::<()>().await,
             _ => {}
         }
@@ -562,76 +567,80 @@
         if fault == CopyFault::ClosesPort || (fault == CopyFault::StopClosesPort && last) {
             self.close_port().await;
         }
-        Response::new(loopback::whole(json!({"handle": format!("h-{id}"), "made": made}).to_string()))
+        Response::new(loopback::full_body(json!({"handle": format!("h-{id}"), "made": made}).to_string()))
     }
 
     /// Tells of the generations that run: their ids, tokens in memory, events and priorities.
     fn report(&self) -> Response<Body> {
         let mut state = self.state();
-        state.reports += 1;
+        state.report_calls += 1;
         let runs: Vec<_> = state.runs.iter().map(|(id, made)| json!([id, made, made, 5])).collect();
-        Response::new(loopback::whole(json!({"stage": "both", "runs": runs}).to_string()))
+        Response::new(loopback::full_body(json!({"stage": "both", "runs": runs}).to_string()))
     }
 
     async fn close_port(&self) {
         let close_port = self.state().close_port.clone().expect("it serves");
         close_port.notify_one();
-        tokio::time::sleep(PORT_CLOSES_WITHIN).await;
+        tokio::time::sleep(PORT_CLOSE_DELAY).await;
     }
 }
 
-fn forgets(req: &Request<Bytes>) -> ReplicaFault {
+fn fault_of_reused_connection(req: &Request<Bytes>) -> ReplicaFault {
     let number = req.extensions().get::<RequestNumber>().map_or(1, |number| number.0);
     if number > 1 { ReplicaFault::Breaks } else { ReplicaFault::None }
 }
 
-fn text(headers: &HeaderMap, name: &str) -> String {
+fn header_text(headers: &HeaderMap, name: &str) -> String {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned()
 }
 
-fn status(status: u16) -> Response<Body> {
-    let mut res = Response::new(loopback::whole("{}"));
+fn status_response(status: u16) -> Response<Body> {
+    let mut res = Response::new(loopback::full_body("{}"));
     *res.status_mut() = status.try_into().expect("a valid status");
     res
 }
 
 impl GatewayReplica {
-    async fn treat(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
+    async fn route(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
         match req.uri().path() {
-            "/v1/kv-move" => return self.copy(req).await,
+            "/v1/kv-move" => return self.handle_copy(req).await,
             "/v1/report" => return self.report(),
             "/healthz" => {
-                let mut res = status(if self.state().leaving.is_some() { 503 } else { 200 });
+                let mut res = status_response(if self.state().leaving.is_some() { 503 } else { 200 });
                 res.headers_mut().insert("leadstage-instance-id", self.id.parse().expect("valid"));
                 return res;
             }
             _ => {}
         }
         let line = format!("{} {}", req.method(), req.uri());
-        let seen =
-            Seen { at: Instant::now(), line, headers: req.headers().clone(), body: req.body().clone() };
-        self.state().seen.push(seen);
+        let received = ReceivedRequest {
+            at: Instant::now(),
+            line,
+            headers: req.headers().clone(),
+            body: req.body().clone(),
+        };
+        self.state().received.push(received);
         let fault = match self.fault_for(&req) {
-            ReplicaFault::ForgetsConnections => forgets(&req),
+            ReplicaFault::ClosesReusedConnections => fault_of_reused_connection(&req),
             fault => fault,
         };
-        if fault == ReplicaFault::NotRun {
-            self.state().turned_away.push(text(req.headers(), "leadstage-request-id"));
-            return self.not_run(req.headers());
+        if fault == ReplicaFault::NotExecuted {
+            self.state().rejected.push(header_text(req.headers(), "leadstage-request-id"));
+            return self.not_executed(req.headers());
         }
-        if self.ends_on(&req) {
-            return self.cut_off(&req).await;
+        if self.crashes_on(&req) {
+            return self.crash_response(&req).await;
         }
         if req.headers().contains_key("leadstage-model") {
-            return self.stream(&req).await;
+            return self.handle_stream(&req).await;
         }
-        self.call(req, fault).await
+        self.handle_call(req, fault).await
     }
 }
 
-impl Answerer for GatewayReplica {
-    async fn answer(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
-        let mut res = self.clone().treat(req).await;
+impl RequestHandler for GatewayReplica {
+    async fn handle(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
+        let mut res = self.clone().route(req).await;
         if let Some(leaving) = &self.state().leaving {
             res.headers_mut().insert("server-leaving", leaving.parse().expect("valid"));
         }
--- a/testutils/src/http_server.rs
+++ b/testutils/src/http_server.rs
@@ -19,9 +19,9 @@
 use xitca_web::http::WebResponse;
 
 /// Bytes of a request body read at most.
-const BODY_LIMIT: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 /// How long an idle connection is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(60);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A request read whole.
 pub struct Request {
@@ -95,20 +95,20 @@
         .at("/{*path}", handler_service(dispatch::<H>))
         .serve()
         .worker_threads(threads)
-        .keep_alive_timeout(KEEP_ALIVE)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .bind(address)?
         .run()
         .wait()
 }
 
 async fn dispatch<H: Handler>(cx: &WebContext<'_, H>) -> WebResponse {
-    let taken = std::mem::take(&mut *cx.body_borrow_mut());
-    let mut body = std::pin::pin!(taken);
+    let body_stream = std::mem::take(&mut *cx.body_borrow_mut());
+    let mut body = std::pin::pin!(body_stream);
     let mut buf = Vec::new();
     while let Some(chunk) = body.as_mut().data().await {
         let Ok(chunk) = chunk else { return respond(400, "body") };
         buf.extend_from_slice(chunk.as_ref());
-        if buf.len() > BODY_LIMIT {
+        if buf.len() > MAX_BODY_BYTES {
             return respond(413, "body too large");
         }
     }
--- a/testutils/src/lengths.rs
+++ b/testutils/src/lengths.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 /// The 99 % point of the standard normal distribution.
-const Z99: f64 = 2.326_347_9;
+const Z_99TH_PERCENTILE: f64 = 2.326_347_9;
 
 /// A distribution of token counts.
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -41,7 +41,7 @@
     pub fn draw<R: Rng>(&self, rng: &mut R, max: u64) -> u64 {
         let tokens = match *self {
             Lengths::Lognormal { median, p99 } => {
-                let sigma = (p99 / median).ln() / Z99;
+                let sigma = (p99 / median).ln() / Z_99TH_PERCENTILE;
                 median * (sigma * standard_normal(rng)).exp()
             }
             Lengths::Pareto { min, alpha } => {
--- a/testutils/src/loopback.rs
+++ b/testutils/src/loopback.rs
@@ -29,9 +29,9 @@
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// Answers requests.
-pub trait Answerer: Send + Sync + 'static {
+pub trait RequestHandler: Send + Sync + 'static {
     /// Answers one.
-    fn answer(self: Arc<Self>, req: Request<Bytes>) -> impl Future<Output = Response<Body>> + Send;
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> impl Future<Output = Response<Body>> + Send;
 }
 
 /// A server; dropping it closes its port and all connections.
@@ -43,18 +43,18 @@
     /// Opens a closed port again, once notified.
     pub open_port: Arc<Notify>,
     /// Ends the server, once notified: its port and all connections close at once.
-    pub end: Arc<Notify>,
-    _accepting: AbortOnDropHandle<()>,
+    pub shutdown: Arc<Notify>,
+    _accept_task: AbortOnDropHandle<()>,
 }
 
 /// A whole body.
-pub fn whole(text: impl Into<Bytes>) -> Body {
+pub fn full_body(text: impl Into<Bytes>) -> Body {
     let frame = futures::stream::once(std::future::ready(Ok(Frame::data(text.into()))));
     BodyExt::boxed_unsync(StreamBody::new(frame))
 }
 
 /// A body that comes in parts.
-pub fn parts(stream: impl Stream<Item = std::io::Result<Bytes>> + Send + 'static) -> Body {
+pub fn stream_body(stream: impl Stream<Item = std::io::Result<Bytes>> + Send + 'static) -> Body {
     let stream: Pin<Box<dyn Stream<Item = _> + Send>> = Box::pin(stream);
     BodyExt::boxed_unsync(StreamBody::new(futures::StreamExt::map(stream, |part| part.map(Frame::data))))
 }
@@ -64,50 +64,54 @@
 pub struct RequestNumber(pub u32);
 
 /// Serves on a free port of `ip`.
-pub async fn serve<A: Answerer>(ip: &str, answerer: Arc<A>) -> Server {
+pub async fn serve<H: RequestHandler>(ip: &str, handler: Arc<H>) -> Server {
     let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let (close_port, open_port) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
     let (closing, opening) = (close_port.clone(), open_port.clone());
-    let serving = async move {
+    let serve_loop = async move {
         let mut connections = JoinSet::new();
         let mut listener = listener;
         loop {
             tokio::select! {
                 () = closing.notified() => drop(listener),
-                () = accept(&listener, &answerer, &mut connections) => return,
+                () = accept_connections(&listener, &handler, &mut connections) => return,
             }
             opening.notified().await;
             listener = TcpListener::bind(address).await.expect("the port is still free");
         }
     };
-    let end = Arc::new(Notify::new());
-    let ending = end.clone();
-    let accepting = tokio::spawn(async move {
+    let shutdown = Arc::new(Notify::new());
+    let shutting_down = shutdown.clone();
+    let accept_task = tokio::spawn(async move {
         tokio::select! {
-            () = ending.notified() => {}
-            () = serving => {}
+            () = shutting_down.notified() => {}
+            () = serve_loop => {}
         }
     });
-    Server { address, close_port, open_port, end, _accepting: AbortOnDropHandle::new(accepting) }
+    Server { address, close_port, open_port, shutdown, _accept_task: AbortOnDropHandle::new(accept_task) }
 }
 
-async fn accept<A: Answerer>(listener: &TcpListener, answerer: &Arc<A>, connections: &mut JoinSet<()>) {
+async fn accept_connections<H: RequestHandler>(
+    listener: &TcpListener,
+    handler: &Arc<H>,
+    connections: &mut JoinSet<()>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
-        connections.spawn(connection(stream, answerer.clone()));
+        connections.spawn(serve_connection(stream, handler.clone()));
     }
 }
 
-async fn connection<A: Answerer>(stream: tokio::net::TcpStream, answerer: Arc<A>) {
+async fn serve_connection<H: RequestHandler>(stream: tokio::net::TcpStream, handler: Arc<H>) {
     let number = AtomicU32::new(0);
     let service = service_fn(move |req: Request<Incoming>| {
-        let answerer = answerer.clone();
+        let handler = handler.clone();
         let number = RequestNumber(number.fetch_add(1, Ordering::Relaxed) + 1);
         async move {
             let (mut head, body) = req.into_parts();
             head.extensions.insert(number);
             let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-            Ok::<_, Infallible>(answerer.answer(Request::from_parts(head, body)).await)
+            Ok::<_, Infallible>(handler.handle(Request::from_parts(head, body)).await)
         }
     });
     // The other side sees how it ended.
--- a/testutils/src/metadata_store.rs
+++ b/testutils/src/metadata_store.rs
@@ -17,8 +17,8 @@
 use tokio::sync::watch;
 
 use crate::loopback;
-use crate::loopback::Answerer;
 use crate::loopback::Body;
+use crate::loopback::RequestHandler;
 use crate::loopback::Server;
 
 /// What the store does with calls.
@@ -32,7 +32,7 @@
     /// Answers reads, and writes with 503.
     RefusesWrites,
     /// Says that the history is gone to each watch.
-    ForgetsHistory,
+    LosesHistory,
     /// Answers each page of a list with the first one.
     RepeatsPage,
 }
@@ -45,7 +45,7 @@
     fault: StoreFault,
     calls: u64,
     /// Objects in one page of a list; all without.
-    page: Option<usize>,
+    page_size: Option<usize>,
     /// How often it came back from a copy.
     era: u64,
 }
@@ -125,11 +125,15 @@
     /// The statuses that an object has had, without those that repeat the one before.
     pub fn statuses(&self, kind: &str, name: &str) -> Vec<Value> {
         let state = self.state();
-        let is_its = |(_, k, object, gone): &&(u64, String, Value, bool)| {
-            k == kind && !gone && object["metadata"]["name"] == name
+        let is_of_object = |(_, k, object, deleted): &&(u64, String, Value, bool)| {
+            k == kind && !deleted && object["metadata"]["name"] == name
         };
-        let mut statuses: Vec<Value> =
-            state.history.iter().filter(is_its).map(|(_, _, object, _)| object["status"].clone()).collect();
+        let mut statuses: Vec<Value> = state
+            .history
+            .iter()
+            .filter(is_of_object)
+            .map(|(_, _, object, _)| object["status"].clone())
+            .collect();
         statuses.dedup();
         statuses
     }
@@ -146,25 +150,25 @@
         let status_of = name.and_then(|name| name.strip_suffix("/status"));
         let name = status_of.or(name);
         let Some(name) = name.or(object["metadata"]["name"].as_str()) else {
-            return refusal(400);
+            return error_response(400);
         };
-        let held = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
-        let is_expected = |held: &Value| object["metadata"]["revision"] == held["metadata"]["revision"];
-        match (method, held) {
-            (&Method::DELETE, Some(held)) => {
+        let current = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
+        let is_expected = |current: &Value| object["metadata"]["revision"] == current["metadata"]["revision"];
+        match (method, current) {
+            (&Method::DELETE, Some(current)) => {
                 self.delete(kind, name);
-                answer(&held)
+                json_response(&current)
             }
-            (&Method::POST, Some(held)) => conflict(&held),
-            (&Method::PUT, Some(held)) if !is_expected(&held) => conflict(&held),
+            (&Method::POST, Some(current)) => conflict_response(&current),
+            (&Method::PUT, Some(current)) if !is_expected(&current) => conflict_response(&current),
             (&Method::POST, None) | (&Method::PUT, Some(_)) => {
                 match status_of {
                     Some(_) => self.put_status(kind, name, object["status"].clone()),
                     None => self.put(kind, name, object["spec"].clone()),
                 }
-                answer(&self.state().objects[&(kind.to_owned(), name.to_owned())])
+                json_response(&self.state().objects[&(kind.to_owned(), name.to_owned())])
             }
-            _ => refusal(404),
+            _ => error_response(404),
         }
     }
 
@@ -181,7 +185,7 @@
     }
 
     /// Comes back from a copy: what was written since is gone, and revisions go on from the copy's.
-    pub fn come_back_from(&self, copy: Copy) {
+    pub fn restore_from(&self, copy: Copy) {
         let mut state = self.state();
         (state.objects, state.history, state.revision) = (copy.objects, copy.history, copy.revision);
         state.era += 1;
@@ -201,51 +205,51 @@
     }
 
     /// Sets how many objects a page of a list has.
-    pub fn set_page(&self, objects: usize) {
-        self.state().page = Some(objects);
+    pub fn set_page_size(&self, objects: usize) {
+        self.state().page_size = Some(objects);
     }
 
     fn list(&self, kind: &str, after: &str) -> Value {
         let state = self.state();
         let after = if state.fault == StoreFault::RepeatsPage { "" } else { after };
-        let page = state.page.unwrap_or(usize::MAX);
+        let page_size = state.page_size.unwrap_or(usize::MAX);
         let from = (kind.to_owned(), after.to_owned());
-        let behind = state.objects.range(from..).filter(|((_, name), _)| name != after);
-        let mut items: Vec<&Value> = behind
+        let following = state.objects.range(from..).filter(|((_, name), _)| name != after);
+        let mut items: Vec<&Value> = following
             .take_while(|((k, _), _)| k == kind)
             .map(|(_, object)| object)
-            .take(page.saturating_add(1))
+            .take(page_size.saturating_add(1))
             .collect();
-        let more = items.len() > page;
-        items.truncate(page);
+        let more = items.len() > page_size;
+        items.truncate(page_size);
         json!({"items": items, "more": more, "at": state.revision})
     }
 
     fn events(&self, kind: &str, since: u64) -> Vec<Value> {
         let state = self.state();
         let events = state.history.iter().filter(|(revision, k, _, _)| *revision > since && k == kind);
-        events.map(|(_, _, object, gone)| json!({"object": object, "gone": gone})).collect()
+        events.map(|(_, _, object, deleted)| json!({"object": object, "gone": deleted})).collect()
     }
 
     async fn watch(&self, kind: &str, since: u64, wait: Duration) -> Response<Body> {
         let mut changed = self.changed.subscribe();
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
             match self.state().fault {
                 StoreFault::None | StoreFault::RefusesWrites | StoreFault::RepeatsPage => {}
-                StoreFault::Refuses => return refusal(503),
-                StoreFault::ForgetsHistory => return refusal(410),
+                StoreFault::Refuses => return error_response(503),
+                StoreFault::LosesHistory => return error_response(410),
             }
             if since > self.state().revision {
-                return refusal(410);
+                return error_response(410);
             }
             let events = self.events(kind, since);
             if !events.is_empty() {
                 let at = self.state().revision;
-                return answer(&json!({"events": events, "at": at}));
+                return json_response(&json!({"events": events, "at": at}));
             }
-            if tokio::time::timeout_at(until, changed.changed()).await.is_err() {
-                return answer(&json!({"events": [], "at": since}));
+            if tokio::time::timeout_at(deadline, changed.changed()).await.is_err() {
+                return json_response(&json!({"events": [], "at": since}));
             }
         }
     }
@@ -257,59 +261,59 @@
         "state": state, "coldRemainingMs": 0, "sequence": 1})
 }
 
-fn answer(value: &Value) -> Response<Body> {
-    Response::new(loopback::whole(value.to_string()))
+fn json_response(value: &Value) -> Response<Body> {
+    Response::new(loopback::full_body(value.to_string()))
 }
 
-fn conflict(held: &Value) -> Response<Body> {
-    let mut res = answer(held);
+fn conflict_response(current: &Value) -> Response<Body> {
+    let mut res = json_response(current);
     *res.status_mut() = http::StatusCode::CONFLICT;
     res
 }
 
-fn refusal(status: u16) -> Response<Body> {
-    let mut res = Response::new(loopback::whole(""));
+fn error_response(status: u16) -> Response<Body> {
+    let mut res = Response::new(loopback::full_body(""));
     *res.status_mut() = status.try_into().expect("a valid status");
     res
 }
 
-fn query<'a>(req: &'a Request<Bytes>, name: &str) -> Option<&'a str> {
+fn query_value<'a>(req: &'a Request<Bytes>, name: &str) -> Option<&'a str> {
     let pairs = req.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
 impl MetadataStore {
-    async fn treat(&self, req: Request<Bytes>) -> Response<Body> {
+    async fn route(&self, req: Request<Bytes>) -> Response<Body> {
         self.state().calls += 1;
         if self.state().fault == StoreFault::Refuses {
-            return refusal(503);
+            return error_response(503);
         }
         let Some(rest) = req.uri().path().strip_prefix("/v1/objects/") else {
-            return refusal(404);
+            return error_response(404);
         };
         let (kind, name) = rest.split_once('/').map_or((rest, None), |(kind, name)| (kind, Some(name)));
         if req.method() != Method::GET {
             if self.state().fault == StoreFault::RefusesWrites {
-                return refusal(503);
+                return error_response(503);
             }
             return self.write(req.method(), kind, name, req.body());
         }
         if let Some(name) = name {
             let found = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
-            return found.map_or_else(|| refusal(404), |object| answer(&object));
+            return found.map_or_else(|| error_response(404), |object| json_response(&object));
         }
-        let since = query(&req, "watch").and_then(|since| since.parse().ok());
-        let wait = query(&req, "waitMs").and_then(|wait| wait.parse().ok()).unwrap_or(0);
+        let since = query_value(&req, "watch").and_then(|since| since.parse().ok());
+        let wait = query_value(&req, "waitMs").and_then(|wait| wait.parse().ok()).unwrap_or(0);
         match since {
             Some(since) => self.watch(kind, since, Duration::from_millis(wait)).await,
-            None => answer(&self.list(kind, query(&req, "after").unwrap_or_default())),
+            None => json_response(&self.list(kind, query_value(&req, "after").unwrap_or_default())),
         }
     }
 }
 
-impl Answerer for MetadataStore {
-    async fn answer(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
-        let mut res = self.treat(req).await;
+impl RequestHandler for MetadataStore {
+    async fn handle(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
+        let mut res = self.route(req).await;
         res.headers_mut().insert("store-era", self.state().era.into());
         res
     }
--- a/testutils/src/object_store.rs
+++ b/testutils/src/object_store.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 /// Bytes of a value at most.
-pub const VALUE_LIMIT: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 /// Writes a second.
 pub const WRITES_PER_SECOND: f64 = 100.0;
 /// Reads a second; a waiting watch counts as one.
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 pub struct ObjectStore {
     objects: BTreeMap<String, Object>,
-    versions: u64,
+    latest_version: u64,
 }
 
 impl ObjectStore {
@@ -53,15 +53,15 @@
 
     /// Writes an object if its version is `expected`, 0 for absent; returns the new version.
     pub fn put(&mut self, key: &str, expected: u64, value: Vec<u8>) -> Result<u64, WriteError> {
-        if value.len() > VALUE_LIMIT {
+        if value.len() > MAX_VALUE_BYTES {
             return Err(WriteError::TooLarge);
         }
         let current = self.get(key).map_or(0, |o| o.version);
         if current != expected {
             return Err(WriteError::Conflict { current });
         }
-        self.versions += 1;
-        let version = self.versions;
+        self.latest_version += 1;
+        let version = self.latest_version;
         self.objects.insert(key.to_owned(), Object { version, value });
         Ok(version)
     }
@@ -71,25 +71,25 @@
 #[derive(Debug)]
 pub struct CallBudget {
     rate: f64,
-    left: f64,
-    at: Instant,
+    remaining: f64,
+    updated_at: Instant,
 }
 
 impl CallBudget {
     /// A full budget of `rate` calls a second.
     pub fn new(rate: f64, now: Instant) -> Self {
-        CallBudget { rate, left: rate, at: now }
+        CallBudget { rate, remaining: rate, updated_at: now }
     }
 
     /// Takes one call; false when the budget is used up.
-    pub fn take(&mut self, now: Instant) -> bool {
-        let passed = now.saturating_duration_since(self.at);
-        self.at = now;
-        self.left = (self.left + passed.as_secs_f64() * self.rate).min(self.rate);
-        if self.left < 1.0 {
+    pub fn try_take(&mut self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.updated_at);
+        self.updated_at = now;
+        self.remaining = (self.remaining + elapsed.as_secs_f64() * self.rate).min(self.rate);
+        if self.remaining < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.remaining -= 1.0;
         true
     }
 }
@@ -102,5 +102,5 @@
     /// Every call takes this much longer.
     pub slow: Duration,
     /// Writes that take effect and whose answer never comes, still to happen.
-    pub lose_answers: u32,
+    pub lost_responses: u32,
 }
--- a/testutils/src/plain_server.rs
+++ b/testutils/src/plain_server.rs
@@ -25,22 +25,22 @@
 /// The stand-in, shared between its threads.
 #[derive(Clone, Default)]
 pub struct PlainServer {
-    ran: Arc<Mutex<BTreeMap<String, u64>>>,
+    executions: Arc<Mutex<BTreeMap<String, u64>>>,
     delay_ms: Arc<AtomicU64>,
-    drops: Arc<AtomicBool>,
+    drop_next: Arc<AtomicBool>,
 }
 
 impl Handler for PlainServer {
     async fn handle(&self, req: Request) -> WebResponse {
         match req.path.as_str() {
-            "/stand-in/ran" => respond_json(200, &*self.ran.lock().expect("no holder panics")),
+            "/stand-in/ran" => respond_json(200, &*self.executions.lock().expect("no holder panics")),
             "/fault/slow" => {
                 let delay = req.query_value("ms").and_then(|v| v.parse().ok()).unwrap_or(0);
                 self.delay_ms.store(delay, Ordering::Relaxed);
                 respond(200, "ok")
             }
             "/fault/drop" => {
-                self.drops.store(true, Ordering::Relaxed);
+                self.drop_next.store(true, Ordering::Relaxed);
                 respond(200, "ok")
             }
             path if path.ends_with("/book") => self.book(&req).await,
@@ -52,9 +52,9 @@
 impl PlainServer {
     async fn book(&self, req: &Request) -> WebResponse {
         let key = req.header("idempotency-key").unwrap_or("").to_owned();
-        *self.ran.lock().expect("no holder panics").entry(key.clone()).or_default() += 1;
+        *self.executions.lock().expect("no holder panics").entry(key.clone()).or_default() += 1;
         tokio::time::sleep(Duration::from_millis(self.delay_ms.load(Ordering::Relaxed))).await;
-        if self.drops.swap(false, Ordering::Relaxed) {
+        if self.drop_next.swap(false, Ordering::Relaxed) {
             let cut = std::io::Error::other("dropped");
             return respond_stream(futures::stream::iter([Err(cut)]));
         }
--- a/testutils/src/platform_server.rs
+++ b/testutils/src/platform_server.rs
@@ -30,11 +30,11 @@
 use crate::object_store::WriteError;
 
 /// A watch waits this long at most.
-const WATCH_LIMIT: Duration = Duration::from_secs(30);
+const MAX_WATCH: Duration = Duration::from_secs(30);
 /// Loads of weights a second.
 const WEIGHTS_PER_SECOND: f64 = 2.0;
 /// A call whose answer is lost hangs this long.
-const LOST_ANSWER: Duration = Duration::from_secs(20);
+const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(20);
 
 struct State {
     store: ObjectStore,
@@ -44,8 +44,8 @@
     weights: CallBudget,
     read_calls: u64,
     write_calls: u64,
-    vms: VecDeque<(Instant, Bytes)>,
-    vms_dropped: u64,
+    vm_lists: VecDeque<(Instant, Bytes)>,
+    dropped_vm_lists: u64,
 }
 
 /// The stand-in, shared between its threads.
@@ -68,8 +68,8 @@
             weights: CallBudget::new(WEIGHTS_PER_SECOND, now),
             read_calls: 0,
             write_calls: 0,
-            vms: VecDeque::new(),
-            vms_dropped: 0,
+            vm_lists: VecDeque::new(),
+            dropped_vm_lists: 0,
         };
         PlatformServer { state: Arc::new(Mutex::new(state)), changed: watch::Sender::new(0), vm_lag }
     }
@@ -78,26 +78,26 @@
         self.state.lock().expect("no holder panics")
     }
 
-    async fn objects(&self, req: &Request, key: &str) -> WebResponse {
+    async fn handle_object(&self, req: &Request, key: &str) -> WebResponse {
         let faults = self.lock().faults;
         tokio::time::sleep(faults.slow).await;
         if faults.down {
             return respond(503, "down");
         }
         match req.method.as_str() {
-            "GET" => self.read(req, key).await,
-            "PUT" => self.write(req, key).await,
+            "GET" => self.handle_read(req, key).await,
+            "PUT" => self.handle_write(req, key).await,
             _ => respond(405, "method"),
         }
     }
 
-    async fn read(&self, req: &Request, key: &str) -> WebResponse {
+    async fn handle_read(&self, req: &Request, key: &str) -> WebResponse {
         if !self.lock().take_read() {
             return respond(429, "read budget");
         }
         let after = req.query_value("after").and_then(|v| v.parse::<u64>().ok());
         let wait = req.query_value("wait_ms").and_then(|v| v.parse().ok()).unwrap_or(0);
-        let until = tokio::time::Instant::now() + Duration::from_millis(wait).min(WATCH_LIMIT);
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(wait).min(MAX_WATCH);
         let mut rx = self.changed.subscribe();
         loop {
             let object = self.lock().store.get(key).cloned();
@@ -107,7 +107,7 @@
                 None if after.is_none() => return respond(404, "absent"),
                 _ => {}
             }
-            let changed = tokio::time::timeout_at(until, rx.changed()).await;
+            let changed = tokio::time::timeout_at(deadline, rx.changed()).await;
             if self.lock().faults.down {
                 return respond(503, "down");
             }
@@ -117,25 +117,25 @@
         }
     }
 
-    async fn write(&self, req: &Request, key: &str) -> WebResponse {
+    async fn handle_write(&self, req: &Request, key: &str) -> WebResponse {
         let Some(expected) = req.header("if-match").and_then(|v| v.parse().ok()) else {
             return respond(428, "if-match missing");
         };
-        let (outcome, lost) = {
+        let (outcome, is_lost) = {
             let mut state = self.lock();
             if !state.take_write() {
                 return respond(429, "write budget");
             }
             let outcome = state.store.put(key, expected, req.body.to_vec());
-            let lost = outcome.is_ok() && state.faults.lose_answers > 0;
-            state.faults.lose_answers -= u32::from(lost);
-            (outcome, lost)
+            let is_lost = outcome.is_ok() && state.faults.lost_responses > 0;
+            state.faults.lost_responses -= u32::from(is_lost);
+            (outcome, is_lost)
         };
         match outcome {
             Ok(version) => {
                 self.changed.send_replace(version);
-                if lost {
-                    tokio::time::sleep(LOST_ANSWER).await;
+                if is_lost {
+                    tokio::time::sleep(LOST_RESPONSE_DELAY).await;
                     return respond(504, "lost");
                 }
                 with_etag(respond(200, ""), version)
@@ -145,14 +145,14 @@
         }
     }
 
-    fn fault(&self, kind: &str, req: &Request) -> WebResponse {
-        let number = |name| req.query_value(name).and_then(|v| v.parse::<u64>().ok());
+    fn set_fault(&self, kind: &str, req: &Request) -> WebResponse {
+        let query_number = |name| req.query_value(name).and_then(|v| v.parse::<u64>().ok());
         let mut state = self.lock();
         match kind {
             "down" => state.faults.down = true,
             "up" => state.faults = StoreFaults::default(),
-            "slow" => state.faults.slow = Duration::from_millis(number("ms").unwrap_or(500)),
-            "lose" => state.faults.lose_answers = number("count").unwrap_or(1) as u32,
+            "slow" => state.faults.slow = Duration::from_millis(query_number("ms").unwrap_or(500)),
+            "lose" => state.faults.lost_responses = query_number("count").unwrap_or(1) as u32,
             _ => return respond(404, "unknown fault"),
         }
         drop(state);
@@ -160,41 +160,45 @@
         respond(200, "ok")
     }
 
-    fn vms(&self, req: &Request) -> WebResponse {
+    fn vm_list_response(&self, req: &Request) -> WebResponse {
         let now = Instant::now();
         let state = self.lock();
-        let seen = state.vms.iter().rposition(|(at, _)| now - *at >= self.vm_lag);
-        let Some(at) = seen else {
+        let visible_index = state.vm_lists.iter().rposition(|(at, _)| now - *at >= self.vm_lag);
+        let Some(index) = visible_index else {
             return respond(200, "[]");
         };
-        let version = state.vms_dropped + at as u64 + 1;
+        let version = state.dropped_vm_lists + index as u64 + 1;
         if req.header("if-none-match").and_then(|v| v.parse().ok()) == Some(version) {
             return respond(304, "");
         }
-        with_etag(respond(200, state.vms[at].1.clone()), version)
+        with_etag(respond(200, state.vm_lists[index].1.clone()), version)
     }
 
-    fn weights(&self) -> WebResponse {
-        if self.lock().weights.take(Instant::now()) { respond(200, "weights") } else { respond(429, "rate") }
+    fn weights_response(&self) -> WebResponse {
+        if self.lock().weights.try_take(Instant::now()) {
+            respond(200, "weights")
+        } else {
+            respond(429, "rate")
+        }
     }
 }
 
 impl State {
     fn take_read(&mut self) -> bool {
         self.read_calls += 1;
-        self.reads.take(Instant::now())
+        self.reads.try_take(Instant::now())
     }
 
     fn take_write(&mut self) -> bool {
         self.write_calls += 1;
-        self.writes.take(Instant::now())
+        self.writes.try_take(Instant::now())
     }
 }
 
 impl Handler for PlatformServer {
     async fn handle(&self, req: Request) -> WebResponse {
         if let Some(key) = req.path.strip_prefix("/v1/objects/") {
-            return self.objects(&req, key).await;
+            return self.handle_object(&req, key).await;
         }
         if let Some(prefix) = req.path.strip_prefix("/v1/list/") {
             let mut state = self.lock();
@@ -207,19 +211,19 @@
             return respond_json(200, &state.store.list(prefix));
         }
         if let Some(kind) = req.path.strip_prefix("/fault/") {
-            return self.fault(kind, &req);
+            return self.set_fault(kind, &req);
         }
         if req.path.starts_with("/v1/weights/") {
-            return self.weights();
+            return self.weights_response();
         }
         match req.path.as_str() {
-            "/v1/vms" => self.vms(&req),
+            "/v1/vms" => self.vm_list_response(&req),
             "/stand-in/vms" => {
                 let mut state = self.lock();
-                state.vms.push_back((Instant::now(), req.body.clone()));
-                if state.vms.len() > 100 {
-                    state.vms.pop_front();
-                    state.vms_dropped += 1;
+                state.vm_lists.push_back((Instant::now(), req.body.clone()));
+                if state.vm_lists.len() > 100 {
+                    state.vm_lists.pop_front();
+                    state.dropped_vm_lists += 1;
                 }
                 respond(200, "ok")
             }
--- a/testutils/tests/test_engine_model.rs
+++ b/testutils/tests/test_engine_model.rs
@@ -12,7 +12,7 @@
     Submission { generation, prompt_tokens, output_tokens, priority, prefix: 0, prefix_tokens: 0 }
 }
 
-fn small() -> EngineConfig {
+fn small_config() -> EngineConfig {
     EngineConfig { blocks: 40, max_batch: 8, ..EngineConfig::default() }
 }
 
@@ -22,9 +22,9 @@
     /// Every generation ends; its tokens come once and in order, also when it is
     /// preempted; memory is never over and is free in the end.
     #[test]
-    fn test_all_end_in_order(work in prop::collection::vec((1..300_u64, 1..300_u64, 0..3_i32), 1..30)) {
-        let mut engine = EngineModel::new(small());
-        for (n, (prompt, output, priority)) in work.iter().enumerate() {
+    fn test_tokens_in_order(requests in prop::collection::vec((1..300_u64, 1..300_u64, 0..3_i32), 1..30)) {
+        let mut engine = EngineModel::new(small_config());
+        for (n, (prompt, output, priority)) in requests.iter().enumerate() {
             engine.submit(submission(n as u64, *prompt, *output, *priority));
         }
         let mut produced = BTreeMap::<u64, u64>::new();
@@ -46,14 +46,14 @@
                 break;
             }
         }
-        prop_assert_eq!(finished, work.len());
+        prop_assert_eq!(finished, requests.len());
         prop_assert_eq!(engine.load().used_blocks, 0);
     }
 }
 
 #[test]
-fn test_lowest_priority_gives_way() {
-    let mut engine = EngineModel::new(small());
+fn test_lowest_priority_is_preempted() {
+    let mut engine = EngineModel::new(small_config());
     engine.submit(submission(1, 200, 400, 0));
     engine.submit(submission(2, 200, 400, 5));
     let mut preempted = Vec::new();
@@ -68,21 +68,21 @@
 }
 
 #[test]
-fn test_step_time_depends_on_the_batch_and_the_prompts() {
+fn test_step_duration_depends_on_batch_and_prefill() {
     let mut engine = EngineModel::new(EngineConfig::default());
     engine.submit(submission(1, 1, 1_000, 0));
     engine.step();
     let alone = engine.step().duration;
     (2..40).for_each(|g| engine.submit(submission(g, 50, 1_000, 0)));
-    let with_prompts = engine.step().duration;
-    let crowded = engine.step().duration;
-    assert!(alone < crowded && crowded < with_prompts);
+    let with_prefill = engine.step().duration;
+    let with_batch = engine.step().duration;
+    assert!(alone < with_batch && with_batch < with_prefill);
     engine.set_slowdown(2.0);
-    assert!(engine.step().duration > crowded);
+    assert!(engine.step().duration > with_batch);
 }
 
 #[test]
-fn test_prefix_cache_saves_work() {
+fn test_prefix_cache_saves_prefill() {
     let mut engine = EngineModel::new(EngineConfig::default());
     let with_prefix =
         |generation| Submission { prefix: 9, prefix_tokens: 1_900, ..submission(generation, 2_000, 1, 0) };
