--- a/testutils/examples/engine.rs
+++ b/testutils/examples/engine.rs
@@ -1,5 +1,8 @@
-//! Runs the engine stand-in: `engine --listen IP:PORT [--step-us N] [--blocks N]
-//! [--max-batch N] [--median N] [--p99 N] [--lag-ms N] [--no-fences] [--seed N]`.
+//! Runs the engine's stand-in.
+//!
+//! Usage: `engine --listen IP:PORT [--step-us N] [--blocks N] [--max-batch N] [--median N] [--p99 N]
+//! [--lag-ms N] [--no-fences] [--seed N]`. `--median` and `--p99` are percentiles of the output length in
+//! tokens, `--lag-ms` is the age of the load reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/testutils/examples/load.rs
+++ b/testutils/examples/load.rs
@@ -1,11 +1,13 @@
-//! An open-loop load: requests at fixed times, alternately straight to an engine and
-//! through a node, so that both are measured side by side in one run; or, without an
-//! engine, through several nodes in turn, to see what faults cost.
+//! An open-loop load generator: sends requests at fixed times.
 //!
-//! `load [--engine IP:PORT] --node IP:PORT [--node ...] --token TOKEN [--rate N]
-//! [--seconds N] [--tokens N] [--node-pid PID] [--model M]`. Prints Markdown: first token
-//! and time between tokens of both, the difference, and the node's memory for each open
-//! stream; or what failed, by the second in which it was due.
+//! With an engine, requests go alternately to the engine and through a node, so that one run measures both
+//! under the same conditions. Without one, they go through several nodes in turn, to measure the effect of
+//! faults.
+//!
+//! Usage: `load [--engine IP:PORT] --node IP:PORT [--node ...] --token TOKEN [--rate N] [--seconds N]
+//! [--tokens N] [--node-pid PID] [--model M]`. Prints Markdown: the time to the first token and the time
+//! between tokens on both paths, the difference, and the node's memory per open stream; without an engine,
+//! the failures by the second in which the request was due.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,7 +30,7 @@
 use lexopt::prelude::*;
 use rand::Rng;
 
-/// Connections are spread over this many clients, as one client is one pool.
+/// Number of HTTP clients; each has its own connection pool.
 const CLIENTS: usize = 4;
 
 struct Options {
@@ -42,7 +44,7 @@
     node_pid: Option<u32>,
 }
 
-/// What one way measured.
+/// Measurements of one path, either to the engine or through the nodes.
 struct PathStats {
     first: Mutex<Histogram<u64>>,
     gaps: Mutex<Histogram<u64>>,
@@ -55,7 +57,7 @@
 
 impl PathStats {
     fn new() -> Arc<PathStats> {
-        let histogram = || Mutex::new(Histogram::new(3).expect("three digits are allowed"));
+        let histogram = || Mutex::new(Histogram::new(3).expect("three significant digits are valid"));
         Arc::new(PathStats {
             first: histogram(),
             gaps: histogram(),
@@ -101,7 +103,7 @@
         return Err("--node IP:PORT is missing".into());
     }
     if !options.engine.iter().chain(&options.nodes).all(|address| address.ip().is_loopback()) {
-        return Err("only loopback addresses are loaded".into());
+        return Err("only loopback addresses are allowed".into());
     }
     Ok(options)
 }
@@ -157,7 +159,8 @@
         .expect("a valid request")
 }
 
-/// Times count from when the request was due, so that a late start is not hidden.
+/// Sends a request and records its outcome. Times count from when the request was due, so that a late start
+/// is not hidden.
 async fn run_request(
     client: HttpClient,
     req: Request<Full<Bytes>>,
@@ -175,14 +178,14 @@
     stats.open.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// How a request failed.
+/// Reason why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Failure {
-    /// An error status before a token, most with a time to come back.
+    /// An error status before the first token, usually with `Retry-After`.
     Refused,
-    /// The stream ended early.
+    /// The stream ended before `[DONE]`.
     Ended,
-    /// No answer at all.
+    /// No response.
     NoAnswer,
 }
 
--- a/testutils/examples/plain.rs
+++ b/testutils/examples/plain.rs
@@ -1,4 +1,6 @@
-//! Runs the plain service's stand-in: `plain --listen IP:PORT`.
+//! Runs the plain service's stand-in.
+//!
+//! Usage: `plain --listen IP:PORT`.
 
 use std::net::SocketAddr;
 
--- a/testutils/examples/platform.rs
+++ b/testutils/examples/platform.rs
@@ -1,4 +1,6 @@
-//! Runs the platform's stand-in: `platform --listen IP:PORT [--vm-lag-ms N]`.
+//! Runs the platform's stand-in.
+//!
+//! Usage: `platform --listen IP:PORT [--vm-lag-ms N]`. `--vm-lag-ms` is the lag of the VM list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/testutils/src/engine_model.rs
+++ b/testutils/src/engine_model.rs
@@ -1,35 +1,35 @@
-//! A model engine that is stepped without a clock: continuous batching, limited
-//! memory in blocks, preemption by priority and a prefix cache.
+//! A model of an inference engine that is stepped without a clock: continuous batching, KV cache memory
+//! limited in blocks, preemption by priority and a prefix cache.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Names a generation on an engine.
+/// Id of a generation on an engine.
 pub type GenerationId = u64;
 
-/// Blocks kept free when a sequence is admitted, one in this many.
+/// One in this many blocks is kept free when a sequence is admitted.
 const WATERMARK_DIVISOR: u64 = 100;
-/// Cached prefixes kept at most.
+/// Maximum number of cached prefixes.
 const MAX_CACHED_PREFIXES: usize = 64;
 
-/// Sizes and speed of an engine.
+/// Capacity and speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineConfig {
-    /// Blocks of memory.
+    /// Blocks of KV cache memory.
     pub blocks: u64,
-    /// Tokens that fit one block.
+    /// Tokens per block.
     pub block_tokens: u64,
-    /// Sequences that run at once at most.
+    /// Maximum number of sequences in the batch.
     pub max_batch: usize,
-    /// Time of a decode step with a batch of one.
+    /// Duration of a decode step, without the costs of the batch and of prefill.
     pub step: Duration,
-    /// How much longer a step is with a full batch, in steps.
+    /// Additional duration of a step with a full batch, as a multiple of `step`.
     pub batch_cost: f64,
-    /// Prompt tokens worked on in one step at most.
+    /// Maximum number of tokens of prefill in one step.
     pub prefill_tokens_per_step: u64,
-    /// How much longer a step is that works on as many, in steps.
+    /// Additional duration of a step with that maximum of prefill, as a multiple of `step`.
     pub prefill_cost: f64,
-    /// Factor on each step's time; 2.0 runs at half speed.
+    /// Factor on the duration of each step; 2.0 is half speed.
     pub slowdown: f64,
 }
 
@@ -48,52 +48,52 @@
     }
 }
 
-/// A generation handed to the engine.
+/// A generation that is submitted to the engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
-    /// The caller's id; a second submission of a known id changes nothing.
+    /// Id chosen by the caller; a submission with a known id is ignored.
     pub generation: GenerationId,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens it will produce; the engine does not look ahead.
+    /// Number of tokens that the generation will produce; scheduling does not depend on it.
     pub output_tokens: u64,
-    /// Higher runs first and is preempted last.
+    /// Higher priorities are admitted first and preempted last.
     pub priority: i32,
-    /// Hash of the prompt's shared prefix; 0 for none.
+    /// Hash of the prompt's shared prefix; 0 if there is none.
     pub prefix: u64,
-    /// Tokens of that prefix.
+    /// Number of tokens of that prefix.
     pub prefix_tokens: u64,
 }
 
-/// Why a generation ended.
+/// Reason why a generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishReason {
-    /// It produced all its tokens.
+    /// All tokens were produced.
     Stop,
-    /// The engine's whole memory was not enough.
+    /// The engine's whole memory does not hold the sequence.
     Length,
 }
 
-/// What happened in one step.
+/// An event of one step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
     /// A token was produced; `index` counts from 0.
     Token {
-        /// Whose token.
+        /// The generation that the token belongs to.
         generation: GenerationId,
-        /// Position in the output.
+        /// Index of the token in the output.
         index: u64,
     },
-    /// The generation lost its memory and waits to be recomputed.
+    /// A generation lost its memory and waits to be recomputed.
     Preempted {
-        /// Which one.
+        /// The generation.
         generation: GenerationId,
     },
-    /// The generation is over.
+    /// A generation ended.
     Finished {
-        /// Which one.
+        /// The generation.
         generation: GenerationId,
-        /// Why.
+        /// Reason of the end.
         reason: FinishReason,
     },
     /// A prefix is now cached.
@@ -108,27 +108,27 @@
     },
 }
 
-/// The outcome of one step.
+/// The result of one step.
 #[derive(Debug, Default)]
 pub struct StepOutcome {
-    /// How long the step took.
+    /// Duration of the step.
     pub duration: Duration,
-    /// What happened, in order.
+    /// Events in order.
     pub events: Vec<EngineEvent>,
 }
 
-/// The engine's load, as it would report it.
+/// The load that the engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineLoad {
     /// Sequences in the batch.
     pub running: usize,
-    /// Sequences that wait at the engine.
+    /// Sequences in the engine's queue.
     pub waiting: usize,
     /// Blocks in use.
     pub used_blocks: u64,
-    /// Blocks in all.
+    /// Total blocks.
     pub total_blocks: u64,
-    /// Time of the latest step.
+    /// Duration of the latest step.
     pub step: Duration,
 }
 
@@ -139,7 +139,7 @@
     produced: u64,
     prefilled: u64,
     blocks: u64,
-    /// Its memory was copied here: nothing has to be read when it is admitted.
+    /// The KV cache memory was copied to this engine, so no prefill is needed on admission.
     copied: bool,
 }
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// The stepped engine.
+/// A model of an engine; `step` advances it.
 #[derive(Debug)]
 pub struct EngineModel {
     config: EngineConfig,
@@ -167,7 +167,7 @@
 }
 
 impl EngineModel {
-    /// An idle engine.
+    /// Returns an idle engine.
     pub fn new(config: EngineConfig) -> Self {
         EngineModel {
             config,
@@ -181,24 +181,24 @@
         }
     }
 
-    /// The sizes it was made with.
+    /// Returns the capacity and speed.
     pub fn config(&self) -> &EngineConfig {
         &self.config
     }
 
-    /// Changes the speed; 1.0 is full speed.
+    /// Sets the factor on the duration of each step; 1.0 is full speed.
     pub fn set_slowdown(&mut self, slowdown: f64) {
         self.config.slowdown = slowdown;
     }
 
-    /// Takes `blocks` away from all sequences, as a fault.
+    /// Injects a fault: makes up to `blocks` free blocks unusable.
     pub fn disable_blocks(&mut self, blocks: u64) {
         let taken = blocks.min(self.free_blocks);
         self.free_blocks -= taken;
         self.disabled_blocks += taken;
     }
 
-    /// Accepts a generation; a known id is ignored.
+    /// Adds a generation to the queue; a known id is ignored.
     pub fn submit(&mut self, submission: Submission) {
         if self.contains(submission.generation) {
             return;
@@ -206,8 +206,8 @@
         self.enqueue(submission, 0, false);
     }
 
-    /// Accepts a generation that has made `produced` tokens elsewhere and whose memory was copied here; a
-    /// known id is ignored.
+    /// Adds a generation that has produced `produced` tokens on another engine and whose KV cache memory was
+    /// copied to this one; a known id is ignored.
     pub fn submit_copied(&mut self, submission: Submission, produced: u64) {
         if !self.contains(submission.generation) {
             self.enqueue(submission, produced, true);
@@ -220,7 +220,7 @@
         self.waiting.push(Sequence { submission, arrival, produced, prefilled: 0, blocks: 0, copied });
     }
 
-    /// Forgets a generation and frees its memory; false when unknown.
+    /// Removes a generation and frees its memory; returns false if it is unknown.
     pub fn cancel(&mut self, generation: GenerationId) -> bool {
         let has_id = |s: &Sequence| s.submission.generation == generation;
         if let Some(at) = self.running.iter().position(has_id) {
@@ -233,7 +233,7 @@
         before != self.waiting.len()
     }
 
-    /// Changes a generation's priority.
+    /// Sets the priority of a generation.
     pub fn set_priority(&mut self, generation: GenerationId, priority: i32) {
         self.running
             .iter_mut()
@@ -242,17 +242,17 @@
             .for_each(|s| s.submission.priority = priority);
     }
 
-    /// Whether a generation waits or runs here.
+    /// Returns whether a generation waits or runs on this engine.
     pub fn contains(&self, generation: GenerationId) -> bool {
         self.running.iter().chain(self.waiting.iter()).any(|s| s.submission.generation == generation)
     }
 
-    /// Nothing runs and nothing waits.
+    /// Returns whether no sequence runs or waits.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
     }
 
-    /// The load right now.
+    /// Returns the current load.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             running: self.running.len(),
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Runs one step of the batch; an idle engine's step takes no time.
+    /// Runs one step of the batch; a step of an idle engine has a duration of zero.
     pub fn step(&mut self) -> StepOutcome {
         if self.is_idle() {
             return StepOutcome::default();
@@ -369,7 +369,7 @@
         self.running.iter().position(|s| s.submission.generation == generation)
     }
 
-    /// Makes sure the sequence's next token fits; false when it was preempted itself.
+    /// Allocates memory for the next token of a sequence; returns false if the sequence itself was preempted.
     fn allocate_next_token(&mut self, generation: GenerationId, events: &mut Vec<EngineEvent>) -> bool {
         loop {
             let Some(at) = self.running_index(generation) else {
--- a/testutils/src/engine_server.rs
+++ b/testutils/src/engine_server.rs
@@ -1,6 +1,6 @@
-//! The engine stand-in as an HTTP server: OpenAI-compatible streams with
-//! generation ids and token indexes, resume, cancel, load reports that lag,
-//! cache events with gaps, fenced orders and fault switches.
+//! A stand-in for an engine as an HTTP server: OpenAI-compatible streams with generation ids and token
+//! indexes, resumption, cancellation, lagging load reports, cache events with gaps, fenced orders and fault
+//! injection.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -39,35 +39,35 @@
 use crate::http_server::respond_stream;
 use crate::lengths::Lengths;
 
-/// Characters of prompt taken as one token.
+/// Characters of a prompt that count as one token.
 const CHARS_PER_TOKEN: u64 = 4;
-/// Characters at the start of a prompt that are cached together.
+/// Characters of the cached prefix of a prompt.
 const PREFIX_CHARS: u64 = 1_024;
-/// How long an ended generation can still be resumed.
+/// Time for which an ended generation can still be resumed.
 const ENDED_RETENTION: Duration = Duration::from_secs(120);
 /// One cache event in this many is lost.
 const CACHE_EVENTS_PER_LOSS: u64 = 10;
-/// Past loads that are kept, to report an old one.
+/// Maximum number of past loads kept for lagging reports.
 const MAX_LOADS: usize = 5_000;
-/// Sleep of an engine with nothing to do.
+/// Time between two checks for work of an idle or frozen engine.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Settings of the stand-in.
+/// Settings of the engine's stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineServerConfig {
-    /// Sizes and speed.
+    /// Capacity and speed of the engine.
     pub engine: EngineConfig,
-    /// Age of the load that it reports.
+    /// Age of the reported load.
     pub load_lag: Duration,
-    /// Output lengths where the request does not name one.
+    /// Output lengths of requests that set none.
     pub outputs: Lengths,
-    /// Refuses orders with an old fence.
+    /// Whether to reject orders with an outdated fence.
     pub checks_fences: bool,
-    /// Seed of the output lengths.
+    /// Seed of the random output lengths.
     pub seed: u64,
 }
 
-/// How far a generation is.
+/// Progress of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Progress {
     produced: u64,
@@ -96,7 +96,7 @@
     loaded: Vec<String>,
 }
 
-/// The stand-in, shared between its threads.
+/// The engine's stand-in; clones share their state.
 #[derive(Clone)]
 pub struct EngineServer {
     config: EngineServerConfig,
@@ -115,7 +115,7 @@
     #[serde(default)]
     stream: bool,
     model: String,
-    /// Not part of the OpenAI API: the exact length, for experiments.
+    /// Exact output length for experiments; not part of the OpenAI API.
     stand_in_tokens: Option<u64>,
 }
 
@@ -131,7 +131,7 @@
 }
 
 impl EngineServer {
-    /// Makes the stand-in and starts its stepping thread.
+    /// Returns a stand-in and starts the thread that steps the engine.
     pub fn start(config: EngineServerConfig) -> Self {
         let state = State {
             model: EngineModel::new(config.engine),
@@ -381,7 +381,7 @@
         known
     }
 
-    /// The step's time has passed: its tokens are there.
+    /// Publishes the events of a step after its duration has passed.
     fn publish_step(&mut self, events: &[EngineEvent]) {
         let now = Instant::now();
         self.generations.retain(|_, t| t.ended.is_none_or(|at| now - at < ENDED_RETENTION));
@@ -423,7 +423,7 @@
         }
     }
 
-    /// The latest load that is older than the lag.
+    /// Returns the latest load that is at least `lag` old.
     fn lagged_load(&self, lag: Duration) -> EngineLoad {
         let now = Instant::now();
         let known = self.loads.iter().rev().find(|(at, _)| now - *at >= lag);
@@ -487,7 +487,7 @@
     })
 }
 
-/// Hash of a prompt's start; 0 for a prompt that is too short to be cached.
+/// Returns the hash of a prompt's prefix; 0 if the prompt is too short to be cached.
 fn prefix_hash(prompt: &str) -> u64 {
     let Some(start) = prompt.as_bytes().get(..PREFIX_CHARS as usize) else {
         return 0;
@@ -501,7 +501,7 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// The text of a token, which depends only on its generation and index.
+/// Returns the text of a token, which depends only on the generation and the index.
 pub fn token_text(generation: GenerationId, index: u64) -> String {
     format!("{:x}.{index} ", generation & 0xffff)
 }
@@ -554,7 +554,7 @@
     .to_string()
 }
 
-/// Runs `body` with a channel whose other end is the returned stream.
+/// Spawns the future that `producer` returns and streams the items that it sends.
 fn channel_stream<F, Fut>(producer: F) -> impl Stream<Item = std::io::Result<Bytes>>
 where
     F: FnOnce(tokio::sync::mpsc::Sender<std::io::Result<Bytes>>) -> Fut,
--- a/testutils/src/faulty_proxy.rs
+++ b/testutils/src/faulty_proxy.rs
@@ -1,8 +1,8 @@
-//! A TCP proxy on loopback whose links can be delayed, reset, cut one way or silenced, all of them
-//! or just those that are open at a moment.
+//! A TCP proxy on loopback that injects faults: it delays, throttles or resets its links, or withholds data
+//! in one or both directions. Faults apply to all links or only to links that are open at one moment.
 //!
-//! The kernel goes on acknowledging what a silenced link takes in, as a box between two networks
-//! may: neither `TCP_USER_TIMEOUT` nor keep-alive probes notice such a silence.
+//! The kernel still acknowledges data that arrives on a silenced link, as a middlebox between two networks
+//! may: neither `TCP_USER_TIMEOUT` nor keep-alive probes detect such a silence.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,47 +17,48 @@
 use tokio::task::JoinSet;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Bytes passed on at once.
+/// Size of the buffer for forwarded data.
 const BUF_BYTES: usize = 4 << 10;
 
-/// What happens to the bytes.
+/// A fault of a link between a client and the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// They pass.
+    /// Data is forwarded.
     None,
-    /// They pass later.
+    /// Data is forwarded after this delay.
     Delay(Duration),
-    /// What the server sends on a connection passes at so many bytes a second, as over a small link.
+    /// Data from the server is forwarded at this rate in bytes per second on each connection, as over a slow
+    /// network.
     Throttle(u32),
     /// Connections are reset.
     Reset,
-    /// What the server sends is held up.
+    /// Data from the server is withheld.
     OneWay,
-    /// All is held up.
+    /// Data in both directions is withheld.
     Silent,
 }
 
-/// Which way bytes go.
+/// Direction of forwarded data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     ToServer,
     ToClient,
 }
 
-/// How often open links were silenced for good so far.
+/// Number of calls so far that permanently silenced the open links.
 type SilenceCount = u32;
 
-/// What a link looks at while it passes bytes on.
+/// The faults that a link observes while it forwards data.
 #[derive(Clone)]
 struct LinkFaults {
     faults: watch::Receiver<LinkFault>,
     silences: watch::Receiver<SilenceCount>,
-    /// Silences before it was open.
+    /// Number of silences before the link was opened.
     opened_after: SilenceCount,
 }
 
 impl LinkFaults {
-    /// Never returns for a link that was silenced for good.
+    /// Returns immediately, or never if the link was permanently silenced.
     async fn block_if_silenced(&self) {
         if *self.silences.borrow() != self.opened_after {
             std::future::pending::<()>().await;
@@ -65,9 +66,9 @@
     }
 }
 
-/// A proxy before one server.
+/// A proxy in front of one server.
 pub struct FaultyProxy {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub address: SocketAddr,
     fault: watch::Sender<LinkFault>,
     silences: watch::Sender<SilenceCount>,
@@ -75,10 +76,10 @@
 }
 
 impl FaultyProxy {
-    /// A proxy on a free port of `ip` before `server`.
+    /// Starts a proxy on a free port of `ip` in front of `server`.
     pub async fn start(ip: &str, server: SocketAddr) -> FaultyProxy {
-        let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a port of the address is free");
+        let address = listener.local_addr().expect("the listener is bound");
         let fault = watch::Sender::new(LinkFault::None);
         let faults = fault.subscribe();
         let silences = watch::Sender::new(0);
@@ -94,13 +95,13 @@
         FaultyProxy { address, fault, silences, _accept_task: AbortOnDropHandle::new(accept_task) }
     }
 
-    /// Sets the fault of all links, open ones included.
+    /// Sets the fault of all links, including open ones.
     pub fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Links that are open now pass nothing on any more, the end of either side included. Links
-    /// that open later work.
+    /// Permanently silences the links that are open now: nothing is forwarded, not even that either side
+    /// closes its connection. Links opened later are not affected.
     pub fn silence_open_links(&self) {
         self.silences.send_modify(|silences| *silences += 1);
     }
@@ -112,7 +113,7 @@
     };
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    // Either way's end ends the link: the other half is dropped.
+    // The link ends when either direction ends: the other half is dropped.
     tokio::select! {
         () = forward(from_client, to_server, Direction::ToServer, watch.clone()) => {}
         () = forward(from_server, to_client, Direction::ToClient, watch.clone()) => {}
@@ -121,7 +122,7 @@
 }
 
 async fn wait_for_reset(mut watch: LinkFaults) {
-    // The sender lives as long as the proxy.
+    // An error can be ignored: the sender lives as long as the proxy.
     let _ = watch.faults.wait_for(|fault| *fault == LinkFault::Reset).await;
     watch.block_if_silenced().await;
 }
--- a/testutils/src/gateway_replica.rs
+++ b/testutils/src/gateway_replica.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a replica of the users' platform: answers calls, runs generations that
-//! can be copied away, and has switches for its faults.
+//! A stand-in for a replica of the users' platform: answers calls, runs generations that can be copied to
+//! another engine, and injects faults.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -24,129 +24,129 @@
 use crate::loopback::RequestNumber;
 use crate::loopback::Server;
 
-/// A replica that ends because of a request does so this long after it has begun to run it.
+/// Time from the start of a request that crashes the replica to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
-/// A port that is to close has closed after this.
+/// Time after which a port that was told to close is closed.
 const PORT_CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// How a replica treats requests.
+/// How a replica handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaFault {
-    /// Answers them.
+    /// Executes the request and responds with success.
     #[default]
     None,
-    /// Says that it did not run them.
+    /// Responds that the request was not executed.
     NotExecuted,
-    /// Runs them and fails.
+    /// Executes the request and responds with status 500.
     Fails,
-    /// Runs them and never answers.
+    /// Executes the request and never responds.
     Hangs,
-    /// Runs them and closes the connection.
+    /// Executes the request and closes the connection.
     Breaks,
-    /// Answers with another request's id.
+    /// Responds with the id of another request.
     WrongRequestId,
-    /// Cuts the body short.
+    /// Closes the connection in the middle of the response body.
     TruncatesBody,
-    /// Breaks the connection at its second request, as if it had forgotten it.
+    /// Closes a connection when its second request arrives, as if the replica had forgotten the connection.
     ClosesReusedConnections,
-    /// Answers after this time.
+    /// Responds after this time.
     Late(Duration),
-    /// Answers with so many bytes.
+    /// Responds with a body of this many bytes.
     Long(usize),
 }
 
-/// How an engine treats calls to copy a generation.
+/// How an engine handles calls to copy a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CopyFault {
-    /// Copies.
+    /// Makes the copy.
     #[default]
     None,
-    /// Says that there is no room.
+    /// Responds that there is no room.
     NoRoom,
-    /// Never answers the first call.
+    /// Never responds to a call that leaves the generation running.
     CopyHangs,
-    /// Stops the generation and never answers.
+    /// Stops the generation and never responds.
     StopHangs,
-    /// Takes no more connections once it has made a copy; those that are open stay.
+    /// Accepts no more connections after the first copy; open connections stay open.
     ClosesPort,
-    /// Takes no more connections once it has stopped a generation.
+    /// Accepts no more connections after it has stopped a generation.
     StopClosesPort,
-    /// Stops the generation and answers so much later.
+    /// Stops the generation and responds after this time.
     StopLate(Duration),
-    /// Fails whoever wants to go on with a copy there; the copy stays.
+    /// Fails requests to resume from a copy with status 500; the copy is kept.
     ResumeFails,
 }
 
-/// How an engine treats a stream that it makes.
+/// How an engine handles a request for a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StreamFault {
-    /// Makes it.
+    /// Streams the whole generation.
     #[default]
     None,
-    /// Closes the connection instead of answering.
+    /// Closes the connection instead of responding.
     NoHead,
-    /// Never answers.
+    /// Never responds.
     Hangs,
-    /// Answers, but later than callers should wait.
+    /// Responds after this time, which is longer than callers should wait.
     Late(Duration),
-    /// Answers with an error of its own.
+    /// Responds with status 500.
     Fails,
-    /// Says that it did not run it.
+    /// Responds that the request was not executed.
     NotExecuted,
-    /// Breaks off after so many events.
+    /// Closes the connection after this many events.
     BreaksAfter(u64),
-    /// Breaks off in the middle of the event after so many.
+    /// Closes the connection in the middle of the event that follows this many.
     BreaksInside(u64),
-    /// Falls silent after so many events.
+    /// Sends nothing more after this many events and keeps the connection open.
     StallsAfter(u64),
-    /// Begins at the first event, whatever event it is to go on after.
+    /// Starts at the first event, ignoring `Last-Event-ID`.
     StartsOver,
-    /// Makes it without a length or chunks: it ends with its connection.
+    /// Sends the body without a length or chunks, so that it ends when the connection closes.
     Unframed,
 }
 
-/// What a stand-in's generation does next.
+/// The next step of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextStep {
-    /// Makes the event after so many.
+    /// Sends the event that follows this many.
     Event(u64),
-    /// Breaks off.
+    /// Closes the connection.
     Break,
-    /// Is over.
+    /// Ends the stream.
     End,
 }
 
-/// A request that a replica saw.
+/// A request that reached the replica.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// When it came.
+    /// Time of arrival.
     pub at: Instant,
     /// `METHOD path?query`.
     pub line: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl ReceivedRequest {
-    /// A header's text.
+    /// Returns the text of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// What the engines of one fleet share.
+/// State that the engines of one fleet share.
 #[derive(Default)]
 pub struct SharedEngineState {
-    /// Copies of generations, by the engine that made them and their handle.
+    /// Copies of generations by `ADDRESS/HANDLE`, with the number of events produced so far.
     copies: Mutex<HashMap<String, u64>>,
-    /// How the next streams are treated, one after the other, at whichever engine they arrive.
+    /// Faults of the next streams in order of arrival, at any engine.
     stream_faults: Mutex<VecDeque<StreamFault>>,
 }
 
 impl SharedEngineState {
-    /// Sets how the next streams are treated, one after the other; all that follow are made.
+    /// Sets the faults of the next streams in order of arrival; later streams have none.
     pub fn set_stream_faults(&self, faults: impl IntoIterator<Item = StreamFault>) {
         *self.stream_faults.lock().expect("no holder panics") = faults.into_iter().collect();
     }
@@ -156,14 +156,14 @@
     }
 }
 
-/// A fault that some of a replica's requests meet.
+/// A fault that applies to a part of a replica's requests.
 #[derive(Clone, Debug)]
 pub struct PartialFault {
-    /// The fault.
+    /// The fault to apply.
     pub fault: ReplicaFault,
-    /// One of so many requests meets it,
+    /// Applies the fault to one in this many requests with the path prefix.
     pub every_nth: usize,
-    /// of those whose path begins so.
+    /// Prefix of the paths that the fault applies to.
     pub prefix: String,
 }
 
@@ -171,52 +171,53 @@
 struct State {
     fault: ReplicaFault,
     partial_fault: Option<PartialFault>,
-    /// Requests that the partial fault is for.
+    /// Requests so far whose path has the prefix of the partial fault.
     prefixed_requests: usize,
     copy_fault: CopyFault,
     received: Vec<ReceivedRequest>,
-    /// Running generations and the events that they made.
+    /// Running generations and plain calls, with the number of events produced.
     runs: HashMap<String, u64>,
     stopped: Vec<String>,
-    /// Bytes that each event has beyond its token.
+    /// Bytes of padding added to the token of each event.
     padding: usize,
-    /// Calls for its report.
+    /// Requests for the report.
     report_calls: usize,
-    /// Calls to copy a generation.
+    /// Requests to copy a generation.
     copy_calls: usize,
-    /// Callers that closed their connection before the answer's end.
+    /// Ids of requests whose caller closed the connection before the end of the response.
     abandoned: Vec<String>,
     address: Option<SocketAddr>,
-    /// Closes its port.
+    /// Closes the port of the server.
     close_port: Option<Arc<Notify>>,
-    /// Ends its server.
+    /// Shuts the server down.
     shutdown: Option<Arc<Notify>>,
-    /// It ends when it runs a request with this body.
+    /// Body of a request that crashes the replica.
     crash_on: Option<Bytes>,
     has_crashed: bool,
-    /// The limit that it names in its answers, as it stands there.
+    /// Value of the `server-limit` response header.
     limit: Option<String>,
-    /// What its answers say of its leaving, as it stands there.
+    /// Value of the `server-leaving` response header.
     leaving: Option<String>,
-    /// Requests that it turned away.
+    /// Ids of the requests rejected because of `ReplicaFault::NotExecuted`.
     rejected: Vec<String>,
-    /// The rest that it asks for when it turns a request away, as it stands there.
+    /// Value of the `retry-after` header of responses that reject a request.
     retry_after: Option<String>,
 }
 
-/// A replica.
+/// A stand-in for a replica.
 pub struct GatewayReplica {
-    /// Its id.
+    /// Instance id.
     pub id: String,
-    /// Events of a generation.
+    /// Number of events of a generation.
     pub events: u64,
-    /// Time between two events.
+    /// Time between two events of a stream.
     pub event_interval: Duration,
     engines: Arc<SharedEngineState>,
     state: Mutex<State>,
 }
 
-/// Notes that a generation or an answer is over, however it ends.
+/// Removes a generation or call from the running ones when dropped, and records an early disconnect of the
+/// caller.
 struct RunGuard {
     replica: Arc<GatewayReplica>,
     id: String,
@@ -224,7 +225,7 @@
 }
 
 impl RunGuard {
-    /// The answer ended as it should.
+    /// Marks the response as complete.
     fn finish(&mut self) {
         self.done = true;
     }
@@ -241,7 +242,7 @@
 }
 
 impl GatewayReplica {
-    /// A replica that serves on a free port of `ip`.
+    /// Starts a replica that serves on a free port of `ip`.
     pub async fn start(
         ip: &str,
         id: &str,
@@ -266,22 +267,22 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Sets where nodes reach it, which names its copies.
+    /// Sets the address at which nodes reach the replica; it is part of the names of its copies.
     pub fn set_address(&self, address: SocketAddr) {
         self.state().address = Some(address);
     }
 
-    /// Sets how it treats requests.
+    /// Sets how requests are handled.
     pub fn set_fault(&self, fault: ReplicaFault) {
         self.state().fault = fault;
     }
 
-    /// Sets a fault that some of its requests meet.
+    /// Sets a fault for a part of the requests.
     pub fn set_partial_fault(&self, fault: PartialFault) {
         self.state().partial_fault = Some(fault);
     }
 
-    /// The fault that a request meets.
+    /// Returns the fault to apply to a request.
     fn fault_for(&self, req: &Request<Bytes>) -> ReplicaFault {
         let mut state = self.state();
         let partial = state.partial_fault.clone();
@@ -292,74 +293,74 @@
         if state.prefixed_requests.is_multiple_of(partial.every_nth) { partial.fault } else { state.fault }
     }
 
-    /// Sets how it treats calls to copy.
+    /// Sets how calls to copy a generation are handled.
     pub fn set_copy_fault(&self, fault: CopyFault) {
         self.state().copy_fault = fault;
     }
 
-    /// Sets how many bytes each event has beyond its token.
+    /// Sets the bytes of padding added to the token of each event.
     pub fn set_padding(&self, bytes: usize) {
         self.state().padding = bytes;
     }
 
-    /// Has it end with all its connections soon after it begins to run a request with this body.
+    /// Makes the replica crash soon after it starts to run a request with this body.
     pub fn set_crash_on(&self, body: &str) {
         self.state().crash_on = Some(Bytes::copy_from_slice(body.as_bytes()));
     }
 
-    /// Has it name a limit in its answers from now on, or none.
+    /// Sets or removes the `server-limit` header of responses.
     pub fn set_limit(&self, limit: Option<&str>) {
         self.state().limit = limit.map(str::to_owned);
     }
 
-    /// Has all its answers say from now on that it leaves, or no more.
+    /// Sets or removes the `server-leaving` header of all responses.
     pub fn set_leaving(&self, leaving: Option<&str>) {
         self.state().leaving = leaving.map(str::to_owned);
     }
 
-    /// Has it ask for rest when it turns a request away from now on, or no more.
+    /// Sets or removes the `retry-after` header of responses that reject a request.
     pub fn set_retry_after(&self, retry_after: Option<&str>) {
         self.state().retry_after = retry_after.map(str::to_owned);
     }
 
-    /// The requests that it turned away as its fault says.
+    /// Returns the ids of the requests rejected because of `ReplicaFault::NotExecuted`.
     pub fn rejected_requests(&self) -> Vec<String> {
         self.state().rejected.clone()
     }
 
-    /// Ends it with all its connections at once.
+    /// Stops the replica and closes its port and all connections at once.
     pub fn crash(&self) {
         let mut state = self.state();
         state.has_crashed = true;
-        state.shutdown.as_ref().expect("it serves").notify_one();
+        state.shutdown.as_ref().expect("the server was started").notify_one();
     }
 
-    /// Whether it has ended.
+    /// Returns whether the replica has crashed.
     pub fn has_crashed(&self) -> bool {
         self.state().has_crashed
     }
 
-    /// What it saw.
+    /// Returns the requests that reached the replica, without copies, reports and health checks.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         self.state().received.clone()
     }
 
-    /// Generations and calls that it works on.
+    /// Returns the number of running generations and calls.
     pub fn running(&self) -> usize {
         self.state().runs.len()
     }
 
-    /// How often it was asked for its report.
+    /// Returns the number of requests for the report.
     pub fn report_calls(&self) -> usize {
         self.state().report_calls
     }
 
-    /// How often it was asked to copy a generation.
+    /// Returns the number of requests to copy a generation.
     pub fn copy_calls(&self) -> usize {
         self.state().copy_calls
     }
 
-    /// Requests whose caller closed the connection.
+    /// Returns the ids of requests whose caller closed the connection before the end of the response.
     pub fn abandoned_requests(&self) -> Vec<String> {
         self.state().abandoned.clone()
     }
@@ -390,7 +391,7 @@
         res
     }
 
-    /// Whether this request ends it; if so, that comes about soon.
+    /// Returns whether this request crashes the replica; if so, schedules the crash.
     fn crashes_on(self: &Arc<Self>, req: &Request<Bytes>) -> bool {
         let crashes = self.state().crash_on.as_ref() == Some(req.body());
         if crashes {
@@ -403,7 +404,8 @@
         crashes
     }
 
-    /// The answer to a request that ends it: a stream's has begun by then, a plain call's has not.
+    /// Handles a request that crashes the replica: a stream gets its response headers before the crash, a
+    /// plain call gets nothing.
     async fn crash_response(&self, req: &Request<Bytes>) -> Response<Body> {
         if !req.headers().contains_key("leadstage-model") {
             std::future::pending::<()>().await;
@@ -453,7 +455,7 @@
                 self.state().runs.insert(id.clone(), 0);
                 let _guard = RunGuard { replica: self.clone(), id, done: false };
                 std::future::pending::<()>().await;
-                unreachable!("nothing ends it");
+                unreachable!("the pending future never completes");
             }
             StreamFault::Fails => {
                 let mut res = status_response(500);
@@ -491,8 +493,8 @@
         res
     }
 
-    /// The events after `from`; stops in the middle of one, without an end, when the generation
-    /// was copied away.
+    /// Returns the events after `from`. The stream breaks in the middle of an event when the generation was
+    /// stopped to be moved.
     fn generate(
         self: Arc<Self>,
         id: String,
@@ -506,7 +508,7 @@
             let made = match next {
                 NextStep::Event(made) => made,
                 NextStep::Break => {
-                    // What was made is sent before the connection breaks.
+                    // Wait until the events so far are sent before the connection breaks.
                     tokio::time::sleep(replica.event_interval).await;
                     guard.finish();
                     return Some((Err(std::io::Error::other("stopped")), (guard, NextStep::End)));
@@ -554,7 +556,7 @@
             CopyFault::CopyHangs if !last => std::future::pending::<()>().await,
             _ => {}
         }
-        let address = address.expect("it serves");
+        let address = address.expect("the server was started");
         self.engines.copies.lock().expect("no holder panics").insert(format!("{address}/h-{id}"), made);
         if last {
             self.state().stopped.push(id.clone());
@@ -570,7 +572,7 @@
         Response::new(loopback::full_body(json!({"handle": format!("h-{id}"), "made": made}).to_string()))
     }
 
-    /// Tells of the generations that run: their ids, tokens in memory, events and priorities.
+    /// Returns the report of running generations: id, tokens in memory, events and priority of each.
     fn report(&self) -> Response<Body> {
         let mut state = self.state();
         state.report_calls += 1;
@@ -579,7 +581,7 @@
     }
 
     async fn close_port(&self) {
-        let close_port = self.state().close_port.clone().expect("it serves");
+        let close_port = self.state().close_port.clone().expect("the server was started");
         close_port.notify_one();
         tokio::time::sleep(PORT_CLOSE_DELAY).await;
     }
--- a/testutils/src/http_client.rs
+++ b/testutils/src/http_client.rs
@@ -7,28 +7,28 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
-/// The client's type.
+/// The HTTP client.
 pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A client with its own pool of connections.
+/// Returns a client with its own connection pool.
 pub fn client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new()).build(connector)
 }
 
-/// A response read whole.
+/// A complete response.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// Response status.
     pub status: u16,
-    /// Its headers.
+    /// Response headers.
     pub headers: http::HeaderMap,
-    /// Its body, as text.
+    /// Response body, as lossy UTF-8.
     pub body: String,
 }
 
-/// Sends a request and reads the whole answer; the error is the client's own text.
+/// Sends a request and reads the whole response; an error is the text of the client's error.
 pub async fn send(client: &HttpClient, req: http::Request<Full<Bytes>>) -> Result<Reply, String> {
     let res = client.request(req).await.map_err(|err| err.to_string())?;
     let status = res.status().as_u16();
--- a/testutils/src/http_server.rs
+++ b/testutils/src/http_server.rs
@@ -18,32 +18,32 @@
 use xitca_web::http::Method;
 use xitca_web::http::WebResponse;
 
-/// Bytes of a request body read at most.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A request read whole.
+/// A complete request.
 pub struct Request {
-    /// Its method.
+    /// Request method.
     pub method: Method,
-    /// The path without the query.
+    /// Path without the query.
     pub path: String,
-    /// The query without `?`, or empty.
+    /// Query without `?`; empty if there is none.
     pub query: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A header's value as text.
+    /// Returns the value of a header as text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|v| v.to_str().ok())
     }
 
-    /// A value of the query, not decoded.
+    /// Returns a value of the query without percent-decoding it.
     pub fn query_value(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -53,7 +53,7 @@
     }
 }
 
-/// A response with a whole body.
+/// Returns a response with a complete body.
 pub fn respond(status: u16, body: impl Into<Bytes>) -> WebResponse {
     let body: Bytes = body.into();
     let mut res = WebResponse::new(ResponseBody::from(body));
@@ -61,7 +61,7 @@
     res
 }
 
-/// A response with a JSON body.
+/// Returns a response with a JSON body.
 pub fn respond_json<T: serde::Serialize>(status: u16, value: &T) -> WebResponse {
     let body = serde_json::to_vec(value).expect("plain data serialises");
     let mut res = respond(status, body);
@@ -70,7 +70,7 @@
     res
 }
 
-/// A response that streams server-sent events; an error item cuts the connection.
+/// Returns a response that streams server-sent events; an error item closes the connection.
 pub fn respond_stream<S>(stream: S) -> WebResponse
 where
     S: Stream<Item = std::io::Result<Bytes>> + 'static,
@@ -82,13 +82,13 @@
     res
 }
 
-/// State that handles requests.
+/// A handler of all requests of a server.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(&self, req: Request) -> impl Future<Output = WebResponse>;
 }
 
-/// Serves on `address` until the process gets a signal to stop.
+/// Serves on `address` until the process receives a signal to stop.
 pub fn serve<H: Handler>(address: SocketAddr, threads: usize, handler: H) -> std::io::Result<()> {
     App::new()
         .with_state(handler)
--- a/testutils/src/lengths.rs
+++ b/testutils/src/lengths.rs
@@ -4,40 +4,40 @@
 use rand::RngExt;
 use serde::Deserialize;
 
-/// The 99 % point of the standard normal distribution.
+/// The 99th percentile of the standard normal distribution.
 const Z_99TH_PERCENTILE: f64 = 2.326_347_9;
 
 /// A distribution of token counts.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Lengths {
-    /// Log-normal, given by two points in tokens.
+    /// Log-normal, given by two percentiles in tokens.
     Lognormal {
-        /// Half the draws are below.
+        /// The 50th percentile.
         median: f64,
-        /// 99 in 100 are below.
+        /// The 99th percentile.
         p99: f64,
     },
-    /// Pareto with the least value in tokens and the tail's exponent.
+    /// Pareto, given by its minimum in tokens and its shape.
     Pareto {
-        /// Least tokens.
+        /// Minimum number of tokens.
         min: f64,
-        /// Smaller is a heavier tail.
+        /// Tail exponent; smaller values give a heavier tail.
         alpha: f64,
     },
-    /// Two lengths only.
+    /// Two fixed lengths.
     Bimodal {
-        /// Tokens of the short kind.
+        /// The short length in tokens.
         short: f64,
-        /// Tokens of the long kind.
+        /// The long length in tokens.
         long: f64,
-        /// Part that is long, 0 to 1.
+        /// Probability of the long length, from 0 to 1.
         long_share: f64,
     },
 }
 
 impl Lengths {
-    /// Draws a length from 1 to `max` tokens.
+    /// Samples a length, clamped to 1 to `max` tokens.
     pub fn draw<R: Rng>(&self, rng: &mut R, max: u64) -> u64 {
         let tokens = match *self {
             Lengths::Lognormal { median, p99 } => {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A draw from the standard normal distribution, by Box and Muller.
+/// Samples the standard normal distribution with the Box-Muller transform.
 pub fn standard_normal<R: Rng>(rng: &mut R) -> f64 {
     let u1: f64 = 1.0 - rng.random::<f64>();
     let u2: f64 = rng.random();
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,6 +1,5 @@
-//! Stand-ins for what surrounds leadstage: engine, plain service, object API,
-//! VM list and weight store, with switches for their faults; and a model of a fleet of
-//! engines. Never shipped.
+//! Test utilities: stand-ins for the engine, the plain service, the object API, the VM list and the weight
+//! store, with fault injection, and a simulation of a fleet of engines. Not part of a release.
 
 pub mod engine_model;
 pub mod engine_server;
--- a/testutils/src/loopback.rs
+++ b/testutils/src/loopback.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server inside a test, whose connections can be cut at once.
+//! An in-process HTTP/1.1 server for tests, whose port and connections can be closed at any time.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,48 +25,48 @@
 use tokio::task::JoinSet;
 use tokio_util::task::AbortOnDropHandle;
 
-/// The body of an answer; an error breaks the connection.
+/// A response body; an error closes the connection.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Answers requests.
+/// A handler of all requests of a server.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Answers one.
+    /// Handles one request.
     fn handle(self: Arc<Self>, req: Request<Bytes>) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// A server; dropping it closes its port and all connections.
+/// A running server; dropping it closes its port and all connections.
 pub struct Server {
-    /// Its address.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Closes its port, once notified; its connections stay.
+    /// Closes the port when notified; open connections stay open.
     pub close_port: Arc<Notify>,
-    /// Opens a closed port again, once notified.
+    /// Opens a closed port again when notified.
     pub open_port: Arc<Notify>,
-    /// Ends the server, once notified: its port and all connections close at once.
+    /// Stops the server when notified: its port and all connections close at once.
     pub shutdown: Arc<Notify>,
     _accept_task: AbortOnDropHandle<()>,
 }
 
-/// A whole body.
+/// Returns a body of one frame.
 pub fn full_body(text: impl Into<Bytes>) -> Body {
     let frame = futures::stream::once(std::future::ready(Ok(Frame::data(text.into()))));
     BodyExt::boxed_unsync(StreamBody::new(frame))
 }
 
-/// A body that comes in parts.
+/// Returns a streamed body.
 pub fn stream_body(stream: impl Stream<Item = std::io::Result<Bytes>> + Send + 'static) -> Body {
     let stream: Pin<Box<dyn Stream<Item = _> + Send>> = Box::pin(stream);
     BodyExt::boxed_unsync(StreamBody::new(futures::StreamExt::map(stream, |part| part.map(Frame::data))))
 }
 
-/// Numbers the requests of one connection, from 1.
+/// Number of a request on its connection, from 1; an extension of each request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestNumber(pub u32);
 
-/// Serves on a free port of `ip`.
+/// Starts a server on a free port of `ip`.
 pub async fn serve<H: RequestHandler>(ip: &str, handler: Arc<H>) -> Server {
-    let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a port of the address is free");
+    let address = listener.local_addr().expect("the listener is bound");
     let (close_port, open_port) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
     let (closing, opening) = (close_port.clone(), open_port.clone());
     let serve_loop = async move {
@@ -114,6 +114,6 @@
             Ok::<_, Infallible>(handler.handle(Request::from_parts(head, body)).await)
         }
     });
-    // The other side sees how it ended.
+    // Errors can be ignored: the client observes how the connection ended.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
--- a/testutils/src/metadata_store.rs
+++ b/testutils/src/metadata_store.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the metadata store of the users' platform: lists, watches, writes under a
-//! condition, and switches for its faults.
+//! A stand-in for the metadata store of the users' platform: lists, watches, conditional writes and fault
+//! injection.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,19 +21,19 @@
 use crate::loopback::RequestHandler;
 use crate::loopback::Server;
 
-/// What the store does with calls.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Answers them.
+    /// Serves them.
     #[default]
     None,
-    /// Answers 503 and does nothing.
+    /// Responds to all calls with status 503 without executing them.
     Refuses,
-    /// Answers reads, and writes with 503.
+    /// Serves reads and responds to writes with status 503.
     RefusesWrites,
-    /// Says that the history is gone to each watch.
+    /// Responds to each watch with status 410: the history is gone.
     LosesHistory,
-    /// Answers each page of a list with the first one.
+    /// Responds to each request for a page of a list with the first page.
     RepeatsPage,
 }
 
@@ -44,27 +44,27 @@
     revision: u64,
     fault: StoreFault,
     calls: u64,
-    /// Objects in one page of a list; all without.
+    /// Maximum number of objects in a page of a list; unlimited if `None`.
     page_size: Option<usize>,
-    /// How often it came back from a copy.
+    /// Number of times that the store was restored from a copy.
     era: u64,
 }
 
-/// What the store held at a moment.
+/// A copy of the store's content at one moment.
 pub struct Copy {
     objects: BTreeMap<(String, String), Value>,
     history: Vec<(u64, String, Value, bool)>,
     revision: u64,
 }
 
-/// The store.
+/// The metadata store's stand-in.
 pub struct MetadataStore {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
 }
 
 impl MetadataStore {
-    /// An empty store that serves on a free port of `ip`.
+    /// Starts an empty store that serves on a free port of `ip`.
     pub async fn start(ip: &str) -> (Arc<MetadataStore>, Server) {
         let store = Arc::new(MetadataStore { state: Mutex::default(), changed: watch::Sender::new(0) });
         let server = loopback::serve(ip, store.clone()).await;
@@ -75,12 +75,12 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Puts an object; one that is there keeps its status.
+    /// Creates an object or replaces its `spec`; an existing object keeps its `status`.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.replace(kind, name, |object| object["spec"] = spec);
     }
 
-    /// Sets an object's status.
+    /// Sets the `status` of an object.
     pub fn put_status(&self, kind: &str, name: &str, status: Value) {
         self.replace(kind, name, |object| object["status"] = status);
     }
@@ -100,7 +100,7 @@
         self.changed.send_replace(revision);
     }
 
-    /// Takes an object away.
+    /// Deletes an object.
     pub fn delete(&self, kind: &str, name: &str) {
         let mut state = self.state();
         state.revision += 1;
@@ -112,17 +112,17 @@
         self.changed.send_replace(revision);
     }
 
-    /// An object's `spec`, if it is there.
+    /// Returns the `spec` of an object, if the object exists.
     pub fn spec(&self, kind: &str, name: &str) -> Option<Value> {
         self.state().objects.get(&(kind.to_owned(), name.to_owned())).map(|object| object["spec"].clone())
     }
 
-    /// An object's `status`, if the object is there.
+    /// Returns the `status` of an object, if the object exists.
     pub fn status(&self, kind: &str, name: &str) -> Option<Value> {
         self.state().objects.get(&(kind.to_owned(), name.to_owned())).map(|object| object["status"].clone())
     }
 
-    /// The statuses that an object has had, without those that repeat the one before.
+    /// Returns the values of `status` that an object has had, without consecutive duplicates.
     pub fn statuses(&self, kind: &str, name: &str) -> Vec<Value> {
         let state = self.state();
         let is_of_object = |(_, k, object, deleted): &&(u64, String, Value, bool)| {
@@ -138,13 +138,14 @@
         statuses
     }
 
-    /// The names of all objects of a kind.
+    /// Returns the names of all objects of a kind.
     pub fn names(&self, kind: &str) -> Vec<String> {
         let state = self.state();
         state.objects.keys().filter(|(k, _)| k == kind).map(|(_, name)| name.clone()).collect()
     }
 
-    /// A write of a node's: an object is created once, and replaced only by who names its revision.
+    /// Handles a write by a node: only an absent object is created, and a replacement must name the current
+    /// revision.
     fn write(&self, method: &Method, kind: &str, name: Option<&str>, body: &[u8]) -> Response<Body> {
         let object: Value = serde_json::from_slice(body).unwrap_or_default();
         let status_of = name.and_then(|name| name.strip_suffix("/status"));
@@ -172,19 +173,19 @@
         }
     }
 
-    /// Sets what it does with calls; waiting watches are woken.
+    /// Sets how calls are handled; pending watches are woken.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state().fault = fault;
         self.changed.send_modify(|_| {});
     }
 
-    /// What it holds now.
+    /// Returns a copy of the current content.
     pub fn copy(&self) -> Copy {
         let state = self.state();
         Copy { objects: state.objects.clone(), history: state.history.clone(), revision: state.revision }
     }
 
-    /// Comes back from a copy: what was written since is gone, and revisions go on from the copy's.
+    /// Restores the content from a copy: later writes are lost, and revisions continue from the copy's.
     pub fn restore_from(&self, copy: Copy) {
         let mut state = self.state();
         (state.objects, state.history, state.revision) = (copy.objects, copy.history, copy.revision);
@@ -194,17 +195,17 @@
         self.changed.send_modify(|_| {});
     }
 
-    /// Sets how often it has come back from a copy.
+    /// Sets the number of times that the store was restored from a copy.
     pub fn set_era(&self, era: u64) {
         self.state().era = era;
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Sets how many objects a page of a list has.
+    /// Sets the maximum number of objects in a page of a list.
     pub fn set_page_size(&self, objects: usize) {
         self.state().page_size = Some(objects);
     }
@@ -255,7 +256,7 @@
     }
 }
 
-/// An entry of a replica.
+/// Returns the `spec` of a replica's entry.
 pub fn replica_entry(service: &str, address: SocketAddr, hall: &str, state: &str) -> Value {
     json!({"service": service, "address": address, "zone": hall, "version": "v1", "slots": 8,
         "state": state, "coldRemainingMs": 0, "sequence": 1})
--- a/testutils/src/object_store.rs
+++ b/testutils/src/object_store.rs
@@ -1,38 +1,38 @@
-//! The object API's state: versions, conditional updates, budgets and faults.
+//! State of the object API's stand-in: versioned objects, conditional writes, call budgets and faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Bytes of a value at most.
+/// Maximum size of a value.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Writes a second.
+/// Budget of writes.
 pub const WRITES_PER_SECOND: f64 = 100.0;
-/// Reads a second; a waiting watch counts as one.
+/// Budget of reads; a pending watch counts as one read.
 pub const READS_PER_SECOND: f64 = 2_000.0;
 
-/// A stored value with its version; versions start at 1.
+/// A stored value with its version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Object {
-    /// Rises with each write of any object.
+    /// Version of the latest write, from 1; versions increase with each write of any object.
     pub version: u64,
-    /// The bytes.
+    /// Content.
     pub value: Vec<u8>,
 }
 
-/// Why a write was not taken.
+/// Reason why a write was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteError {
-    /// The object has another version, 0 when it is absent.
+    /// The object has another version than expected.
     Conflict {
-        /// Its version now.
+        /// Current version; 0 if the object is absent.
         current: u64,
     },
-    /// The value is over the limit.
+    /// The value is larger than `MAX_VALUE_BYTES`.
     TooLarge,
 }
 
-/// Objects by key.
+/// A store of objects by key.
 #[derive(Debug, Default)]
 pub struct ObjectStore {
     objects: BTreeMap<String, Object>,
@@ -40,18 +40,19 @@
 }
 
 impl ObjectStore {
-    /// Reads an object.
+    /// Returns an object.
     pub fn get(&self, key: &str) -> Option<&Object> {
         self.objects.get(key)
     }
 
-    /// Keys that start with `prefix`, in order.
+    /// Returns the keys that start with `prefix`, in order.
     pub fn list(&self, prefix: &str) -> Vec<String> {
         let from_prefix = self.objects.range(prefix.to_owned()..);
         from_prefix.map(|(key, _)| key.clone()).take_while(|key| key.starts_with(prefix)).collect()
     }
 
-    /// Writes an object if its version is `expected`, 0 for absent; returns the new version.
+    /// Writes an object if its current version is `expected`, 0 for an absent object, and returns the new
+    /// version.
     pub fn put(&mut self, key: &str, expected: u64, value: Vec<u8>) -> Result<u64, WriteError> {
         if value.len() > MAX_VALUE_BYTES {
             return Err(WriteError::TooLarge);
@@ -67,7 +68,7 @@
     }
 }
 
-/// A budget of calls a second.
+/// A token bucket that limits calls per second.
 #[derive(Debug)]
 pub struct CallBudget {
     rate: f64,
@@ -76,12 +77,12 @@
 }
 
 impl CallBudget {
-    /// A full budget of `rate` calls a second.
+    /// Returns a full bucket of `rate` calls per second.
     pub fn new(rate: f64, now: Instant) -> Self {
         CallBudget { rate, remaining: rate, updated_at: now }
     }
 
-    /// Takes one call; false when the budget is used up.
+    /// Takes one call from the budget; returns false if the budget is used up.
     pub fn try_take(&mut self, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.updated_at);
         self.updated_at = now;
@@ -94,13 +95,13 @@
     }
 }
 
-/// Faults that are switched on.
+/// Faults that are currently injected.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
-    /// Every call fails at once.
+    /// Every call fails immediately.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Delay added to every call.
     pub slow: Duration,
-    /// Writes that take effect and whose answer never comes, still to happen.
+    /// Number of writes to come that take effect and whose response is lost.
     pub lost_responses: u32,
 }
--- a/testutils/src/plain_server.rs
+++ b/testutils/src/plain_server.rs
@@ -1,9 +1,9 @@
-//! A plain service that counts how often each booking ran.
+//! A stand-in for a plain service that counts the executions of each booking.
 //!
-//! `POST /book` runs one booking; `GET /stand-in/ran` lists the values of
-//! `Idempotency-Key` (empty for none) with how often each ran; `GET /free`
-//! answers at once. `POST /fault/slow?ms=N` delays answers, `/fault/drop` cuts
-//! the connection after the booking ran.
+//! `POST /book` executes one booking; `GET /stand-in/ran` lists the values of `Idempotency-Key` (empty for
+//! none) with the number of executions of each; `GET /free` responds immediately. `POST /fault/slow?ms=N`
+//! delays responses to bookings, `/fault/drop` closes the connection after the next booking has been
+//! executed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use crate::http_server::respond_json;
 use crate::http_server::respond_stream;
 
-/// The stand-in, shared between its threads.
+/// The plain service's stand-in; clones share their state.
 #[derive(Clone, Default)]
 pub struct PlainServer {
     executions: Arc<Mutex<BTreeMap<String, u64>>>,
--- a/testutils/src/platform_server.rs
+++ b/testutils/src/platform_server.rs
@@ -1,9 +1,10 @@
-//! The platform's stand-in as an HTTP server: object API, VM list and weight store.
+//! A stand-in for the platform as an HTTP server: object API, VM list and weight store.
 //!
-//! `GET|PUT /v1/objects/KEY` with `ETag` and `If-Match` (0 for absent), a watch
-//! with `?after=VERSION&wait_ms=N`; `GET /v1/list/PREFIX`; `GET /v1/vms`, which
-//! lags, with `ETag` and `If-None-Match`; `GET /v1/weights/NAME`, rate-limited. `PUT /stand-in/vms` sets the list,
-//! `POST /fault/down|up|slow|lose` switches faults, `GET /stand-in/calls` counts.
+//! `GET|PUT /v1/objects/KEY` with `ETag` and `If-Match` (0 for an absent object), a watch with
+//! `?after=VERSION&wait_ms=N`; `GET /v1/list/PREFIX`; `GET /v1/vms`, which lags, with `ETag` and
+//! `If-None-Match`; `GET /v1/weights/NAME`, rate-limited. `PUT /stand-in/vms` sets the VM list, `POST
+//! /fault/down|up|slow|lose` sets or clears faults, `GET /stand-in/calls` returns the numbers of reads and
+//! writes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -29,11 +30,11 @@
 use crate::object_store::WRITES_PER_SECOND;
 use crate::object_store::WriteError;
 
-/// A watch waits this long at most.
+/// Maximum duration of a watch.
 const MAX_WATCH: Duration = Duration::from_secs(30);
-/// Loads of weights a second.
+/// Budget of downloads of weights.
 const WEIGHTS_PER_SECOND: f64 = 2.0;
-/// A call whose answer is lost hangs this long.
+/// Time that a call hangs whose response is lost.
 const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(20);
 
 struct State {
@@ -48,7 +49,7 @@
     dropped_vm_lists: u64,
 }
 
-/// The stand-in, shared between its threads.
+/// The platform's stand-in; clones share their state.
 #[derive(Clone)]
 pub struct PlatformServer {
     state: Arc<Mutex<State>>,
@@ -57,7 +58,7 @@
 }
 
 impl PlatformServer {
-    /// A stand-in whose VM list lags by `vm_lag`.
+    /// Returns a stand-in whose VM list lags by `vm_lag`.
     pub fn new(vm_lag: Duration) -> Self {
         let now = Instant::now();
         let state = State {
--- a/testutils/tests/runner.rs
+++ b/testutils/tests/runner.rs
@@ -1,4 +1,4 @@
-//! All tests of the package, in one program.
+//! All tests of the package, in one test binary.
 
 mod test_engine_model;
 mod test_fleet_model;
--- a/testutils/tests/test_engine_model.rs
+++ b/testutils/tests/test_engine_model.rs
@@ -1,4 +1,4 @@
-//! The stepped engine does what the policy is measured against.
+//! Tests of the engine model that the policy is measured with.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +19,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Every generation ends; its tokens come once and in order, also when it is
-    /// preempted; memory is never over and is free in the end.
+    /// Every generation ends and produces each token once and in order, even if it is preempted; memory use
+    /// stays within capacity and returns to zero.
     #[test]
     fn test_tokens_in_order(requests in prop::collection::vec((1..300_u64, 1..300_u64, 0..3_i32), 1..30)) {
         let mut engine = EngineModel::new(small_config());
--- a/testutils/tests/test_object_store.rs
+++ b/testutils/tests/test_object_store.rs
@@ -1,4 +1,4 @@
-//! The object API's stand-in.
+//! Tests of the object API's stand-in.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,12 +11,12 @@
 #[test]
 fn test_conditional_writes() {
     let mut store = ObjectStore::default();
-    let first = store.put("a/1", 0, vec![1]).expect("absent");
+    let first = store.put("a/1", 0, vec![1]).expect("the object is absent");
     assert_eq!(store.put("a/1", 0, vec![2]), Err(WriteError::Conflict { current: first }));
-    let second = store.put("a/1", first, vec![2]).expect("the version");
+    let second = store.put("a/1", first, vec![2]).expect("the version is current");
     assert!(second > first);
     assert_eq!(store.put("b", 0, vec![0; MAX_VALUE_BYTES + 1]), Err(WriteError::TooLarge));
-    store.put("a/2", 0, vec![]).expect("absent");
+    store.put("a/2", 0, vec![]).expect("the object is absent");
     assert_eq!(store.list("a/"), ["a/1", "a/2"]);
 }
 
