--- a/node/tests/environment.rs
+++ b/node/tests/environment.rs
@@ -28,12 +28,12 @@
 /// What should come about does so within this, or the test fails. Far longer than
 /// needed, as machines are slow at times; nothing is asserted about speed.
 /// Lines of each process's log that a failing test shows.
-const LAST_LINES: usize = 60;
-const PATIENCE: Duration = Duration::from_secs(60);
+const MAX_LOG_LINES: usize = 60;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between two looks.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-static NETS: AtomicU32 = AtomicU32::new(0);
+static NETWORK_COUNTER: AtomicU32 = AtomicU32::new(0);
 
 /// What a fleet consists of.
 #[derive(Clone, Debug)]
@@ -68,14 +68,14 @@
     pub options: Options,
     /// An HTTP client.
     pub client: HttpClient,
-    net: String,
+    network: String,
     dir: TempDir,
     children: BTreeMap<String, Child>,
     vms: Vec<Value>,
     _guard: TcpListener,
 }
 
-fn stand_in(name: &str) -> PathBuf {
+fn stand_in_path(name: &str) -> PathBuf {
     let bin = PathBuf::from(env!("CARGO_BIN_EXE_leadstaged"));
     let path = bin.parent().expect("a folder").join("examples").join(name);
     assert!(path.exists(), "{} is missing: run cargo test --workspace", path.display());
@@ -83,12 +83,12 @@
 }
 
 /// A network of its own in 127.0.0.0/8, held by a listener on its last address.
-fn own_net() -> (String, TcpListener) {
+fn reserve_network() -> (String, TcpListener) {
     loop {
-        let n = NETS.fetch_add(1, Ordering::Relaxed).wrapping_mul(7) + std::process::id();
-        let net = format!("127.{}.{}", n / 250 % 200 + 30, n % 250 + 2);
-        if let Ok(guard) = TcpListener::bind(format!("{net}.254:7000")) {
-            return (net, guard);
+        let n = NETWORK_COUNTER.fetch_add(1, Ordering::Relaxed).wrapping_mul(7) + std::process::id();
+        let network = format!("127.{}.{}", n / 250 % 200 + 30, n % 250 + 2);
+        if let Ok(guard) = TcpListener::bind(format!("{network}.254:7000")) {
+            return (network, guard);
         }
     }
 }
@@ -133,11 +133,11 @@
 
     /// Starts a fleet that has no bundle yet.
     pub async fn without_bundle(options: Options) -> Env {
-        let (net, guard) = own_net();
+        let (network, guard) = reserve_network();
         let mut env = Env {
             options,
             client: http_client::client(),
-            net,
+            network,
             dir: TempDir::new().expect("a folder"),
             children: BTreeMap::new(),
             vms: Vec::new(),
@@ -169,15 +169,15 @@
         let (kind, n) = name.rsplit_once('-').unwrap_or((name, "0"));
         let n: u32 = n.parse().expect("a number");
         match kind {
-            "platform" => format!("{}.1:9000", self.net),
-            "entry" => format!("{}.{}:8080", self.net, 10 + n),
-            "engine" => format!("{}.{}:9100", self.net, 60 + n),
-            _ => format!("{}.{}:9200", self.net, 150 + n),
+            "platform" => format!("{}.1:9000", self.network),
+            "entry" => format!("{}.{}:8080", self.network, 10 + n),
+            "engine" => format!("{}.{}:9100", self.network, 60 + n),
+            _ => format!("{}.{}:9200", self.network, 150 + n),
         }
     }
 
     fn port(&self, node: usize, port: u16) -> String {
-        format!("{}.{}:{port}", self.net, 10 + node)
+        format!("{}.{}:{port}", self.network, 10 + node)
     }
 
     /// A node's admin address.
@@ -186,7 +186,7 @@
     }
 
     fn spawn_stand_in(&mut self, name: &str, program: &str, args: &[&str]) {
-        let mut command = Command::new(stand_in(program));
+        let mut command = Command::new(stand_in_path(program));
         command.args(["--listen", &self.address(name)]).args(args);
         self.spawn(name, command);
     }
@@ -246,9 +246,9 @@
     }
 
     /// Lists a node's peer port behind a proxy before it, so that other nodes call it there.
-    pub async fn put_proxy_before_peer(&mut self, node: usize) -> FaultyProxy {
+    pub async fn add_peer_proxy(&mut self, node: usize) -> FaultyProxy {
         let peer = self.port(node, 8082).parse().expect("an address");
-        let proxy = FaultyProxy::start(&format!("{}.{}", self.net, 10 + node), peer).await;
+        let proxy = FaultyProxy::start(&format!("{}.{}", self.network, 10 + node), peer).await;
         let name = format!("entry-{node}");
         for vm in self.vms.iter_mut().filter(|vm| vm["id"] == *name) {
             vm["address"] = proxy.address.to_string().into();
@@ -290,7 +290,7 @@
     }
 
     /// Switches a fault on, as in `fault("engine-1", "cut")`.
-    pub async fn fault(&self, name: &str, fault: &str) {
+    pub async fn set_fault(&self, name: &str, fault: &str) {
         let uri = format!("http://{}/fault/{fault}", self.address(name));
         let req = Request::post(uri).body(Full::default()).expect("valid");
         let _ = http_client::send(&self.client, req).await;
@@ -311,13 +311,13 @@
     }
 
     /// Waits for a process that stops by itself; true if it did so without a failure.
-    pub async fn wait_exit(&mut self, name: &str) -> bool {
-        let deadline = std::time::Instant::now() + PATIENCE;
+    pub async fn wait_for_exit(&mut self, name: &str) -> bool {
+        let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         while std::time::Instant::now() < deadline {
             if let Some(status) = self.children.get_mut(name).expect("known").try_wait().expect("a child") {
                 return status.success();
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("{name} did not stop");
     }
@@ -329,13 +329,13 @@
     }
 
     /// Waits for something to come about.
-    pub async fn until(&self, what: &str, mut is_so: impl AsyncFnMut(&Env) -> bool) {
-        let deadline = std::time::Instant::now() + PATIENCE;
+    pub async fn until(&self, what: &str, mut condition: impl AsyncFnMut(&Env) -> bool) {
+        let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         while std::time::Instant::now() < deadline {
-            if is_so(self).await {
+            if condition(self).await {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("{what}: did not come about\n{}", self.logs());
     }
@@ -358,7 +358,7 @@
     }
 
     /// The node that leads the pool, and how many of its engines are up.
-    async fn pool(&self) -> Option<(usize, usize)> {
+    async fn lead_and_engines_up(&self) -> Option<(usize, usize)> {
         let mut found = None;
         for node in 1..=self.options.nodes {
             let Some(status) = self.status(node).await else { continue };
@@ -373,7 +373,7 @@
 
     /// The node that leads the pool.
     pub async fn lead(&self) -> usize {
-        self.pool().await.expect("a lead").0
+        self.lead_and_engines_up().await.expect("a lead").0
     }
 
     async fn engines_up(&self) -> usize {
@@ -385,11 +385,11 @@
             }
             leads == 1
         };
-        if one_lead { self.pool().await.map_or(0, |(_, up)| up) } else { 0 }
+        if one_lead { self.lead_and_engines_up().await.map_or(0, |(_, up)| up) } else { 0 }
     }
 
     /// A number of an engine's load report.
-    pub async fn engine_count(&self, engine: usize, field: &str) -> u64 {
+    pub async fn engine_load_field(&self, engine: usize, field: &str) -> u64 {
         let reply = self.get(&self.address(&format!("engine-{engine}")), "/v1/load").await;
         let load: Option<Value> = reply.ok().and_then(|r| serde_json::from_str(&r.body).ok());
         load.and_then(|l| l[field].as_u64()).unwrap_or(0)
@@ -420,7 +420,7 @@
             req = req.header("idempotency-key", key);
         }
         let req = req.body(Full::from(Bytes::from(body.to_owned()))).expect("valid");
-        let sent = tokio::time::timeout(PATIENCE, http_client::send(&self.client, req));
+        let sent = tokio::time::timeout(WAIT_TIMEOUT, http_client::send(&self.client, req));
         sent.await.unwrap_or_else(|_| Err("no answer".to_owned()))
     }
 
@@ -434,7 +434,7 @@
         let mut out = String::new();
         for name in self.children.keys() {
             let log = self.log(name);
-            let last: Vec<&str> = log.lines().rev().take(LAST_LINES).collect();
+            let last: Vec<&str> = log.lines().rev().take(MAX_LOG_LINES).collect();
             out.push_str(&format!("--- {name}\n"));
             last.iter().rev().for_each(|line| out.push_str(&format!("{line}\n")));
         }
@@ -452,7 +452,7 @@
 }
 
 /// The code of a refusal, 0 for none.
-pub fn code(reply: &Reply) -> u64 {
+pub fn error_code(reply: &Reply) -> u64 {
     let body: Value = serde_json::from_str(&reply.body).unwrap_or_default();
     body["error"]["code"].as_u64().unwrap_or(0)
 }
--- a/node/tests/runner.rs
+++ b/node/tests/runner.rs
@@ -37,7 +37,7 @@
 mod test_gateway_upgrade_judges;
 mod test_gateway_upgrade_soak;
 mod test_gateway_upgrades;
-mod test_module_arrows;
+mod test_module_cycles;
 mod test_settings;
 mod test_stop;
 mod test_streams;
--- a/node/tests/stream.rs
+++ b/node/tests/stream.rs
@@ -16,30 +16,30 @@
 
 /// How a stream ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum StreamEnd {
     /// With the finish reason and `[DONE]`.
-    Whole,
+    Complete,
     /// With a numbered code, in the stream or as the response.
     Code(u64),
     /// The connection broke.
-    Broken,
+    Disconnected,
 }
 
 /// What a caller has got.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub struct ReceivedStream {
     /// The texts, in order.
     pub texts: Vec<String>,
     /// The latest event's id.
     pub last_id: Option<String>,
     /// How it ended, once it has.
-    pub end: Option<End>,
+    pub end: Option<StreamEnd>,
     /// The response's `Retry-After`.
     pub retry_after: Option<String>,
     finished: bool,
 }
 
-impl Got {
+impl ReceivedStream {
     /// The generation of the latest event.
     pub fn generation(&self) -> Option<u64> {
         let id = self.last_id.as_ref()?;
@@ -59,7 +59,7 @@
 
 /// A stream in the background.
 pub struct Caller {
-    got: Arc<Mutex<Got>>,
+    received: Arc<Mutex<ReceivedStream>>,
     task: JoinHandle<()>,
 }
 
@@ -72,7 +72,7 @@
 
 impl Caller {
     /// Asks for a stream of `tokens` at `address`; goes on after `last_id` if one is given.
-    pub fn ask(
+    pub fn start(
         client: &HttpClient,
         address: &str,
         token: &str,
@@ -85,68 +85,72 @@
             req = req.header("last-event-id", id);
         }
         let req = req.body(Full::from(Bytes::from(chat_body(tokens, true)))).expect("valid");
-        let got = Arc::new(Mutex::new(Got::default()));
-        let task = tokio::spawn(read(client.clone(), req, got.clone()));
-        Caller { got, task }
+        let received = Arc::new(Mutex::new(ReceivedStream::default()));
+        let task = tokio::spawn(receive(client.clone(), req, received.clone()));
+        Caller { received, task }
     }
 
     /// What it has got so far.
-    pub fn got(&self) -> Got {
-        self.got.lock().expect("no holder panics").clone()
+    pub fn received(&self) -> ReceivedStream {
+        self.received.lock().expect("no holder panics").clone()
     }
 
     /// Leaves: the connection is closed.
-    pub fn leave(&self) {
+    pub fn disconnect(&self) {
         self.task.abort();
     }
 
     /// Waits for the end.
-    pub async fn finish(self) -> Got {
-        self.finish_or(String::new).await
+    pub async fn finish(self) -> ReceivedStream {
+        self.finish_with_logs(String::new).await
     }
 
     /// Waits for the end; tells what `logs` says if it does not come.
-    pub async fn finish_or(self, logs: impl FnOnce() -> String) -> Got {
-        let got = self.got.clone();
+    pub async fn finish_with_logs(self, logs: impl FnOnce() -> String) -> ReceivedStream {
+        let received = self.received.clone();
         let ended = tokio::time::timeout(std::time::Duration::from_secs(60), self.task).await;
-        let so_far = got.lock().expect("no holder panics").clone();
+        let so_far = received.lock().expect("no holder panics").clone();
         assert!(ended.is_ok(), "the stream did not end: {so_far:?}\n{}", logs());
         so_far
     }
 }
 
-async fn read(client: HttpClient, req: Request<Full<Bytes>>, got: Arc<Mutex<Got>>) {
-    let end = follow(client, req, &got).await;
-    got.lock().expect("no holder panics").end = Some(end);
+async fn receive(client: HttpClient, req: Request<Full<Bytes>>, received: Arc<Mutex<ReceivedStream>>) {
+    let end = receive_events(client, req, &received).await;
+    received.lock().expect("no holder panics").end = Some(end);
 }
 
-async fn follow(client: HttpClient, req: Request<Full<Bytes>>, got: &Arc<Mutex<Got>>) -> End {
+async fn receive_events(
+    client: HttpClient,
+    req: Request<Full<Bytes>>,
+    received: &Arc<Mutex<ReceivedStream>>,
+) -> StreamEnd {
     let Ok(res) = client.request(req).await else {
-        return End::Broken;
+        return StreamEnd::Disconnected;
     };
     if res.status() != 200 {
         let retry = res.headers().get("retry-after").and_then(|v| v.to_str().ok()).map(str::to_owned);
-        got.lock().expect("no holder panics").retry_after = retry;
+        received.lock().expect("no holder panics").retry_after = retry;
         let body = res.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-        return End::Code(code_of(&body));
+        return StreamEnd::Code(error_code(&body));
     }
     let mut events = res.into_body().into_data_stream().eventsource();
     while let Some(event) = events.next().await {
-        let Ok(event) = event else { return End::Broken };
+        let Ok(event) = event else { return StreamEnd::Disconnected };
         if event.event == "error" {
-            return End::Code(code_of(event.data.as_bytes()));
+            return StreamEnd::Code(error_code(event.data.as_bytes()));
         }
-        let mut got = got.lock().expect("no holder panics");
+        let mut received = received.lock().expect("no holder panics");
         if event.data == "[DONE]" {
-            return if got.finished { End::Whole } else { End::Broken };
+            return if received.finished { StreamEnd::Complete } else { StreamEnd::Disconnected };
         }
-        got.take(&event.data, event.id);
+        received.add_event(&event.data, event.id);
     }
-    End::Broken
+    StreamEnd::Disconnected
 }
 
-impl Got {
-    fn take(&mut self, data: &str, id: String) {
+impl ReceivedStream {
+    fn add_event(&mut self, data: &str, id: String) {
         let chunk: Value = serde_json::from_str(data).expect("JSON");
         let choice = &chunk["choices"][0];
         self.last_id = Some(id);
@@ -157,7 +161,7 @@
     }
 }
 
-fn code_of(body: &[u8]) -> u64 {
+fn error_code(body: &[u8]) -> u64 {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     body["error"]["code"].as_u64().unwrap_or(0)
 }
--- a/node/tests/test_bundles.rs
+++ b/node/tests/test_bundles.rs
@@ -17,13 +17,13 @@
 
 /// The object API is down to everyone after one node got the bundle: the peers hand it on.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_peers_hand_it_on_in_an_outage() {
+async fn test_peers_forward_a_bundle_in_an_outage() {
     let env = start().await;
     env.signal("entry-2", "-STOP");
     env.signal("entry-3", "-STOP");
     env.roll_out(2).await;
     env.until_bundle(1, 2).await;
-    env.fault("platform", "down").await;
+    env.set_fault("platform", "down").await;
     env.signal("entry-2", "-CONT");
     env.signal("entry-3", "-CONT");
     env.until_bundle(2, 2).await;
@@ -34,16 +34,16 @@
 /// A node that starts while the object API is down has a bundle of 0.3 MB from a peer, also over a
 /// link on which that takes three seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_a_large_bundle_is_handed_over_on_a_thin_link() {
+async fn test_a_large_bundle_is_fetched_from_a_peer_over_a_slow_link() {
     let options = Options { nodes: 2, engines: 0, ..Options::default() };
     let mut env = Env::start(options).await;
     env.kill("entry-2");
-    let proxy = env.put_proxy_before_peer(1).await;
+    let proxy = env.add_peer_proxy(1).await;
     let yaml = format!("{}\n# {}\n", bundle_yaml(2, &env.options.bounds), "x".repeat(300_000));
     env.put_bundle(envelope(2, &yaml, "test").to_bytes()).await;
     env.until_bundle(1, 2).await;
     proxy.set(LinkFault::Thin(100_000));
-    env.fault("platform", "down").await;
+    env.set_fault("platform", "down").await;
     env.start_node(2);
     env.until_bundle(2, 2).await;
 }
@@ -55,7 +55,7 @@
     let mut env = start().await;
     env.roll_out(2).await;
     env.until_bundle(1, 2).await;
-    env.fault("platform", "down").await;
+    env.set_fault("platform", "down").await;
     env.kill("entry-3");
     env.start_node(3);
     env.until_bundle(3, 2).await;
@@ -66,7 +66,7 @@
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
     let ready = env.get(&env.admin(1), "/readyz").await.expect("it answers");
     assert_eq!((ready.status, ready.body.as_str()), (503, "no bundle"));
-    env.fault("platform", "up").await;
+    env.set_fault("platform", "up").await;
     env.until_ready(1).await;
 }
 
@@ -89,7 +89,7 @@
 async fn test_outage_alone_keeps_nodes_ready() {
     let options = Options { engines: 0, bounds: "alone_within: 2s".to_owned(), ..Options::default() };
     let mut env = Env::start(options).await;
-    env.fault("platform", "down").await;
+    env.set_fault("platform", "down").await;
     tokio::time::sleep(std::time::Duration::from_secs(6)).await;
     for node in 1..=2 {
         let ready = env.get(&env.admin(node), "/readyz").await.expect("it answers");
@@ -100,7 +100,7 @@
         env.get(&env.admin(1), "/readyz").await.is_ok_and(|r| r.body == "alone")
     })
     .await;
-    env.fault("platform", "up").await;
+    env.set_fault("platform", "up").await;
     env.until_ready(1).await;
 }
 
@@ -113,9 +113,9 @@
         env.until_bundle(node, 5).await;
     }
     let yaml = bundle_yaml(9, "stall_within: 1s");
-    let stranger = SigningKey::from_bytes(&[6; 32]);
+    let untrusted_key = SigningKey::from_bytes(&[6; 32]);
     let unsigned = Envelope { signatures: vec![], ..envelope(9, &yaml, "test") };
-    let forged = Envelope { signatures: vec![sign(&yaml, &stranger)], ..unsigned.clone() };
+    let forged = Envelope { signatures: vec![sign(&yaml, &untrusted_key)], ..unsigned.clone() };
     let changed = Envelope { yaml: format!("{yaml}\n# more\n"), ..envelope(9, &yaml, "test") };
     let older = envelope(4, &bundle_yaml(4, "stall_within: 1s"), "test");
     for bytes in
--- a/node/tests/test_callers.rs
+++ b/node/tests/test_callers.rs
@@ -12,11 +12,11 @@
 
 use crate::environment::Env;
 use crate::environment::Options;
-use crate::environment::code;
+use crate::environment::error_code;
 use crate::stream::Caller;
 use crate::stream::chat_body;
 
-async fn ask(env: &Env, method: Method, path: &str, token: &str, body: impl Into<Bytes>) -> Reply {
+async fn send_request(env: &Env, method: Method, path: &str, token: &str, body: impl Into<Bytes>) -> Reply {
     let uri = format!("http://{}{path}", env.address("entry-1"));
     let req = Request::builder().method(method).uri(uri).header("authorization", format!("Bearer {token}"));
     let req = req.body(Full::from(body.into())).expect("valid");
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_mistakes_get_their_code() {
+async fn test_invalid_requests_get_their_error_code() {
     let env = start("max_body_bytes: 20000").await;
     let chat = "/v1/chat/completions";
     let long = format!(r#"{{"model":"m","prompt":"{}"}}"#, "x".repeat(5_000));
@@ -67,8 +67,8 @@
     ];
     let mut text = String::new();
     for (name, method, path, token, body) in cases {
-        let reply = ask(&env, method, path, token, body).await;
-        text.push_str(&format!("{name}: {} {}\n", reply.status, code(&reply)));
+        let reply = send_request(&env, method, path, token, body).await;
+        text.push_str(&format!("{name}: {} {}\n", reply.status, error_code(&reply)));
     }
     insta::assert_snapshot!(text, @"
     bad JSON: 400 2001
@@ -86,22 +86,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_whole_answer_and_models() {
+async fn test_complete_response_and_model_list() {
     let env = start("").await;
-    let models = ask(&env, Method::GET, "/v1/models", "token-a", "").await;
+    let models = send_request(&env, Method::GET, "/v1/models", "token-a", "").await;
     assert_eq!(
         models.body,
         r#"{"data":[{"id":"m","object":"model","owned_by":"leadstage"}],"object":"list"}"#
     );
-    let whole = ask(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
-    let body: serde_json::Value = serde_json::from_str(&whole.body).expect("JSON");
+    let response =
+        send_request(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
+    let body: serde_json::Value = serde_json::from_str(&response.body).expect("JSON");
     assert_eq!(body["object"], "chat.completion");
     assert_eq!(body["usage"]["completion_tokens"], 5);
     let words = body["choices"][0]["message"]["content"].as_str().expect("text").split_whitespace().count();
     assert_eq!((words, &body["choices"][0]["finish_reason"]), (5, &"stop".into()));
     let text = r#"{"model":"m","prompt":"once","stand_in_tokens":3}"#;
-    let whole = ask(&env, Method::POST, "/v1/completions", "token-a", text).await;
-    let body: serde_json::Value = serde_json::from_str(&whole.body).expect("JSON");
+    let response = send_request(&env, Method::POST, "/v1/completions", "token-a", text).await;
+    let body: serde_json::Value = serde_json::from_str(&response.body).expect("JSON");
     assert_eq!(body["choices"][0]["text"].as_str().expect("text").split_whitespace().count(), 3);
 }
 
@@ -150,14 +151,17 @@
 async fn test_organisation_limit() {
     let env = start("").await;
     let address = env.address("entry-1");
-    let ask = |token: &str, tokens| Caller::ask(&env.client, &address, token, tokens, None);
-    let open = [ask("token-b", 2_000), ask("token-b", 2_000)];
-    env.until("two open streams", async |_: &Env| open.iter().all(|c| !c.got().texts.is_empty())).await;
-    let third = ask("token-b", 5).finish().await;
-    assert_eq!(third.end, Some(crate::stream::End::Code(2103)));
+    let open_stream = |token: &str, tokens| Caller::start(&env.client, &address, token, tokens, None);
+    let open_streams = [open_stream("token-b", 2_000), open_stream("token-b", 2_000)];
+    env.until("two open streams", async |_: &Env| {
+        open_streams.iter().all(|c| !c.received().texts.is_empty())
+    })
+    .await;
+    let third = open_stream("token-b", 5).finish().await;
+    assert_eq!(third.end, Some(crate::stream::StreamEnd::Code(2103)));
     assert!(third.retry_after.is_some());
-    assert_eq!(ask("token-a", 5).finish().await.end, Some(crate::stream::End::Whole));
-    open.iter().for_each(Caller::leave);
+    assert_eq!(open_stream("token-a", 5).finish().await.end, Some(crate::stream::StreamEnd::Complete));
+    open_streams.iter().for_each(Caller::disconnect);
     env.until("the limit is free again", async |env: &Env| {
         env.status(1).await.is_some_and(|s| s["open"] == 0)
     })
@@ -167,8 +171,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_admin_port() {
     let env = start("").await;
-    let whole = ask(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
-    let id = whole.headers["x-request-id"].to_str().expect("text").to_owned();
+    let response =
+        send_request(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
+    let id = response.headers["x-request-id"].to_str().expect("text").to_owned();
     let explained = env.get(&env.admin(1), &format!("/explain?id={id}")).await.expect("an answer");
     assert!(explained.body.contains("on engine-1 by lead entry-1"), "{}", explained.body);
     let metrics = env.get(&env.admin(1), "/metrics").await.expect("an answer").body;
--- a/node/tests/test_calls.rs
+++ b/node/tests/test_calls.rs
@@ -5,7 +5,7 @@
 
 use crate::environment::Env;
 use crate::environment::Options;
-use crate::environment::code;
+use crate::environment::error_code;
 
 /// What is wrong while the first arrival is handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,37 +24,37 @@
 
 /// Codes of the first arrival (0 for no answer), codes of the second one through
 /// another node with the same key, and how often it ran in the end.
-struct Row {
+struct Case {
     fault: Fault,
     first: &'static [u64],
     second: &'static [u64],
     ran: u64,
 }
 
-const fn row(fault: Fault, first: &'static [u64], second: &'static [u64], ran: u64) -> Row {
-    Row { fault, first, second, ran }
+const fn case(fault: Fault, first: &'static [u64], second: &'static [u64], ran: u64) -> Case {
+    Case { fault, first, second, ran }
 }
 
 /// 200 stands for an answer of the service.
 #[rustfmt::skip]
-const MATRIX: &[Row] = &[
-    row(Fault::None,                   &[200],        &[200],              1),
-    row(Fault::ObjectApiDown,          &[2105],       &[200],              1),
-    row(Fault::ClaimAnswerLost,        &[200],        &[200],              1),
-    row(Fault::OutcomeAnswerLost,      &[200],        &[200],              1),
-    row(Fault::ServiceDead,            &[2104, 2109], &[2104, 2109],       0),
-    row(Fault::ServiceCutsAfterRun,    &[3001],       &[3001],             1),
-    row(Fault::EntryKilledWhileItRuns, &[0],          &[3002, 3003],       1),
-    row(Fault::EntryFrozenWhileItRuns, &[200],        &[3002, 3003],       1),
-    row(Fault::WriterKilled,           &[200],        &[200],              1),
-    row(Fault::WriterFrozen,           &[200],        &[200],              1),
+const MATRIX: &[Case] = &[
+    case(Fault::None,                   &[200],        &[200],              1),
+    case(Fault::ObjectApiDown,          &[2105],       &[200],              1),
+    case(Fault::ClaimAnswerLost,        &[200],        &[200],              1),
+    case(Fault::OutcomeAnswerLost,      &[200],        &[200],              1),
+    case(Fault::ServiceDead,            &[2104, 2109], &[2104, 2109],       0),
+    case(Fault::ServiceCutsAfterRun,    &[3001],       &[3001],             1),
+    case(Fault::EntryKilledWhileItRuns, &[0],          &[3002, 3003],       1),
+    case(Fault::EntryFrozenWhileItRuns, &[200],        &[3002, 3003],       1),
+    case(Fault::WriterKilled,           &[200],        &[200],              1),
+    case(Fault::WriterFrozen,           &[200],        &[200],              1),
 ];
 
-fn meaning(reply: &Result<leadstage_testutils::http_client::Reply, String>) -> u64 {
+fn status_or_code(reply: &Result<leadstage_testutils::http_client::Reply, String>) -> u64 {
     match reply {
         Err(_) => 0,
         Ok(reply) if reply.status == 200 => 200,
-        Ok(reply) => code(reply),
+        Ok(reply) => error_code(reply),
     }
 }
 
@@ -80,7 +80,7 @@
     writer.rsplit('-').next().and_then(|n| n.parse().ok()).expect("a number")
 }
 
-async fn walk(row: &Row) {
+async fn run_case(case: &Case) {
     let mut env = start().await;
     let writer = writer(&env).await;
     let first_node = writer % 3 + 1;
@@ -88,26 +88,33 @@
     let key = Some("trip");
     let name = format!("entry-{first_node}");
     let writer_name = format!("entry-{writer}");
-    match row.fault {
-        Fault::ObjectApiDown => env.fault("platform", "down").await,
-        Fault::ClaimAnswerLost => env.fault("platform", "lose?count=1").await,
+    match case.fault {
+        Fault::ObjectApiDown => env.set_fault("platform", "down").await,
+        Fault::ClaimAnswerLost => env.set_fault("platform", "lose?count=1").await,
         Fault::ServiceDead => env.kill("booking-1"),
-        Fault::ServiceCutsAfterRun => env.fault("booking-1", "drop").await,
+        Fault::ServiceCutsAfterRun => env.set_fault("booking-1", "drop").await,
         Fault::EntryKilledWhileItRuns | Fault::EntryFrozenWhileItRuns | Fault::OutcomeAnswerLost => {
-            env.fault("booking-1", "slow?ms=1500").await;
+            env.set_fault("booking-1", "slow?ms=1500").await;
         }
         Fault::WriterKilled => env.kill(&writer_name),
         Fault::WriterFrozen => env.signal(&writer_name, "-STOP"),
         Fault::None => {}
     }
-    let (first, second) = match row.fault {
+    let (first, second) = match case.fault {
         Fault::EntryKilledWhileItRuns | Fault::EntryFrozenWhileItRuns => {
             let (first, ()) = tokio::join!(env.book(first_node, key), async {
                 env.until("it runs", async |env: &Env| !env.bookings().await.is_empty()).await;
-                env.signal(&name, if row.fault == Fault::EntryKilledWhileItRuns { "-KILL" } else { "-STOP" });
+                env.signal(
+                    &name,
+                    if case.fault == Fault::EntryKilledWhileItRuns { "-KILL" } else { "-STOP" },
+                );
                 let second = env.book(second_node, key).await;
-                assert!(row.second.contains(&meaning(&second)), "{:?}: second {second:?}", row.fault);
-                if row.fault == Fault::EntryFrozenWhileItRuns {
+                assert!(
+                    case.second.contains(&status_or_code(&second)),
+                    "{:?}: second {second:?}",
+                    case.fault
+                );
+                if case.fault == Fault::EntryFrozenWhileItRuns {
                     env.signal(&name, "-CONT");
                 }
             });
@@ -116,39 +123,44 @@
         Fault::OutcomeAnswerLost => {
             let (first, ()) = tokio::join!(env.book(first_node, key), async {
                 env.until("it runs", async |env: &Env| !env.bookings().await.is_empty()).await;
-                env.fault("platform", "lose?count=1").await;
+                env.set_fault("platform", "lose?count=1").await;
             });
-            (first, settled(&env, second_node, key).await)
+            (first, book_until_settled(&env, second_node, key).await)
         }
         _ => {
             let first = env.book(first_node, key).await;
-            if row.fault == Fault::ObjectApiDown {
-                let tells_when = first.as_ref().is_ok_and(|r| r.headers.contains_key("retry-after"));
-                assert!(tells_when, "{:?}: first {first:?}\n{}", row.fault, env.logs());
-                env.fault("platform", "up").await;
+            if case.fault == Fault::ObjectApiDown {
+                let has_retry_after = first.as_ref().is_ok_and(|r| r.headers.contains_key("retry-after"));
+                assert!(has_retry_after, "{:?}: first {first:?}\n{}", case.fault, env.logs());
+                env.set_fault("platform", "up").await;
             }
-            (first, settled(&env, second_node, key).await)
+            (first, book_until_settled(&env, second_node, key).await)
         }
     };
-    let (first, second) = (meaning(&first), meaning(&second));
-    assert!(row.first.contains(&first), "{:?}: first {first}\n{}", row.fault, env.logs());
-    let late = matches!(row.fault, Fault::EntryFrozenWhileItRuns) && second == 200;
-    assert!(late || row.second.contains(&second), "{:?}: second {second}\n{}", row.fault, env.logs());
-    if row.fault != Fault::ServiceDead {
-        assert_eq!(env.bookings().await.get("trip").copied().unwrap_or(0), row.ran, "{:?}", row.fault);
+    let (first, second) = (status_or_code(&first), status_or_code(&second));
+    assert!(case.first.contains(&first), "{:?}: first {first}\n{}", case.fault, env.logs());
+    let late_outcome = matches!(case.fault, Fault::EntryFrozenWhileItRuns) && second == 200;
+    assert!(
+        late_outcome || case.second.contains(&second),
+        "{:?}: second {second}\n{}",
+        case.fault,
+        env.logs()
+    );
+    if case.fault != Fault::ServiceDead {
+        assert_eq!(env.bookings().await.get("trip").copied().unwrap_or(0), case.ran, "{:?}", case.fault);
     }
 }
 
 /// Asks again until the key is no longer in progress: its outcome is recorded a moment
 /// after its answer.
-async fn settled(
+async fn book_until_settled(
     env: &Env,
     node: usize,
     key: Option<&str>,
 ) -> Result<leadstage_testutils::http_client::Reply, String> {
     for _ in 0..100 {
         let reply = env.book(node, key).await;
-        if meaning(&reply) != 3002 {
+        if status_or_code(&reply) != 3002 {
             return reply;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -157,29 +169,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_calls_that_may_not_repeat_1() {
-    for row in MATRIX.iter().step_by(2) {
-        eprintln!("cell: {:?}", row.fault);
-        walk(row).await;
+async fn test_non_idempotent_calls_1() {
+    for case in MATRIX.iter().step_by(2) {
+        eprintln!("cell: {:?}", case.fault);
+        run_case(case).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_calls_that_may_not_repeat_2() {
-    for row in MATRIX.iter().skip(1).step_by(2) {
-        eprintln!("cell: {:?}", row.fault);
-        walk(row).await;
+async fn test_non_idempotent_calls_2() {
+    for case in MATRIX.iter().skip(1).step_by(2) {
+        eprintln!("cell: {:?}", case.fault);
+        run_case(case).await;
     }
 }
 
 /// Many arrivals of few keys through all nodes at once: each key runs once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_racing_arrivals() {
+async fn test_concurrent_calls_with_shared_keys() {
     let env = start().await;
     let bookings = (0..60).map(|n| {
         let key = format!("key-{}", n % 5);
         let env = &env;
-        async move { meaning(&settled(env, n % 3 + 1, Some(&key)).await) }
+        async move { status_or_code(&book_until_settled(env, n % 3 + 1, Some(&key)).await) }
     });
     let codes = futures::future::join_all(bookings).await;
     assert!(codes.iter().all(|c| *c == 200), "{codes:?}\n{}", env.logs());
@@ -195,6 +207,6 @@
     let other_body = env.book_for("token-a", 2, Some("k"), "two").await;
     let other_organisation = env.book_for("token-b", 1, Some("k"), "two").await;
     let without_key = env.book(1, None).await;
-    let codes = [first, other_body, other_organisation, without_key].map(|r| meaning(&r));
+    let codes = [first, other_body, other_organisation, without_key].map(|r| status_or_code(&r));
     assert_eq!(codes, [200, 2009, 200, 200]);
 }
--- a/node/tests/test_clocks.rs
+++ b/node/tests/test_clocks.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 /// Files of the node and of the adapter that read the steady clock, how often, and why that is right.
-const STEADY: [(&str, usize, &str); 16] = [
+const MONOTONIC_CLOCK_USES: [(&str, usize, &str); 16] = [
     ("node/src/filters/account.rs", 2, "how long a request took, for metrics and logs"),
     ("node/src/filters/relay.rs", 1, "a break within one slice of a stream: a suspension breaks it anyway"),
     ("node/src/gateway/ingress/io_watch.rs", 5, "limits of callers' connections: they may idle longer"),
@@ -35,12 +35,12 @@
     ("platform/src/connect.rs", 5, "how slowly an answer comes while this node runs"),
 ];
 
-fn count(root: &Path, folder: &str, counts: &mut BTreeMap<String, usize>) {
+fn count_clock_reads(root: &Path, folder: &str, counts: &mut BTreeMap<String, usize>) {
     for entry in std::fs::read_dir(root.join(folder)).expect("a folder of sources") {
         let path = entry.expect("readable").path();
         let name = format!("{folder}/{}", path.file_name().expect("a name").to_string_lossy());
         if path.is_dir() {
-            count(root, &name, counts);
+            count_clock_reads(root, &name, counts);
             continue;
         }
         let reads = std::fs::read_to_string(&path).expect("readable").matches("Instant::now()").count();
@@ -51,11 +51,13 @@
 }
 
 #[test]
-fn test_each_use_of_the_steady_clock_is_listed() {
+fn test_each_use_of_the_monotonic_clock_is_listed() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("a workspace");
     let mut counts = BTreeMap::new();
-    ["node/src", "platform/src", "lib/src"].iter().for_each(|folder| count(root, folder, &mut counts));
-    let listed: BTreeMap<String, usize> = STEADY
+    ["node/src", "platform/src", "lib/src"]
+        .iter()
+        .for_each(|folder| count_clock_reads(root, folder, &mut counts));
+    let listed: BTreeMap<String, usize> = MONOTONIC_CLOCK_USES
         .iter()
         .filter(|(_, reads, _)| *reads > 0)
         .map(|(file, n, _)| ((*file).to_owned(), *n))
--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn test_requests_pass_unaltered_but_for_what_leadstage_sets() {
+async fn test_requests_are_forwarded_unchanged_except_for_leadstage_headers() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     let mut req = request("POST", "/book/a%20b?x=1&y", KEY, "r-7");
     *req.body_mut() = Full::from("a body");
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn test_refusals_say_why() {
+async fn test_refused_requests_get_their_status() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     assert_eq!(gateway.status_of(0, "/nowhere/x", KEY).await, 404);
     assert_eq!(gateway.status_of(0, "/read/x", "unknown").await, 401);
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn test_without_a_configuration_requests_are_to_come_back() {
+async fn test_requests_without_a_configuration_get_retry_after() {
     let mut gateway = Gateway::start().await;
     gateway.start_node();
     gateway.until("the port", async || gateway.status_of(0, "/read/x", KEY).await == 503).await;
@@ -94,7 +94,7 @@
 /// What each fault of all replicas comes to: the status for a call that may repeat, with
 /// its arrivals, and the same for one that may not.
 #[tokio::test]
-async fn test_outcomes_are_true() {
+async fn test_replica_faults_give_their_status_and_attempts() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     let mut rows = Vec::new();
     for fault in [
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn test_a_caller_that_leaves_is_seen_while_its_replica_is_silent() {
+async fn test_a_disconnected_caller_is_detected_while_its_replica_is_silent() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     bookings[0].replica.set_fault(ReplicaFault::Hangs);
     let front = gateway.front(0);
@@ -139,13 +139,17 @@
         tokio::spawn(async move { send(&front, request("GET", "/read/x", KEY, "r-left")).await.is_ok() });
     gateway.until("it runs", async || bookings[0].replica.running() == 1).await;
     calling.abort();
-    let asked = tokio::time::Instant::now();
+    let disconnected_at = tokio::time::Instant::now();
     gateway.until("the replica sees it", async || bookings[0].replica.left() == ["r-left"]).await;
-    assert!(asked.elapsed() < Duration::from_millis(500), "seen after {:?}", asked.elapsed());
+    assert!(
+        disconnected_at.elapsed() < Duration::from_millis(500),
+        "seen after {:?}",
+        disconnected_at.elapsed()
+    );
 }
 
 #[tokio::test]
-async fn test_a_leaving_replica_gets_nothing_new() {
+async fn test_a_leaving_replica_gets_no_new_calls() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     gateway.drain("booking", &bookings[0]);
     gateway
@@ -159,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn test_a_new_configuration_is_in_force_and_an_old_one_is_not_taken_back() {
+async fn test_a_newer_configuration_is_applied_and_an_older_one_is_ignored() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
     let mut newer = config(3);
@@ -180,7 +184,7 @@
 /// Replicas may forget unused connections without a word: what is sent on one next may have
 /// run, so such connections are soon not used again.
 #[tokio::test]
-async fn test_forgotten_connections_fail_few_calls() {
+async fn test_silently_dropped_connections_fail_few_calls() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     set_faults(&bookings, ReplicaFault::ForgetsConnections);
     let mut failed = 0;
--- a/node/tests/test_gateway_fleet.rs
+++ b/node/tests/test_gateway_fleet.rs
@@ -19,7 +19,7 @@
 use crate::gateway_environment::request;
 
 #[tokio::test]
-async fn test_a_planned_stop_cuts_no_stream_and_takes_none_that_it_would_cut() {
+async fn test_a_planned_stop_interrupts_no_stream_and_refuses_those_that_it_would_interrupt() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-1")), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -27,10 +27,14 @@
         gateway.until("not ready", async || gateway.ready_status(0).await == 503).await;
     });
     assert!(called.whole && called.events() == Some(60), "{called:?}");
-    let late = gateway.call(0, chat("r-2")).await;
-    assert_eq!((late.status, late.code()), (503, 2108), "{}", gateway.logs());
-    let back: f64 = late.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
-    assert!((0.5..=2.3).contains(&back), "{back}: there is no other node, so the balancer must notice first");
+    let refused_stream = gateway.call(0, chat("r-2")).await;
+    assert_eq!((refused_stream.status, refused_stream.code()), (503, 2108), "{}", gateway.logs());
+    let retry_after: f64 =
+        refused_stream.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
+    assert!(
+        (0.5..=2.3).contains(&retry_after),
+        "{retry_after}: there is no other node, so the balancer must notice first"
+    );
     let mut short = chat("r-3");
     short.headers_mut().insert("length-hint", "40".parse().expect("valid"));
     let short = gateway.call(0, short).await;
@@ -63,7 +67,7 @@
 
 /// Whom a stopping node refuses comes back at once where the hall has another node.
 #[tokio::test]
-async fn test_callers_of_a_stopping_node_come_back_to_its_neighbour() {
+async fn test_a_stopping_node_asks_for_an_immediate_retry_if_its_hall_has_another_node() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let second = gateway.start_node();
     gateway.until_ready(second).await;
@@ -77,14 +81,14 @@
 }
 
 #[tokio::test]
-async fn test_hangup_reloads_and_a_wrong_file_leaves_the_old_settings() {
+async fn test_sighup_reloads_and_an_invalid_file_keeps_the_old_settings() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     std::fs::write(gateway.settings_path(0), "interface: gateway\nvm: 7\nnonsense: 1\n").expect("writable");
     gateway.signal(0, "-HUP");
     gateway.until("the mistakes", async || gateway.log(0).contains("event=reload_failed")).await;
     assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
-    let right = gateway.settings(0, gateway.store_address(), "# changed\n");
-    std::fs::write(gateway.settings_path(0), right).expect("writable");
+    let valid_settings = gateway.settings(0, gateway.store_address(), "# changed\n");
+    std::fs::write(gateway.settings_path(0), valid_settings).expect("writable");
     gateway.signal(0, "-HUP");
     gateway.until("the reload", async || gateway.log(0).contains("event=reload changed=true")).await;
     assert_eq!(gateway.ended(0), None);
@@ -92,12 +96,12 @@
 
 /// A node that its store turns away gets the configuration and the replicas from its peer.
 #[tokio::test]
-async fn test_nodes_tell_each_other_what_the_store_tells_only_one() {
+async fn test_a_node_whose_store_refuses_it_gets_updates_from_its_peer() {
     let (mut gateway, bookings, _models) = Gateway::with_replicas(1).await;
-    let (own, server) = MetadataStore::start(&gateway.own_store_ip()).await;
-    own.put("config", "main", config(1));
+    let (second_store, server) = MetadataStore::start(&gateway.own_store_ip()).await;
+    second_store.put("config", "main", config(1));
     let address = bookings[0].server.as_ref().expect("it serves").address;
-    own.put("servers", "booking-1", replica_entry("booking", address, "hall-1", "ready"));
+    second_store.put("servers", "booking-1", replica_entry("booking", address, "hall-1", "ready"));
     let second = gateway.start_node_at(server.address);
     gateway.until_ready(second).await;
     gateway
@@ -105,7 +109,7 @@
             gateway.log(second).contains("event=node_changed") || gateway.log(0).contains("nodes_met")
         })
         .await;
-    own.set_fault(StoreFault::Refuses);
+    second_store.set_fault(StoreFault::Refuses);
     let mut newer = config(2);
     newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
     gateway.store.put("config", "main", newer);
@@ -120,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn test_a_forgotten_history_is_listed_anew() {
+async fn test_a_lost_watch_history_causes_a_new_listing() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     gateway.store.set_fault(StoreFault::ForgetsHistory);
     gateway.until("it lists", async || gateway.log(0).contains("event=store_history_gone")).await;
@@ -191,7 +195,7 @@
 /// A node that missed the news fetches the list; who leaves must stand in it, as a replica
 /// that is merely missing there is given some time.
 #[tokio::test]
-async fn test_the_list_for_other_nodes_says_who_leaves() {
+async fn test_the_replica_list_for_peers_includes_leaving_replicas() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     gateway.drain("booking", &bookings[0]);
     let peer = gateway.peer(0);
@@ -226,7 +230,7 @@
 /// A generation that waits at a lead for room is refused by it in time; the asking node
 /// must not take the lead for silent meanwhile and place it by itself.
 #[tokio::test]
-async fn test_who_waits_at_a_lead_does_not_take_it_for_silent() {
+async fn test_a_generation_queued_at_a_lead_does_not_make_the_lead_seem_silent() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let second = gateway.start_node();
     gateway.until_ready(second).await;
@@ -257,7 +261,7 @@
 /// balancer sent there found no connection. Tests beside a load showed it: "serving" in the log, a
 /// call right after it that broke, and no request.
 #[tokio::test]
-async fn test_a_ready_node_takes_connections() {
+async fn test_a_ready_node_accepts_connections() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let mut refused = Vec::new();
--- a/node/tests/test_module_arrows.rs
+++ b/node/tests/test_module_cycles.rs
@@ -8,14 +8,14 @@
 type Uses = BTreeMap<String, BTreeSet<String>>;
 
 /// Reads the sources below `folder` of a crate.
-fn read(krate: &Path, folder: &str, sources: &mut BTreeMap<String, String>) {
+fn read_sources(krate: &Path, folder: &str, sources: &mut BTreeMap<String, String>) {
     let entries = std::fs::read_dir(krate.join("src").join(folder)).expect("a folder of sources");
     for entry in entries {
         let path = entry.expect("readable").path();
         let name = path.file_stem().expect("a name").to_string_lossy().into_owned();
         let module = if folder.is_empty() { name } else { format!("{folder}/{name}") };
         if path.is_dir() {
-            read(krate, &module, sources);
+            read_sources(krate, &module, sources);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             sources.insert(module, std::fs::read_to_string(&path).expect("readable"));
         }
@@ -48,31 +48,31 @@
 }
 
 /// Takes modules out that use no other that is left; what remains is in circles, or leads there.
-fn in_circles(mut uses: Uses) -> BTreeSet<String> {
+fn modules_in_cycles(mut uses: Uses) -> BTreeSet<String> {
     loop {
-        let left: BTreeSet<String> = uses.keys().cloned().collect();
+        let remaining: BTreeSet<String> = uses.keys().cloned().collect();
         let before = uses.len();
-        uses.retain(|_, used| used.iter().any(|other| left.contains(other)));
+        uses.retain(|_, used| used.iter().any(|other| remaining.contains(other)));
         if uses.len() == before {
-            return left;
+            return remaining;
         }
     }
 }
 
 #[test]
-fn test_arrows_go_one_way() {
+fn test_modules_have_no_cyclic_dependencies() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("a workspace");
     for (krate, folder) in [("lib", "gateway"), ("node", "gateway"), ("platform", "")] {
         let mut sources = BTreeMap::new();
-        read(&root.join(krate), folder, &mut sources);
+        read_sources(&root.join(krate), folder, &mut sources);
         assert!(sources.len() > 5, "{krate}: the sources are elsewhere");
-        let circles = in_circles(uses(&sources));
-        assert!(circles.is_empty(), "{krate}: {circles:?}");
+        let cycles = modules_in_cycles(uses(&sources));
+        assert!(cycles.is_empty(), "{krate}: {cycles:?}");
     }
 }
 
 #[test]
-fn test_a_circle_is_found() {
+fn test_a_cycle_is_found() {
     let text = |uses: &str| format!("//! A module.\n\n{uses}\n");
     let sources = BTreeMap::from([
         ("a".to_owned(), text("use crate::b::B;")),
@@ -80,5 +80,5 @@
         ("c/d".to_owned(), text("use crate::a::A;")),
         ("e".to_owned(), text("use std::fmt;")),
     ]);
-    assert_eq!(in_circles(uses(&sources)), BTreeSet::from(["a", "b", "c/d"].map(str::to_owned)));
+    assert_eq!(modules_in_cycles(uses(&sources)), BTreeSet::from(["a", "b", "c/d"].map(str::to_owned)));
 }
--- a/node/tests/test_settings.rs
+++ b/node/tests/test_settings.rs
@@ -12,7 +12,7 @@
     (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
 }
 
-const RIGHT: &str = "\
+const VALID_SETTINGS: &str = "\
 vm: entry-1
 hall: lj-a
 listen: 127.0.0.1:8080
@@ -23,8 +23,8 @@
 ";
 
 #[test]
-fn test_right_settings() {
-    assert_eq!(check(RIGHT), (0, "the settings are right\n".to_owned()));
+fn test_valid_settings() {
+    assert_eq!(check(VALID_SETTINGS), (0, "the settings are right\n".to_owned()));
 }
 
 #[test]
@@ -56,7 +56,7 @@
     assert_eq!(run(&["--config", "/nonexistent"]).status.code(), Some(2));
 }
 
-const GATEWAY: &str = "\
+const GATEWAY_SETTINGS: &str = "\
 interface: gateway
 vm: entry-1
 hall: lj-a
@@ -69,9 +69,9 @@
 
 #[test]
 fn test_switches_of_the_policy_are_checked() {
-    let (code, text) = check(&format!("{GATEWAY}policy: {{balance: false, learn: true}}\n"));
+    let (code, text) = check(&format!("{GATEWAY_SETTINGS}policy: {{balance: false, learn: true}}\n"));
     assert_eq!((code, text.as_str()), (0, "the settings are right\n"));
-    let (code, text) = check(&format!("{GATEWAY}policy: {{balance: 3, magic: true}}\n"));
+    let (code, text) = check(&format!("{GATEWAY_SETTINGS}policy: {{balance: 3, magic: true}}\n"));
     assert_eq!(code, 2);
     insta::assert_snapshot!(text, @r"
     leadstaged: 2 mistakes in the settings
--- a/node/tests/test_upstreams.rs
+++ b/node/tests/test_upstreams.rs
@@ -7,7 +7,7 @@
 use crate::environment::bundle_yaml;
 use crate::environment::envelope;
 use crate::stream::Caller;
-use crate::stream::End;
+use crate::stream::StreamEnd;
 
 /// A reclaimed engine tells so itself; the VM list lags far behind. It gets no new work
 /// after that, and what runs there ends whole.
@@ -17,12 +17,12 @@
     let env = Env::start(Options { engine_args: args, ..Options::default() }).await;
     let address = env.address("entry-1");
     let running: Vec<Caller> =
-        (0..6).map(|_| Caller::ask(&env.client, &address, "token-a", 150, None)).collect();
+        (0..6).map(|_| Caller::start(&env.client, &address, "token-a", 150, None)).collect();
     env.until("work on both", async |env: &Env| {
-        env.engine_count(1, "started").await > 0 && env.engine_count(2, "started").await > 0
+        env.engine_load_field(1, "started").await > 0 && env.engine_load_field(2, "started").await > 0
     })
     .await;
-    env.fault("engine-1", "reclaim").await;
+    env.set_fault("engine-1", "reclaim").await;
     for node in 1..=2 {
         env.until("every node knows", async |env: &Env| {
             let status = env.status(node).await.unwrap_or_default();
@@ -30,17 +30,17 @@
         })
         .await;
     }
-    let before = env.engine_count(1, "started").await;
+    let before = env.engine_load_field(1, "started").await;
     for node in [1, 2, 1, 2, 1, 2] {
         let address = env.address(&format!("entry-{node}"));
-        let got = Caller::ask(&env.client, &address, "token-a", 3, None).finish().await;
-        assert_eq!(got.end, Some(End::Whole));
+        let received = Caller::start(&env.client, &address, "token-a", 3, None).finish().await;
+        assert_eq!(received.end, Some(StreamEnd::Complete));
     }
-    assert_eq!(env.engine_count(1, "started").await, before, "new work on a leaving engine");
+    assert_eq!(env.engine_load_field(1, "started").await, before, "new work on a leaving engine");
     for caller in running {
-        let got = caller.finish().await;
-        assert_eq!(got.end, Some(End::Whole), "{got:?}");
-        got.assert_in_order(0);
+        let received = caller.finish().await;
+        assert_eq!(received.end, Some(StreamEnd::Complete), "{received:?}");
+        received.assert_in_order(0);
     }
 }
 
@@ -58,7 +58,7 @@
     }
     let before = env.bookings().await;
     let reply = env.book(2, None).await.expect("an answer");
-    assert_eq!((reply.status, crate::environment::code(&reply)), (503, 2104));
+    assert_eq!((reply.status, crate::environment::error_code(&reply)), (503, 2104));
     assert!(reply.headers.contains_key("retry-after"));
     assert_eq!(env.bookings().await, before);
 }
@@ -66,28 +66,32 @@
 /// Half of the fleet goes at once while streams run; what can end does, the rest gets a
 /// code, and the system serves again as before.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_settles_after_a_burst_of_failures() {
+async fn test_recovers_after_a_burst_of_failures() {
     let args = ["--step-us", "10000"].map(str::to_owned).into();
     let options = Options { nodes: 4, engines: 4, engine_args: args, ..Options::default() };
     let mut env = Env::start(options).await;
     let streams: Vec<Caller> = (0..40)
         .map(|n| {
-            Caller::ask(&env.client, &env.address(&format!("entry-{}", n % 2 + 1)), "token-a", 100, None)
+            Caller::start(&env.client, &env.address(&format!("entry-{}", n % 2 + 1)), "token-a", 100, None)
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(300)).await;
     ["entry-3", "entry-4", "engine-3", "engine-4"].iter().for_each(|name| env.kill(name));
-    env.fault("platform", "down").await;
-    env.fault("engine-1", "cut").await;
+    env.set_fault("platform", "down").await;
+    env.set_fault("engine-1", "cut").await;
     for stream in streams {
-        let got = stream.finish().await;
-        got.assert_in_order(0);
-        assert!(matches!(got.end, Some(End::Whole | End::Code(4001 | 3001))), "{got:?}\n{}", env.logs());
+        let received = stream.finish().await;
+        received.assert_in_order(0);
+        assert!(
+            matches!(received.end, Some(StreamEnd::Complete | StreamEnd::Code(4001 | 3001))),
+            "{received:?}\n{}",
+            env.logs()
+        );
     }
     for node in [1, 2, 1, 2] {
         let address = env.address(&format!("entry-{node}"));
-        let got = Caller::ask(&env.client, &address, "token-a", 10, None).finish().await;
-        assert_eq!(got.end, Some(End::Whole), "{got:?}\n{}", env.logs());
+        let received = Caller::start(&env.client, &address, "token-a", 10, None).finish().await;
+        assert_eq!(received.end, Some(StreamEnd::Complete), "{received:?}\n{}", env.logs());
     }
     env.until("the books are empty again", async |env: &Env| {
         let lead = env.lead().await;
@@ -105,14 +109,14 @@
     let mut env = Env::start(Options { engine_args: args, engines: 1, ..Options::default() }).await;
     let lead = env.lead().await;
     let entry = lead % 2 + 1;
-    let caller = Caller::ask(&env.client, &env.address(&format!("entry-{entry}")), "token-a", 2_000, None);
-    env.until("tokens", async |_: &Env| caller.got().texts.len() > 2).await;
+    let caller = Caller::start(&env.client, &env.address(&format!("entry-{entry}")), "token-a", 2_000, None);
+    env.until("tokens", async |_: &Env| caller.received().texts.len() > 2).await;
     env.until("the lead's book has it", async |env: &Env| {
         env.status(lead).await.unwrap_or_default()["pools"][0]["running"] == 1
     })
     .await;
     env.kill(&format!("entry-{entry}"));
-    env.until("it is cancelled", async |env: &Env| env.engine_count(1, "cancelled").await == 1).await;
+    env.until("it is cancelled", async |env: &Env| env.engine_load_field(1, "cancelled").await == 1).await;
 }
 
 /// The lead has every engine load the bundle's adapters, under its fence, once; a new
@@ -141,20 +145,24 @@
 /// A stopping node finishes its stream, and after the balancer's grace it takes no new
 /// request, however long the stream lasts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_stopping_node_takes_nothing_new_after_the_grace() {
+async fn test_stopping_node_refuses_requests_after_the_grace_period() {
     let args = ["--step-us", "50000"].map(str::to_owned).into();
     let mut env = Env::start(Options { engine_args: args, ..Options::default() }).await;
     let address = env.address("entry-1");
-    let stream = Caller::ask(&env.client, &address, "token-a", 300, None);
-    env.until("tokens", async |_: &Env| !stream.got().texts.is_empty()).await;
+    let stream = Caller::start(&env.client, &address, "token-a", 300, None);
+    env.until("tokens", async |_: &Env| !stream.received().texts.is_empty()).await;
     env.signal("entry-1", "-TERM");
     env.until("it takes nothing new", async |env: &Env| {
-        env.book(1, None).await.is_ok_and(|reply| crate::environment::code(&reply) == 2108)
+        env.book(1, None).await.is_ok_and(|reply| crate::environment::error_code(&reply) == 2108)
     })
     .await;
-    let got = stream.finish().await;
-    assert_eq!((got.end.clone(), got.texts.len()), (Some(End::Whole), 300), "{got:?}");
-    assert!(env.wait_exit("entry-1").await);
+    let received = stream.finish().await;
+    assert_eq!(
+        (received.end.clone(), received.texts.len()),
+        (Some(StreamEnd::Complete), 300),
+        "{received:?}"
+    );
+    assert!(env.wait_for_exit("entry-1").await);
 }
 
 /// An engine that the bundle drains gets no new work, also when requests wait and it
@@ -178,9 +186,9 @@
     .await;
     let address = env.address("entry-1");
     let callers: Vec<Caller> =
-        (0..3).map(|_| Caller::ask(&env.client, &address, "token-a", 60, None)).collect();
+        (0..3).map(|_| Caller::start(&env.client, &address, "token-a", 60, None)).collect();
     for caller in callers {
-        assert_eq!(caller.finish().await.end, Some(End::Whole));
+        assert_eq!(caller.finish().await.end, Some(StreamEnd::Complete));
     }
-    assert_eq!(env.engine_count(2, "started").await, 0, "new work on a drained engine");
+    assert_eq!(env.engine_load_field(2, "started").await, 0, "new work on a drained engine");
 }
--- a/node/tests/test_vm_list_size.rs
+++ b/node/tests/test_vm_list_size.rs
@@ -22,23 +22,23 @@
 
 use crate::gateway_environment::Gateway;
 
-const VMS: usize = 3_000;
+const VM_COUNT: usize = 3_000;
 
 /// A platform with many VMs and no bundle. Whoever has read the list names its version from then on.
-struct ManyVms {
+struct PlatformWithManyVms {
     list: String,
-    asked: AtomicU64,
-    was_read: AtomicBool,
+    list_requests: AtomicU64,
+    list_was_read: AtomicBool,
 }
 
-impl Answerer for ManyVms {
+impl Answerer for PlatformWithManyVms {
     async fn answer(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
         if req.uri().path() != "/v1/vms" {
             return Response::builder().status(404).body(loopback::whole("")).expect("valid");
         }
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.list_requests.fetch_add(1, Ordering::Relaxed);
         if req.headers().contains_key("if-none-match") {
-            self.was_read.store(true, Ordering::Relaxed);
+            self.list_was_read.store(true, Ordering::Relaxed);
             return Response::builder().status(304).body(loopback::whole("")).expect("valid");
         }
         Response::builder().header("etag", "1").body(loopback::whole(self.list.clone())).expect("valid")
@@ -47,16 +47,20 @@
 
 /// 3,000 VMs are 0.3 MB, which takes two seconds here: longer than a call to the platform may.
 #[tokio::test]
-async fn test_a_large_list_of_vms_is_read_over_a_thin_link() {
+async fn test_a_large_vm_list_is_read_over_a_slow_link() {
     let net = Gateway::start().await;
     let (ip, platform_ip) = (net.replicas_ip(), net.own_store_ip());
-    let vms = (0..VMS).map(|n| {
+    let vms = (0..VM_COUNT).map(|n| {
         json!({"id": format!("engine-{n}"), "role": "engine", "hall": "h",
             "address": format!("10.0.{}.{}:9100", n / 250, n % 250 + 1), "serves": "m", "state": "live"})
     });
     let list = serde_json::to_string(&vms.collect::<Vec<_>>()).expect("JSON");
     let rate = list.len() as u32 / 2;
-    let platform = Arc::new(ManyVms { list, asked: AtomicU64::new(0), was_read: AtomicBool::new(false) });
+    let platform = Arc::new(PlatformWithManyVms {
+        list,
+        list_requests: AtomicU64::new(0),
+        list_was_read: AtomicBool::new(false),
+    });
     let server = loopback::serve(&platform_ip, platform.clone()).await;
     let proxy = FaultyProxy::start(&platform_ip, server.address).await;
     proxy.set(LinkFault::Thin(rate));
@@ -72,13 +76,16 @@
     command.arg("--config").arg(&path).stdout(Stdio::null()).stderr(Stdio::null()).stdin(Stdio::null());
     let mut node = command.spawn().expect("it starts");
     for _ in 0..100 {
-        if platform.was_read.load(Ordering::Relaxed) {
+        if platform.list_was_read.load(Ordering::Relaxed) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     let _ = node.kill();
     let _ = node.wait();
-    let asked = platform.asked.load(Ordering::Relaxed);
-    assert!(platform.was_read.load(Ordering::Relaxed), "asked {asked} times in 15 s, never read whole");
+    let list_requests = platform.list_requests.load(Ordering::Relaxed);
+    assert!(
+        platform.list_was_read.load(Ordering::Relaxed),
+        "asked {list_requests} times in 15 s, never read whole"
+    );
 }
