--- a/node/tests/environment.rs
+++ b/node/tests/environment.rs
@@ -1,4 +1,4 @@
-//! A small fleet of processes on loopback, stopped when it is dropped.
+//! A small fleet of processes on loopback addresses; dropping it kills the processes.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -25,28 +25,28 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// What should come about does so within this, or the test fails. Far longer than
-/// needed, as machines are slow at times; nothing is asserted about speed.
 /// Lines of each process's log that a failing test shows.
 const MAX_LOG_LINES: usize = 60;
+/// How long a test waits for a condition before it fails. Far longer than needed, so that slow machines
+/// pass: nothing is asserted about speed.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two looks.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 static NETWORK_COUNTER: AtomicU32 = AtomicU32::new(0);
 
-/// What a fleet consists of.
+/// Configuration of a test fleet.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Further arguments of the engines.
+    /// Additional command-line arguments of the engines.
     pub engine_args: Vec<String>,
-    /// Lag of the VM list in milliseconds.
+    /// Delay of changes in the VM list, in milliseconds.
     pub vm_lag_ms: u64,
-    /// Lines for the bundle's bounds.
+    /// Lines of the bundle's `bounds` section.
     pub bounds: String,
 }
 
@@ -62,9 +62,9 @@
     }
 }
 
-/// The fleet.
+/// A running test fleet.
 pub struct Env {
-    /// Its options.
+    /// The configuration that the fleet was started with.
     pub options: Options,
     /// An HTTP client.
     pub client: HttpClient,
@@ -77,12 +77,12 @@
 
 fn stand_in_path(name: &str) -> PathBuf {
     let bin = PathBuf::from(env!("CARGO_BIN_EXE_leadstaged"));
-    let path = bin.parent().expect("a folder").join("examples").join(name);
+    let path = bin.parent().expect("a parent directory").join("examples").join(name);
     assert!(path.exists(), "{} is missing: run cargo test --workspace", path.display());
     path
 }
 
-/// A network of its own in 127.0.0.0/8, held by a listener on its last address.
+/// Reserves a /24 network in 127.0.0.0/8 by a listener on its address `.254`.
 fn reserve_network() -> (String, TcpListener) {
     loop {
         let n = NETWORK_COUNTER.fetch_add(1, Ordering::Relaxed).wrapping_mul(7) + std::process::id();
@@ -93,12 +93,12 @@
     }
 }
 
-/// The operators' key of all test fleets.
+/// The operator's signing key in all test fleets.
 pub fn operator_key() -> SigningKey {
     SigningKey::from_bytes(&[5; 32])
 }
 
-/// A bundle's text for tests.
+/// The YAML text of a bundle for tests.
 pub fn bundle_yaml(number: u64, bounds: &str) -> String {
     let hash = |token: &str| sha256_hex(token.as_bytes());
     let bounds = if bounds.is_empty() { "max_queue: 200" } else { bounds };
@@ -112,14 +112,14 @@
     )
 }
 
-/// A signed envelope of a bundle's text.
+/// An envelope of a bundle's text, signed with the operator's key.
 pub fn envelope(number: u64, yaml: &str, operator: &str) -> Envelope {
     let signatures = vec![sign(yaml, &operator_key())];
     Envelope { number, operator: operator.to_owned(), yaml: yaml.to_owned(), signatures }
 }
 
 impl Env {
-    /// Starts a fleet with bundle 1 in force and a lead that knows all engines.
+    /// Starts a fleet and waits until bundle 1 is in force and a lead knows all engines.
     pub async fn start(options: Options) -> Env {
         let env = Env::without_bundle(options).await;
         env.roll_out(1).await;
@@ -127,7 +127,7 @@
             env.until_ready(node).await;
         }
         let engines = env.options.engines;
-        env.until("a lead that knows all engines", async |env: &Env| env.engines_up().await == engines).await;
+        env.until("one lead with all engines up", async |env: &Env| env.engines_up().await == engines).await;
         env
     }
 
@@ -138,7 +138,7 @@
             options,
             client: http_client::client(),
             network,
-            dir: TempDir::new().expect("a folder"),
+            dir: TempDir::new().expect("a temporary directory"),
             children: BTreeMap::new(),
             vms: Vec::new(),
             _guard: guard,
@@ -153,7 +153,7 @@
         for n in 1..=env.options.nodes {
             env.add_vm(&format!("entry-{n}"), "entry", "");
         }
-        env.until("the platform", async |env: &Env| {
+        env.until("the platform to answer", async |env: &Env| {
             env.get(&env.address("platform"), "/v1/vms").await.is_ok()
         })
         .await;
@@ -164,7 +164,7 @@
         env
     }
 
-    /// The address of a process: its callers' port for a node.
+    /// The address of a process; for a node, that of the port for callers.
     pub fn address(&self, name: &str) -> String {
         let (kind, n) = name.rsplit_once('-').unwrap_or((name, "0"));
         let n: u32 = n.parse().expect("a number");
@@ -192,17 +192,20 @@
     }
 
     fn spawn(&mut self, name: &str, mut command: Command) {
-        let log =
-            std::fs::File::options().append(true).create(true).open(self.log_path(name)).expect("a log");
+        let log = std::fs::File::options()
+            .append(true)
+            .create(true)
+            .open(self.log_path(name))
+            .expect("log file can be opened");
         command.stdout(Stdio::null()).stderr(log).stdin(Stdio::null());
-        self.children.insert(name.to_owned(), command.spawn().expect("it starts"));
+        self.children.insert(name.to_owned(), command.spawn().expect("process starts"));
     }
 
     fn log_path(&self, name: &str) -> PathBuf {
         self.dir.path().join(format!("{name}.log"))
     }
 
-    /// Starts an engine and lists it.
+    /// Starts an engine and adds it to the VM list, which is not published yet.
     pub fn start_engine(&mut self, n: usize) {
         let name = format!("engine-{n}");
         let args = self.options.engine_args.clone();
@@ -211,7 +214,7 @@
         self.add_vm(&name, "engine", "m");
     }
 
-    /// Starts a node, or starts it again.
+    /// Starts or restarts a node.
     pub fn start_node(&mut self, n: usize) {
         let path = self.dir.path().join(format!("entry-{n}.yaml"));
         let settings = format!(
@@ -237,7 +240,7 @@
         self.vms.push(vm);
     }
 
-    /// Changes a VM's state in the VM list.
+    /// Changes a VM's state and publishes the VM list.
     pub async fn set_vm_state(&mut self, name: &str, state: &str) {
         for vm in self.vms.iter_mut().filter(|vm| vm["id"] == name) {
             vm["state"] = state.into();
@@ -245,7 +248,8 @@
         self.publish_vms().await;
     }
 
-    /// Lists a node's peer port behind a proxy before it, so that other nodes call it there.
+    /// Starts a proxy in front of a node's peer port and publishes its address in the VM list, so that
+    /// other nodes connect through it.
     pub async fn add_peer_proxy(&mut self, node: usize) -> FaultyProxy {
         let peer = self.port(node, 8082).parse().expect("an address");
         let proxy = FaultyProxy::start(&format!("{}.{}", self.network, 10 + node), peer).await;
@@ -264,13 +268,13 @@
         http_client::send(&self.client, req).await.expect("the platform answers");
     }
 
-    /// Puts a bundle into the object API as the accepted one.
+    /// Stores a signed bundle in the object API.
     pub async fn roll_out(&self, number: u64) {
         let yaml = bundle_yaml(number, &self.options.bounds);
         self.put_bundle(envelope(number, &yaml, "test").to_bytes()).await;
     }
 
-    /// Puts bytes into the bundle's object, whatever it holds.
+    /// Overwrites the bundle's object with `bytes`, whatever its current version.
     pub async fn put_bundle(&self, bytes: Vec<u8>) {
         let platform = self.address("platform");
         let found = self.get(&platform, "/v1/objects/bundle").await.expect("the platform answers");
@@ -282,14 +286,14 @@
         assert_eq!(reply.status, 200);
     }
 
-    /// A GET of a path.
+    /// Sends a GET request for `path`.
     pub async fn get(&self, address: &str, path: &str) -> Result<Reply, String> {
         let req = Request::get(format!("http://{address}{path}")).body(Full::default()).expect("valid");
         let sent = tokio::time::timeout(Duration::from_secs(5), http_client::send(&self.client, req));
         sent.await.unwrap_or_else(|_| Err("no answer".to_owned()))
     }
 
-    /// Switches a fault on, as in `fault("engine-1", "cut")`.
+    /// Sends a fault command to a stand-in, as in `set_fault("engine-1", "cut")`.
     pub async fn set_fault(&self, name: &str, fault: &str) {
         let uri = format!("http://{}/fault/{fault}", self.address(name));
         let req = Request::post(uri).body(Full::default()).expect("valid");
@@ -303,32 +307,34 @@
         assert!(status.success(), "{signal} {name}");
     }
 
-    /// Kills a process and waits for its end.
+    /// Kills a process and waits until it has exited.
     pub fn kill(&mut self, name: &str) {
-        let child = self.children.get_mut(name).expect("known");
+        let child = self.children.get_mut(name).expect("process was started");
         let _ = child.kill();
         let _ = child.wait();
     }
 
-    /// Waits for a process that stops by itself; true if it did so without a failure.
+    /// Waits until a process exits by itself; returns whether its exit status reports success.
     pub async fn wait_for_exit(&mut self, name: &str) -> bool {
         let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         while std::time::Instant::now() < deadline {
-            if let Some(status) = self.children.get_mut(name).expect("known").try_wait().expect("a child") {
+            if let Some(status) =
+                self.children.get_mut(name).expect("process was started").try_wait().expect("a child")
+            {
                 return status.success();
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("{name} did not stop");
+        panic!("{name} did not exit");
     }
 
-    /// A node's status, as JSON.
+    /// A node's `/status` as JSON.
     pub async fn status(&self, node: usize) -> Option<Value> {
         let reply = self.get(&self.admin(node), "/status").await.ok()?;
         serde_json::from_str(&reply.body).ok()
     }
 
-    /// Waits for something to come about.
+    /// Polls `condition` until it holds; panics after `WAIT_TIMEOUT`. `what` names the condition.
     pub async fn until(&self, what: &str, mut condition: impl AsyncFnMut(&Env) -> bool) {
         let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         while std::time::Instant::now() < deadline {
@@ -337,12 +343,12 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("{what}: did not come about\n{}", self.logs());
+        panic!("timed out waiting for {what}\n{}", self.logs());
     }
 
-    /// Waits until a node is ready to the balancer.
+    /// Waits until a node reports readiness to the load balancer.
     pub async fn until_ready(&self, node: usize) {
-        let what = format!("entry-{node} ready");
+        let what = format!("entry-{node} to be ready");
         self.until(&what, async |env: &Env| {
             let reply = env.get(&env.admin(node), "/readyz").await;
             reply.is_ok_and(|r| r.status == 200)
@@ -357,7 +363,7 @@
             .await;
     }
 
-    /// The node that leads the pool, and how many of its engines are up.
+    /// The node that leads the pool, and how many engines it considers up.
     async fn lead_and_engines_up(&self) -> Option<(usize, usize)> {
         let mut found = None;
         for node in 1..=self.options.nodes {
@@ -388,25 +394,25 @@
         if one_lead { self.lead_and_engines_up().await.map_or(0, |(_, up)| up) } else { 0 }
     }
 
-    /// A number of an engine's load report.
+    /// A numeric field of an engine's load report; 0 if it is missing.
     pub async fn engine_load_field(&self, engine: usize, field: &str) -> u64 {
         let reply = self.get(&self.address(&format!("engine-{engine}")), "/v1/load").await;
         let load: Option<Value> = reply.ok().and_then(|r| serde_json::from_str(&r.body).ok());
         load.and_then(|l| l[field].as_u64()).unwrap_or(0)
     }
 
-    /// How often each booking ran, by key.
+    /// How often each booking was executed, by idempotency key.
     pub async fn bookings(&self) -> BTreeMap<String, u64> {
         let reply = self.get(&self.address("booking-1"), "/stand-in/ran").await.expect("the service answers");
         serde_json::from_str(&reply.body).expect("JSON")
     }
 
-    /// Books through a node.
+    /// Sends a booking through a node.
     pub async fn book(&self, node: usize, key: Option<&str>) -> Result<Reply, String> {
         self.book_for("token-a", node, key, "{}").await
     }
 
-    /// Books through a node as an organisation, with a body.
+    /// Sends a booking with a body through a node, with the token of an organisation.
     pub async fn book_for(
         &self,
         token: &str,
@@ -424,12 +430,12 @@
         sent.await.unwrap_or_else(|_| Err("no answer".to_owned()))
     }
 
-    /// What a process has logged.
+    /// The log of a process.
     pub fn log(&self, name: &str) -> String {
         std::fs::read_to_string(self.log_path(name)).unwrap_or_default()
     }
 
-    /// The logs of all processes, for a failure's message.
+    /// The last lines of the logs of all processes, for a failure message.
     pub fn logs(&self) -> String {
         let mut out = String::new();
         for name in self.children.keys() {
@@ -451,7 +457,7 @@
     }
 }
 
-/// The code of a refusal, 0 for none.
+/// The numeric code of an error response; 0 if it has none.
 pub fn error_code(reply: &Reply) -> u64 {
     let body: Value = serde_json::from_str(&reply.body).unwrap_or_default();
     body["error"]["code"].as_u64().unwrap_or(0)
--- a/node/tests/runner.rs
+++ b/node/tests/runner.rs
@@ -1,5 +1,5 @@
-//! All tests of the package, in one program. They run leadstaged and the stand-ins as
-//! processes; `cargo test --workspace` builds those first.
+//! All tests of the package in one program. They run leadstaged and the stand-ins as processes, which
+//! `cargo test --workspace` builds first.
 
 mod crashing_fleet;
 mod environment;
--- a/node/tests/stream.rs
+++ b/node/tests/stream.rs
@@ -1,4 +1,4 @@
-//! A caller's stream, read in the background.
+//! A client that receives a stream in the background.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -17,36 +17,37 @@
 /// How a stream ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEnd {
-    /// With the finish reason and `[DONE]`.
+    /// With a finish reason and `[DONE]`.
     Complete,
-    /// With a numbered code, in the stream or as the response.
+    /// With a numeric error code, in an event of the stream or in the response.
     Code(u64),
-    /// The connection broke.
+    /// The connection failed, or the stream ended without a finish reason or `[DONE]`.
     Disconnected,
 }
 
-/// What a caller has got.
+/// What a caller has received of a stream.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedStream {
-    /// The texts, in order.
+    /// The texts of the tokens, in order.
     pub texts: Vec<String>,
-    /// The latest event's id.
+    /// The id of the latest event.
     pub last_id: Option<String>,
-    /// How it ended, once it has.
+    /// How the stream ended; `None` while it is open.
     pub end: Option<StreamEnd>,
-    /// The response's `Retry-After`.
+    /// The `Retry-After` header of an error response.
     pub retry_after: Option<String>,
     finished: bool,
 }
 
 impl ReceivedStream {
-    /// The generation of the latest event.
+    /// The generation that the latest event belongs to.
     pub fn generation(&self) -> Option<u64> {
         let id = self.last_id.as_ref()?;
         u64::from_str_radix(id.split('@').next()?, 16).ok()
     }
 
-    /// Each token once, in order, from a single generation, starting with index `from`.
+    /// Asserts that the texts are the tokens of a single generation from index `from` on, in order and each
+    /// once.
     pub fn assert_in_order(&self, from: u64) {
         let Some(generation) = self.generation() else {
             return assert!(self.texts.is_empty());
@@ -57,13 +58,13 @@
     }
 }
 
-/// A stream in the background.
+/// A caller whose stream is received in the background.
 pub struct Caller {
     received: Arc<Mutex<ReceivedStream>>,
     task: JoinHandle<()>,
 }
 
-/// The body of a chat request that yields so many tokens.
+/// The body of a chat request for a generation of `tokens` tokens.
 pub fn chat_body(tokens: u64, stream: bool) -> String {
     format!(
         r#"{{"model":"m","stream":{stream},"stand_in_tokens":{tokens},"max_tokens":{tokens},"messages":[{{"role":"user","content":"hello"}}]}}"#
@@ -71,7 +72,7 @@
 }
 
 impl Caller {
-    /// Asks for a stream of `tokens` at `address`; goes on after `last_id` if one is given.
+    /// Requests a stream of `tokens` tokens from `address`, or resumes one after `last_id` if it is given.
     pub fn start(
         client: &HttpClient,
         address: &str,
@@ -90,26 +91,26 @@
         Caller { received, task }
     }
 
-    /// What it has got so far.
+    /// What has been received so far.
     pub fn received(&self) -> ReceivedStream {
-        self.received.lock().expect("no holder panics").clone()
+        self.received.lock().expect("mutex is not poisoned").clone()
     }
 
-    /// Leaves: the connection is closed.
+    /// Closes the connection.
     pub fn disconnect(&self) {
         self.task.abort();
     }
 
-    /// Waits for the end.
+    /// Waits for the end of the stream.
     pub async fn finish(self) -> ReceivedStream {
         self.finish_with_logs(String::new).await
     }
 
-    /// Waits for the end; tells what `logs` says if it does not come.
+    /// Waits for the end of the stream; panics with the text of `logs` if it does not end within 60 s.
     pub async fn finish_with_logs(self, logs: impl FnOnce() -> String) -> ReceivedStream {
         let received = self.received.clone();
         let ended = tokio::time::timeout(std::time::Duration::from_secs(60), self.task).await;
-        let so_far = received.lock().expect("no holder panics").clone();
+        let so_far = received.lock().expect("mutex is not poisoned").clone();
         assert!(ended.is_ok(), "the stream did not end: {so_far:?}\n{}", logs());
         so_far
     }
@@ -117,7 +118,7 @@
 
 async fn receive(client: HttpClient, req: Request<Full<Bytes>>, received: Arc<Mutex<ReceivedStream>>) {
     let end = receive_events(client, req, &received).await;
-    received.lock().expect("no holder panics").end = Some(end);
+    received.lock().expect("mutex is not poisoned").end = Some(end);
 }
 
 async fn receive_events(
@@ -130,7 +131,7 @@
     };
     if res.status() != 200 {
         let retry = res.headers().get("retry-after").and_then(|v| v.to_str().ok()).map(str::to_owned);
-        received.lock().expect("no holder panics").retry_after = retry;
+        received.lock().expect("mutex is not poisoned").retry_after = retry;
         let body = res.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default();
         return StreamEnd::Code(error_code(&body));
     }
@@ -140,7 +141,7 @@
         if event.event == "error" {
             return StreamEnd::Code(error_code(event.data.as_bytes()));
         }
-        let mut received = received.lock().expect("no holder panics");
+        let mut received = received.lock().expect("mutex is not poisoned");
         if event.data == "[DONE]" {
             return if received.finished { StreamEnd::Complete } else { StreamEnd::Disconnected };
         }
--- a/node/tests/test_bundles.rs
+++ b/node/tests/test_bundles.rs
@@ -1,5 +1,5 @@
-//! Bundles on running nodes: in force everywhere, numbers only rise, through outages,
-//! freezes and restarts.
+//! Distribution of bundles to running nodes: each node applies the newest bundle, and numbers never
+//! decrease, during outages of the object API, frozen processes and restarts.
 
 use ed25519_dalek::SigningKey;
 use leadstage_lib::signing::Envelope;
@@ -15,7 +15,8 @@
     Env::start(Options { nodes: 3, engines: 0, ..Options::default() }).await
 }
 
-/// The object API is down to everyone after one node got the bundle: the peers hand it on.
+/// The object API fails for all nodes after one of them has fetched a bundle; the others get it from that
+/// peer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_peers_forward_a_bundle_in_an_outage() {
     let env = start().await;
@@ -31,8 +32,8 @@
     env.until_ready(3).await;
 }
 
-/// A node that starts while the object API is down has a bundle of 0.3 MB from a peer, also over a
-/// link on which that takes three seconds.
+/// A node that starts while the object API is down fetches a bundle of 0.3 MB from a peer, also over a link
+/// on which the transfer takes three seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_large_bundle_is_fetched_from_a_peer_over_a_slow_link() {
     let options = Options { nodes: 2, engines: 0, ..Options::default() };
@@ -48,8 +49,8 @@
     env.until_bundle(2, 2).await;
 }
 
-/// A node that starts while the object API is down takes its peers' highest; alone it
-/// stays not ready.
+/// A node that starts while the object API is down applies its peers' newest bundle; without peers it stays
+/// not ready.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_restart_in_an_outage() {
     let mut env = start().await;
@@ -62,15 +63,15 @@
     env.until_ready(3).await;
     ["entry-1", "entry-2", "entry-3"].iter().for_each(|name| env.kill(name));
     env.start_node(1);
-    env.until("a status", async |env: &Env| env.status(1).await.is_some()).await;
+    env.until("a status of entry-1", async |env: &Env| env.status(1).await.is_some()).await;
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
-    let ready = env.get(&env.admin(1), "/readyz").await.expect("it answers");
+    let ready = env.get(&env.admin(1), "/readyz").await.expect("the node answers");
     assert_eq!((ready.status, ready.body.as_str()), (503, "no bundle"));
     env.set_fault("platform", "up").await;
     env.until_ready(1).await;
 }
 
-/// A node that was frozen across a roll-out has it after it wakes.
+/// A node that is suspended (SIGSTOP) during a roll-out applies the new bundle once it continues.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_frozen_across_a_roll_out() {
     let env = start().await;
@@ -84,7 +85,7 @@
     env.until_bundle(1, 3).await;
 }
 
-/// A store outage alone makes no node unready.
+/// An outage of the object API alone makes no node unready; a node whose peers are gone too reports "alone".
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_outage_alone_keeps_nodes_ready() {
     let options = Options { engines: 0, bounds: "alone_within: 2s".to_owned(), ..Options::default() };
@@ -92,11 +93,11 @@
     env.set_fault("platform", "down").await;
     tokio::time::sleep(std::time::Duration::from_secs(6)).await;
     for node in 1..=2 {
-        let ready = env.get(&env.admin(node), "/readyz").await.expect("it answers");
+        let ready = env.get(&env.admin(node), "/readyz").await.expect("the node answers");
         assert_eq!(ready.status, 200, "entry-{node}: {}", ready.body);
     }
     env.kill("entry-2");
-    env.until("the one that is left is alone", async |env: &Env| {
+    env.until("entry-1 to report that it is alone", async |env: &Env| {
         env.get(&env.admin(1), "/readyz").await.is_ok_and(|r| r.body == "alone")
     })
     .await;
@@ -104,7 +105,7 @@
     env.until_ready(1).await;
 }
 
-/// Forged, unsigned and older bundles in the object API change nothing on any node.
+/// Forged, unsigned, altered and older bundles in the object API are applied by no node.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_forged_bundles_are_refused_everywhere() {
     let env = start().await;
--- a/node/tests/test_callers.rs
+++ b/node/tests/test_callers.rs
@@ -1,4 +1,4 @@
-//! What callers see: models, whole answers, and a numbered code for each mistake.
+//! Responses to callers: the model list, responses without streaming, and the numeric code of each error.
 
 use std::io::Read;
 use std::io::Write;
@@ -20,7 +20,7 @@
     let uri = format!("http://{}{path}", env.address("entry-1"));
     let req = Request::builder().method(method).uri(uri).header("authorization", format!("Bearer {token}"));
     let req = req.body(Full::from(body.into())).expect("valid");
-    http_client::send(&env.client, req).await.expect("an answer")
+    http_client::send(&env.client, req).await.expect("a response")
 }
 
 async fn start(bounds: &str) -> Env {
@@ -106,31 +106,31 @@
     assert_eq!(body["choices"][0]["text"].as_str().expect("text").split_whitespace().count(), 3);
 }
 
-/// A body that comes slowly is given up in the bundle's time.
+/// A request whose body is not complete within the bundle's `body_within` is refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_slow_body() {
     let env = start("body_within: 300ms").await;
     let address = env.address("entry-1");
     let answer = tokio::task::spawn_blocking(move || {
-        let mut stream = std::net::TcpStream::connect(address).expect("it listens");
+        let mut stream = std::net::TcpStream::connect(address).expect("the node listens");
         let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer token-a\r\ncontent-length: 100\r\n\r\n{";
         stream.write_all(head.as_bytes()).expect("writable");
         let mut buf = [0; 4_096];
-        let read = stream.read(&mut buf).expect("an answer");
+        let read = stream.read(&mut buf).expect("a response");
         String::from_utf8_lossy(&buf[..read]).into_owned()
     });
-    let answer = answer.await.expect("no panic");
+    let answer = answer.await.expect("the task does not panic");
     assert!(answer.starts_with("HTTP/1.1 408") && answer.contains("x-leadstage-code: 2007"), "{answer}");
 }
 
-/// A body that is too large is refused when it has been sent to its end: a connection that
-/// closed before would take the refusal with it.
+/// A body that is too large is refused only after all of it has been received: if the connection were
+/// closed earlier, the caller could lose the refusal.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_large_body_is_read_to_its_end_before_it_is_refused() {
     let env = start("max_body_bytes: 20000").await;
     let address = env.address("entry-1");
     let answer = tokio::task::spawn_blocking(move || {
-        let mut stream = std::net::TcpStream::connect(address).expect("it listens");
+        let mut stream = std::net::TcpStream::connect(address).expect("the node listens");
         let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer token-a\r\ncontent-length: 60000\r\n\r\n";
         stream.write_all(head.as_bytes()).expect("writable");
         for _ in 0..3 {
@@ -138,31 +138,29 @@
             std::thread::sleep(std::time::Duration::from_millis(200));
         }
         let mut buf = [0; 4_096];
-        let read = stream.read(&mut buf).expect("an answer");
+        let read = stream.read(&mut buf).expect("a response");
         String::from_utf8_lossy(&buf[..read]).into_owned()
     });
-    let answer = answer.await.expect("no panic");
+    let answer = answer.await.expect("the task does not panic");
     assert!(answer.starts_with("HTTP/1.1 413") && answer.contains("x-leadstage-code: 2005"), "{answer}");
 }
 
-/// An organisation's open requests are bounded; one that is refused is told when to come
-/// back, and others are not affected.
+/// The open requests of an organisation are limited: a refused request gets `Retry-After`, and other
+/// organisations are not affected.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_organisation_limit() {
     let env = start("").await;
     let address = env.address("entry-1");
     let open_stream = |token: &str, tokens| Caller::start(&env.client, &address, token, tokens, None);
-    let open_streams = [open_stream("token-b", 2_000), open_stream("token-b", 2_000)];
-    env.until("two open streams", async |_: &Env| {
-        open_streams.iter().all(|c| !c.received().texts.is_empty())
-    })
-    .await;
+    let streams = [open_stream("token-b", 2_000), open_stream("token-b", 2_000)];
+    env.until("two open streams", async |_: &Env| streams.iter().all(|c| !c.received().texts.is_empty()))
+        .await;
     let third = open_stream("token-b", 5).finish().await;
     assert_eq!(third.end, Some(crate::stream::StreamEnd::Code(2103)));
     assert!(third.retry_after.is_some());
     assert_eq!(open_stream("token-a", 5).finish().await.end, Some(crate::stream::StreamEnd::Complete));
-    open_streams.iter().for_each(Caller::disconnect);
-    env.until("the limit is free again", async |env: &Env| {
+    streams.iter().for_each(Caller::disconnect);
+    env.until("the open requests to end", async |env: &Env| {
         env.status(1).await.is_some_and(|s| s["open"] == 0)
     })
     .await;
@@ -174,9 +172,9 @@
     let response =
         send_request(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
     let id = response.headers["x-request-id"].to_str().expect("text").to_owned();
-    let explained = env.get(&env.admin(1), &format!("/explain?id={id}")).await.expect("an answer");
+    let explained = env.get(&env.admin(1), &format!("/explain?id={id}")).await.expect("a response");
     assert!(explained.body.contains("on engine-1 by lead entry-1"), "{}", explained.body);
-    let metrics = env.get(&env.admin(1), "/metrics").await.expect("an answer").body;
+    let metrics = env.get(&env.admin(1), "/metrics").await.expect("a response").body;
     let lines =
         ["leadstage_requests_total{code=\"1000\",organisation=\"a\"", "leadstage_stream_tokens_total"];
     assert!(lines.iter().all(|line| metrics.contains(line)), "{metrics}");
@@ -184,5 +182,5 @@
         !env.logs().contains("token-a") && !env.logs().contains("hello"),
         "a secret or a prompt in the logs"
     );
-    assert_eq!(env.get(&env.admin(1), "/healthz").await.expect("an answer").status, 200);
+    assert_eq!(env.get(&env.admin(1), "/healthz").await.expect("a response").status, 200);
 }
--- a/node/tests/test_calls.rs
+++ b/node/tests/test_calls.rs
@@ -1,5 +1,5 @@
-//! The fault matrix of calls that may not repeat: at most once, whatever fails and
-//! however often the caller asks again with its key.
+//! The fault matrix of non-idempotent calls: a call is executed at most once, whatever fails and however
+//! often the caller retries it with its idempotency key.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::environment::Options;
 use crate::environment::error_code;
 
-/// What is wrong while the first arrival is handled.
+/// The fault while the first request is handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
@@ -22,8 +22,8 @@
     WriterFrozen,
 }
 
-/// Codes of the first arrival (0 for no answer), codes of the second one through
-/// another node with the same key, and how often it ran in the end.
+/// The allowed codes of the first request (0 for no response), those of a second request with the same key
+/// through another node, and how often the call is executed in total.
 struct Case {
     fault: Fault,
     first: &'static [u64],
@@ -35,7 +35,7 @@
     Case { fault, first, second, ran }
 }
 
-/// 200 stands for an answer of the service.
+/// 200 stands for a response of the service.
 #[rustfmt::skip]
 const MATRIX: &[Case] = &[
     case(Fault::None,                   &[200],        &[200],              1),
@@ -63,11 +63,11 @@
     Env::start(Options { nodes: 3, engines: 0, bounds, ..Options::default() }).await
 }
 
-/// The node that writes the only claim shard, by a claim that every node can see.
+/// The node that writes the only claim shard, once each node sees all others as alive.
 async fn writer(env: &Env) -> usize {
     let alive: Vec<String> = (1..=3).map(|n| format!("entry-{n}")).collect();
-    let writer = leadstage_lib::rendezvous::pick("claims/0", &alive).expect("three");
-    env.until("every node sees the others", async |env: &Env| {
+    let writer = leadstage_lib::rendezvous::pick("claims/0", &alive).expect("three candidates");
+    env.until("all nodes to see each other", async |env: &Env| {
         for node in 1..=3 {
             let status = env.status(node).await.unwrap_or_default();
             if !status["peers"].as_array().is_some_and(|p| p.iter().all(|p| p["liveness"] == "alive")) {
@@ -103,7 +103,7 @@
     let (first, second) = match case.fault {
         Fault::EntryKilledWhileItRuns | Fault::EntryFrozenWhileItRuns => {
             let (first, ()) = tokio::join!(env.book(first_node, key), async {
-                env.until("it runs", async |env: &Env| !env.bookings().await.is_empty()).await;
+                env.until("an executed call", async |env: &Env| !env.bookings().await.is_empty()).await;
                 env.signal(
                     &name,
                     if case.fault == Fault::EntryKilledWhileItRuns { "-KILL" } else { "-STOP" },
@@ -122,7 +122,7 @@
         }
         Fault::OutcomeAnswerLost => {
             let (first, ()) = tokio::join!(env.book(first_node, key), async {
-                env.until("it runs", async |env: &Env| !env.bookings().await.is_empty()).await;
+                env.until("an executed call", async |env: &Env| !env.bookings().await.is_empty()).await;
                 env.set_fault("platform", "lose?count=1").await;
             });
             (first, book_until_settled(&env, second_node, key).await)
@@ -151,8 +151,7 @@
     }
 }
 
-/// Asks again until the key is no longer in progress: its outcome is recorded a moment
-/// after its answer.
+/// Retries until the key is no longer in progress: the outcome is recorded shortly after the response.
 async fn book_until_settled(
     env: &Env,
     node: usize,
@@ -171,7 +170,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_non_idempotent_calls_1() {
     for case in MATRIX.iter().step_by(2) {
-        eprintln!("cell: {:?}", case.fault);
+        eprintln!("case: {:?}", case.fault);
         run_case(case).await;
     }
 }
@@ -179,12 +178,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_non_idempotent_calls_2() {
     for case in MATRIX.iter().skip(1).step_by(2) {
-        eprintln!("cell: {:?}", case.fault);
+        eprintln!("case: {:?}", case.fault);
         run_case(case).await;
     }
 }
 
-/// Many arrivals of few keys through all nodes at once: each key runs once.
+/// Many concurrent calls with few keys through all nodes: the call of each key is executed once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_concurrent_calls_with_shared_keys() {
     let env = start().await;
--- a/node/tests/test_clocks.rs
+++ b/node/tests/test_clocks.rs
@@ -1,44 +1,52 @@
-//! Ages are told by the clock that goes on while the VM is suspended.
+//! Ages are measured with the clock that keeps running while the VM is suspended.
 //!
-//! A suspension cannot be brought about here. What is tested is that nothing else tells an age: each file
-//! that reads the steady clock stands here with what it reads it for, and what it means there that a
-//! suspension of ten seconds is not counted.
+//! A suspension cannot be caused in a test. Instead, each file that reads the monotonic clock, which stops
+//! during a suspension, is listed here with what it measures and why it may ignore a suspension of ten
+//! seconds.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Files of the node and of the adapter that read the steady clock, how often, and why that is right.
+/// Files that read the monotonic clock, the number of reads in each, and why that is correct there.
 const MONOTONIC_CLOCK_USES: [(&str, usize, &str); 16] = [
-    ("node/src/filters/account.rs", 2, "how long a request took, for metrics and logs"),
-    ("node/src/filters/relay.rs", 1, "a break within one slice of a stream: a suspension breaks it anyway"),
-    ("node/src/gateway/ingress/io_watch.rs", 5, "limits of callers' connections: they may idle longer"),
-    ("node/src/gateway/observability/logging.rs", 5, "lines of the log in a second, and its last flush"),
-    ("node/src/gateway/peers/peer_port.rs", 1, "how long a transfer took: its rate is of the time that ran"),
-    ("node/src/gateway/request.rs", 2, "when a request came, for logs; a timer that is armed now"),
-    ("node/src/gateway/shared.rs", 1, "how long a request was at its replica, for logs"),
-    ("node/src/gateway/upstream/copying.rs", 5, "insisting on a copy for some seconds of running time"),
-    ("node/src/gateway/upstream/exchange.rs", 1, "how long a run lasted, for logs"),
+    ("node/src/filters/account.rs", 2, "duration of a request, for metrics and logs"),
+    (
+        "node/src/filters/relay.rs",
+        1,
+        "an interruption within one stream segment: a suspension interrupts it anyway",
+    ),
+    ("node/src/gateway/ingress/io_watch.rs", 5, "idle limits of callers' connections: these may idle longer"),
+    ("node/src/gateway/observability/logging.rs", 5, "log lines per second, and the time of the last flush"),
+    ("node/src/gateway/peers/peer_port.rs", 1, "duration of a transfer: its rate refers to running time"),
+    ("node/src/gateway/request.rs", 2, "arrival time of a request, for logs; a timer that starts now"),
+    ("node/src/gateway/shared.rs", 1, "time of a request at its replica, for logs"),
+    ("node/src/gateway/upstream/copying.rs", 5, "retries of a copy for some seconds of running time"),
+    ("node/src/gateway/upstream/exchange.rs", 1, "duration of a run, for logs"),
     ("node/src/gateway/upstream/pace.rs", 1, "gaps between events, for metrics"),
-    ("node/src/gateway/upstream/relay/after_stop.rs", 1, "asking two engines for seconds of running time"),
-    ("node/src/gateway/upstream/relay/moving.rs", 1, "80 ms for the rest of a stopped stream's events"),
-    ("node/src/gateway/upstream/silence.rs", 1, "a timer that is armed now"),
+    (
+        "node/src/gateway/upstream/relay/after_stop.rs",
+        1,
+        "queries to two engines for some seconds of running time",
+    ),
+    ("node/src/gateway/upstream/relay/moving.rs", 1, "80 ms for the remaining events of a stopped stream"),
+    ("node/src/gateway/upstream/silence.rs", 1, "a timer that starts now"),
     (
         "node/src/gateway/upstream/stall.rs",
         3,
-        "timers that are armed now: a silence while nothing ran is none",
+        "timers that start now: silence during a suspension does not count",
     ),
     (
         "node/src/stop.rs",
         1,
-        "the bound of a planned stop; the platform's kill comes first after a suspension",
+        "time limit of a planned stop; after a suspension the platform kills the process first",
     ),
-    ("platform/src/connect.rs", 5, "how slowly an answer comes while this node runs"),
+    ("platform/src/connect.rs", 5, "how slowly a response arrives while this node runs"),
 ];
 
 fn count_clock_reads(root: &Path, folder: &str, counts: &mut BTreeMap<String, usize>) {
-    for entry in std::fs::read_dir(root.join(folder)).expect("a folder of sources") {
+    for entry in std::fs::read_dir(root.join(folder)).expect("a source directory") {
         let path = entry.expect("readable").path();
-        let name = format!("{folder}/{}", path.file_name().expect("a name").to_string_lossy());
+        let name = format!("{folder}/{}", path.file_name().expect("a file name").to_string_lossy());
         if path.is_dir() {
             count_clock_reads(root, &name, counts);
             continue;
@@ -52,7 +60,7 @@
 
 #[test]
 fn test_each_use_of_the_monotonic_clock_is_listed() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("a workspace");
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace root");
     let mut counts = BTreeMap::new();
     ["node/src", "platform/src", "lib/src"]
         .iter()
--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls through the gateway interface.
+//! Plain calls (no generations) through the gateway interface.
 
 use std::time::Duration;
 
@@ -47,12 +47,12 @@
     let called = gateway.call(0, req).await;
     assert_eq!((called.status, called.body.as_str()), (200, "booking-1 answers /book/a%20b?x=1&y"));
     assert_eq!(called.header("leadstage-server-signature"), Some("sig-booking-1"));
-    let seen = bookings[0].replica.seen().pop().expect("it arrived");
+    let seen = bookings[0].replica.seen().pop().expect("the replica received the request");
     assert_eq!(seen.line, "POST /book/a%20b?x=1&y");
     assert_eq!(seen.body, "a body");
     let deadline: u64 =
         seen.header("leadstage-deadline-ms").and_then(|ms| ms.parse().ok()).expect("a deadline");
-    assert!((7_000..=8_000).contains(&deadline), "{deadline} is not what is left");
+    assert!((7_000..=8_000).contains(&deadline), "{deadline} ms is not the remaining time");
     let mut names: Vec<String> = seen
         .headers
         .iter()
@@ -91,8 +91,8 @@
     assert_eq!(gateway.ready_status(0).await, 503);
 }
 
-/// What each fault of all replicas comes to: the status for a call that may repeat, with
-/// its arrivals, and the same for one that may not.
+/// For each fault that all replicas have: the status of an idempotent and of a non-idempotent call, and how
+/// many requests reached replicas.
 #[tokio::test]
 async fn test_replica_faults_give_their_status_and_attempts() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
@@ -137,13 +137,15 @@
     let front = gateway.front(0);
     let calling =
         tokio::spawn(async move { send(&front, request("GET", "/read/x", KEY, "r-left")).await.is_ok() });
-    gateway.until("it runs", async || bookings[0].replica.running() == 1).await;
+    gateway.until("the request to run", async || bookings[0].replica.running() == 1).await;
     calling.abort();
     let disconnected_at = tokio::time::Instant::now();
-    gateway.until("the replica sees it", async || bookings[0].replica.left() == ["r-left"]).await;
+    gateway
+        .until("the replica to detect the disconnect", async || bookings[0].replica.left() == ["r-left"])
+        .await;
     assert!(
         disconnected_at.elapsed() < Duration::from_millis(500),
-        "seen after {:?}",
+        "detected after {:?}",
         disconnected_at.elapsed()
     );
 }
@@ -153,7 +155,9 @@
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     gateway.drain("booking", &bookings[0]);
     gateway
-        .until("the notice", async || gateway.log(0).contains("event=replica_leaves upstream=booking-1"))
+        .until("the node to log that the replica leaves", async || {
+            gateway.log(0).contains("event=replica_leaves upstream=booking-1")
+        })
         .await;
     for _ in 0..20 {
         assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
@@ -169,7 +173,9 @@
     let mut newer = config(3);
     newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
     gateway.store.put("config", "main", newer);
-    gateway.until("the key is gone", async || gateway.status_of(0, "/read/x", KEY).await == 401).await;
+    gateway
+        .until("the old key to be refused", async || gateway.status_of(0, "/read/x", KEY).await == 401)
+        .await;
     assert_eq!(gateway.status_of(0, "/read/x", "key-b").await, 200);
     gateway.store.put("config", "main", config(2));
     gateway.store.put(
@@ -177,12 +183,12 @@
         "other",
         serde_json::json!({"service": "s", "address": "127.0.0.1:1", "zone": "z", "state": "ready"}),
     );
-    gateway.until("later news", async || gateway.log(0).contains("upstream=other")).await;
+    gateway.until("a later store change", async || gateway.log(0).contains("upstream=other")).await;
     assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 401);
 }
 
-/// Replicas may forget unused connections without a word: what is sent on one next may have
-/// run, so such connections are soon not used again.
+/// Replicas may drop idle connections without closing them. A call that is sent on such a connection may
+/// have been executed and is not retried, so the node must soon stop reusing idle connections.
 #[tokio::test]
 async fn test_silently_dropped_connections_fail_few_calls() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
--- a/node/tests/test_gateway_fleet.rs
+++ b/node/tests/test_gateway_fleet.rs
@@ -1,4 +1,4 @@
-//! A gateway node's life: start, stop, reload, and what nodes tell each other.
+//! Lifecycle of a gateway node: start, stop, reload, and the exchange of updates between nodes.
 
 use std::time::Duration;
 
@@ -24,21 +24,26 @@
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-1")), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         gateway.signal(0, "-TERM");
-        gateway.until("not ready", async || gateway.ready_status(0).await == 503).await;
+        gateway.until("the node to become unready", async || gateway.ready_status(0).await == 503).await;
     });
     assert!(called.whole && called.events() == Some(60), "{called:?}");
     let refused_stream = gateway.call(0, chat("r-2")).await;
     assert_eq!((refused_stream.status, refused_stream.code()), (503, 2108), "{}", gateway.logs());
-    let retry_after: f64 =
-        refused_stream.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
+    let retry_after: f64 = refused_stream
+        .header("retry-after")
+        .and_then(|after| after.parse().ok())
+        .expect("a number of seconds");
     assert!(
         (0.5..=2.3).contains(&retry_after),
-        "{retry_after}: there is no other node, so the balancer must notice first"
+        "{retry_after}: without another node in the hall, the load balancer must notice the stop first"
     );
     let mut short = chat("r-3");
     short.headers_mut().insert("length-hint", "40".parse().expect("valid"));
     let short = gateway.call(0, short).await;
-    assert!(short.whole && short.events() == Some(60), "it is served to its end: {short:?}");
+    assert!(
+        short.whole && short.events() == Some(60),
+        "a stream that ends in time is served completely: {short:?}"
+    );
     let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
     while gateway.ended(0).is_none() && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -46,8 +51,8 @@
     assert_eq!(gateway.ended(0), Some(true));
 }
 
-/// A node that has just started reads the store within some tenths of a second: callers that come
-/// meanwhile are served then, and not sent away.
+/// A node that has just started reads the store within some tenths of a second. Requests that arrive earlier
+/// are held until then and not refused.
 #[tokio::test]
 async fn test_a_starting_node_holds_requests_until_it_knows_its_replicas() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
@@ -56,7 +61,7 @@
     let node = gateway.start_node_at(proxy.address);
     let mut first = None;
     gateway
-        .until("the port", async || {
+        .until("the callers' port to open", async || {
             let called = gateway.call(node, request("GET", "/read/x", KEY, "r-1")).await;
             first = Some(called.status).filter(|status| *status != 0);
             first.is_some()
@@ -65,17 +70,19 @@
     assert_eq!(first, Some(200), "{}", gateway.logs());
 }
 
-/// Whom a stopping node refuses comes back at once where the hall has another node.
+/// A request that a stopping node refuses may be retried at once if the hall has another node.
 #[tokio::test]
 async fn test_a_stopping_node_asks_for_an_immediate_retry_if_its_hall_has_another_node() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let second = gateway.start_node();
     gateway.until_ready(second).await;
-    gateway.until("they have met", async || gateway.log(0).contains("event=nodes_met")).await;
-    // Halls are told with the probes, one a second.
+    gateway
+        .until("the nodes to connect to each other", async || gateway.log(0).contains("event=nodes_met"))
+        .await;
+    // Nodes announce their halls with the probes, once a second.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     gateway.signal(0, "-TERM");
-    gateway.until("not ready", async || gateway.ready_status(0).await == 503).await;
+    gateway.until("the node to become unready", async || gateway.ready_status(0).await == 503).await;
     let refused = gateway.call(0, chat("r-1")).await;
     assert_eq!((refused.code(), refused.header("retry-after")), (2108, Some("0.05")), "{}", gateway.logs());
 }
@@ -85,27 +92,29 @@
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     std::fs::write(gateway.settings_path(0), "interface: gateway\nvm: 7\nnonsense: 1\n").expect("writable");
     gateway.signal(0, "-HUP");
-    gateway.until("the mistakes", async || gateway.log(0).contains("event=reload_failed")).await;
+    gateway.until("the reload to fail", async || gateway.log(0).contains("event=reload_failed")).await;
     assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
     let valid_settings = gateway.settings(0, gateway.store_address(), "# changed\n");
     std::fs::write(gateway.settings_path(0), valid_settings).expect("writable");
     gateway.signal(0, "-HUP");
-    gateway.until("the reload", async || gateway.log(0).contains("event=reload changed=true")).await;
+    gateway
+        .until("the reload to succeed", async || gateway.log(0).contains("event=reload changed=true"))
+        .await;
     assert_eq!(gateway.ended(0), None);
 }
 
-/// A node that its store turns away gets the configuration and the replicas from its peer.
+/// A node whose store refuses it gets the configuration and the replicas from its peer.
 #[tokio::test]
 async fn test_a_node_whose_store_refuses_it_gets_updates_from_its_peer() {
     let (mut gateway, bookings, _models) = Gateway::with_replicas(1).await;
     let (second_store, server) = MetadataStore::start(&gateway.own_store_ip()).await;
     second_store.put("config", "main", config(1));
-    let address = bookings[0].server.as_ref().expect("it serves").address;
+    let address = bookings[0].server.as_ref().expect("the replica is running").address;
     second_store.put("servers", "booking-1", replica_entry("booking", address, "hall-1", "ready"));
     let second = gateway.start_node_at(server.address);
     gateway.until_ready(second).await;
     gateway
-        .until("they know each other", async || {
+        .until("the nodes to connect to each other", async || {
             gateway.log(second).contains("event=node_changed") || gateway.log(0).contains("nodes_met")
         })
         .await;
@@ -113,11 +122,13 @@
     let mut newer = config(2);
     newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
     gateway.store.put("config", "main", newer);
-    gateway.until("the key is gone", async || gateway.status_of(second, "/read/x", KEY).await == 401).await;
+    gateway
+        .until("the old key to be refused", async || gateway.status_of(second, "/read/x", KEY).await == 401)
+        .await;
     let added = gateway.start_replica("booking", "booking-2", 1).await;
     gateway.drain("booking", &bookings[0]);
     gateway
-        .until("the new replica", async || {
+        .until("a call on the new replica", async || {
             gateway.status_of(second, "/read/x", "key-b").await == 200 && !added.replica.seen().is_empty()
         })
         .await;
@@ -127,18 +138,24 @@
 async fn test_a_lost_watch_history_causes_a_new_listing() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     gateway.store.set_fault(StoreFault::ForgetsHistory);
-    gateway.until("it lists", async || gateway.log(0).contains("event=store_history_gone")).await;
+    gateway
+        .until("the node to list the store again", async || {
+            gateway.log(0).contains("event=store_history_gone")
+        })
+        .await;
     gateway.store.set_fault(StoreFault::None);
     let mut newer = config(2);
     newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
     gateway.store.put("config", "main", newer);
-    gateway.until("the key is gone", async || gateway.status_of(0, "/read/x", KEY).await == 401).await;
+    gateway
+        .until("the old key to be refused", async || gateway.status_of(0, "/read/x", KEY).await == 401)
+        .await;
 }
 
-/// The names that docs/OPERATIONS.md lists for the gateway.
+/// The gateway's metrics that docs/OPERATIONS.md lists.
 fn documented_metrics() -> Vec<String> {
     let docs = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/OPERATIONS.md");
-    let docs = std::fs::read_to_string(docs).expect("the page is there");
+    let docs = std::fs::read_to_string(docs).expect("docs/OPERATIONS.md is readable");
     let rows = docs.lines().filter_map(|line| line.strip_prefix("| `leadstage_gateway_"));
     let mut names: Vec<String> = rows
         .filter_map(|row| row.split('`').next())
@@ -156,24 +173,24 @@
     bookings.iter().for_each(|running| running.replica.set_fault(ReplicaFault::Fails));
     gateway.status_of(0, "/read/x", KEY).await;
     let (_, ()) = tokio::join!(gateway.call(0, chat("r-1")), async {
-        gateway.until("it runs", async || models.iter().any(|m| m.replica.running() > 0)).await;
-        let at = models.iter().position(|m| m.replica.running() > 0).expect("it runs");
+        gateway.until("the generation to run", async || models.iter().any(|m| m.replica.running() > 0)).await;
+        let at = models.iter().position(|m| m.replica.running() > 0).expect("a replica runs the generation");
         gateway.drain("model", &models[at]);
     });
     gateway.engines.set_stream_faults([StreamFault::BreaksAfter(3)]);
     gateway.call(0, chat("r-2")).await;
-    // As another node would.
+    // Other nodes fetch the configuration like this.
     read(&gateway.peer(0), "/config").await;
     bookings.iter().for_each(|running| running.replica.set_limit(Some("100")));
     let sent_to_limited = async || {
         gateway.status_of(0, "/read/x", KEY).await;
         gateway.log(0).contains("event=sent_to_limited")
     };
-    gateway.until("a replica with a limit gets a call", sent_to_limited).await;
+    gateway.until("a call on a rate-limited replica", sent_to_limited).await;
     let metrics = gateway.metrics(0);
     let mut served = Vec::new();
     gateway
-        .until("all metrics", async || {
+        .until("all documented metrics", async || {
             let text = read_text(&metrics, "/metrics").await;
             let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE leadstage_"));
             served =
@@ -182,7 +199,7 @@
             served.len() + 1 >= documented_metrics().len()
         })
         .await;
-    // No lead can be silent in a fleet of one.
+    // A fleet of one node has no lead that could fall silent.
     let expected: Vec<String> =
         documented_metrics().into_iter().filter(|name| !name.contains("lead_silences")).collect();
     served.retain(|name| !name.contains("lead_silences"));
@@ -192,15 +209,15 @@
     assert_eq!((&status["readiness"], &status["bundle"]), (&"ready".into(), &1.into()));
 }
 
-/// A node that missed the news fetches the list; who leaves must stand in it, as a replica
-/// that is merely missing there is given some time.
+/// A node that missed replica updates fetches the whole list. Replicas that leave must be listed as
+/// leaving: a replica that is merely missing from the list is kept for some time.
 #[tokio::test]
 async fn test_the_replica_list_for_peers_includes_leaving_replicas() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     gateway.drain("booking", &bookings[0]);
     let peer = gateway.peer(0);
     gateway
-        .until("it says so", async || {
+        .until("the list to contain booking-1 as leaving", async || {
             let list = replicas_since(&peer, 0).await;
             let leaving: Vec<_> = list.leaving.iter().map(|changed| changed.item.id.to_string()).collect();
             leaving == ["booking-1"] && list.staying.iter().all(|changed| &*changed.item.id != "booking-1")
@@ -213,7 +230,7 @@
 
 async fn replicas_since(peer: &str, known: u64) -> ReplicaList {
     let body = read(peer, &format!("/replicas?{known}")).await;
-    ReplicaList::unpack(&body).expect("a list")
+    ReplicaList::unpack(&body).expect("a replica list")
 }
 
 async fn read_text(address: &str, path: &str) -> String {
@@ -223,18 +240,18 @@
 async fn read(address: &str, path: &str) -> Bytes {
     let req =
         http::Request::get(path).header("host", "x").body(http_body_util::Full::default()).expect("valid");
-    let (_connection, res) = crate::gateway_environment::send(address, req).await.expect("it answers");
+    let (_connection, res) = crate::gateway_environment::send(address, req).await.expect("the node answers");
     http_body_util::BodyExt::collect(res.into_body()).await.expect("a body").to_bytes()
 }
 
-/// A generation that waits at a lead for room is refused by it in time; the asking node
-/// must not take the lead for silent meanwhile and place it by itself.
+/// A generation that is queued at a lead for lack of capacity is refused by the lead in time. Meanwhile the
+/// requesting node must not consider the lead silent and place the generation itself.
 #[tokio::test]
 async fn test_a_generation_queued_at_a_lead_does_not_make_the_lead_seem_silent() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let second = gateway.start_node();
     gateway.until_ready(second).await;
-    gateway.until("they know each other", async || gateway.log(0).contains("nodes_met")).await;
+    gateway.until("the nodes to connect to each other", async || gateway.log(0).contains("nodes_met")).await;
     let large = |id: &str| {
         let mut req = chat(id);
         req.headers_mut().insert("leadstage-token-usage", "30000,2000".parse().expect("valid"));
@@ -242,8 +259,9 @@
     };
     let front = gateway.front(0);
     let running = crate::gateway_environment::send(&front, large("r-1")).await;
-    let running = running.unwrap_or_else(|err| panic!("it begins: {err}\n{}", gateway.logs()));
-    // The lead hears within an inventory's interval of what the other node runs.
+    let running =
+        running.unwrap_or_else(|err| panic!("the generation does not start: {err}\n{}", gateway.logs()));
+    // The lead learns within one inventory interval what the other node runs.
     tokio::time::sleep(Duration::from_millis(400)).await;
     for node in [0, second] {
         let refused = gateway.call(node, large("r-2")).await;
@@ -253,13 +271,12 @@
     assert!(!gateway.logs().contains("event=lead_silent"), "{}", gateway.logs());
 }
 
-/// Nodes that are started one after the other.
+/// Number of nodes that are started one after the other.
 const STARTS: usize = 20;
 
-/// A node called itself ready while its callers' port was not open yet: the port is opened by the
-/// thread that serves callers, which may come after the configuration is known. Callers that the
-/// balancer sent there found no connection. Tests beside a load showed it: "serving" in the log, a
-/// call right after it that broke, and no request.
+/// Guards against a node that reports readiness before its callers' port is open. The thread that serves
+/// callers opens the port, possibly after the configuration is known; on a loaded machine, callers that the
+/// load balancer sent there were refused a connection.
 #[tokio::test]
 async fn test_a_ready_node_accepts_connections() {
     let mut gateway = Gateway::start().await;
--- a/node/tests/test_module_cycles.rs
+++ b/node/tests/test_module_cycles.rs
@@ -1,18 +1,18 @@
-//! Arrows between modules go one way: what a module uses does not use it in turn.
+//! Modules have no cyclic dependencies: a module does not depend on one that depends on it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The modules of a folder that each one uses, by path below the crate's root.
+/// The modules that each module of a directory uses, by path below the crate's root.
 type Uses = BTreeMap<String, BTreeSet<String>>;
 
-/// Reads the sources below `folder` of a crate.
+/// Reads the source files below `folder` of a crate.
 fn read_sources(krate: &Path, folder: &str, sources: &mut BTreeMap<String, String>) {
-    let entries = std::fs::read_dir(krate.join("src").join(folder)).expect("a folder of sources");
+    let entries = std::fs::read_dir(krate.join("src").join(folder)).expect("a source directory");
     for entry in entries {
         let path = entry.expect("readable").path();
-        let name = path.file_stem().expect("a name").to_string_lossy().into_owned();
+        let name = path.file_stem().expect("a file name").to_string_lossy().into_owned();
         let module = if folder.is_empty() { name } else { format!("{folder}/{name}") };
         if path.is_dir() {
             read_sources(krate, &module, sources);
@@ -22,8 +22,8 @@
     }
 }
 
-/// The module that a path of a `use` line names, where it is among `sources`. A module that is
-/// split into parts is one with them.
+/// The module that the path of a `use` line refers to: the longest prefix of the path that is among
+/// `sources`, so that items and nested modules count as the module whose file holds them.
 fn module_of(path: &str, sources: &BTreeMap<String, String>) -> Option<String> {
     let mut parts: Vec<&str> = path.split("::").collect();
     while !parts.is_empty() {
@@ -47,7 +47,8 @@
     uses
 }
 
-/// Takes modules out that use no other that is left; what remains is in circles, or leads there.
+/// The modules that are part of a cycle or depend on one: repeatedly removes modules that use no remaining
+/// module.
 fn modules_in_cycles(mut uses: Uses) -> BTreeSet<String> {
     loop {
         let remaining: BTreeSet<String> = uses.keys().cloned().collect();
@@ -61,13 +62,13 @@
 
 #[test]
 fn test_modules_have_no_cyclic_dependencies() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("a workspace");
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace root");
     for (krate, folder) in [("lib", "gateway"), ("node", "gateway"), ("platform", "")] {
         let mut sources = BTreeMap::new();
         read_sources(&root.join(krate), folder, &mut sources);
-        assert!(sources.len() > 5, "{krate}: the sources are elsewhere");
+        assert!(sources.len() > 5, "{krate}: too few source files in {folder:?}");
         let cycles = modules_in_cycles(uses(&sources));
-        assert!(cycles.is_empty(), "{krate}: {cycles:?}");
+        assert!(cycles.is_empty(), "{krate}: cyclic dependencies between {cycles:?}");
     }
 }
 
--- a/node/tests/test_settings.rs
+++ b/node/tests/test_settings.rs
@@ -3,11 +3,11 @@
 use std::process::Command;
 
 fn check(yaml: &str) -> (i32, String) {
-    let dir = tempfile::TempDir::new().expect("a folder");
+    let dir = tempfile::TempDir::new().expect("a temporary directory");
     let path = dir.path().join("node.yaml");
     std::fs::write(&path, yaml).expect("writable");
     let mut command = Command::new(env!("CARGO_BIN_EXE_leadstaged"));
-    let output = command.arg("--check-config").arg("--config").arg(&path).output().expect("it runs");
+    let output = command.arg("--check-config").arg("--config").arg(&path).output().expect("leadstaged runs");
     let text = [output.stdout, output.stderr].concat();
     (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
 }
@@ -48,8 +48,9 @@
 
 #[test]
 fn test_command_line() {
-    let run =
-        |args: &[&str]| Command::new(env!("CARGO_BIN_EXE_leadstaged")).args(args).output().expect("it runs");
+    let run = |args: &[&str]| {
+        Command::new(env!("CARGO_BIN_EXE_leadstaged")).args(args).output().expect("leadstaged runs")
+    };
     assert_eq!(run(&["--help"]).status.code(), Some(0));
     assert_eq!(run(&[]).status.code(), Some(2));
     assert_eq!(run(&["--colour"]).status.code(), Some(2));
--- a/node/tests/test_streams.rs
+++ b/node/tests/test_streams.rs
@@ -1,4 +1,4 @@
-//! The fault matrix of streams: every fault at every step, walked by one runner.
+//! The fault matrix of streams: each fault at each step of a stream.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 use crate::stream::ReceivedStream;
 use crate::stream::StreamEnd;
 
-/// How far the stream is when the fault happens.
+/// Progress of the stream when the fault occurs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// It waits in the lead's queue.
+    /// The request waits in the lead's queue.
     Queued,
-    /// It is at its engine and has no token.
+    /// The request is at its engine and has produced no token.
     Placed,
-    /// The caller has some of its tokens.
+    /// The caller has received some tokens.
     Streaming,
 }
 
-/// What happens.
+/// The fault that is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     EngineDies,
@@ -38,16 +38,16 @@
     CallerDisconnects,
 }
 
-/// What must come of it.
+/// The required outcome.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Expected {
-    /// The caller gets the whole answer on its connection.
+    /// The caller receives the complete stream on its connection.
     Complete,
-    /// The caller gets a code, and what it has is in order and of one generation.
+    /// The caller gets an error code, and the tokens that it has received are in order and of one generation.
     Code(u64),
-    /// The caller comes back at another node and gets the rest of the same generation.
+    /// The caller reconnects to another node and receives the remaining tokens of the same generation.
     Resumes,
-    /// The caller comes back at another node and gets a whole answer.
+    /// The caller reconnects to another node and receives a complete stream.
     Restarts,
     /// The generation is cancelled at its engine.
     Cancelled,
@@ -99,9 +99,9 @@
     (Step::Streaming, Fault::CallerDisconnects,    Expected::Cancelled),
 ];
 
-/// A step of 40 ms leaves time to act; a first token takes two of them.
+/// Steps of 40 ms leave time to inject a fault; a first token takes two steps.
 const STEP_US: &str = "40000";
-/// For the step "placed": a first token takes half a second or more.
+/// For `Step::Placed`: a first token takes half a second or more.
 const SLOW_STEP_US: &str = "500000";
 
 struct TestCase {
@@ -114,7 +114,7 @@
 }
 
 impl TestCase {
-    /// A fleet whose stream is at `step`, through a node that is not the pool's lead.
+    /// Starts a fleet and brings a stream to `step`, through a node that is not the pool's lead.
     async fn start(step: Step) -> TestCase {
         let step_us = if step == Step::Placed { SLOW_STEP_US } else { STEP_US };
         let mut args: Vec<String> = ["--step-us", step_us, "--lag-ms", "100"].map(str::to_owned).into();
@@ -175,7 +175,11 @@
                 first.assert_in_order(0);
                 let resumed = reconnect(&self.env, self.lead, first.last_id.clone()).await;
                 assert_eq!(resumed.end, Some(StreamEnd::Complete), "{resumed:?}");
-                assert_eq!(resumed.generation(), first.generation(), "another generation");
+                assert_eq!(
+                    resumed.generation(),
+                    first.generation(),
+                    "resumed stream belongs to another generation"
+                );
                 resumed.assert_in_order(first.texts.len() as u64);
                 assert_eq!(first.texts.len() + resumed.texts.len(), TOKENS as usize);
             }
@@ -189,7 +193,7 @@
             Expected::Cancelled => {
                 let engine = self.engine;
                 self.env
-                    .until("cancelled at the engine", async |env: &Env| {
+                    .until("a cancellation", async |env: &Env| {
                         env.engine_load_field(engine, "cancelled").await > 0
                     })
                     .await;
@@ -201,7 +205,10 @@
             _ => None,
         };
         if let Some(node) = stopping {
-            assert!(self.env.wait_for_exit(&format!("entry-{node}")).await, "a planned stop that failed");
+            assert!(
+                self.env.wait_for_exit(&format!("entry-{node}")).await,
+                "the planned stop exited with a failure status"
+            );
         }
         drop(self.others);
     }
@@ -212,7 +219,7 @@
     Caller::start(&env.client, &address, "token-a", TOKENS, last_id.as_deref()).finish().await
 }
 
-/// Fills both engines, whose batch is one, with streams of other callers.
+/// Occupies both engines, whose batch size is one, with streams of other callers.
 async fn occupy_engines(env: &Env) -> Vec<Caller> {
     let mut others = Vec::new();
     for node in 1..=2 {
@@ -227,7 +234,7 @@
     others
 }
 
-/// Waits until the stream is at `step`, and returns the engine that matters.
+/// Waits until the stream is at `step`, and returns the number of the engine that the fault is injected into.
 async fn wait_for_step(env: &Env, step: Step, lead: usize, caller: &Caller) -> usize {
     match step {
         Step::Queued => {
@@ -247,7 +254,7 @@
         }
         Step::Streaming => {
             env.until("some tokens", async |_: &Env| caller.received().texts.len() >= 5).await;
-            let id = caller.received().last_id.expect("an id");
+            let id = caller.received().last_id.expect("an event id");
             let engine = id.split(['@', ':']).nth(1).and_then(|name| name.strip_prefix("engine-"));
             engine.and_then(|n| n.parse().ok()).expect("an engine's name")
         }
@@ -256,7 +263,7 @@
 
 async fn run_cases(step: Step) {
     for (_, fault, expected) in MATRIX.iter().filter(|(s, _, _)| *s == step) {
-        eprintln!("cell: {step:?} x {fault:?} -> {expected:?}");
+        eprintln!("case: {step:?} x {fault:?} -> {expected:?}");
         let mut case = TestCase::start(step).await;
         case.inject(*fault).await;
         case.check(*fault, *expected).await;
@@ -278,10 +285,10 @@
     run_cases(Step::Streaming).await;
 }
 
-/// A VM is asked to place a request as the lead was just killed, which it has not noticed itself: its next
-/// review of the pools that it leads gave the new one up while the request waited for the engines' first
-/// loads, and the request was never answered. Engines that answer nothing meanwhile make that wait long;
-/// if it is too long, its caller is told when to come back.
+/// A node is requested to place a generation right after the lead was killed, before it has noticed that
+/// itself. Its next review of the pools that it leads must not drop the new pool while the request waits
+/// for the engines' first load reports, or the request is never answered. Suspended engines prolong that
+/// wait; if it takes too long, the caller gets `Retry-After`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_pool_review_keeps_a_new_pool_with_a_waiting_request() {
     let args = ["--step-us", STEP_US].map(str::to_owned).into();
@@ -299,8 +306,9 @@
     assert!(received.end == Some(StreamEnd::Complete) || has_retry_after, "{received:?}\n{}", env.logs());
 }
 
-/// A pool that a review has just made does not know its engines' loads. A request that came then was refused
-/// at once; one that comes waits for the first loads, as where it makes the pool itself.
+/// A pool that a review has just created does not know its engines' loads. A request that arrives then must
+/// not be refused at once but wait for the first load reports, as if the request itself had created the
+/// pool.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_request_waits_for_the_first_load_reports_of_a_pool_made_by_a_review() {
     let args = ["--step-us", STEP_US].map(str::to_owned).into();
@@ -310,7 +318,7 @@
     ["engine-1", "engine-2"].iter().for_each(|engine| env.signal(engine, "-STOP"));
     env.kill(&format!("entry-{lead}"));
     let mut next = 0;
-    env.until("another lead", async |env: &Env| {
+    env.until("another node to lead the pool", async |env: &Env| {
         let others = (1..=3).filter(|node| *node != lead);
         next = others
             .into_iter()
@@ -324,12 +332,13 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     ["engine-1", "engine-2"].iter().for_each(|engine| env.signal(engine, "-CONT"));
     let received = caller.finish_with_logs(|| env.logs()).await;
-    // Beside load the engines may go on after the time that a first load is waited for.
+    // On a loaded machine the engines may continue only after the wait for a first load report has timed out.
     let waited = sent_at.elapsed() >= Duration::from_millis(300);
     assert!(received.end == Some(StreamEnd::Complete) || waited, "{received:?}\n{}", env.logs());
 }
 
-/// The matrix has every fault at every step, but for one that has no stream to leave.
+/// The matrix has each fault at each step, except a disconnecting caller, which is only tested while
+/// streaming.
 #[test]
 fn test_fault_matrix_is_complete() {
     let steps = [Step::Queued, Step::Placed, Step::Streaming];
@@ -343,11 +352,11 @@
     }
 }
 
-/// Another organisation cannot go on with a stream that is not its own.
+/// An organisation cannot resume a stream of another one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_stream_of_another_organisation() {
     let case = TestCase::start(Step::Streaming).await;
-    let id = case.caller.received().last_id.expect("an id");
+    let id = case.caller.received().last_id.expect("an event id");
     let address = case.env.address("entry-1");
     let other_organisation =
         Caller::start(&case.env.client, &address, "token-b", TOKENS, Some(&id)).finish().await;
@@ -358,8 +367,8 @@
     assert_eq!(unknown_stream.end, Some(StreamEnd::Code(4002)));
 }
 
-/// The only engine dies with a generation that has no token yet: it may have run, so the
-/// caller is not told "not run", although there is no engine to start it on again.
+/// The only engine dies with a generation that has no token yet. The generation may have run, so the caller
+/// must not get the code for "not run", although there is no engine left to restart it on.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_not_run_is_not_reported_after_a_dispatch() {
     let args = ["--step-us", SLOW_STEP_US].map(str::to_owned).into();
@@ -371,11 +380,15 @@
     assert_eq!(received.end, Some(StreamEnd::Code(3001)), "{}", env.logs());
     assert!(received.retry_after.is_some());
     let next = Caller::start(&env.client, &env.address("entry-1"), "token-a", 4, None).finish().await;
-    assert_eq!(next.end, Some(StreamEnd::Code(2104)), "this one was sent nowhere");
+    assert_eq!(
+        next.end,
+        Some(StreamEnd::Code(2104)),
+        "a request that is sent to no engine gets the code for \"not run\""
+    );
 }
 
-/// Each engine that begins a request dies before its first token. Nobody knows whether that is because of the
-/// request: it is sent to two engines and no more, of the four that there were.
+/// Each engine that starts a request dies before its first token. As the request itself may be the cause,
+/// it is sent to only two of the four engines.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_request_is_sent_to_two_engines_at_most() {
     const ENGINES: usize = 4;
@@ -397,7 +410,7 @@
     assert_eq!(killed.len(), 2, "{}", env.logs());
 }
 
-/// Many callers at once, with links cut at random: each gets its own answer.
+/// Many concurrent callers while connections to the engines are cut and stalled: each gets its own stream.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_concurrent_streams_are_not_mixed_up() {
     let args = ["--step-us", "10000"].map(str::to_owned).into();
@@ -418,6 +431,6 @@
         assert_eq!(received.end, Some(StreamEnd::Complete), "{received:?}\n{}", env.logs());
         assert_eq!(received.texts.len(), 20 + n);
         received.assert_in_order(0);
-        assert!(generations.insert(received.generation()), "two callers got one generation");
+        assert!(generations.insert(received.generation()), "two callers received the same generation");
     }
 }
--- a/node/tests/test_upstreams.rs
+++ b/node/tests/test_upstreams.rs
@@ -9,8 +9,8 @@
 use crate::stream::Caller;
 use crate::stream::StreamEnd;
 
-/// A reclaimed engine tells so itself; the VM list lags far behind. It gets no new work
-/// after that, and what runs there ends whole.
+/// An engine that is reclaimed reports this itself, long before the VM list does. It gets no new work after
+/// that, and its running streams are completed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_reclaimed_engine_gets_no_new_work() {
     let args = ["--step-us", "20000", "--lag-ms", "0"].map(str::to_owned).into();
@@ -18,13 +18,13 @@
     let address = env.address("entry-1");
     let running: Vec<Caller> =
         (0..6).map(|_| Caller::start(&env.client, &address, "token-a", 150, None)).collect();
-    env.until("work on both", async |env: &Env| {
+    env.until("work on both engines", async |env: &Env| {
         env.engine_load_field(1, "started").await > 0 && env.engine_load_field(2, "started").await > 0
     })
     .await;
     env.set_fault("engine-1", "reclaim").await;
     for node in 1..=2 {
-        env.until("every node knows", async |env: &Env| {
+        env.until("each node to list engine-1 as leaving", async |env: &Env| {
             let status = env.status(node).await.unwrap_or_default();
             status["leaving"].as_array().is_some_and(|l| l.iter().any(|e| e == "engine-1"))
         })
@@ -44,27 +44,27 @@
     }
 }
 
-/// The VM list says that a service's replica leaves: it gets no new call.
+/// A service's replica that the VM list marks as leaving gets no new calls.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_leaving_service_gets_no_new_call() {
     let mut env = Env::start(Options { engines: 0, ..Options::default() }).await;
     assert!(env.book(1, None).await.is_ok_and(|r| r.status == 200));
     env.set_vm_state("booking-1", "leaving").await;
     for node in 1..=2 {
-        env.until("every node knows", async |env: &Env| {
+        env.until("each node to list booking-1 as leaving", async |env: &Env| {
             env.status(node).await.unwrap_or_default()["leaving"].as_array().is_some_and(|l| !l.is_empty())
         })
         .await;
     }
     let before = env.bookings().await;
-    let reply = env.book(2, None).await.expect("an answer");
+    let reply = env.book(2, None).await.expect("a response");
     assert_eq!((reply.status, crate::environment::error_code(&reply)), (503, 2104));
     assert!(reply.headers.contains_key("retry-after"));
     assert_eq!(env.bookings().await, before);
 }
 
-/// Half of the fleet goes at once while streams run; what can end does, the rest gets a
-/// code, and the system serves again as before.
+/// Half of the fleet fails at once while streams run. Each stream is completed or ends with an error code,
+/// and the fleet serves new requests as before.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_recovers_after_a_burst_of_failures() {
     let args = ["--step-us", "10000"].map(str::to_owned).into();
@@ -93,7 +93,7 @@
         let received = Caller::start(&env.client, &address, "token-a", 10, None).finish().await;
         assert_eq!(received.end, Some(StreamEnd::Complete), "{received:?}\n{}", env.logs());
     }
-    env.until("the books are empty again", async |env: &Env| {
+    env.until("the lead to count no running or waiting requests", async |env: &Env| {
         let lead = env.lead().await;
         let status = env.status(lead).await.unwrap_or_default();
         status["pools"][0]["running"] == 0 && status["pools"][0]["waiting"] == 0
@@ -101,8 +101,8 @@
     .await;
 }
 
-/// A caller whose entry died does not come back: its generation is cancelled in the end
-/// and the engine's memory is free again.
+/// A caller whose entry node died does not reconnect: its generation is finally cancelled, which frees the
+/// engine's memory.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_abandoned_generation_is_cancelled() {
     let args = ["--step-us", "100000"].map(str::to_owned).into();
@@ -111,16 +111,16 @@
     let entry = lead % 2 + 1;
     let caller = Caller::start(&env.client, &env.address(&format!("entry-{entry}")), "token-a", 2_000, None);
     env.until("tokens", async |_: &Env| caller.received().texts.len() > 2).await;
-    env.until("the lead's book has it", async |env: &Env| {
+    env.until("the lead to count the request as running", async |env: &Env| {
         env.status(lead).await.unwrap_or_default()["pools"][0]["running"] == 1
     })
     .await;
     env.kill(&format!("entry-{entry}"));
-    env.until("it is cancelled", async |env: &Env| env.engine_load_field(1, "cancelled").await == 1).await;
+    env.until("a cancellation", async |env: &Env| env.engine_load_field(1, "cancelled").await == 1).await;
 }
 
-/// The lead has every engine load the bundle's adapters, under its fence, once; a new
-/// lead has a higher epoch.
+/// The lead makes each engine load the bundle's adapters once, under its fence. A new lead has a higher
+/// epoch.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_engines_load_the_adapters() {
     let mut env = Env::start(Options { nodes: 3, ..Options::default() }).await;
@@ -128,7 +128,7 @@
         let reply = env.get(&env.address(engine), "/stand-in/orders").await;
         reply.map(|r| serde_json::from_str(&r.body).expect("a list")).unwrap_or_default()
     };
-    env.until("both have it", async |env: &Env| {
+    env.until("both engines to load the adapter", async |env: &Env| {
         !orders(env, "engine-1").await.is_empty() && !orders(env, "engine-2").await.is_empty()
     })
     .await;
@@ -136,14 +136,15 @@
     env.kill(&format!("entry-{lead}"));
     env.start_engine(3);
     env.set_vm_state("engine-3", "live").await;
-    env.until("the new one has it", async |env: &Env| !orders(env, "engine-3").await.is_empty()).await;
+    env.until("engine-3 to load the adapter", async |env: &Env| !orders(env, "engine-3").await.is_empty())
+        .await;
     assert_eq!(orders(&env, "engine-1").await, ["1:load:desk"]);
     assert_eq!(orders(&env, "engine-2").await, ["1:load:desk"]);
     assert_eq!(orders(&env, "engine-3").await, ["2:load:desk"]);
 }
 
-/// A stopping node finishes its stream, and after the balancer's grace it takes no new
-/// request, however long the stream lasts.
+/// A stopping node completes its stream. After the load balancer's grace period it accepts no new requests,
+/// however long the stream lasts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_stopping_node_refuses_requests_after_the_grace_period() {
     let args = ["--step-us", "50000"].map(str::to_owned).into();
@@ -152,7 +153,7 @@
     let stream = Caller::start(&env.client, &address, "token-a", 300, None);
     env.until("tokens", async |_: &Env| !stream.received().texts.is_empty()).await;
     env.signal("entry-1", "-TERM");
-    env.until("it takes nothing new", async |env: &Env| {
+    env.until("entry-1 to refuse new requests", async |env: &Env| {
         env.book(1, None).await.is_ok_and(|reply| crate::environment::error_code(&reply) == 2108)
     })
     .await;
@@ -165,8 +166,7 @@
     assert!(env.wait_for_exit("entry-1").await);
 }
 
-/// An engine that the bundle drains gets no new work, also when requests wait and it
-/// answers every read of its load.
+/// An engine that the bundle drains gets no new work, even if requests wait and it still reports its load.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_drained_engine_gets_no_new_work() {
     let args = ["--step-us", "50000", "--max-batch", "1"].map(str::to_owned).into();
@@ -178,7 +178,7 @@
         env.until_bundle(node, 2).await;
     }
     let lead = env.lead().await;
-    env.until("it is drained", async |env: &Env| {
+    env.until("the lead to mark engine-2 as leaving", async |env: &Env| {
         let status = env.status(lead).await.unwrap_or_default();
         let engines = status["pools"][0]["engines"].as_array().cloned().unwrap_or_default();
         engines.iter().any(|e| e["id"] == "engine-2" && e["state"] == "leaving")
--- a/node/tests/test_vm_list_size.rs
+++ b/node/tests/test_vm_list_size.rs
@@ -1,4 +1,4 @@
-//! Large lists of VMs over small links.
+//! Large VM lists over slow links.
 
 use std::process::Command;
 use std::process::Stdio;
@@ -24,7 +24,8 @@
 
 const VM_COUNT: usize = 3_000;
 
-/// A platform with many VMs and no bundle. Whoever has read the list names its version from then on.
+/// A platform with many VMs and no bundle. A client that has read the whole list sends its version in
+/// `If-None-Match` from then on.
 struct PlatformWithManyVms {
     list: String,
     list_requests: AtomicU64,
@@ -45,7 +46,7 @@
     }
 }
 
-/// 3,000 VMs are 0.3 MB, which takes two seconds here: longer than a call to the platform may.
+/// 3,000 VMs are 0.3 MB, which takes two seconds here: longer than a call to the platform may take.
 #[tokio::test]
 async fn test_a_large_vm_list_is_read_over_a_slow_link() {
     let net = Gateway::start().await;
@@ -64,7 +65,7 @@
     let server = loopback::serve(&platform_ip, platform.clone()).await;
     let proxy = FaultyProxy::start(&platform_ip, server.address).await;
     proxy.set(LinkFault::Thin(rate));
-    let dir = tempfile::TempDir::new().expect("a folder");
+    let dir = tempfile::TempDir::new().expect("a temporary directory");
     let path = dir.path().join("node.yaml");
     let key = encode_key(&SigningKey::from_bytes(&[5; 32]).verifying_key());
     let settings = format!(
@@ -74,7 +75,7 @@
     std::fs::write(&path, settings).expect("writable");
     let mut command = Command::new(env!("CARGO_BIN_EXE_leadstaged"));
     command.arg("--config").arg(&path).stdout(Stdio::null()).stderr(Stdio::null()).stdin(Stdio::null());
-    let mut node = command.spawn().expect("it starts");
+    let mut node = command.spawn().expect("leadstaged starts");
     for _ in 0..100 {
         if platform.list_was_read.load(Ordering::Relaxed) {
             break;
@@ -86,6 +87,6 @@
     let list_requests = platform.list_requests.load(Ordering::Relaxed);
     assert!(
         platform.list_was_read.load(Ordering::Relaxed),
-        "asked {list_requests} times in 15 s, never read whole"
+        "the list was requested {list_requests} times in 15 s and never read completely"
     );
 }
