--- a/node/tests/test_gateway_fleet.rs
+++ b/node/tests/test_gateway_fleet.rs
@@ -138,11 +138,7 @@
 async fn test_a_lost_watch_history_causes_a_new_listing() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     gateway.store.set_fault(StoreFault::ForgetsHistory);
-    gateway
-        .until("the node to list the store again", async || {
-            gateway.log(0).contains("event=store_history_gone")
-        })
-        .await;
+    gateway.until("a new listing", async || gateway.log(0).contains("event=store_history_gone")).await;
     gateway.store.set_fault(StoreFault::None);
     let mut newer = config(2);
     newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
--- a/node/tests/test_settings.rs
+++ b/node/tests/test_settings.rs
@@ -48,9 +48,8 @@
 
 #[test]
 fn test_command_line() {
-    let run = |args: &[&str]| {
-        Command::new(env!("CARGO_BIN_EXE_leadstaged")).args(args).output().expect("leadstaged runs")
-    };
+    let run =
+        |args: &[&str]| Command::new(env!("CARGO_BIN_EXE_leadstaged")).args(args).output().expect("it runs");
     assert_eq!(run(&["--help"]).status.code(), Some(0));
     assert_eq!(run(&[]).status.code(), Some(2));
     assert_eq!(run(&["--colour"]).status.code(), Some(2));
