--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -155,7 +155,7 @@
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     gateway.drain("booking", &bookings[0]);
     gateway
-        .until("the log event", async || gateway.log(0).contains("event=replica_leaves upstream=booking-1"))
+        .until("replica_leaves", async || gateway.log(0).contains("event=replica_leaves upstream=booking-1"))
         .await;
     for _ in 0..20 {
         assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
