--- a/node/src/bundle_fetch.rs
+++ b/node/src/bundle_fetch.rs
@@ -14,8 +14,8 @@
 use futures::AsyncReadExt;
 use leadstage_lib::ids::BundleNumber;
 use leadstage_lib::ids::VmId;
-use leadstage_platform::connect::LEAST_PROGRESS;
-use leadstage_platform::connect::STALLED_AFTER;
+use leadstage_platform::connect::MIN_PROGRESS_BYTES;
+use leadstage_platform::connect::STALL_TIMEOUT;
 use log::warn;
 use tokio_util::compat::TokioAsyncReadCompatExt;
 use tokio_util::task::AbortOnDropHandle;
@@ -61,8 +61,8 @@
     Ok(answer.get()?.get_envelope()?.to_vec())
 }
 
-/// Waits for the response of a call as long as it makes progress: at least [`LEAST_PROGRESS`] bytes in every
-/// [`STALLED_AFTER`], as for large responses of the platform. A fixed timeout does not fit: a bundle of 0.3 MB
+/// Waits for the response of a call as long as it makes progress: at least [`MIN_PROGRESS_BYTES`] bytes in every
+/// [`STALL_TIMEOUT`], as for large responses of the platform. A fixed timeout does not fit: a bundle of 0.3 MB
 /// takes 3 s at 100 kB/s, and with a limit of 1 s for the whole response it was not there after 60 s.
 async fn await_with_progress<T>(
     call: impl Future<Output = Result<T, capnp::Error>>,
@@ -71,10 +71,10 @@
     let mut call = pin!(call);
     loop {
         let before = received.get();
-        if let Ok(result) = tokio::time::timeout(STALLED_AFTER, call.as_mut()).await {
+        if let Ok(result) = tokio::time::timeout(STALL_TIMEOUT, call.as_mut()).await {
             return Ok(result?);
         }
-        if received.get() - before < LEAST_PROGRESS {
+        if received.get() - before < MIN_PROGRESS_BYTES {
             return Err(PeerError::NoAnswer);
         }
     }
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -297,7 +297,7 @@
 }
 
 async fn check_health(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
-    let result = match health::ask(&replica, &path, HEALTH_CHECK_TIMEOUT).await {
+    let result = match health::check(&replica, &path, HEALTH_CHECK_TIMEOUT).await {
         Health::Well { .. } | Health::Unwell | Health::Leaving => CheckResult::Lives,
         Health::Other => CheckResult::Replaced,
         Health::Closed => CheckResult::PortClosed,
--- a/node/src/gateway/control/follow.rs
+++ b/node/src/gateway/control/follow.rs
@@ -145,7 +145,7 @@
         let list = self.store.list::<K>(self.age, log_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::List, list.is_ok());
         let list = list?;
-        self.log_undecided(&list.undecided);
+        self.log_undecided(&list.unknown_fields);
         // If the store's history does not reach back to an old list, the next list must be a current one.
         self.age = Age::Newest;
         self.is_unwatched = true;
@@ -159,7 +159,7 @@
         let changes = self.store.watch::<K>(at, timeout, log_unreadable::<K>).await;
         self.shared.metrics.on_store_call(StoreCall::Watch, changes.is_ok());
         let changes = changes?;
-        self.log_undecided(&changes.undecided);
+        self.log_undecided(&changes.unknown_fields);
         self.is_unwatched = false;
         self.on_answer(changes.at);
         self.shared.notify((self.wrap)(StoreUpdate::Changed(changes)));
@@ -172,8 +172,8 @@
 
     /// Logs each field that is neither read nor declared as ignored, once: the platform may require
     /// something that is not implemented.
-    fn log_undecided(&mut self, undecided: &BTreeSet<String>) {
-        for field in undecided {
+    fn log_undecided(&mut self, unknown_fields: &BTreeSet<String>) {
+        for field in unknown_fields {
             if self.logged_fields.len() < MAX_LOGGED_FIELDS && self.logged_fields.insert(field.clone()) {
                 warn!(event = "field_undecided", kind = K::NAME, field = field.as_str(); "an object has a field that is neither read nor declared as ignored");
             }
@@ -223,7 +223,7 @@
         // Objects that do not expire during an outage are watched from the last revision instead of being
         // listed again: the configuration has up to 1 MB, which takes 0.84 s at 10 Mbit/s, and each list is
         // billed.
-        if K::LAPSES {
+        if K::EXPIRES {
             self.watch_from = None;
         }
         self.shared.set_store_answers(false);
--- a/node/src/gateway/control/health_poller.rs
+++ b/node/src/gateway/control/health_poller.rs
@@ -51,6 +51,6 @@
 }
 
 async fn poll(shared: Arc<Shared>, replica: Arc<ReplicaRecord>, path: String) {
-    let health = health::ask(&replica, &path, HEALTH_TIMEOUT).await;
+    let health = health::check(&replica, &path, HEALTH_TIMEOUT).await;
     shared.notify(ToControl::Health(replica.incarnation(), health));
 }
--- a/node/src/gateway/control/upgrade_store.rs
+++ b/node/src/gateway/control/upgrade_store.rs
@@ -7,7 +7,7 @@
 
 use leadstage_lib::gateway::upgrade::Stage;
 use leadstage_platform::store::Store;
-use leadstage_platform::store::Written;
+use leadstage_platform::store::WriteOutcome;
 use leadstage_platform::store_kinds::StoredUpgrade;
 use leadstage_platform::store_kinds::UpgradeState;
 use leadstage_platform::store_kinds::UpgradeStatus;
@@ -58,9 +58,11 @@
     shared.metrics.on_store_call(StoreCall::Write, written.is_ok());
     let service = held.service.clone();
     let held = match written {
-        Ok(Written::Done(revision)) => Some(StoredUpgrade { revision, state: Some(status.state), ..held }),
-        Ok(Written::Other(other, _)) => Some(other),
-        Ok(Written::Missing) => None,
+        Ok(WriteOutcome::Done(revision)) => {
+            Some(StoredUpgrade { revision, state: Some(status.state), ..held })
+        }
+        Ok(WriteOutcome::Conflict(other, _)) => Some(other),
+        Ok(WriteOutcome::Missing) => None,
         Err(err) => {
             info!(event = "upgrade_not_stored", service = &*service, reason:% = err; "could not store the status of an upgrade");
             None
--- a/node/src/gateway/peers/fetching.rs
+++ b/node/src/gateway/peers/fetching.rs
@@ -18,7 +18,7 @@
 use leadstage_lib::gateway::config_text::PartialConfig;
 use leadstage_lib::gateway::replica_list::ReplicaList;
 use leadstage_lib::gateway::routing::ConfigVersion;
-use leadstage_platform::connect::Link;
+use leadstage_platform::connect::PersistentClient;
 use leadstage_platform::store::Revision;
 use log::info;
 
@@ -86,8 +86,9 @@
     }
     let mut part = part;
     let mut had = part.as_ref().map_or(0, |part| part.buf.len());
-    let response =
-        Link::new(from).fetch_into(req, RESPONSE_TIMEOUT, |res| body_buf(res, &mut part, &mut had)).await;
+    let response = PersistentClient::new(from)
+        .fetch_into(req, RESPONSE_TIMEOUT, |res| body_buf(res, &mut part, &mut had))
+        .await;
     let has = part.as_ref().map_or(0, |part| part.buf.len());
     shared.metrics.on_peer_bytes(PeerBytes::FetchedIn, has.saturating_sub(had));
     match response {
@@ -140,7 +141,7 @@
 }
 
 async fn request_replicas(shared: &Shared, from: SocketAddr, path: &str) -> FetchedReplicas {
-    let response = Link::new(from).fetch(get_request(from, path), RESPONSE_TIMEOUT).await;
+    let response = PersistentClient::new(from).fetch(get_request(from, path), RESPONSE_TIMEOUT).await;
     match response {
         Ok(response) if response.status == StatusCode::OK => {
             shared.metrics.on_peer_bytes(PeerBytes::FetchedIn, response.body.len());
--- a/node/src/gateway/upstream/replica_headers.rs
+++ b/node/src/gateway/upstream/replica_headers.rs
@@ -87,17 +87,17 @@
         sent: Timestamp,
     ) {
         self.record_headers(&head.headers);
-        if headers::says_leaving(&head.headers) {
+        if headers::announces_leaving(&head.headers) {
             self.on_leaving_announced(req, replica);
         }
         self.record_backoff(req, replica, head, sent);
-        self.record_limit(replica, headers::limit_word(head.status, &head.headers), sent);
+        self.record_limit(replica, headers::limit_report(head.status, &head.headers), sent);
     }
 
     /// Records whether the replica requests a back-off.
     fn record_backoff(&self, req: &CallerRequest, replica: &ReplicaRecord, head: &Parts, sent: Timestamp) {
         let mut backoffs = self.backoffs.borrow_mut();
-        match headers::rest_asked(head.status, &head.headers) {
+        match headers::requested_backoff(head.status, &head.headers) {
             Some(backoff) => {
                 backoffs.on_retry_after(replica, backoff, self.shared.now());
                 info!(event = "rest_asked", request = req.id(), upstream = &*replica.id, rest_ms = backoff.as_millis() as u64; "the replica requests a back-off");
@@ -124,7 +124,7 @@
                 continue;
             }
             seen.insert(name.clone());
-            if !fields::knows_header(name.as_str()) {
+            if !fields::is_known_header(name.as_str()) {
                 warn!(event = "field_undecided", kind = "answer", field = name.as_str(); "a response has a header that is neither read nor listed as ignored");
             }
         }
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -94,8 +94,8 @@
         let Some(service) = req.table.service(&req.service) else {
             return false;
         };
-        let health = health::ask(replica, &service.health_path, HEALTH_CHECK_TIMEOUT).await;
-        health.is_answer()
+        let health = health::check(replica, &service.health_path, HEALTH_CHECK_TIMEOUT).await;
+        health.is_from_replica()
     }
 
     /// Whether a request must not be sent to any replica.
--- a/node/src/platform.rs
+++ b/node/src/platform.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::TokioExecutor;
 use leadstage_lib::claim_writer::WriteResult;
 use leadstage_lib::upstreams::VmRecord;
-use leadstage_platform::connect::read_on;
+use leadstage_platform::connect::read_body;
 
 /// Timeout for the start of a response. There is no timeout for a complete response: a list of 3,000 VMs
 /// (0.3 MB) takes two seconds on a link with 150 kB/s to spare, and a limit of one second for the whole
@@ -110,7 +110,7 @@
         let (head, mut body) = self.send(req, limit).await?.into_parts();
         let etag = head.headers.get("etag").and_then(|v| v.to_str().ok()).and_then(|v| v.parse().ok());
         let mut buf = BytesMut::new();
-        read_on(&mut body, &mut buf).await.map_err(no_answer)?;
+        read_body(&mut body, &mut buf).await.map_err(no_answer)?;
         Ok((head.status.as_u16(), etag, buf.freeze()))
     }
 
--- a/node/tests/runner.rs
+++ b/node/tests/runner.rs
@@ -1,5 +1,5 @@
-//! All tests of the package, in one program. They run leadstaged and the stand-ins as
-//! processes; `cargo test --workspace` builds those first.
+//! All tests of the package in one program. They run leadstaged and the stand-ins as processes, which
+//! `cargo test --workspace` builds first.
 
 mod crashing_fleet;
 mod environment;
@@ -37,7 +37,7 @@
 mod test_gateway_upgrade_judges;
 mod test_gateway_upgrade_soak;
 mod test_gateway_upgrades;
-mod test_module_arrows;
+mod test_module_cycles;
 mod test_settings;
 mod test_stop;
 mod test_streams;
--- a/node/tests/test_callers.rs
+++ b/node/tests/test_callers.rs
@@ -1,4 +1,4 @@
-//! What callers see: models, whole answers, and a numbered code for each mistake.
+//! Responses to callers: the model list, responses without streaming, and the numeric code of each error.
 
 use std::io::Read;
 use std::io::Write;
@@ -12,15 +12,15 @@
 
 use crate::environment::Env;
 use crate::environment::Options;
-use crate::environment::code;
+use crate::environment::error_code;
 use crate::stream::Caller;
 use crate::stream::chat_body;
 
-async fn ask(env: &Env, method: Method, path: &str, token: &str, body: impl Into<Bytes>) -> Reply {
+async fn send_request(env: &Env, method: Method, path: &str, token: &str, body: impl Into<Bytes>) -> Reply {
     let uri = format!("http://{}{path}", env.address("entry-1"));
     let req = Request::builder().method(method).uri(uri).header("authorization", format!("Bearer {token}"));
     let req = req.body(Full::from(body.into())).expect("valid");
-    http_client::send(&env.client, req).await.expect("an answer")
+    http_client::send(&env.client, req).await.expect("a response")
 }
 
 async fn start(bounds: &str) -> Env {
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_mistakes_get_their_code() {
+async fn test_invalid_requests_get_their_error_code() {
     let env = start("max_body_bytes: 20000").await;
     let chat = "/v1/chat/completions";
     let long = format!(r#"{{"model":"m","prompt":"{}"}}"#, "x".repeat(5_000));
@@ -67,8 +67,8 @@
     ];
     let mut text = String::new();
     for (name, method, path, token, body) in cases {
-        let reply = ask(&env, method, path, token, body).await;
-        text.push_str(&format!("{name}: {} {}\n", reply.status, code(&reply)));
+        let reply = send_request(&env, method, path, token, body).await;
+        text.push_str(&format!("{name}: {} {}\n", reply.status, error_code(&reply)));
     }
     insta::assert_snapshot!(text, @"
     bad JSON: 400 2001
@@ -86,50 +86,51 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_whole_answer_and_models() {
+async fn test_complete_response_and_model_list() {
     let env = start("").await;
-    let models = ask(&env, Method::GET, "/v1/models", "token-a", "").await;
+    let models = send_request(&env, Method::GET, "/v1/models", "token-a", "").await;
     assert_eq!(
         models.body,
         r#"{"data":[{"id":"m","object":"model","owned_by":"leadstage"}],"object":"list"}"#
     );
-    let whole = ask(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
-    let body: serde_json::Value = serde_json::from_str(&whole.body).expect("JSON");
+    let response =
+        send_request(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
+    let body: serde_json::Value = serde_json::from_str(&response.body).expect("JSON");
     assert_eq!(body["object"], "chat.completion");
     assert_eq!(body["usage"]["completion_tokens"], 5);
     let words = body["choices"][0]["message"]["content"].as_str().expect("text").split_whitespace().count();
     assert_eq!((words, &body["choices"][0]["finish_reason"]), (5, &"stop".into()));
     let text = r#"{"model":"m","prompt":"once","stand_in_tokens":3}"#;
-    let whole = ask(&env, Method::POST, "/v1/completions", "token-a", text).await;
-    let body: serde_json::Value = serde_json::from_str(&whole.body).expect("JSON");
+    let response = send_request(&env, Method::POST, "/v1/completions", "token-a", text).await;
+    let body: serde_json::Value = serde_json::from_str(&response.body).expect("JSON");
     assert_eq!(body["choices"][0]["text"].as_str().expect("text").split_whitespace().count(), 3);
 }
 
-/// A body that comes slowly is given up in the bundle's time.
+/// A request whose body is not complete within the bundle's `body_within` is refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_slow_body() {
     let env = start("body_within: 300ms").await;
     let address = env.address("entry-1");
     let answer = tokio::task::spawn_blocking(move || {
-        let mut stream = std::net::TcpStream::connect(address).expect("it listens");
+        let mut stream = std::net::TcpStream::connect(address).expect("the node listens");
         let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer token-a\r\ncontent-length: 100\r\n\r\n{";
         stream.write_all(head.as_bytes()).expect("writable");
         let mut buf = [0; 4_096];
-        let read = stream.read(&mut buf).expect("an answer");
+        let read = stream.read(&mut buf).expect("a response");
         String::from_utf8_lossy(&buf[..read]).into_owned()
     });
-    let answer = answer.await.expect("no panic");
+    let answer = answer.await.expect("the task does not panic");
     assert!(answer.starts_with("HTTP/1.1 408") && answer.contains("x-leadstage-code: 2007"), "{answer}");
 }
 
-/// A body that is too large is refused when it has been sent to its end: a connection that
-/// closed before would take the refusal with it.
+/// A body that is too large is refused only after all of it has been received: if the connection were
+/// closed earlier, the caller could lose the refusal.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_large_body_is_read_to_its_end_before_it_is_refused() {
     let env = start("max_body_bytes: 20000").await;
     let address = env.address("entry-1");
     let answer = tokio::task::spawn_blocking(move || {
-        let mut stream = std::net::TcpStream::connect(address).expect("it listens");
+        let mut stream = std::net::TcpStream::connect(address).expect("the node listens");
         let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer token-a\r\ncontent-length: 60000\r\n\r\n";
         stream.write_all(head.as_bytes()).expect("writable");
         for _ in 0..3 {
@@ -137,28 +138,29 @@
             std::thread::sleep(std::time::Duration::from_millis(200));
         }
         let mut buf = [0; 4_096];
-        let read = stream.read(&mut buf).expect("an answer");
+        let read = stream.read(&mut buf).expect("a response");
         String::from_utf8_lossy(&buf[..read]).into_owned()
     });
-    let answer = answer.await.expect("no panic");
+    let answer = answer.await.expect("the task does not panic");
     assert!(answer.starts_with("HTTP/1.1 413") && answer.contains("x-leadstage-code: 2005"), "{answer}");
 }
 
-/// An organisation's open requests are bounded; one that is refused is told when to come
-/// back, and others are not affected.
+/// The open requests of an organisation are limited: a refused request gets `Retry-After`, and other
+/// organisations are not affected.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_organisation_limit() {
     let env = start("").await;
     let address = env.address("entry-1");
-    let ask = |token: &str, tokens| Caller::ask(&env.client, &address, token, tokens, None);
-    let open = [ask("token-b", 2_000), ask("token-b", 2_000)];
-    env.until("two open streams", async |_: &Env| open.iter().all(|c| !c.got().texts.is_empty())).await;
-    let third = ask("token-b", 5).finish().await;
-    assert_eq!(third.end, Some(crate::stream::End::Code(2103)));
+    let open_stream = |token: &str, tokens| Caller::start(&env.client, &address, token, tokens, None);
+    let streams = [open_stream("token-b", 2_000), open_stream("token-b", 2_000)];
+    env.until("two open streams", async |_: &Env| streams.iter().all(|c| !c.received().texts.is_empty()))
+        .await;
+    let third = open_stream("token-b", 5).finish().await;
+    assert_eq!(third.end, Some(crate::stream::StreamEnd::Code(2103)));
     assert!(third.retry_after.is_some());
-    assert_eq!(ask("token-a", 5).finish().await.end, Some(crate::stream::End::Whole));
-    open.iter().for_each(Caller::leave);
-    env.until("the limit is free again", async |env: &Env| {
+    assert_eq!(open_stream("token-a", 5).finish().await.end, Some(crate::stream::StreamEnd::Complete));
+    streams.iter().for_each(Caller::disconnect);
+    env.until("the open requests to end", async |env: &Env| {
         env.status(1).await.is_some_and(|s| s["open"] == 0)
     })
     .await;
@@ -167,11 +169,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_admin_port() {
     let env = start("").await;
-    let whole = ask(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
-    let id = whole.headers["x-request-id"].to_str().expect("text").to_owned();
-    let explained = env.get(&env.admin(1), &format!("/explain?id={id}")).await.expect("an answer");
+    let response =
+        send_request(&env, Method::POST, "/v1/chat/completions", "token-a", chat_body(5, false)).await;
+    let id = response.headers["x-request-id"].to_str().expect("text").to_owned();
+    let explained = env.get(&env.admin(1), &format!("/explain?id={id}")).await.expect("a response");
     assert!(explained.body.contains("on engine-1 by lead entry-1"), "{}", explained.body);
-    let metrics = env.get(&env.admin(1), "/metrics").await.expect("an answer").body;
+    let metrics = env.get(&env.admin(1), "/metrics").await.expect("a response").body;
     let lines =
         ["leadstage_requests_total{code=\"1000\",organisation=\"a\"", "leadstage_stream_tokens_total"];
     assert!(lines.iter().all(|line| metrics.contains(line)), "{metrics}");
@@ -179,5 +182,5 @@
         !env.logs().contains("token-a") && !env.logs().contains("hello"),
         "a secret or a prompt in the logs"
     );
-    assert_eq!(env.get(&env.admin(1), "/healthz").await.expect("an answer").status, 200);
+    assert_eq!(env.get(&env.admin(1), "/healthz").await.expect("a response").status, 200);
 }
--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls through the gateway interface.
+//! Plain calls (no generations) through the gateway interface.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 }
 
 fn arrivals(replicas: &[RunningReplica]) -> usize {
-    replicas.iter().map(|running| running.replica.seen().len()).sum()
+    replicas.iter().map(|running| running.replica.received_requests().len()).sum()
 }
 
 #[tokio::test]
-async fn test_requests_pass_unaltered_but_for_what_leadstage_sets() {
+async fn test_requests_are_forwarded_unchanged_except_for_leadstage_headers() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     let mut req = request("POST", "/book/a%20b?x=1&y", KEY, "r-7");
     *req.body_mut() = Full::from("a body");
@@ -47,12 +47,12 @@
     let called = gateway.call(0, req).await;
     assert_eq!((called.status, called.body.as_str()), (200, "booking-1 answers /book/a%20b?x=1&y"));
     assert_eq!(called.header("leadstage-server-signature"), Some("sig-booking-1"));
-    let seen = bookings[0].replica.seen().pop().expect("it arrived");
+    let seen = bookings[0].replica.received_requests().pop().expect("the replica received the request");
     assert_eq!(seen.line, "POST /book/a%20b?x=1&y");
     assert_eq!(seen.body, "a body");
     let deadline: u64 =
         seen.header("leadstage-deadline-ms").and_then(|ms| ms.parse().ok()).expect("a deadline");
-    assert!((7_000..=8_000).contains(&deadline), "{deadline} is not what is left");
+    assert!((7_000..=8_000).contains(&deadline), "{deadline} ms is not the remaining time");
     let mut names: Vec<String> = seen
         .headers
         .iter()
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn test_refusals_say_why() {
+async fn test_refused_requests_get_their_status() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     assert_eq!(gateway.status_of(0, "/nowhere/x", KEY).await, 404);
     assert_eq!(gateway.status_of(0, "/read/x", "unknown").await, 401);
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn test_without_a_configuration_requests_are_to_come_back() {
+async fn test_requests_without_a_configuration_get_retry_after() {
     let mut gateway = Gateway::start().await;
     gateway.start_node();
     gateway.until("the port", async || gateway.status_of(0, "/read/x", KEY).await == 503).await;
@@ -91,19 +91,19 @@
     assert_eq!(gateway.ready_status(0).await, 503);
 }
 
-/// What each fault of all replicas comes to: the status for a call that may repeat, with
-/// its arrivals, and the same for one that may not.
+/// For each fault that all replicas have: the status of an idempotent and of a non-idempotent call, and how
+/// many requests reached replicas.
 #[tokio::test]
-async fn test_outcomes_are_true() {
+async fn test_replica_faults_give_their_status_and_attempts() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     let mut rows = Vec::new();
     for fault in [
         ReplicaFault::None,
-        ReplicaFault::NotRun,
+        ReplicaFault::NotExecuted,
         ReplicaFault::Fails,
         ReplicaFault::Breaks,
-        ReplicaFault::ForeignAnswer,
-        ReplicaFault::CutsBody,
+        ReplicaFault::WrongRequestId,
+        ReplicaFault::TruncatesBody,
     ] {
         set_faults(&bookings, fault);
         for path in ["/read/x", "/book/x"] {
@@ -131,25 +131,33 @@
 }
 
 #[tokio::test]
-async fn test_a_caller_that_leaves_is_seen_while_its_replica_is_silent() {
+async fn test_a_disconnected_caller_is_detected_while_its_replica_is_silent() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     bookings[0].replica.set_fault(ReplicaFault::Hangs);
     let front = gateway.front(0);
     let calling =
         tokio::spawn(async move { send(&front, request("GET", "/read/x", KEY, "r-left")).await.is_ok() });
-    gateway.until("it runs", async || bookings[0].replica.running() == 1).await;
+    gateway.until("the request to run", async || bookings[0].replica.running() == 1).await;
     calling.abort();
-    let asked = tokio::time::Instant::now();
-    gateway.until("the replica sees it", async || bookings[0].replica.left() == ["r-left"]).await;
-    assert!(asked.elapsed() < Duration::from_millis(500), "seen after {:?}", asked.elapsed());
+    let disconnected_at = tokio::time::Instant::now();
+    gateway
+        .until("the replica to detect the disconnect", async || {
+            bookings[0].replica.abandoned_requests() == ["r-left"]
+        })
+        .await;
+    assert!(
+        disconnected_at.elapsed() < Duration::from_millis(500),
+        "detected after {:?}",
+        disconnected_at.elapsed()
+    );
 }
 
 #[tokio::test]
-async fn test_a_leaving_replica_gets_nothing_new() {
+async fn test_a_leaving_replica_gets_no_new_calls() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     gateway.drain("booking", &bookings[0]);
     gateway
-        .until("the notice", async || gateway.log(0).contains("event=replica_leaves upstream=booking-1"))
+        .until("replica_leaves", async || gateway.log(0).contains("event=replica_leaves upstream=booking-1"))
         .await;
     for _ in 0..20 {
         assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
@@ -159,13 +167,15 @@
 }
 
 #[tokio::test]
-async fn test_a_new_configuration_is_in_force_and_an_old_one_is_not_taken_back() {
+async fn test_a_newer_configuration_is_applied_and_an_older_one_is_ignored() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
     let mut newer = config(3);
     newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
     gateway.store.put("config", "main", newer);
-    gateway.until("the key is gone", async || gateway.status_of(0, "/read/x", KEY).await == 401).await;
+    gateway
+        .until("the old key to be refused", async || gateway.status_of(0, "/read/x", KEY).await == 401)
+        .await;
     assert_eq!(gateway.status_of(0, "/read/x", "key-b").await, 200);
     gateway.store.put("config", "main", config(2));
     gateway.store.put(
@@ -173,16 +183,16 @@
         "other",
         serde_json::json!({"service": "s", "address": "127.0.0.1:1", "zone": "z", "state": "ready"}),
     );
-    gateway.until("later news", async || gateway.log(0).contains("upstream=other")).await;
+    gateway.until("a later store change", async || gateway.log(0).contains("upstream=other")).await;
     assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 401);
 }
 
-/// Replicas may forget unused connections without a word: what is sent on one next may have
-/// run, so such connections are soon not used again.
+/// Replicas may drop idle connections without closing them. A call that is sent on such a connection may
+/// have been executed and is not retried, so the node must soon stop reusing idle connections.
 #[tokio::test]
-async fn test_forgotten_connections_fail_few_calls() {
+async fn test_silently_dropped_connections_fail_few_calls() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
-    set_faults(&bookings, ReplicaFault::ForgetsConnections);
+    set_faults(&bookings, ReplicaFault::ClosesReusedConnections);
     let mut failed = 0;
     for _ in 0..16 {
         let called = gateway.call(0, request("POST", "/book/x", KEY, "r-1")).await;
--- a/testutils/examples/load.rs
+++ b/testutils/examples/load.rs
@@ -1,11 +1,13 @@
-//! An open-loop load: requests at fixed times, alternately straight to an engine and
-//! through a node, so that both are measured side by side in one run; or, without an
-//! engine, through several nodes in turn, to see what faults cost.
+//! An open-loop load generator: sends requests at fixed times.
 //!
-//! `load [--engine IP:PORT] --node IP:PORT [--node ...] --token TOKEN [--rate N]
-//! [--seconds N] [--tokens N] [--node-pid PID] [--model M]`. Prints Markdown: first token
-//! and time between tokens of both, the difference, and the node's memory for each open
-//! stream; or what failed, by the second in which it was due.
+//! With an engine, requests go alternately to the engine and through a node, so that one run measures both
+//! under the same conditions. Without one, they go through several nodes in turn, to measure the effect of
+//! faults.
+//!
+//! Usage: `load [--engine IP:PORT] --node IP:PORT [--node ...] --token TOKEN [--rate N] [--seconds N]
+//! [--tokens N] [--node-pid PID] [--model M]`. Prints Markdown: the time to the first token and the time
+//! between tokens on both paths, the difference, and the node's memory per open stream; without an engine,
+//! the failures by the second in which the request was due.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,7 +30,7 @@
 use lexopt::prelude::*;
 use rand::Rng;
 
-/// Connections are spread over this many clients, as one client is one pool.
+/// Number of HTTP clients; each has its own connection pool.
 const CLIENTS: usize = 4;
 
 struct Options {
@@ -42,25 +44,25 @@
     node_pid: Option<u32>,
 }
 
-/// What one way measured.
-struct Way {
+/// Measurements of one path, either to the engine or through the nodes.
+struct PathStats {
     first: Mutex<Histogram<u64>>,
     gaps: Mutex<Histogram<u64>>,
     open: AtomicUsize,
-    most_open: AtomicUsize,
+    max_open: AtomicUsize,
     tokens: AtomicUsize,
     failed: AtomicUsize,
     failures: Mutex<BTreeMap<(Failure, u64), usize>>,
 }
 
-impl Way {
-    fn new() -> Arc<Way> {
-        let histogram = || Mutex::new(Histogram::new(3).expect("three digits are allowed"));
-        Arc::new(Way {
+impl PathStats {
+    fn new() -> Arc<PathStats> {
+        let histogram = || Mutex::new(Histogram::new(3).expect("three significant digits are valid"));
+        Arc::new(PathStats {
             first: histogram(),
             gaps: histogram(),
             open: AtomicUsize::new(0),
-            most_open: AtomicUsize::new(0),
+            max_open: AtomicUsize::new(0),
             tokens: AtomicUsize::new(0),
             failed: AtomicUsize::new(0),
             failures: Mutex::default(),
@@ -101,7 +103,7 @@
         return Err("--node IP:PORT is missing".into());
     }
     if !options.engine.iter().chain(&options.nodes).all(|address| address.ip().is_loopback()) {
-        return Err("only loopback addresses are loaded".into());
+        return Err("only loopback addresses are allowed".into());
     }
     Ok(options)
 }
@@ -110,7 +112,7 @@
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let options = options()?;
     let before = options.node_pid.and_then(resident_kb);
-    let (direct, through) = (Way::new(), Way::new());
+    let (direct, via_node) = (PathStats::new(), PathStats::new());
     let clients: Vec<HttpClient> = (0..CLIENTS).map(|_| http_client::client()).collect();
     let count = (options.rate * options.seconds as f64) as usize;
     let start = Instant::now();
@@ -118,18 +120,18 @@
     for n in 0..count {
         let due = start + Duration::from_secs_f64(n as f64 / options.rate);
         tokio::time::sleep_until(due.into()).await;
-        let (way, address) = match options.engine {
+        let (stats, address) = match options.engine {
             Some(engine) if n % 2 == 0 => (&direct, engine),
-            Some(_) => (&through, options.nodes[n / 2 % options.nodes.len()]),
-            None => (&through, options.nodes[n % options.nodes.len()]),
+            Some(_) => (&via_node, options.nodes[n / 2 % options.nodes.len()]),
+            None => (&via_node, options.nodes[n % options.nodes.len()]),
         };
         let req = request(&options, address);
-        tasks.push(tokio::spawn(follow(
+        tasks.push(tokio::spawn(run_request(
             clients[n / 2 % CLIENTS].clone(),
             req,
             due,
             due - start,
-            way.clone(),
+            stats.clone(),
         )));
     }
     let at_peak = options.node_pid.and_then(resident_kb);
@@ -137,8 +139,8 @@
         task.await?;
     }
     match options.engine {
-        Some(_) => report(&options, &direct, &through, before.zip(at_peak)),
-        None => report_failures(&through, count),
+        Some(_) => report(&options, &direct, &via_node, before.zip(at_peak)),
+        None => report_failures(&via_node, count),
     }
     Ok(())
 }
@@ -157,30 +159,42 @@
         .expect("a valid request")
 }
 
-/// Times count from when the request was due, so that a late start is not hidden.
-async fn follow(client: HttpClient, req: Request<Full<Bytes>>, due: Instant, at: Duration, way: Arc<Way>) {
-    let open = way.open.fetch_add(1, Ordering::Relaxed) + 1;
-    way.most_open.fetch_max(open, Ordering::Relaxed);
-    if let Err(failure) = read(client, req, due, &way).await {
-        way.failed.fetch_add(1, Ordering::Relaxed);
-        let mut failures = way.failures.lock().expect("no holder panics");
+/// Sends a request and records its outcome. Times count from when the request was due, so that a late start
+/// is not hidden.
+async fn run_request(
+    client: HttpClient,
+    req: Request<Full<Bytes>>,
+    due: Instant,
+    at: Duration,
+    stats: Arc<PathStats>,
+) {
+    let open = stats.open.fetch_add(1, Ordering::Relaxed) + 1;
+    stats.max_open.fetch_max(open, Ordering::Relaxed);
+    if let Err(failure) = read_stream(client, req, due, &stats).await {
+        stats.failed.fetch_add(1, Ordering::Relaxed);
+        let mut failures = stats.failures.lock().expect("no holder panics");
         *failures.entry((failure, at.as_secs())).or_default() += 1;
     }
-    way.open.fetch_sub(1, Ordering::Relaxed);
+    stats.open.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// How a request failed.
+/// Reason why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Failure {
-    /// An error status before a token, most with a time to come back.
+    /// An error status before the first token, usually with `Retry-After`.
     Refused,
-    /// The stream ended early.
+    /// The stream ended before `[DONE]`.
     Ended,
-    /// No answer at all.
+    /// No response.
     NoAnswer,
 }
 
-async fn read(client: HttpClient, req: Request<Full<Bytes>>, due: Instant, way: &Way) -> Result<(), Failure> {
+async fn read_stream(
+    client: HttpClient,
+    req: Request<Full<Bytes>>,
+    due: Instant,
+    stats: &PathStats,
+) -> Result<(), Failure> {
     let Ok(res) = client.request(req).await else {
         return Err(Failure::NoAnswer);
     };
@@ -198,11 +212,11 @@
         }
         let now = Instant::now();
         let (histogram, since) = match last {
-            None => (&way.first, due),
-            Some(last) => (&way.gaps, last),
+            None => (&stats.first, due),
+            Some(last) => (&stats.gaps, last),
         };
         let _ = histogram.lock().expect("no holder panics").record((now - since).as_micros() as u64);
-        way.tokens.fetch_add(1, Ordering::Relaxed);
+        stats.tokens.fetch_add(1, Ordering::Relaxed);
         last = Some(now);
     }
     Err(Failure::Ended)
@@ -214,43 +228,45 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-fn report(options: &Options, direct: &Way, through: &Way, memory: Option<(u64, u64)>) {
-    let rate = |way: &Way| way.tokens.load(Ordering::Relaxed) as f64 / (options.seconds as f64);
+fn report(options: &Options, direct: &PathStats, via_node: &PathStats, memory: Option<(u64, u64)>) {
+    let rate = |stats: &PathStats| stats.tokens.load(Ordering::Relaxed) as f64 / (options.seconds as f64);
     println!("| ms | direct | through the node | added |");
     println!("|---|---|---|---|");
     for (name, quantile) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
-        let (d, t) = (Way::quantile(&direct.first, quantile), Way::quantile(&through.first, quantile));
+        let (d, t) =
+            (PathStats::quantile(&direct.first, quantile), PathStats::quantile(&via_node.first, quantile));
         println!("| first token {name} | {d:.2} | {t:.2} | {:.2} |", t - d);
     }
     for (name, quantile) in [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)] {
-        let (d, t) = (Way::quantile(&direct.gaps, quantile), Way::quantile(&through.gaps, quantile));
+        let (d, t) =
+            (PathStats::quantile(&direct.gaps, quantile), PathStats::quantile(&via_node.gaps, quantile));
         println!("| between tokens {name} | {d:.2} | {t:.2} | {:.2} |", t - d);
     }
     println!();
-    let most = through.most_open.load(Ordering::Relaxed);
+    let max_open = via_node.max_open.load(Ordering::Relaxed);
     println!(
-        "Most streams open at once: {} direct, {most} through the node.",
-        direct.most_open.load(Ordering::Relaxed)
+        "Most streams open at once: {} direct, {max_open} through the node.",
+        direct.max_open.load(Ordering::Relaxed)
     );
-    println!("Tokens a second: {:.0} direct, {:.0} through the node.", rate(direct), rate(through));
-    let failed = |way: &Way| way.failed.load(Ordering::Relaxed);
-    println!("Failed: {} direct, {} through the node.", failed(direct), failed(through));
+    println!("Tokens a second: {:.0} direct, {:.0} through the node.", rate(direct), rate(via_node));
+    let failed = |stats: &PathStats| stats.failed.load(Ordering::Relaxed);
+    println!("Failed: {} direct, {} through the node.", failed(direct), failed(via_node));
     if let Some((before, at_peak)) = memory {
-        let each = (at_peak.saturating_sub(before)) as f64 / most.max(1) as f64;
+        let each = (at_peak.saturating_sub(before)) as f64 / max_open.max(1) as f64;
         println!(
             "Memory of the node: {before} KB before, {at_peak} KB at the peak, {each:.1} KB for each open stream."
         );
     }
 }
 
-fn report_failures(way: &Way, offered: usize) {
-    let failed = way.failed.load(Ordering::Relaxed);
-    let (p50, p99) = (Way::quantile(&way.first, 0.5), Way::quantile(&way.first, 0.99));
-    let most_gap = Way::quantile(&way.gaps, 1.0);
+fn report_failures(stats: &PathStats, offered: usize) {
+    let failed = stats.failed.load(Ordering::Relaxed);
+    let (p50, p99) = (PathStats::quantile(&stats.first, 0.5), PathStats::quantile(&stats.first, 0.99));
+    let max_gap = PathStats::quantile(&stats.gaps, 1.0);
     println!(
-        "{offered} offered, {failed} failed; first token p50 {p50:.0} ms, p99 {p99:.0} ms; longest gap {most_gap:.0} ms"
+        "{offered} offered, {failed} failed; first token p50 {p50:.0} ms, p99 {p99:.0} ms; longest gap {max_gap:.0} ms"
     );
-    for ((failure, second), count) in way.failures.lock().expect("no holder panics").iter() {
+    for ((failure, second), count) in stats.failures.lock().expect("no holder panics").iter() {
         println!("  due in second {second}: {count} {failure:?}");
     }
 }
--- a/testutils/src/faulty_proxy.rs
+++ b/testutils/src/faulty_proxy.rs
@@ -1,8 +1,8 @@
-//! A TCP proxy on loopback whose links can be delayed, reset, cut one way or silenced, all of them
-//! or just those that are open at a moment.
+//! A TCP proxy on loopback that injects faults: it delays, throttles or resets its links, or withholds data
+//! in one or both directions. Faults apply to all links or only to links that are open at one moment.
 //!
-//! The kernel goes on acknowledging what a silenced link takes in, as a box between two networks
-//! may: neither `TCP_USER_TIMEOUT` nor keep-alive probes notice such a silence.
+//! The kernel still acknowledges data that arrives on a silenced link, as a middlebox between two networks
+//! may: neither `TCP_USER_TIMEOUT` nor keep-alive probes detect such a silence.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,139 +17,145 @@
 use tokio::task::JoinSet;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Bytes passed on at once.
-const BUF: usize = 4 << 10;
+/// Size of the buffer for forwarded data.
+const BUF_BYTES: usize = 4 << 10;
 
-/// What happens to the bytes.
+/// A fault of a link between a client and the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// They pass.
+    /// Data is forwarded.
     None,
-    /// They pass later.
+    /// Data is forwarded after this delay.
     Delay(Duration),
-    /// What the server sends on a connection passes at so many bytes a second, as over a small link.
-    Thin(u32),
+    /// Data from the server is forwarded at this rate in bytes per second on each connection, as over a slow
+    /// network.
+    Throttle(u32),
     /// Connections are reset.
     Reset,
-    /// What the server sends is held up.
+    /// Data from the server is withheld.
     OneWay,
-    /// All is held up.
+    /// Data in both directions is withheld.
     Silent,
 }
 
-/// Which way bytes go.
+/// Direction of forwarded data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToServer,
     ToClient,
 }
 
-/// How often open links were silenced for good so far.
-type Silences = u32;
+/// Number of calls so far that permanently silenced the open links.
+type SilenceCount = u32;
 
-/// What a link looks at while it passes bytes on.
+/// The faults that a link observes while it forwards data.
 #[derive(Clone)]
-struct LinkWatch {
+struct LinkFaults {
     faults: watch::Receiver<LinkFault>,
-    silences: watch::Receiver<Silences>,
-    /// Silences before it was open.
-    opened_after: Silences,
+    silences: watch::Receiver<SilenceCount>,
+    /// Number of silences before the link was opened.
+    opened_after: SilenceCount,
 }
 
-impl LinkWatch {
-    /// Never returns for a link that was silenced for good.
-    async fn pass_unless_silenced(&self) {
+impl LinkFaults {
+    /// Returns immediately, or never if the link was permanently silenced.
+    async fn block_if_silenced(&self) {
         if *self.silences.borrow() != self.opened_after {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// A proxy before one server.
+/// A proxy in front of one server.
 pub struct FaultyProxy {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub address: SocketAddr,
     fault: watch::Sender<LinkFault>,
-    silences: watch::Sender<Silences>,
-    _accepting: AbortOnDropHandle<()>,
+    silences: watch::Sender<SilenceCount>,
+    _accept_task: AbortOnDropHandle<()>,
 }
 
 impl FaultyProxy {
-    /// A proxy on a free port of `ip` before `server`.
+    /// Starts a proxy on a free port of `ip` in front of `server`.
     pub async fn start(ip: &str, server: SocketAddr) -> FaultyProxy {
-        let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a port of the address is free");
+        let address = listener.local_addr().expect("the listener is bound");
         let fault = watch::Sender::new(LinkFault::None);
         let faults = fault.subscribe();
         let silences = watch::Sender::new(0);
         let silenced = silences.subscribe();
-        let accepting = tokio::spawn(async move {
+        let accept_task = tokio::spawn(async move {
             let mut links = JoinSet::new();
             while let Ok((client, _)) = listener.accept().await {
                 let opened_after = *silenced.borrow();
-                let watch = LinkWatch { faults: faults.clone(), silences: silenced.clone(), opened_after };
-                links.spawn(link(client, server, watch));
+                let watch = LinkFaults { faults: faults.clone(), silences: silenced.clone(), opened_after };
+                links.spawn(run_link(client, server, watch));
             }
         });
-        FaultyProxy { address, fault, silences, _accepting: AbortOnDropHandle::new(accepting) }
+        FaultyProxy { address, fault, silences, _accept_task: AbortOnDropHandle::new(accept_task) }
     }
 
-    /// Sets the fault of all links, open ones included.
+    /// Sets the fault of all links, including open ones.
     pub fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Links that are open now pass nothing on any more, the end of either side included. Links
-    /// that open later work.
-    pub fn silence_open(&self) {
+    /// Permanently silences the links that are open now: nothing is forwarded, not even that either side
+    /// closes its connection. Links opened later are not affected.
+    pub fn silence_open_links(&self) {
         self.silences.send_modify(|silences| *silences += 1);
     }
 }
 
-async fn link(client: TcpStream, server: SocketAddr, watch: LinkWatch) {
+async fn run_link(client: TcpStream, server: SocketAddr, watch: LinkFaults) {
     let Ok(server) = TcpStream::connect(server).await else {
         return;
     };
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    // Either way's end ends the link: the other half is dropped.
+    // The link ends when either direction ends: the other half is dropped.
     tokio::select! {
-        () = pump(from_client, to_server, Way::ToServer, watch.clone()) => {}
-        () = pump(from_server, to_client, Way::ToClient, watch.clone()) => {}
-        () = reset(watch) => {}
+        () = forward(from_client, to_server, Direction::ToServer, watch.clone()) => {}
+        () = forward(from_server, to_client, Direction::ToClient, watch.clone()) => {}
+        () = wait_for_reset(watch) => {}
     }
 }
 
-async fn reset(mut watch: LinkWatch) {
-    // The sender lives as long as the proxy.
+async fn wait_for_reset(mut watch: LinkFaults) {
+    // An error can be ignored: the sender lives as long as the proxy.
     let _ = watch.faults.wait_for(|fault| *fault == LinkFault::Reset).await;
-    watch.pass_unless_silenced().await;
+    watch.block_if_silenced().await;
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: Way, mut watch: LinkWatch) {
-    let mut buf = vec![0; BUF];
+async fn forward(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    direction: Direction,
+    mut watch: LinkFaults,
+) {
+    let mut buf = vec![0; BUF_BYTES];
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
-        watch.pass_unless_silenced().await;
+        watch.block_if_silenced().await;
         if read == 0 {
             return;
         }
-        let holds = |fault: &LinkFault| match fault {
+        let withholds = |fault: &LinkFault| match fault {
             LinkFault::Silent => true,
-            LinkFault::OneWay => way == Way::ToClient,
+            LinkFault::OneWay => direction == Direction::ToClient,
             _ => false,
         };
-        let _ = watch.faults.wait_for(|fault| !holds(fault)).await;
+        let _ = watch.faults.wait_for(|fault| !withholds(fault)).await;
         let fault = *watch.faults.borrow();
-        let holds_for = match fault {
+        let delay_before_write = match fault {
             LinkFault::Delay(delay) => delay,
-            LinkFault::Thin(rate) if way == Way::ToClient => {
+            LinkFault::Throttle(rate) if direction == Direction::ToClient => {
                 Duration::from_secs_f64(read as f64 / f64::from(rate))
             }
             _ => Duration::ZERO,
         };
-        if !holds_for.is_zero() {
-            tokio::time::sleep(holds_for).await;
+        if !delay_before_write.is_zero() {
+            tokio::time::sleep(delay_before_write).await;
         }
         if to.write_all(&buf[..read]).await.is_err() {
             return;
--- a/testutils/src/loopback.rs
+++ b/testutils/src/loopback.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server inside a test, whose connections can be cut at once.
+//! An in-process HTTP/1.1 server for tests, whose port and connections can be closed at any time.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,91 +25,95 @@
 use tokio::task::JoinSet;
 use tokio_util::task::AbortOnDropHandle;
 
-/// The body of an answer; an error breaks the connection.
+/// A response body; an error closes the connection.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Answers requests.
-pub trait Answerer: Send + Sync + 'static {
-    /// Answers one.
-    fn answer(self: Arc<Self>, req: Request<Bytes>) -> impl Future<Output = Response<Body>> + Send;
+/// A handler of all requests of a server.
+pub trait RequestHandler: Send + Sync + 'static {
+    /// Handles one request.
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// A server; dropping it closes its port and all connections.
+/// A running server; dropping it closes its port and all connections.
 pub struct Server {
-    /// Its address.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Closes its port, once notified; its connections stay.
+    /// Closes the port when notified; open connections stay open.
     pub close_port: Arc<Notify>,
-    /// Opens a closed port again, once notified.
+    /// Opens a closed port again when notified.
     pub open_port: Arc<Notify>,
-    /// Ends the server, once notified: its port and all connections close at once.
-    pub end: Arc<Notify>,
-    _accepting: AbortOnDropHandle<()>,
+    /// Stops the server when notified: its port and all connections close at once.
+    pub shutdown: Arc<Notify>,
+    _accept_task: AbortOnDropHandle<()>,
 }
 
-/// A whole body.
-pub fn whole(text: impl Into<Bytes>) -> Body {
+/// Returns a body of one frame.
+pub fn full_body(text: impl Into<Bytes>) -> Body {
     let frame = futures::stream::once(std::future::ready(Ok(Frame::data(text.into()))));
     BodyExt::boxed_unsync(StreamBody::new(frame))
 }
 
-/// A body that comes in parts.
-pub fn parts(stream: impl Stream<Item = std::io::Result<Bytes>> + Send + 'static) -> Body {
+/// Returns a streamed body.
+pub fn stream_body(stream: impl Stream<Item = std::io::Result<Bytes>> + Send + 'static) -> Body {
     let stream: Pin<Box<dyn Stream<Item = _> + Send>> = Box::pin(stream);
     BodyExt::boxed_unsync(StreamBody::new(futures::StreamExt::map(stream, |part| part.map(Frame::data))))
 }
 
-/// Numbers the requests of one connection, from 1.
+/// Number of a request on its connection, from 1; an extension of each request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestNumber(pub u32);
 
-/// Serves on a free port of `ip`.
-pub async fn serve<A: Answerer>(ip: &str, answerer: Arc<A>) -> Server {
-    let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
-    let address = listener.local_addr().expect("bound");
+/// Starts a server on a free port of `ip`.
+pub async fn serve<H: RequestHandler>(ip: &str, handler: Arc<H>) -> Server {
+    let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a port of the address is free");
+    let address = listener.local_addr().expect("the listener is bound");
     let (close_port, open_port) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
     let (closing, opening) = (close_port.clone(), open_port.clone());
-    let serving = async move {
+    let serve_loop = async move {
         let mut connections = JoinSet::new();
         let mut listener = listener;
         loop {
             tokio::select! {
                 () = closing.notified() => drop(listener),
-                () = accept(&listener, &answerer, &mut connections) => return,
+                () = accept_connections(&listener, &handler, &mut connections) => return,
             }
             opening.notified().await;
             listener = TcpListener::bind(address).await.expect("the port is still free");
         }
     };
-    let end = Arc::new(Notify::new());
-    let ending = end.clone();
-    let accepting = tokio::spawn(async move {
+    let shutdown = Arc::new(Notify::new());
+    let shutting_down = shutdown.clone();
+    let accept_task = tokio::spawn(async move {
         tokio::select! {
-            () = ending.notified() => {}
-            () = serving => {}
+            () = shutting_down.notified() => {}
+            () = serve_loop => {}
         }
     });
-    Server { address, close_port, open_port, end, _accepting: AbortOnDropHandle::new(accepting) }
+    Server { address, close_port, open_port, shutdown, _accept_task: AbortOnDropHandle::new(accept_task) }
 }
 
-async fn accept<A: Answerer>(listener: &TcpListener, answerer: &Arc<A>, connections: &mut JoinSet<()>) {
+async fn accept_connections<H: RequestHandler>(
+    listener: &TcpListener,
+    handler: &Arc<H>,
+    connections: &mut JoinSet<()>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
-        connections.spawn(connection(stream, answerer.clone()));
+        connections.spawn(serve_connection(stream, handler.clone()));
     }
 }
 
-async fn connection<A: Answerer>(stream: tokio::net::TcpStream, answerer: Arc<A>) {
+async fn serve_connection<H: RequestHandler>(stream: tokio::net::TcpStream, handler: Arc<H>) {
     let number = AtomicU32::new(0);
     let service = service_fn(move |req: Request<Incoming>| {
-        let answerer = answerer.clone();
+        let handler = handler.clone();
         let number = RequestNumber(number.fetch_add(1, Ordering::Relaxed) + 1);
         async move {
             let (mut head, body) = req.into_parts();
             head.extensions.insert(number);
             let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-            Ok::<_, Infallible>(answerer.answer(Request::from_parts(head, body)).await)
+            Ok::<_, Infallible>(handler.handle(Request::from_parts(head, body)).await)
         }
     });
-    // The other side sees how it ended.
+    // Errors can be ignored: the client observes how the connection ended.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
--- a/testutils/src/metadata_store.rs
+++ b/testutils/src/metadata_store.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the metadata store of the users' platform: lists, watches, writes under a
-//! condition, and switches for its faults.
+//! A stand-in for the metadata store of the users' platform: lists, watches, conditional writes and fault
+//! injection.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,23 +17,23 @@
 use tokio::sync::watch;
 
 use crate::loopback;
-use crate::loopback::Answerer;
 use crate::loopback::Body;
+use crate::loopback::RequestHandler;
 use crate::loopback::Server;
 
-/// What the store does with calls.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Answers them.
+    /// Serves them.
     #[default]
     None,
-    /// Answers 503 and does nothing.
+    /// Responds to all calls with status 503 without executing them.
     Refuses,
-    /// Answers reads, and writes with 503.
+    /// Serves reads and responds to writes with status 503.
     RefusesWrites,
-    /// Says that the history is gone to each watch.
-    ForgetsHistory,
-    /// Answers each page of a list with the first one.
+    /// Responds to each watch with status 410: the history is gone.
+    LosesHistory,
+    /// Responds to each request for a page of a list with the first page.
     RepeatsPage,
 }
 
@@ -44,27 +44,27 @@
     revision: u64,
     fault: StoreFault,
     calls: u64,
-    /// Objects in one page of a list; all without.
-    page: Option<usize>,
-    /// How often it came back from a copy.
+    /// Maximum number of objects in a page of a list; unlimited if `None`.
+    page_size: Option<usize>,
+    /// Number of times that the store was restored from a copy.
     era: u64,
 }
 
-/// What the store held at a moment.
+/// A copy of the store's content at one moment.
 pub struct Copy {
     objects: BTreeMap<(String, String), Value>,
     history: Vec<(u64, String, Value, bool)>,
     revision: u64,
 }
 
-/// The store.
+/// The metadata store's stand-in.
 pub struct MetadataStore {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
 }
 
 impl MetadataStore {
-    /// An empty store that serves on a free port of `ip`.
+    /// Starts an empty store that serves on a free port of `ip`.
     pub async fn start(ip: &str) -> (Arc<MetadataStore>, Server) {
         let store = Arc::new(MetadataStore { state: Mutex::default(), changed: watch::Sender::new(0) });
         let server = loopback::serve(ip, store.clone()).await;
@@ -75,12 +75,12 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Puts an object; one that is there keeps its status.
+    /// Creates an object or replaces its `spec`; an existing object keeps its `status`.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.replace(kind, name, |object| object["spec"] = spec);
     }
 
-    /// Sets an object's status.
+    /// Sets the `status` of an object.
     pub fn put_status(&self, kind: &str, name: &str, status: Value) {
         self.replace(kind, name, |object| object["status"] = status);
     }
@@ -100,7 +100,7 @@
         self.changed.send_replace(revision);
     }
 
-    /// Takes an object away.
+    /// Deletes an object.
     pub fn delete(&self, kind: &str, name: &str) {
         let mut state = self.state();
         state.revision += 1;
@@ -112,76 +112,81 @@
         self.changed.send_replace(revision);
     }
 
-    /// An object's `spec`, if it is there.
+    /// Returns the `spec` of an object, if the object exists.
     pub fn spec(&self, kind: &str, name: &str) -> Option<Value> {
         self.state().objects.get(&(kind.to_owned(), name.to_owned())).map(|object| object["spec"].clone())
     }
 
-    /// An object's `status`, if the object is there.
+    /// Returns the `status` of an object, if the object exists.
     pub fn status(&self, kind: &str, name: &str) -> Option<Value> {
         self.state().objects.get(&(kind.to_owned(), name.to_owned())).map(|object| object["status"].clone())
     }
 
-    /// The statuses that an object has had, without those that repeat the one before.
+    /// Returns the values of `status` that an object has had, without consecutive duplicates.
     pub fn statuses(&self, kind: &str, name: &str) -> Vec<Value> {
         let state = self.state();
-        let is_its = |(_, k, object, gone): &&(u64, String, Value, bool)| {
-            k == kind && !gone && object["metadata"]["name"] == name
+        let is_of_object = |(_, k, object, deleted): &&(u64, String, Value, bool)| {
+            k == kind && !deleted && object["metadata"]["name"] == name
         };
-        let mut statuses: Vec<Value> =
-            state.history.iter().filter(is_its).map(|(_, _, object, _)| object["status"].clone()).collect();
+        let mut statuses: Vec<Value> = state
+            .history
+            .iter()
+            .filter(is_of_object)
+            .map(|(_, _, object, _)| object["status"].clone())
+            .collect();
         statuses.dedup();
         statuses
     }
 
-    /// The names of all objects of a kind.
+    /// Returns the names of all objects of a kind.
     pub fn names(&self, kind: &str) -> Vec<String> {
         let state = self.state();
         state.objects.keys().filter(|(k, _)| k == kind).map(|(_, name)| name.clone()).collect()
     }
 
-    /// A write of a node's: an object is created once, and replaced only by who names its revision.
+    /// Handles a write by a node: only an absent object is created, and a replacement must name the current
+    /// revision.
     fn write(&self, method: &Method, kind: &str, name: Option<&str>, body: &[u8]) -> Response<Body> {
         let object: Value = serde_json::from_slice(body).unwrap_or_default();
         let status_of = name.and_then(|name| name.strip_suffix("/status"));
         let name = status_of.or(name);
         let Some(name) = name.or(object["metadata"]["name"].as_str()) else {
-            return refusal(400);
+            return error_response(400);
         };
-        let held = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
-        let is_expected = |held: &Value| object["metadata"]["revision"] == held["metadata"]["revision"];
-        match (method, held) {
-            (&Method::DELETE, Some(held)) => {
+        let current = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
+        let is_expected = |current: &Value| object["metadata"]["revision"] == current["metadata"]["revision"];
+        match (method, current) {
+            (&Method::DELETE, Some(current)) => {
                 self.delete(kind, name);
-                answer(&held)
+                json_response(&current)
             }
-            (&Method::POST, Some(held)) => conflict(&held),
-            (&Method::PUT, Some(held)) if !is_expected(&held) => conflict(&held),
+            (&Method::POST, Some(current)) => conflict_response(&current),
+            (&Method::PUT, Some(current)) if !is_expected(&current) => conflict_response(&current),
             (&Method::POST, None) | (&Method::PUT, Some(_)) => {
                 match status_of {
                     Some(_) => self.put_status(kind, name, object["status"].clone()),
                     None => self.put(kind, name, object["spec"].clone()),
                 }
-                answer(&self.state().objects[&(kind.to_owned(), name.to_owned())])
+                json_response(&self.state().objects[&(kind.to_owned(), name.to_owned())])
             }
-            _ => refusal(404),
+            _ => error_response(404),
         }
     }
 
-    /// Sets what it does with calls; waiting watches are woken.
+    /// Sets how calls are handled; pending watches are woken.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state().fault = fault;
         self.changed.send_modify(|_| {});
     }
 
-    /// What it holds now.
+    /// Returns a copy of the current content.
     pub fn copy(&self) -> Copy {
         let state = self.state();
         Copy { objects: state.objects.clone(), history: state.history.clone(), revision: state.revision }
     }
 
-    /// Comes back from a copy: what was written since is gone, and revisions go on from the copy's.
-    pub fn come_back_from(&self, copy: Copy) {
+    /// Restores the content from a copy: later writes are lost, and revisions continue from the copy's.
+    pub fn restore_from(&self, copy: Copy) {
         let mut state = self.state();
         (state.objects, state.history, state.revision) = (copy.objects, copy.history, copy.revision);
         state.era += 1;
@@ -190,126 +195,126 @@
         self.changed.send_modify(|_| {});
     }
 
-    /// Sets how often it has come back from a copy.
+    /// Sets the number of times that the store was restored from a copy.
     pub fn set_era(&self, era: u64) {
         self.state().era = era;
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Sets how many objects a page of a list has.
-    pub fn set_page(&self, objects: usize) {
-        self.state().page = Some(objects);
+    /// Sets the maximum number of objects in a page of a list.
+    pub fn set_page_size(&self, objects: usize) {
+        self.state().page_size = Some(objects);
     }
 
     fn list(&self, kind: &str, after: &str) -> Value {
         let state = self.state();
         let after = if state.fault == StoreFault::RepeatsPage { "" } else { after };
-        let page = state.page.unwrap_or(usize::MAX);
+        let page_size = state.page_size.unwrap_or(usize::MAX);
         let from = (kind.to_owned(), after.to_owned());
-        let behind = state.objects.range(from..).filter(|((_, name), _)| name != after);
-        let mut items: Vec<&Value> = behind
+        let following = state.objects.range(from..).filter(|((_, name), _)| name != after);
+        let mut items: Vec<&Value> = following
             .take_while(|((k, _), _)| k == kind)
             .map(|(_, object)| object)
-            .take(page.saturating_add(1))
+            .take(page_size.saturating_add(1))
             .collect();
-        let more = items.len() > page;
-        items.truncate(page);
+        let more = items.len() > page_size;
+        items.truncate(page_size);
         json!({"items": items, "more": more, "at": state.revision})
     }
 
     fn events(&self, kind: &str, since: u64) -> Vec<Value> {
         let state = self.state();
         let events = state.history.iter().filter(|(revision, k, _, _)| *revision > since && k == kind);
-        events.map(|(_, _, object, gone)| json!({"object": object, "gone": gone})).collect()
+        events.map(|(_, _, object, deleted)| json!({"object": object, "gone": deleted})).collect()
     }
 
     async fn watch(&self, kind: &str, since: u64, wait: Duration) -> Response<Body> {
         let mut changed = self.changed.subscribe();
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
             match self.state().fault {
                 StoreFault::None | StoreFault::RefusesWrites | StoreFault::RepeatsPage => {}
-                StoreFault::Refuses => return refusal(503),
-                StoreFault::ForgetsHistory => return refusal(410),
+                StoreFault::Refuses => return error_response(503),
+                StoreFault::LosesHistory => return error_response(410),
             }
             if since > self.state().revision {
-                return refusal(410);
+                return error_response(410);
             }
             let events = self.events(kind, since);
             if !events.is_empty() {
                 let at = self.state().revision;
-                return answer(&json!({"events": events, "at": at}));
+                return json_response(&json!({"events": events, "at": at}));
             }
-            if tokio::time::timeout_at(until, changed.changed()).await.is_err() {
-                return answer(&json!({"events": [], "at": since}));
+            if tokio::time::timeout_at(deadline, changed.changed()).await.is_err() {
+                return json_response(&json!({"events": [], "at": since}));
             }
         }
     }
 }
 
-/// An entry of a replica.
+/// Returns the `spec` of a replica's entry.
 pub fn replica_entry(service: &str, address: SocketAddr, hall: &str, state: &str) -> Value {
     json!({"service": service, "address": address, "zone": hall, "version": "v1", "slots": 8,
         "state": state, "coldRemainingMs": 0, "sequence": 1})
 }
 
-fn answer(value: &Value) -> Response<Body> {
-    Response::new(loopback::whole(value.to_string()))
+fn json_response(value: &Value) -> Response<Body> {
+    Response::new(loopback::full_body(value.to_string()))
 }
 
-fn conflict(held: &Value) -> Response<Body> {
-    let mut res = answer(held);
+fn conflict_response(current: &Value) -> Response<Body> {
+    let mut res = json_response(current);
     *res.status_mut() = http::StatusCode::CONFLICT;
     res
 }
 
-fn refusal(status: u16) -> Response<Body> {
-    let mut res = Response::new(loopback::whole(""));
+fn error_response(status: u16) -> Response<Body> {
+    let mut res = Response::new(loopback::full_body(""));
     *res.status_mut() = status.try_into().expect("a valid status");
     res
 }
 
-fn query<'a>(req: &'a Request<Bytes>, name: &str) -> Option<&'a str> {
+fn query_value<'a>(req: &'a Request<Bytes>, name: &str) -> Option<&'a str> {
     let pairs = req.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
 impl MetadataStore {
-    async fn treat(&self, req: Request<Bytes>) -> Response<Body> {
+    async fn route(&self, req: Request<Bytes>) -> Response<Body> {
         self.state().calls += 1;
         if self.state().fault == StoreFault::Refuses {
-            return refusal(503);
+            return error_response(503);
         }
         let Some(rest) = req.uri().path().strip_prefix("/v1/objects/") else {
-            return refusal(404);
+            return error_response(404);
         };
         let (kind, name) = rest.split_once('/').map_or((rest, None), |(kind, name)| (kind, Some(name)));
         if req.method() != Method::GET {
             if self.state().fault == StoreFault::RefusesWrites {
-                return refusal(503);
+                return error_response(503);
             }
             return self.write(req.method(), kind, name, req.body());
         }
         if let Some(name) = name {
             let found = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
-            return found.map_or_else(|| refusal(404), |object| answer(&object));
+            return found.map_or_else(|| error_response(404), |object| json_response(&object));
         }
-        let since = query(&req, "watch").and_then(|since| since.parse().ok());
-        let wait = query(&req, "waitMs").and_then(|wait| wait.parse().ok()).unwrap_or(0);
+        let since = query_value(&req, "watch").and_then(|since| since.parse().ok());
+        let wait = query_value(&req, "waitMs").and_then(|wait| wait.parse().ok()).unwrap_or(0);
         match since {
             Some(since) => self.watch(kind, since, Duration::from_millis(wait)).await,
-            None => answer(&self.list(kind, query(&req, "after").unwrap_or_default())),
+            None => json_response(&self.list(kind, query_value(&req, "after").unwrap_or_default())),
         }
     }
 }
 
-impl Answerer for MetadataStore {
-    async fn answer(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
-        let mut res = self.treat(req).await;
+impl RequestHandler for MetadataStore {
+    async fn handle(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
+        let mut res = self.route(req).await;
         res.headers_mut().insert("store-era", self.state().era.into());
         res
     }
