--- a/node/tests/crashing_fleet.rs
+++ b/node/tests/crashing_fleet.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use tokio::time::Instant;
 
-use crate::gateway_environment::Called;
+use crate::gateway_environment::CallResult;
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::RunningReplica;
 use crate::gateway_environment::config;
@@ -88,7 +88,7 @@
 
     /// The caller tries once more, at the next node. Replicas that end start again under another id
     /// meanwhile, and lapse.
-    pub async fn attempt(&mut self, make: impl Fn(&str) -> Request<Full<Bytes>>) -> Called {
+    pub async fn attempt(&mut self, make: impl Fn(&str) -> Request<Full<Bytes>>) -> CallResult {
         let before = self.ended();
         self.attempts += 1;
         let node = self.attempts % NODES;
--- a/node/tests/gateway_environment.rs
+++ b/node/tests/gateway_environment.rs
@@ -38,10 +38,10 @@
 
 /// What should come about does so within this; nothing is asserted about speed but where a
 /// test says so.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-static NETS: AtomicU32 = AtomicU32::new(0);
+static NEXT_NET: AtomicU32 = AtomicU32::new(0);
 
 /// The service of plain calls.
 pub const BOOKING: &str = "booking";
@@ -118,7 +118,7 @@
 impl Gateway {
     /// A fleet without nodes and replicas.
     pub async fn start() -> Gateway {
-        let (net, guard) = own_net();
+        let (net, guard) = reserve_net();
         let (store, store_server) = MetadataStore::start(&format!("{net}.1")).await;
         Gateway {
             store,
@@ -205,7 +205,7 @@
     }
 
     /// Starts a node that has ended again, with the settings that are there now.
-    pub fn start_again(&mut self, node: usize) {
+    pub fn restart_node(&mut self, node: usize) {
         let path = self.dir.path().join(format!("node-{node}.log"));
         let log = std::fs::File::options().append(true).open(path).expect("a log");
         self.nodes[node] = self.spawn(node, log);
@@ -238,22 +238,22 @@
     /// Starts a node at a store of its own.
     pub fn start_node_at(&mut self, store: SocketAddr) -> usize {
         let yaml = self.settings(self.nodes.len(), store, "");
-        self.start_from(yaml)
+        self.start_with_settings(yaml)
     }
 
     /// Starts a node at a store of its own that knows no other node.
     pub fn start_lone_node_at(&mut self, store: SocketAddr) -> usize {
         let yaml = self.settings(self.nodes.len(), store, "").replace("seeds: [", "seeds: [] # [");
-        self.start_from(yaml)
+        self.start_with_settings(yaml)
     }
 
     /// Starts a node at the fleet's store with changed settings.
     pub fn start_node_with(&mut self, change: impl Fn(String) -> String) -> usize {
         let yaml = change(self.settings(self.nodes.len(), self.store_address(), ""));
-        self.start_from(yaml)
+        self.start_with_settings(yaml)
     }
 
-    fn start_from(&mut self, yaml: String) -> usize {
+    fn start_with_settings(&mut self, yaml: String) -> usize {
         let node = self.nodes.len();
         std::fs::write(self.settings_path(node), yaml).expect("writable");
         let log = std::fs::File::create(self.dir.path().join(format!("node-{node}.log"))).expect("a log");
@@ -292,7 +292,7 @@
     }
 
     /// Where callers connect.
-    pub fn front(&self, node: usize) -> String {
+    pub fn client_address(&self, node: usize) -> String {
         format!("{}:7001", self.ip(node))
     }
 
@@ -323,20 +323,20 @@
     }
 
     /// Waits for something to come about.
-    pub async fn until(&self, what: &str, mut is_so: impl AsyncFnMut() -> bool) {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+    pub async fn until(&self, what: &str, mut is_met: impl AsyncFnMut() -> bool) {
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         while tokio::time::Instant::now() < deadline {
-            if is_so().await {
+            if is_met().await {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("{what}: did not come about\n{}", self.logs());
     }
 
     /// Calls a path of a node and reads the whole answer.
-    pub async fn call(&self, node: usize, req: Request<Full<Bytes>>) -> Called {
-        call(&self.front(node), req).await
+    pub async fn call(&self, node: usize, req: Request<Full<Bytes>>) -> CallResult {
+        call(&self.client_address(node), req).await
     }
 
     /// What a node tells operators of itself.
@@ -372,13 +372,13 @@
     }
 
     /// Waits for a node that ends by itself; true if it did so without a failure.
-    pub async fn end_of(&mut self, node: usize) -> bool {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+    pub async fn wait_for_exit(&mut self, node: usize) -> bool {
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         while tokio::time::Instant::now() < deadline {
             if let Some(is_success) = self.ended(node) {
                 return is_success;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("node {node} did not end\n{}", self.logs());
     }
@@ -420,9 +420,9 @@
 }
 
 /// A network of its own in 127.0.0.0/8, held by a listener on its last address.
-fn own_net() -> (String, TcpListener) {
+fn reserve_net() -> (String, TcpListener) {
     loop {
-        let n = NETS.fetch_add(1, Ordering::Relaxed).wrapping_mul(11) + std::process::id();
+        let n = NEXT_NET.fetch_add(1, Ordering::Relaxed).wrapping_mul(11) + std::process::id();
         let net = format!("127.{}.{}", n / 250 % 20 + 232, n % 250 + 2);
         if let Ok(guard) = TcpListener::bind(format!("{net}.254:7000")) {
             return (net, guard);
@@ -487,18 +487,18 @@
 }
 
 /// Calls a path at an address and reads the whole answer.
-pub async fn call(address: &str, req: Request<Full<Bytes>>) -> Called {
+pub async fn call(address: &str, req: Request<Full<Bytes>>) -> CallResult {
     let calling = async {
         let (_connection, res) = send(address, req).await?;
-        Called::read(res).await
+        CallResult::read(res).await
     };
-    let called = tokio::time::timeout(PATIENCE, calling).await.expect("an answer in time");
-    called.unwrap_or_else(Called::broken)
+    let called = tokio::time::timeout(WAIT_TIMEOUT, calling).await.expect("an answer in time");
+    called.unwrap_or_else(CallResult::failed)
 }
 
 /// An answer read to its end.
 #[derive(Debug)]
-pub struct Called {
+pub struct CallResult {
     /// The status; 0 if the connection broke before one came.
     pub status: u16,
     /// The headers.
@@ -509,11 +509,15 @@
     pub whole: bool,
 }
 
-impl Called {
-    async fn read(res: Response<Incoming>) -> Result<Called, String> {
+impl CallResult {
+    async fn read(res: Response<Incoming>) -> Result<CallResult, String> {
         let (head, mut body) = res.into_parts();
-        let mut called =
-            Called { status: head.status.as_u16(), headers: head.headers, body: String::new(), whole: true };
+        let mut called = CallResult {
+            status: head.status.as_u16(),
+            headers: head.headers,
+            body: String::new(),
+            whole: true,
+        };
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => {
@@ -529,8 +533,8 @@
     }
 
     /// The body says how it broke.
-    fn broken(how: String) -> Called {
-        Called { status: 0, headers: http::HeaderMap::new(), body: how, whole: false }
+    fn failed(error: String) -> CallResult {
+        CallResult { status: 0, headers: http::HeaderMap::new(), body: error, whole: false }
     }
 
     /// The code of a refusal, 0 for none.
@@ -561,7 +565,7 @@
 
 /// Tells the node at `to`, in the name of the node at `from`, that this one has a configuration, and up
 /// to which revision it knows the replicas: the datagram that nodes send for that.
-pub async fn tell_of_config(from: SocketAddr, version: u64, replicas_at: u64, to: SocketAddr) {
+pub async fn send_config_announcement(from: SocketAddr, version: u64, replicas_at: u64, to: SocketAddr) {
     const NEW_CONFIG: u32 = 14;
     let closed_halls = ClosedHalls::default();
     let (crash_digest, limits_digest) = (0_u64, 0_u64);
--- a/node/tests/loaded_fleet.rs
+++ b/node/tests/loaded_fleet.rs
@@ -9,21 +9,21 @@
 use http_body_util::Full;
 use tokio::task::JoinSet;
 
-use crate::gateway_environment::Called;
+use crate::gateway_environment::CallResult;
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::RunningReplica;
 use crate::gateway_environment::call;
 use crate::gateway_environment::config;
 
 /// A limit binds this long after it was first named.
-pub const BINDS_AFTER: Duration = Duration::from_secs(3);
+pub const LIMIT_APPLIES_AFTER: Duration = Duration::from_secs(3);
 /// The time in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Times that a limit may be exceeded in some window, and requests beyond that.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
 /// Part of what a replica names that is used at least, while there is work for it.
-const LEAST_USED: f64 = 0.75;
+const MIN_USED_SHARE: f64 = 0.75;
 
 /// A fleet with replicas of one service.
 pub struct LoadedFleet {
@@ -35,9 +35,9 @@
 
 /// The answer to a call of a load.
 #[derive(Debug)]
-pub struct Answer {
+pub struct TimedCall {
     /// What came.
-    pub called: Called,
+    pub called: CallResult,
     /// How long it took.
     pub took: Duration,
 }
@@ -74,11 +74,11 @@
     }
 
     /// Has the first replicas name these limits from now on; returns when they bind.
-    pub fn name_limits(&self, limits: &[f64]) -> Instant {
+    pub fn announce_limits(&self, limits: &[f64]) -> Instant {
         for (running, limit) in self.replicas.iter().zip(limits) {
             running.replica.set_limit(Some(&limit.to_string()));
         }
-        Instant::now() + BINDS_AFTER
+        Instant::now() + LIMIT_APPLIES_AFTER
     }
 
     /// Calls go to the nodes at so many a second each for a time; all answers. Their ids begin with their node's
@@ -86,24 +86,24 @@
     pub async fn load(
         &self,
         per_second: &[f64],
-        lasts: Duration,
+        duration: Duration,
         make: impl Fn(&str) -> Request<Full<Bytes>>,
-    ) -> Vec<Answer> {
+    ) -> Vec<TimedCall> {
         let began = Instant::now();
         let mut due: Vec<(Duration, usize)> = Vec::new();
         for (node, rate) in per_second.iter().enumerate() {
-            let calls = (lasts.as_secs_f64() * rate) as u32;
+            let calls = (duration.as_secs_f64() * rate) as u32;
             due.extend((0..calls).map(|n| (Duration::from_secs_f64((f64::from(n) + 0.5) / rate), node)));
         }
         due.sort();
         let mut calls = JoinSet::new();
         for (n, (at, node)) in due.into_iter().enumerate() {
             tokio::time::sleep_until((began + at).into()).await;
-            let (address, req) = (self.gateway.front(node), make(&format!("{node}-{n}")));
+            let (address, req) = (self.gateway.client_address(node), make(&format!("{node}-{n}")));
             calls.spawn(async move {
                 let began = Instant::now();
                 let called = call(&address, req).await;
-                Answer { called, took: began.elapsed() }
+                TimedCall { called, took: began.elapsed() }
             });
         }
         calls.join_all().await
@@ -119,53 +119,53 @@
     pub fn arrivals_through(&self, node: usize, replica: usize, from: Instant) -> Vec<Instant> {
         let through = format!("{node}-");
         let seen = self.replicas[replica].replica.seen();
-        let its = seen
+        let requests = seen
             .into_iter()
             .filter(|seen| seen.header("leadstage-request-id").is_some_and(|id| id.starts_with(&through)));
-        its.map(|seen| seen.at).filter(|at| *at >= from).collect()
+        requests.map(|seen| seen.at).filter(|at| *at >= from).collect()
     }
 
     /// Asserts that no replica got more in any window than its limit allows.
-    pub fn assert_all_kept(&self, limits: &[f64], from: Instant) {
+    pub fn assert_limits_kept(&self, limits: &[f64], from: Instant) {
         for (replica, limit) in limits.iter().enumerate() {
             let allowed = (limit * OVERSHOOT * WINDOW.as_secs_f64() + SLACK) as usize;
-            let most = self.most_within(replica, from, WINDOW);
+            let max = self.max_arrivals_within(replica, from, WINDOW);
             assert!(
-                most <= allowed,
-                "replica {replica} named {limit} a second, got {most} in 4 s, allowed {allowed}\n{}",
+                max <= allowed,
+                "replica {replica}: limit {limit}/s, received {max} requests in 4 s, allowed {allowed}\n{}",
                 self.gateway.logs()
             );
         }
     }
 
     /// The most requests that a replica got within a time.
-    pub fn most_within(&self, replica: usize, from: Instant, window: Duration) -> usize {
+    pub fn max_arrivals_within(&self, replica: usize, from: Instant, window: Duration) -> usize {
         let arrivals = self.arrivals(replica, from);
         let counts = arrivals.iter().map(|start| count_within(&arrivals, *start, *start + window));
         counts.max().unwrap_or(0)
     }
 
     /// Asserts that most of what each replica names was used in a time.
-    pub fn assert_all_used(&self, limits: &[f64], from: Instant, lasts: Duration) {
+    pub fn assert_limits_used(&self, limits: &[f64], from: Instant, duration: Duration) {
         for (replica, limit) in limits.iter().enumerate() {
-            let used = count_within(&self.arrivals(replica, from), from, from + lasts) as f64;
-            let named = limit * lasts.as_secs_f64();
+            let used = count_within(&self.arrivals(replica, from), from, from + duration) as f64;
+            let allowed = limit * duration.as_secs_f64();
             assert!(
-                used >= named * LEAST_USED,
-                "replica {replica} takes {named:.1} in this time, got {used}\n{}",
+                used >= allowed * MIN_USED_SHARE,
+                "replica {replica}: limit allows {allowed:.1} requests in this time, received {used}\n{}",
                 self.gateway.logs()
             );
         }
     }
 }
 
-fn count_within(moments: &[Instant], from: Instant, until: Instant) -> usize {
-    moments.iter().filter(|at| **at >= from && **at < until).count()
+fn count_within(times: &[Instant], from: Instant, until: Instant) -> usize {
+    times.iter().filter(|at| **at >= from && **at < until).count()
 }
 
 /// Asserts that all calls were served.
-pub fn assert_all_served(answers: &[Answer], fleet: &LoadedFleet) {
-    for Answer { called, .. } in answers {
+pub fn assert_all_served(answers: &[TimedCall], fleet: &LoadedFleet) {
+    for TimedCall { called, .. } in answers {
         assert!(called.status == 200 && called.whole, "{called:?}\n{}", fleet.gateway.logs());
     }
 }
--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -134,7 +134,7 @@
 async fn test_a_caller_that_leaves_is_seen_while_its_replica_is_silent() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     bookings[0].replica.set_fault(ReplicaFault::Hangs);
-    let front = gateway.front(0);
+    let front = gateway.client_address(0);
     let calling =
         tokio::spawn(async move { send(&front, request("GET", "/read/x", KEY, "r-left")).await.is_ok() });
     gateway.until("it runs", async || bookings[0].replica.running() == 1).await;
--- a/node/tests/test_gateway_chosen_nodes.rs
+++ b/node/tests/test_gateway_chosen_nodes.rs
@@ -17,7 +17,7 @@
 use crate::gateway_environment::config;
 use crate::gateway_environment::read;
 use crate::gateway_environment::request;
-use crate::loaded_fleet::BINDS_AFTER;
+use crate::loaded_fleet::LIMIT_APPLIES_AFTER;
 use crate::loaded_fleet::LoadedFleet;
 
 const NODES: usize = 6;
@@ -82,16 +82,16 @@
     for strike in Strike::ALL {
         let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
         let limits = [4.0];
-        let binds = fleet.name_limits(&limits);
+        let binds = fleet.announce_limits(&limits);
         let granter = chosen(&fleet.gateway, "booking-1");
         let rates = rates_without(granter, 8.0);
-        fleet.load(&rates, BINDS_AFTER, read).await;
+        fleet.load(&rates, LIMIT_APPLIES_AFTER, read).await;
         strike.strike(&fleet.gateway, granter);
         let away = Instant::now();
         fleet.load(&rates, AWAY_FOR, read).await;
         strike.end(&fleet.gateway, granter);
         fleet.load(&rates, Duration::from_secs(4), read).await;
-        fleet.assert_all_kept(&limits, binds);
+        fleet.assert_limits_kept(&limits, binds);
         let got = fleet.arrivals(0, away).into_iter().filter(|at| *at < away + AWAY_FOR).count();
         assert!(got > 0, "{strike:?}: nobody used the limit\n{}", fleet.gateway.logs());
     }
--- a/node/tests/test_gateway_config_ways.rs
+++ b/node/tests/test_gateway_config_delivery.rs
@@ -27,43 +27,43 @@
 use crate::gateway_environment::call;
 use crate::gateway_environment::config;
 use crate::gateway_environment::large_config;
-use crate::gateway_environment::tell_of_config;
+use crate::gateway_environment::send_config_announcement;
 
-const MOST_ROUTES: usize = 5_000;
+const MAX_ROUTES: usize = 5_000;
 const LAST_ROUTE: &str = "/more-4999/x";
 /// What a node needs at most to take 5,000 routes from another one over a link that is free, beside
 /// a busy machine.
-const FREE_LINK_WITHIN: Duration = Duration::from_secs(3);
+const MAX_FETCH_TIME: Duration = Duration::from_secs(3);
 
 /// A node that serves version 1 and does not know the node that has version 2.
-struct Lacking {
+struct NodePair {
     gateway: Gateway,
-    has: usize,
-    lacks: usize,
+    source: usize,
+    outdated: usize,
     own_store: Arc<MetadataStore>,
-    before_store: FaultyProxy,
+    store_proxy: FaultyProxy,
     _servers: (RunningReplica, Server),
 }
 
-impl Lacking {
-    async fn start() -> Lacking {
+impl NodePair {
+    async fn start() -> NodePair {
         let mut gateway = Gateway::start().await;
         gateway.store.put("config", "main", config(1));
         let booking = gateway.start_replica("booking", "booking-1", 1).await;
-        let has = gateway.start_node();
-        gateway.until_ready(has).await;
+        let source = gateway.start_node();
+        gateway.until_ready(source).await;
         let (own_store, server) = MetadataStore::start(&gateway.own_store_ip()).await;
         own_store.put("config", "main", config(1));
         let address = booking.server.as_ref().expect("it serves").address;
         own_store.put("servers", "booking-1", replica_entry("booking", address, "hall-1", "ready"));
-        let before_store = FaultyProxy::start(&gateway.own_store_ip(), server.address).await;
-        let lacks = gateway.start_lone_node_at(before_store.address);
-        gateway.until_ready(lacks).await;
+        let store_proxy = FaultyProxy::start(&gateway.own_store_ip(), server.address).await;
+        let outdated = gateway.start_lone_node_at(store_proxy.address);
+        gateway.until_ready(outdated).await;
         // Past the time in which it listens first: it follows its store.
         tokio::time::sleep(Duration::from_secs(2)).await;
-        gateway.store.put("config", "main", large_config(2, MOST_ROUTES));
-        gateway.until("in force", async || gateway.log(has).contains("config_in_force version=2")).await;
-        Lacking { gateway, has, lacks, own_store, before_store, _servers: (booking, server) }
+        gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
+        gateway.until("in force", async || gateway.log(source).contains("config_in_force version=2")).await;
+        NodePair { gateway, source, outdated, own_store, store_proxy, _servers: (booking, server) }
     }
 
     fn peer(&self, node: usize) -> SocketAddr {
@@ -72,11 +72,11 @@
 
     /// How long it takes until version 2 is in force while the node that has it says so; `None` if
     /// that takes longer than [`FREE_LINK_WITHIN`].
-    async fn takes_from_the_other(&self) -> Option<Duration> {
+    async fn time_until_fetched(&self) -> Option<Duration> {
         let began = Instant::now();
-        while began.elapsed() < FREE_LINK_WITHIN {
-            tell_of_config(self.peer(self.has), 2, 0, self.peer(self.lacks)).await;
-            if self.gateway.log(self.lacks).contains("config_in_force version=2") {
+        while began.elapsed() < MAX_FETCH_TIME {
+            send_config_announcement(self.peer(self.source), 2, 0, self.peer(self.outdated)).await;
+            if self.gateway.log(self.outdated).contains("config_in_force version=2") {
                 return Some(began.elapsed());
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -89,76 +89,76 @@
 /// less than twice the whole. What the other one counts can't show that: what it threw away and what
 /// came in its place add up to the same.
 #[tokio::test]
-async fn test_the_rest_alone_is_sent_after_a_transfer_broke_off() {
-    let lacking = Lacking::start().await;
-    lacking.own_store.set_fault(StoreFault::Refuses);
-    let between = FaultyProxy::start(&lacking.gateway.replicas_ip(), lacking.peer(lacking.has)).await;
-    between.set(LinkFault::Thin(30_000));
-    tell_of_config(between.address, 2, 0, lacking.peer(lacking.lacks)).await;
+async fn test_an_interrupted_transfer_is_resumed() {
+    let pair = NodePair::start().await;
+    pair.own_store.set_fault(StoreFault::Refuses);
+    let proxy = FaultyProxy::start(&pair.gateway.replicas_ip(), pair.peer(pair.source)).await;
+    proxy.set(LinkFault::Thin(30_000));
+    send_config_announcement(proxy.address, 2, 0, pair.peer(pair.outdated)).await;
     // Datagrams don't pass between: 2.3 s after it was told the node may take the other one for dead.
     tokio::time::sleep(Duration::from_secs(1)).await;
-    between.set(LinkFault::Reset);
-    let gateway = &lacking.gateway;
-    gateway.until("it breaks off", async || gateway.log(lacking.lacks).contains("event=fetch_failed")).await;
-    between.set(LinkFault::None);
+    proxy.set(LinkFault::Reset);
+    let gateway = &pair.gateway;
+    gateway.until("it breaks off", async || gateway.log(pair.outdated).contains("event=fetch_failed")).await;
+    proxy.set(LinkFault::None);
     gateway
-        .until("in force", async || gateway.log(lacking.lacks).contains("config_in_force version=2"))
+        .until("in force", async || gateway.log(pair.outdated).contains("config_in_force version=2"))
         .await;
-    let metrics = gateway.metrics(lacking.has);
+    let metrics = gateway.metrics(pair.source);
     let req = Request::get("/metrics").header("host", "x").body(Default::default()).expect("valid");
     let metrics = call(&metrics, req).await.body;
     let sent = metrics.lines().find(|line| line.contains("what=\"handed out\"")).expect("a line");
     let sent: usize = sent.rsplit(' ').next().and_then(|bytes| bytes.parse().ok()).expect("a number");
-    let whole = gateway.log(lacking.lacks);
-    let whole = whole.lines().find(|line| line.contains("event=config_fetched")).expect("a line");
-    let whole = whole.split_once(" bytes=").and_then(|(_, rest)| rest.split(' ').next()).expect("bytes");
-    let whole: usize = whole.parse().expect("a number");
-    assert!(sent < 2 * whole - 12_000, "{sent} bytes sent for {whole}\n{}", gateway.logs());
+    let log = gateway.log(pair.outdated);
+    let line = log.lines().find(|line| line.contains("event=config_fetched")).expect("a line");
+    let size = line.split_once(" bytes=").and_then(|(_, rest)| rest.split(' ').next()).expect("bytes");
+    let size: usize = size.parse().expect("a number");
+    assert!(sent < 2 * size - 12_000, "{sent} bytes sent for a size of {size}\n{}", gateway.logs());
 }
 
 /// What the others measure against: nothing stands in the way.
 #[tokio::test]
-async fn test_a_large_configuration_comes_at_once_from_one_that_has_it() {
-    let lacking = Lacking::start().await;
-    lacking.own_store.set_fault(StoreFault::Refuses);
-    let took = lacking.takes_from_the_other().await;
-    assert!(took.is_some(), "{}", lacking.gateway.logs());
+async fn test_a_large_configuration_is_fetched_quickly_without_faults() {
+    let pair = NodePair::start().await;
+    pair.own_store.set_fault(StoreFault::Refuses);
+    let took = pair.time_until_fetched().await;
+    assert!(took.is_some(), "{}", pair.gateway.logs());
 }
 
 /// The first node that told hands its configuration over slowly; another one has it, too.
 #[tokio::test]
-async fn test_a_slow_node_does_not_keep_a_configuration_from_one_that_others_have() {
-    let lacking = Lacking::start().await;
-    lacking.own_store.set_fault(StoreFault::Refuses);
-    let slow = FaultyProxy::start(&lacking.gateway.replicas_ip(), lacking.peer(lacking.has)).await;
+async fn test_a_slow_node_does_not_delay_a_configuration_that_other_nodes_have() {
+    let pair = NodePair::start().await;
+    pair.own_store.set_fault(StoreFault::Refuses);
+    let slow = FaultyProxy::start(&pair.gateway.replicas_ip(), pair.peer(pair.source)).await;
     slow.set(LinkFault::Thin(12_000));
-    tell_of_config(slow.address, 2, 0, lacking.peer(lacking.lacks)).await;
+    send_config_announcement(slow.address, 2, 0, pair.peer(pair.outdated)).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let took = lacking.takes_from_the_other().await;
-    assert!(took.is_some(), "{}", lacking.gateway.logs());
+    let took = pair.time_until_fetched().await;
+    assert!(took.is_some(), "{}", pair.gateway.logs());
 }
 
 /// Three nodes did not answer, so the store is read, over a small link; then a node is met that has
 /// the configuration.
 #[tokio::test]
-async fn test_a_slow_read_of_the_store_does_not_keep_a_configuration_from_one_that_others_have() {
-    let lacking = Lacking::start().await;
-    lacking.before_store.set(LinkFault::Thin(16_000));
-    lacking.own_store.put("config", "main", large_config(2, MOST_ROUTES));
-    let ip = lacking.gateway.replicas_ip();
+async fn test_a_slow_store_read_does_not_delay_a_configuration_that_other_nodes_have() {
+    let pair = NodePair::start().await;
+    pair.store_proxy.set(LinkFault::Thin(16_000));
+    pair.own_store.put("config", "main", large_config(2, MAX_ROUTES));
+    let ip = pair.gateway.replicas_ip();
     for port in 9..12 {
         let gone: SocketAddr = format!("{ip}:{port}").parse().expect("an address");
-        tell_of_config(gone, 2, 0, lacking.peer(lacking.lacks)).await;
+        send_config_announcement(gone, 2, 0, pair.peer(pair.outdated)).await;
     }
     tokio::time::sleep(Duration::from_millis(2_000)).await;
-    let took = lacking.takes_from_the_other().await;
-    assert!(took.is_some(), "{}", lacking.gateway.logs());
+    let took = pair.time_until_fetched().await;
+    assert!(took.is_some(), "{}", pair.gateway.logs());
 }
 
 /// Six large configurations within two seconds over a link that takes three for each: all but the
 /// first and the last may be left out.
 #[tokio::test]
-async fn test_a_watcher_that_lags_goes_on_to_the_newest_configuration() {
+async fn test_a_lagging_watcher_skips_to_the_newest_configuration() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
@@ -168,7 +168,7 @@
     gateway.until_ready(node).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     for version in 2..=7 {
-        gateway.store.put("config", "main", large_config(version, MOST_ROUTES));
+        gateway.store.put("config", "main", large_config(version, MAX_ROUTES));
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     let last = Instant::now();
@@ -180,11 +180,11 @@
 
 /// A large configuration that came slowly, and none after it: it is not listed as well.
 #[tokio::test]
-async fn test_a_large_configuration_that_comes_alone_is_not_listed() {
+async fn test_a_large_configuration_that_a_watch_received_is_not_listed() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
-    let counting = Arc::new(Counting { store: gateway.store.clone(), lists: AtomicU64::new(0) });
+    let counting = Arc::new(CountingStore { store: gateway.store.clone(), lists: AtomicU64::new(0) });
     let server = loopback::serve(&gateway.own_store_ip(), counting.clone()).await;
     let proxy = FaultyProxy::start(&gateway.own_store_ip(), server.address).await;
     proxy.set(LinkFault::Thin(350_000));
@@ -192,23 +192,23 @@
     gateway.until_ready(node).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = counting.lists.load(Ordering::Relaxed);
-    gateway.store.put("config", "main", large_config(2, MOST_ROUTES));
+    gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
     gateway.until("in force", async || gateway.log(node).contains("config_in_force version=2")).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let read = counting.lists.load(Ordering::Relaxed) - before;
-    assert_eq!(read, 0, "read {read} times\n{}", gateway.logs());
+    let lists = counting.lists.load(Ordering::Relaxed) - before;
+    assert_eq!(lists, 0, "{lists} list requests\n{}", gateway.logs());
     assert!(!gateway.log(node).contains("event=store_lost kind=config"), "{}", gateway.logs());
 }
 
 /// A node whose configuration another one can't read, as when a newer leadstaged has taken one that
 /// an older does not know.
-struct Unreadable {
-    asked: AtomicU64,
+struct UnreadableConfigNode {
+    requests: AtomicU64,
 }
 
-impl Answerer for Unreadable {
+impl Answerer for UnreadableConfigNode {
     async fn answer(self: Arc<Self>, _req: Request<Bytes>) -> Response<Body> {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.requests.fetch_add(1, Ordering::Relaxed);
         let text = ConfigText::new(2, Bytes::from_static(b"{\"version\":2}"), None);
         let (edition, bytes) = text.encoded_for(0).expect("it can be compressed");
         Response::builder().header("etag", edition.to_string()).body(loopback::whole(bytes)).expect("valid")
@@ -217,25 +217,25 @@
 
 #[tokio::test]
 async fn test_a_configuration_that_cannot_be_read_is_not_fetched_with_every_message() {
-    let lacking = Lacking::start().await;
-    let peer = Arc::new(Unreadable { asked: AtomicU64::new(0) });
-    let server = loopback::serve(&lacking.gateway.replicas_ip(), peer.clone()).await;
+    let pair = NodePair::start().await;
+    let peer = Arc::new(UnreadableConfigNode { requests: AtomicU64::new(0) });
+    let server = loopback::serve(&pair.gateway.replicas_ip(), peer.clone()).await;
     for _ in 0..60 {
-        tell_of_config(server.address, 2, 0, lacking.peer(lacking.lacks)).await;
+        send_config_announcement(server.address, 2, 0, pair.peer(pair.outdated)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let asked = peer.asked.load(Ordering::Relaxed);
-    assert!((1..=8).contains(&asked), "{asked} times in 3 s\n{}", lacking.gateway.logs());
+    let requests = peer.requests.load(Ordering::Relaxed);
+    assert!((1..=8).contains(&requests), "{requests} requests in 3 s\n{}", pair.gateway.logs());
 }
 
 /// A node that has no place for a transfer and says when to come back.
-struct Busy {
-    asked: AtomicU64,
+struct BusyNode {
+    requests: AtomicU64,
 }
 
-impl Answerer for Busy {
+impl Answerer for BusyNode {
     async fn answer(self: Arc<Self>, _req: Request<Bytes>) -> Response<Body> {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.requests.fetch_add(1, Ordering::Relaxed);
         Response::builder()
             .status(503)
             .header("retry-after", "1.000")
@@ -245,39 +245,40 @@
 }
 
 #[tokio::test]
-async fn test_a_busy_node_is_asked_for_replicas_when_it_says() {
-    let lacking = Lacking::start().await;
-    let peer = Arc::new(Busy { asked: AtomicU64::new(0) });
-    let server = loopback::serve(&lacking.gateway.replicas_ip(), peer.clone()).await;
+async fn test_replicas_are_requested_from_a_busy_node_only_after_its_retry_after() {
+    let pair = NodePair::start().await;
+    let peer = Arc::new(BusyNode { requests: AtomicU64::new(0) });
+    let server = loopback::serve(&pair.gateway.replicas_ip(), peer.clone()).await;
     for _ in 0..60 {
-        tell_of_config(server.address, 1, 1_000_000, lacking.peer(lacking.lacks)).await;
+        send_config_announcement(server.address, 1, 1_000_000, pair.peer(pair.outdated)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let asked = peer.asked.load(Ordering::Relaxed);
-    assert!((1..=4).contains(&asked), "{asked} times in 3 s\n{}", lacking.gateway.logs());
+    let requests = peer.requests.load(Ordering::Relaxed);
+    assert!((1..=4).contains(&requests), "{requests} requests in 3 s\n{}", pair.gateway.logs());
 }
 
 /// A node with a small link starts in a large fleet. The first that tells it of its configuration
 /// stands still; the store works.
 #[tokio::test]
-async fn test_a_node_that_stands_still_does_not_hold_up_a_start() {
+async fn test_a_silent_node_does_not_delay_the_start_of_another() {
     const OTHERS: u16 = 300;
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
     let ip = gateway.replicas_ip();
-    let still = FaultyProxy::start(&ip, gateway.store_address()).await;
-    still.set(LinkFault::Silent);
+    let silent = FaultyProxy::start(&ip, gateway.store_address()).await;
+    silent.set(LinkFault::Silent);
     let node = gateway.start_node_with(|yaml| format!("{yaml}\nlink_mbps: 10\n"));
     let to: SocketAddr = gateway.peer(node).parse().expect("an address");
     gateway.until("its port is open", async || gateway.log(node).contains("event=start")).await;
     let began = Instant::now();
     // Others that have no configuration yet: the node is not one of the few that follow the store.
     for port in 0..OTHERS {
-        tell_of_config(format!("{ip}:{}", 20_000 + port).parse().expect("an address"), 0, 0, to).await;
+        send_config_announcement(format!("{ip}:{}", 20_000 + port).parse().expect("an address"), 0, 0, to)
+            .await;
     }
     while began.elapsed() < Duration::from_millis(200) {
-        tell_of_config(still.address, 1, 0, to).await;
+        send_config_announcement(silent.address, 1, 0, to).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     // Not by the log: of 300 nodes that are met at once some lines are left out.
@@ -288,34 +289,34 @@
 
 /// A node that named a newer configuration is gone, and nobody has what it named.
 #[tokio::test]
-async fn test_a_node_that_is_gone_is_not_asked_and_denies_nothing_for_ever() {
-    const GONE_WITHIN: Duration = Duration::from_secs(12);
+async fn test_a_version_announced_by_a_dead_node_is_not_waited_for_forever() {
+    const DETECTION_TIME: Duration = Duration::from_secs(12);
     let mut gateway = Gateway::start().await;
-    gateway.store.put("config", "main", large_config(1, MOST_ROUTES));
+    gateway.store.put("config", "main", large_config(1, MAX_ROUTES));
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
-    let counting = Arc::new(Counting { store: gateway.store.clone(), lists: AtomicU64::new(0) });
+    let counting = Arc::new(CountingStore { store: gateway.store.clone(), lists: AtomicU64::new(0) });
     let server = loopback::serve(&gateway.own_store_ip(), counting.clone()).await;
     let node = gateway.start_node_at(server.address);
     gateway.until_ready(node).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let gone: SocketAddr = format!("{}:9", gateway.replicas_ip()).parse().expect("an address");
-    tell_of_config(gone, 99, 0, gateway.peer(node).parse().expect("an address")).await;
-    tokio::time::sleep(GONE_WITHIN).await;
+    send_config_announcement(gone, 99, 0, gateway.peer(node).parse().expect("an address")).await;
+    tokio::time::sleep(DETECTION_TIME).await;
     assert!(gateway.log(node).contains("liveness=Dead"), "{}", gateway.logs());
     let before = counting.lists.load(Ordering::Relaxed);
-    tokio::time::sleep(GONE_WITHIN).await;
-    let read = counting.lists.load(Ordering::Relaxed) - before;
+    tokio::time::sleep(DETECTION_TIME).await;
+    let lists = counting.lists.load(Ordering::Relaxed) - before;
     let status = gateway.status_of(node, "/nothing/x", KEY).await;
-    assert_eq!((status, read), (404, 0), "{}", gateway.logs());
+    assert_eq!((status, lists), (404, 0), "{}", gateway.logs());
 }
 
 /// A store that counts how often its configurations are listed.
-struct Counting {
+struct CountingStore {
     store: Arc<MetadataStore>,
     lists: AtomicU64,
 }
 
-impl Answerer for Counting {
+impl Answerer for CountingStore {
     async fn answer(self: Arc<Self>, req: Request<Bytes>) -> Response<Body> {
         let watches = req.uri().query().is_some_and(|query| query.contains("watch="));
         if req.uri().path() == "/v1/objects/config" && !watches {
@@ -329,9 +330,9 @@
 #[tokio::test]
 async fn test_a_large_configuration_is_not_read_again_when_a_watch_is_cut() {
     let mut gateway = Gateway::start().await;
-    gateway.store.put("config", "main", large_config(1, MOST_ROUTES));
+    gateway.store.put("config", "main", large_config(1, MAX_ROUTES));
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
-    let counting = Arc::new(Counting { store: gateway.store.clone(), lists: AtomicU64::new(0) });
+    let counting = Arc::new(CountingStore { store: gateway.store.clone(), lists: AtomicU64::new(0) });
     let server = loopback::serve(&gateway.own_store_ip(), counting.clone()).await;
     let proxy = FaultyProxy::start(&gateway.own_store_ip(), server.address).await;
     let node = gateway.start_node_at(proxy.address);
@@ -344,9 +345,9 @@
         proxy.set(LinkFault::None);
         tokio::time::sleep(Duration::from_millis(2_500)).await;
     }
-    let read = counting.lists.load(Ordering::Relaxed) - before;
+    let lists = counting.lists.load(Ordering::Relaxed) - before;
     assert_eq!(gateway.status_of(node, LAST_ROUTE, KEY).await, 200);
-    assert_eq!(read, 0, "read {read} times for 4 cuts\n{}", gateway.logs());
+    assert_eq!(lists, 0, "{lists} list requests for 4 cuts\n{}", gateway.logs());
     let regained = gateway.log(node).matches("event=store_regained kind=config").count();
     assert_eq!(regained, 4, "each time before the next cut\n{}", gateway.logs());
 }
@@ -354,7 +355,7 @@
 /// A store that has no history for any watch is listed, but not without a pause: each list may have
 /// 1 MB. Found by reading: nothing stood between the list and the next watch.
 #[tokio::test]
-async fn test_a_store_without_history_is_not_listed_without_end() {
+async fn test_a_store_without_history_is_listed_at_a_limited_rate() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
--- a/node/tests/test_gateway_crashing_requests.rs
+++ b/node/tests/test_gateway_crashing_requests.rs
@@ -83,7 +83,7 @@
     let mut fleet = CrashingFleet::start(MODEL).await;
     let until_known = fleet.until_known(|id| ending(chat(id))).await;
     (0..NODES).for_each(|node| fleet.gateway.kill(node));
-    (0..NODES).for_each(|node| fleet.gateway.start_again(node));
+    (0..NODES).for_each(|node| fleet.gateway.restart_node(node));
     for node in 0..NODES {
         fleet.gateway.until_ready(node).await;
         fleet.gateway.until("it is known", async || fleet.quarantined(node).await.len() == 1).await;
--- a/node/tests/test_gateway_fleet.rs
+++ b/node/tests/test_gateway_fleet.rs
@@ -236,7 +236,7 @@
         req.headers_mut().insert("leadstage-token-usage", "30000,2000".parse().expect("valid"));
         req
     };
-    let front = gateway.front(0);
+    let front = gateway.client_address(0);
     let running = crate::gateway_environment::send(&front, large("r-1")).await;
     let running = running.unwrap_or_else(|err| panic!("it begins: {err}\n{}", gateway.logs()));
     // The lead hears within an inventory's interval of what the other node runs.
@@ -266,7 +266,7 @@
         while gateway.ready_status(node).await != 200 {
             tokio::task::yield_now().await;
         }
-        if let Err(err) = tokio::net::TcpStream::connect(gateway.front(node)).await {
+        if let Err(err) = tokio::net::TcpStream::connect(gateway.client_address(node)).await {
             refused.push(format!("node {node}: {err}"));
         }
         gateway.kill(node);
--- a/node/tests/test_gateway_foreign_entries.rs
+++ b/node/tests/test_gateway_foreign_entries.rs
@@ -11,7 +11,7 @@
 use crate::gateway_environment::KEY;
 
 /// A sound entry with one field changed, or without it where there is no value.
-fn changed(mut entry: Value, field: &str, value: Option<Value>) -> Value {
+fn with_field(mut entry: Value, field: &str, value: Option<Value>) -> Value {
     let fields = entry.as_object_mut().expect("an object");
     match value {
         Some(value) => drop(fields.insert(field.to_owned(), value)),
@@ -21,19 +21,19 @@
 }
 
 #[tokio::test]
-async fn test_foreign_entries_name_no_replica_and_the_others_hold() {
+async fn test_invalid_entries_are_ignored_and_valid_ones_stay_in_effect() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     let foreign = gateway.start_replica(BOOKING, "foreign", 1).await;
     let address = foreign.server.as_ref().expect("it serves").address;
-    let sound = || replica_entry(BOOKING, address, "hall-1", "ready");
+    let valid = || replica_entry(BOOKING, address, "hall-1", "ready");
     let mut entries = vec![json!("\u{fffd}\u{0}"), json!(7), json!([1, 2]), Value::Null, json!({})];
     for field in ["service", "address", "zone", "version", "slots", "state", "coldRemainingMs", "sequence"] {
-        entries.push(changed(sound(), field, None));
-        entries.push(changed(sound(), field, Some(json!({"of": "another type"}))));
+        entries.push(with_field(valid(), field, None));
+        entries.push(with_field(valid(), field, Some(json!({"of": "another type"}))));
     }
-    entries.push(changed(sound(), "state", Some(json!("resting"))));
-    entries.push(changed(sound(), "service", Some(json!("unheard of"))));
-    entries.push(changed(sound(), "born", Some(json!(1.5))));
+    entries.push(with_field(valid(), "state", Some(json!("resting"))));
+    entries.push(with_field(valid(), "service", Some(json!("unheard of"))));
+    entries.push(with_field(valid(), "born", Some(json!(1.5))));
     for (n, entry) in entries.into_iter().enumerate() {
         gateway.store.put("servers", &format!("foreign-{n}"), entry.clone());
         // A replica's own entry that someone has overwritten names none either.
@@ -56,7 +56,7 @@
     }
     assert_eq!(foreign.replica.seen().len(), before, "{}", gateway.logs());
     // Its own next entry names it again.
-    gateway.store.put("servers", "foreign", sound());
+    gateway.store.put("servers", "foreign", valid());
     gateway
         .until("it is used again", async || {
             gateway.status_of(0, "/read/x", KEY).await;
--- a/node/tests/test_gateway_inventories.rs
+++ b/node/tests/test_gateway_inventories.rs
@@ -59,7 +59,7 @@
 async fn begin(gateway: &Gateway, node: usize, path: &str, id: &str) -> Open {
     let mut req = chat(id);
     *req.uri_mut() = path.parse().expect("a path");
-    let open = send(&gateway.front(node), req).await.expect("it begins");
+    let open = send(&gateway.client_address(node), req).await.expect("it begins");
     assert_eq!(open.1.status(), 200, "{}", gateway.logs());
     open
 }
@@ -84,7 +84,7 @@
         open.push(begin(&gateway, entry, "/chat/x", &format!("r-{n}")).await);
     }
     gateway.kill(lead);
-    gateway.start_again(lead);
+    gateway.restart_node(lead);
     let mut known = 0;
     for _ in 0..60 {
         known = running(&gateway, lead).await.get(MODEL).copied().unwrap_or(0).max(known);
--- a/node/tests/test_gateway_limits.rs
+++ b/node/tests/test_gateway_limits.rs
@@ -19,7 +19,7 @@
 const PATIENCE: Duration = Duration::from_secs(8);
 
 async fn connect(gateway: &Gateway) -> TcpStream {
-    TcpStream::connect(gateway.front(0)).await.expect("it listens")
+    TcpStream::connect(gateway.client_address(0)).await.expect("it listens")
 }
 
 /// Reads until the node closes the connection; returns what came and how long it took.
--- a/node/tests/test_gateway_noise.rs
+++ b/node/tests/test_gateway_noise.rs
@@ -92,7 +92,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let [to, from] = [0, other].map(|node| gateway.peer(node).parse().expect("an address"));
     send_datagrams(to, from, &mut rng).await;
-    for port in [gateway.front(0), gateway.peer(0), gateway.ready(0), gateway.metrics(0)] {
+    for port in [gateway.client_address(0), gateway.peer(0), gateway.ready(0), gateway.metrics(0)] {
         send_streams(&port, &mut rng).await;
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/node/tests/test_gateway_regions.rs
+++ b/node/tests/test_gateway_regions.rs
@@ -26,7 +26,7 @@
 type ByHall = Vec<RunningReplica>;
 
 /// A configuration in which some routes, and the organisation, are restricted.
-fn restricted(routes: &[(&str, Value)], organisation: Value) -> Value {
+fn restricted_config(routes: &[(&str, Value)], organisation: Value) -> Value {
     let mut config = config(1);
     for route in config["routes"].as_array_mut().expect("routes") {
         if let Some((_, regions)) = routes.iter().find(|(name, _)| route["name"] == *name) {
@@ -46,34 +46,35 @@
         let mut by_hall = Vec::new();
         for hall in HALLS {
             let running = gateway.start_unlisted_replica(&format!("{service}-{hall}"), EVENTS).await;
-            list(&gateway, service, &running, hall, "ready");
+            write_entry(&gateway, service, &running, hall, "ready");
             by_hall.push(running);
         }
         services.push(by_hall);
     }
     for hall in ["hall-1", "hall-3"] {
-        let there =
+        let with_hall =
             |yaml: String| format!("{}{REGIONS}", yaml.replace("hall: hall-1", &format!("hall: {hall}")));
-        let node = gateway.start_node_with(there);
+        let node = gateway.start_node_with(with_hall);
         gateway.until_ready(node).await;
     }
     let models = services.pop().expect("two");
     (gateway, services.pop().expect("two"), models)
 }
 
-fn list(gateway: &Gateway, service: &str, running: &RunningReplica, hall: &str, state: &str) {
+fn write_entry(gateway: &Gateway, service: &str, running: &RunningReplica, hall: &str, state: &str) {
     let address = running.server.as_ref().expect("it serves").address;
     gateway.store.put("servers", &running.replica.id, replica_entry(service, address, hall, state));
 }
 
-fn seen(replicas: &ByHall) -> Vec<usize> {
+fn count_requests(replicas: &ByHall) -> Vec<usize> {
     replicas.iter().map(|running| running.replica.seen().len()).collect()
 }
 
 #[tokio::test]
-async fn test_a_route_is_served_in_its_regions_alone() {
+async fn test_a_route_is_served_only_in_its_regions() {
     let (gateway, bookings, models) =
-        fleet(restricted(&[("read", json!(["south"])), ("chat", json!(["north"]))], Value::Null)).await;
+        fleet(restricted_config(&[("read", json!(["south"])), ("chat", json!(["north"]))], Value::Null))
+            .await;
     for node in [0, 1] {
         for n in 0..10 {
             assert_eq!(gateway.status_of(node, "/read/x", KEY).await, 200);
@@ -81,21 +82,21 @@
             tokio::time::timeout(Duration::from_millis(30), chat).await.expect_err("it goes on");
         }
     }
-    assert_eq!(seen(&bookings), [0, 0, 20], "{}", gateway.logs());
-    let chats = seen(&models);
+    assert_eq!(count_requests(&bookings), [0, 0, 20], "{}", gateway.logs());
+    let chats = count_requests(&models);
     assert!(chats[0] + chats[1] == 20 && chats[2] == 0, "{chats:?}\n{}", gateway.logs());
     // A route without regions uses them all.
     for _ in 0..40 {
         assert_eq!(gateway.status_of(0, "/book/x", KEY).await, 200);
     }
-    assert!(seen(&bookings)[0] > 0, "{}", gateway.logs());
+    assert!(count_requests(&bookings)[0] > 0, "{}", gateway.logs());
     let headers = models.iter().chain(&bookings).flat_map(|running| running.replica.seen());
     assert!(headers.into_iter().all(|seen| seen.header("kv-backup").is_none()), "no copy is kept elsewhere");
 }
 
 #[tokio::test]
-async fn test_route_and_organisation_both_bind() {
-    let (gateway, bookings, models) = fleet(restricted(
+async fn test_regions_of_route_and_organisation_both_apply() {
+    let (gateway, bookings, models) = fleet(restricted_config(
         &[("read", json!(["south", "north"])), ("book", json!(["south"])), ("chat", json!(["south"]))],
         json!(["north"]),
     ))
@@ -113,21 +114,21 @@
             assert!(began.elapsed() < Duration::from_millis(400), "{:?}", began.elapsed());
         }
     }
-    let bookings = seen(&bookings);
+    let bookings = count_requests(&bookings);
     assert!(bookings[2] == 0 && bookings.iter().sum::<usize>() == 20, "{bookings:?}\n{}", gateway.logs());
-    assert_eq!(seen(&models), [0, 0, 0]);
+    assert_eq!(count_requests(&models), [0, 0, 0]);
 }
 
 #[tokio::test]
 async fn test_a_generation_moves_within_its_regions() {
     for node in [0, 1] {
         let (gateway, _bookings, models) =
-            fleet(restricted(&[("chat", json!(["north"]))], Value::Null)).await;
+            fleet(restricted_config(&[("chat", json!(["north"]))], Value::Null)).await;
         let (chat, ()) = tokio::join!(gateway.call(node, chat("c-1")), async {
             let runs_at = || models.iter().position(|running| running.replica.running() > 0);
             gateway.until("it runs", async || runs_at().is_some()).await;
             let at = runs_at().expect("it runs");
-            list(&gateway, MODEL, &models[at], HALLS[at], "draining");
+            write_entry(&gateway, MODEL, &models[at], HALLS[at], "draining");
         });
         assert!(chat.whole && chat.events() == Some(EVENTS), "{chat:?}\n{}", gateway.logs());
         assert!(gateway.log(node).contains("event=moved"), "{}", gateway.logs());
@@ -136,10 +137,11 @@
 }
 
 #[tokio::test]
-async fn test_a_call_that_fails_in_its_region_is_sent_nowhere_else() {
-    let (gateway, bookings, _models) = fleet(restricted(&[("read", json!("south"))], Value::Null)).await;
+async fn test_a_call_that_fails_in_its_region_is_not_sent_to_another() {
+    let (gateway, bookings, _models) =
+        fleet(restricted_config(&[("read", json!("south"))], Value::Null)).await;
     bookings[2].replica.set_fault(ReplicaFault::NotRun);
     let refused = gateway.call(0, request("GET", "/read/x", KEY, "r-1")).await;
     assert_eq!(refused.status, 503, "{refused:?}");
-    assert_eq!(seen(&bookings)[..2], [0, 0], "{}", gateway.logs());
+    assert_eq!(count_requests(&bookings)[..2], [0, 0], "{}", gateway.logs());
 }
--- a/node/tests/test_gateway_replica_limits.rs
+++ b/node/tests/test_gateway_replica_limits.rs
@@ -20,7 +20,7 @@
 use crate::gateway_environment::chat;
 use crate::gateway_environment::config;
 use crate::gateway_environment::read;
-use crate::loaded_fleet::BINDS_AFTER;
+use crate::loaded_fleet::LIMIT_APPLIES_AFTER;
 use crate::loaded_fleet::LoadedFleet;
 use crate::loaded_fleet::assert_all_served;
 
@@ -37,11 +37,11 @@
 async fn check_two_of_three(per_second: &[f64; NODES]) {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [3.0, 4.4];
-    let binds = fleet.name_limits(&limits);
-    let answers = fleet.load(per_second, BINDS_AFTER + MEASURED, read).await;
+    let binds = fleet.announce_limits(&limits);
+    let answers = fleet.load(per_second, LIMIT_APPLIES_AFTER + MEASURED, read).await;
     assert_all_served(&answers, &fleet);
-    fleet.assert_all_kept(&limits, binds);
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    fleet.assert_limits_kept(&limits, binds);
+    fleet.assert_limits_used(&limits, binds, MEASURED);
 }
 
 #[tokio::test]
@@ -61,25 +61,25 @@
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [12.0];
     let (answers, binds) =
-        tokio::join!(fleet.load(&[27.5; NODES], 2 * BINDS_AFTER + MEASURED, read), async {
-            tokio::time::sleep(BINDS_AFTER).await;
-            fleet.name_limits(&limits)
+        tokio::join!(fleet.load(&[27.5; NODES], 2 * LIMIT_APPLIES_AFTER + MEASURED, read), async {
+            tokio::time::sleep(LIMIT_APPLIES_AFTER).await;
+            fleet.announce_limits(&limits)
         });
     assert_all_served(&answers, &fleet);
-    let named = binds - BINDS_AFTER;
-    fleet.assert_all_kept(&limits, named - Duration::from_secs(1));
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    let named = binds - LIMIT_APPLIES_AFTER;
+    fleet.assert_limits_kept(&limits, named - Duration::from_secs(1));
+    fleet.assert_limits_used(&limits, binds, MEASURED);
 }
 
 /// Generations come through the lead of their model, which no other node goes around.
 #[tokio::test]
 async fn test_limits_of_engines_are_kept() {
     let fleet = LoadedFleet::start(MODEL, NODES, 3).await;
-    let binds = fleet.name_limits(&[2.0]);
-    let answers = fleet.load(&[3.0; NODES], BINDS_AFTER + MEASURED, chat).await;
+    let binds = fleet.announce_limits(&[2.0]);
+    let answers = fleet.load(&[3.0; NODES], LIMIT_APPLIES_AFTER + MEASURED, chat).await;
     assert_all_served(&answers, &fleet);
-    fleet.assert_all_kept(&[2.0], binds);
-    fleet.assert_all_used(&[2.0], binds, MEASURED);
+    fleet.assert_limits_kept(&[2.0], binds);
+    fleet.assert_limits_used(&[2.0], binds, MEASURED);
 }
 
 /// All replicas are in need: what they take is served, and the rest is refused at once, with a time to come
@@ -88,10 +88,10 @@
 async fn test_what_replicas_in_need_do_not_take_is_refused_at_once() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [2.0, 3.0, 4.0];
-    let binds = fleet.name_limits(&limits);
-    let answers = fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED, read).await;
-    fleet.assert_all_kept(&limits, binds);
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    let binds = fleet.announce_limits(&limits);
+    let answers = fleet.load(&[8.0; NODES], LIMIT_APPLIES_AFTER + MEASURED, read).await;
+    fleet.assert_limits_kept(&limits, binds);
+    fleet.assert_limits_used(&limits, binds, MEASURED);
     let refused: Vec<_> = answers.iter().filter(|answer| answer.called.status != 200).collect();
     assert!(!refused.is_empty());
     for answer in refused {
@@ -109,9 +109,9 @@
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [2.0, 3.0];
     fleet.replicas[2].replica.set_fault(ReplicaFault::Fails);
-    let binds = fleet.name_limits(&limits);
-    fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED, read).await;
-    fleet.assert_all_kept(&limits, binds);
+    let binds = fleet.announce_limits(&limits);
+    fleet.load(&[8.0; NODES], LIMIT_APPLIES_AFTER + MEASURED, read).await;
+    fleet.assert_limits_kept(&limits, binds);
 }
 
 /// The need ends: the first answer without a limit is told to all nodes, whoever gets it.
@@ -135,17 +135,17 @@
 async fn test_limits_are_kept_while_nodes_are_lost() {
     let mut fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [3.0, 4.4];
-    let binds = fleet.name_limits(&limits);
-    fleet.load(&[8.0; NODES], BINDS_AFTER, read).await;
+    let binds = fleet.announce_limits(&limits);
+    fleet.load(&[8.0; NODES], LIMIT_APPLIES_AFTER, read).await;
     for node in [1, 4] {
         Arc::get_mut(&mut fleet.gateway).expect("no other holder").kill(node);
         let rates: [f64; NODES] = std::array::from_fn(|n| if n == node { 0.0 } else { 8.0 });
         fleet.load(&rates, Duration::from_secs(6), read).await;
-        Arc::get_mut(&mut fleet.gateway).expect("no other holder").start_again(node);
+        Arc::get_mut(&mut fleet.gateway).expect("no other holder").restart_node(node);
         fleet.gateway.until_ready(node).await;
         fleet.load(&[8.0; NODES], Duration::from_secs(2), read).await;
     }
-    fleet.assert_all_kept(&limits, binds);
+    fleet.assert_limits_kept(&limits, binds);
 }
 
 /// A cold replica that names a limit is given no more than either allows: grants come beside no share of what
@@ -166,9 +166,9 @@
     cold.replica.set_limit(Some("12"));
     fleet.replicas.push(cold);
     let began = Instant::now();
-    let answers = fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED, read).await;
+    let answers = fleet.load(&[8.0; NODES], LIMIT_APPLIES_AFTER + MEASURED, read).await;
     assert_all_served(&answers, &fleet);
-    let most = fleet.most_within(2, began, Duration::from_secs(1));
+    let most = fleet.max_arrivals_within(2, began, Duration::from_secs(1));
     assert!((1..=BEARS as usize).contains(&most), "{most} in a second\n{}", fleet.gateway.logs());
 }
 
@@ -186,11 +186,11 @@
 async fn test_a_limit_below_one_a_second_is_kept_by_many_nodes() {
     const MANY: usize = 16;
     let fleet = LoadedFleet::start(BOOKING, MANY, 2).await;
-    let binds = fleet.name_limits(&[0.4]);
-    let answers = fleet.load(&[4.0; MANY], BINDS_AFTER + 4 * MEASURED, read).await;
+    let binds = fleet.announce_limits(&[0.4]);
+    let answers = fleet.load(&[4.0; MANY], LIMIT_APPLIES_AFTER + 4 * MEASURED, read).await;
     assert_all_served(&answers, &fleet);
-    fleet.assert_all_kept(&[0.4], binds);
-    fleet.assert_all_used(&[0.4], binds, 4 * MEASURED);
+    fleet.assert_limits_kept(&[0.4], binds);
+    fleet.assert_limits_used(&[0.4], binds, 4 * MEASURED);
 }
 
 /// All engines are in need: generations wait at the lead for their turn, and who can't begin in time is told at
@@ -199,10 +199,10 @@
 async fn test_generations_wait_for_engines_in_need() {
     let fleet = LoadedFleet::start(MODEL, NODES, 2).await;
     let limits = [2.0, 3.0];
-    let binds = fleet.name_limits(&limits);
-    let answers = fleet.load(&[2.0; NODES], BINDS_AFTER + MEASURED, chat).await;
-    fleet.assert_all_kept(&limits, binds);
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    let binds = fleet.announce_limits(&limits);
+    let answers = fleet.load(&[2.0; NODES], LIMIT_APPLIES_AFTER + MEASURED, chat).await;
+    fleet.assert_limits_kept(&limits, binds);
+    fleet.assert_limits_used(&limits, binds, MEASURED);
     for answer in answers {
         assert!(matches!(answer.called.status, 200 | 503), "{answer:?}\n{}", fleet.gateway.logs());
     }
--- a/node/tests/test_gateway_restarts.rs
+++ b/node/tests/test_gateway_restarts.rs
@@ -24,7 +24,7 @@
         let mut running = Vec::new();
         for n in 1..=2 {
             let replica = gateway.start_replica(service, &format!("{service}-{n}"), 60).await;
-            start_at(&gateway, service, &replica, 100);
+            write_entry_with_start(&gateway, service, &replica, 100);
             running.push(replica);
         }
         services.push(running);
@@ -37,7 +37,7 @@
 }
 
 /// The replica says that it started at `born`.
-fn start_at(gateway: &Gateway, service: &str, running: &RunningReplica, born: u64) {
+fn write_entry_with_start(gateway: &Gateway, service: &str, running: &RunningReplica, born: u64) {
     let address = running.server.as_ref().expect("it serves").address;
     let mut entry = replica_entry(service, address, "hall-1", "ready");
     entry["born"] = born.into();
@@ -45,26 +45,29 @@
 }
 
 /// The replica that a request has reached.
-async fn reached<'a>(gateway: &Gateway, replicas: &'a [RunningReplica]) -> &'a RunningReplica {
+async fn wait_for_replica_with_request<'a>(
+    gateway: &Gateway,
+    replicas: &'a [RunningReplica],
+) -> &'a RunningReplica {
     gateway.until("it arrives", async || replicas.iter().any(|r| !r.replica.seen().is_empty())).await;
     replicas.iter().find(|r| !r.replica.seen().is_empty()).expect("one")
 }
 
-async fn until_restarted(gateway: &Gateway) {
+async fn wait_until_restart_known(gateway: &Gateway) {
     gateway.until("it is known", async || gateway.log(0).contains("event=replica_restarted")).await;
 }
 
 /// The engine is silent; without the news the stream would wait for it.
 #[tokio::test]
-async fn test_a_stream_at_an_earlier_start_goes_on_elsewhere() {
+async fn test_a_stream_at_a_restarted_engine_is_resumed_at_another() {
     let (gateway, _bookings, models) = fleet().await;
     gateway.engines.set_stream_faults([StreamFault::StallsAfter(7)]);
     let (called, ()) = tokio::join!(gateway.call(0, tag("r-1")), async {
-        let engine = reached(&gateway, &models).await;
-        start_at(&gateway, MODEL, engine, 200);
-        until_restarted(&gateway).await;
+        let engine = wait_for_replica_with_request(&gateway, &models).await;
+        write_entry_with_start(&gateway, MODEL, engine, 200);
+        wait_until_restart_known(&gateway).await;
         // Older words, late: they undo nothing.
-        start_at(&gateway, MODEL, engine, 100);
+        write_entry_with_start(&gateway, MODEL, engine, 100);
     });
     assert!(called.whole && called.events() == Some(60), "{called:?}\n{}", gateway.logs());
     let arrivals = models.iter().filter(|model| !model.replica.seen().is_empty()).count();
@@ -74,13 +77,13 @@
 
 /// A stream that may not be resumed ends, and its caller is not left waiting.
 #[tokio::test]
-async fn test_a_stream_that_may_not_be_resumed_ends_with_its_start() {
+async fn test_a_non_resumable_stream_ends_when_its_engine_restarts() {
     let (gateway, _bookings, models) = fleet().await;
     gateway.engines.set_stream_faults([StreamFault::StallsAfter(7)]);
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-1")), async {
-        let engine = reached(&gateway, &models).await;
-        start_at(&gateway, MODEL, engine, 200);
-        until_restarted(&gateway).await;
+        let engine = wait_for_replica_with_request(&gateway, &models).await;
+        write_entry_with_start(&gateway, MODEL, engine, 200);
+        wait_until_restart_known(&gateway).await;
     });
     assert!(!called.whole && called.events().is_some(), "{called:?}");
     let arrivals: usize = models.iter().map(|model| model.replica.seen().len()).sum();
@@ -89,15 +92,15 @@
 
 /// Whether a call ran at the earlier start nobody knows: it is not sent again.
 #[tokio::test]
-async fn test_a_call_that_may_not_repeat_is_not_sent_to_the_next_start() {
+async fn test_a_non_idempotent_call_is_not_sent_to_the_restarted_replica() {
     let (gateway, bookings, _models) = fleet().await;
     bookings.iter().for_each(|booking| booking.replica.set_fault(ReplicaFault::Hangs));
     let mut book = request("GET", "/book/x", KEY, "r-1");
     book.headers_mut().insert("leadstage-deadline-ms", "1500".parse().expect("valid"));
     let (called, ()) = tokio::join!(gateway.call(0, book), async {
-        let replica = reached(&gateway, &bookings).await;
-        start_at(&gateway, BOOKING, replica, 200);
-        until_restarted(&gateway).await;
+        let replica = wait_for_replica_with_request(&gateway, &bookings).await;
+        write_entry_with_start(&gateway, BOOKING, replica, 200);
+        wait_until_restart_known(&gateway).await;
     });
     assert!(called.status >= 500 && called.status != 503, "{called:?}");
     let arrivals: usize = bookings.iter().map(|booking| booking.replica.seen().len()).sum();
--- a/node/tests/test_gateway_resuming.rs
+++ b/node/tests/test_gateway_resuming.rs
@@ -154,7 +154,7 @@
 async fn test_a_caller_that_left_is_not_gone_on_for() {
     let (gateway, _bookings, models) = Gateway::with_replicas(2).await;
     gateway.engines.set_stream_faults([StreamFault::StallsAfter(7)]);
-    let answer = send(&gateway.front(0), tag("r-1")).await.expect("it begins");
+    let answer = send(&gateway.client_address(0), tag("r-1")).await.expect("it begins");
     drop(answer);
     gateway.until("it ends", async || models.iter().all(|m| m.replica.running() == 0)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
--- a/node/tests/test_gateway_silent.rs
+++ b/node/tests/test_gateway_silent.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::gateway_environment::Called;
+use crate::gateway_environment::CallResult;
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::KEY;
 use crate::gateway_environment::RunningReplica;
@@ -64,7 +64,7 @@
     req
 }
 
-async fn timed(gateway: &Gateway, path: &str, id: &str) -> (Called, Duration) {
+async fn timed(gateway: &Gateway, path: &str, id: &str) -> (CallResult, Duration) {
     let began = Instant::now();
     let called = gateway.call(0, plain(path, id)).await;
     (called, began.elapsed())
@@ -251,7 +251,7 @@
 async fn test_every_port_probes_its_connections() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let ports = [
-        ("callers", gateway.front(0)),
+        ("callers", gateway.client_address(0)),
         ("balancer", gateway.ready(0)),
         ("peers", gateway.peer(0)),
         ("metrics", gateway.metrics(0)),
--- a/node/tests/test_gateway_slow_readers.rs
+++ b/node/tests/test_gateway_slow_readers.rs
@@ -123,14 +123,14 @@
 }
 
 fn patient_callers(gateway: &Gateway, make: fn(usize) -> String, lasts: Duration) -> JoinSet<String> {
-    let callers = (0..SLOW_CALLERS).map(|n| patient_caller(gateway.front(0), make(n), lasts));
+    let callers = (0..SLOW_CALLERS).map(|n| patient_caller(gateway.client_address(0), make(n), lasts));
     callers.collect()
 }
 
 fn slow_callers(gateway: &Gateway, make: fn(usize) -> String, lasts: Duration) -> JoinSet<String> {
     let mut callers = JoinSet::new();
     for n in 0..SLOW_CALLERS {
-        callers.spawn(slow_caller(gateway.front(0), make(n), lasts));
+        callers.spawn(slow_caller(gateway.client_address(0), make(n), lasts));
     }
     callers
 }
@@ -207,7 +207,7 @@
     gateway.until("it is listed", listed).await;
     let mut callers = JoinSet::new();
     for n in 0..100 {
-        let front = gateway.front(0);
+        let front = gateway.client_address(0);
         let mut req = request("POST", "/book/x", KEY, &format!("b-{n}"));
         *req.body_mut() = bytes::Bytes::from(vec![7; 800_000]).into();
         req.headers_mut().insert("leadstage-deadline-ms", "4000".parse().expect("valid"));
--- a/node/tests/test_gateway_soak.rs
+++ b/node/tests/test_gateway_soak.rs
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 
 use crate::gateway_environment::BOOKING;
-use crate::gateway_environment::Called;
+use crate::gateway_environment::CallResult;
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::KEY;
 use crate::gateway_environment::MODEL;
@@ -59,7 +59,7 @@
     id: String,
     /// The last event that it had from earlier attempts.
     from: u64,
-    called: Called,
+    called: CallResult,
 }
 
 /// What a client asks for.
@@ -238,7 +238,7 @@
     fn restart_ended(&mut self) {
         for node in 0..nodes() {
             if self.gateway.ended(node).is_some() {
-                self.gateway.start_again(node);
+                self.gateway.restart_node(node);
             }
         }
     }
@@ -356,7 +356,7 @@
 
 async fn play(seed: u64) {
     let mut soak = Soak::start(seed).await;
-    let fronts: Vec<String> = (0..nodes()).map(|node| soak.gateway.front(node)).collect();
+    let fronts: Vec<String> = (0..nodes()).map(|node| soak.gateway.client_address(node)).collect();
     let until = Instant::now() + FAULTS_FOR;
     let log = Log::default();
     let mut clients = tokio::task::JoinSet::new();
--- a/node/tests/test_gateway_stop.rs
+++ b/node/tests/test_gateway_stop.rs
@@ -68,7 +68,7 @@
     tokio::time::sleep_until(began + CONNECTED_AT).await;
     let mut calls = JoinSet::new();
     for n in 0..18 {
-        let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
+        let mut stream = TcpStream::connect(gateway.client_address(0)).await.expect("it listens");
         calls.spawn(async move {
             // The pauses between the calls let the node find none open, at one place or another.
             tokio::time::sleep_until(began + SENT_AT + n * Duration::from_millis(110)).await;
@@ -86,7 +86,7 @@
     taken.sort();
     answered.sort();
     assert_eq!(taken, answered, "reached the replica, and were answered");
-    assert!(gateway.end_of(0).await, "the stop is no failure");
+    assert!(gateway.wait_for_exit(0).await, "the stop is no failure");
 }
 
 /// The end of an answer to a call of which a node has only the part before `split` when it
@@ -96,7 +96,7 @@
     gateway.signal(0, "-TERM");
     let began = tokio::time::Instant::now();
     tokio::time::sleep_until(began + CONNECTED_AT).await;
-    let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
+    let mut stream = TcpStream::connect(gateway.client_address(0)).await.expect("it listens");
     let call = call("r-1");
     let (first, rest) = call.split_at(call.find(split).expect("a part of it"));
     // The head may take 1 s.
@@ -134,7 +134,7 @@
     tokio::time::sleep_until(began + CONNECTED_AT).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(16 << 10).expect("a size");
-    let front = gateway.front(0).parse().expect("an address");
+    let front = gateway.client_address(0).parse().expect("an address");
     let mut stream = socket.connect(front).await.expect("it listens");
     tokio::time::sleep_until(began + SENT_BEFORE).await;
     stream.write_all(call("r-1").as_bytes()).await.expect("it is open");
@@ -142,7 +142,7 @@
     tokio::time::sleep_until(began + SENT_BEFORE + Duration::from_millis(800)).await;
     let answer = read_to_end(&mut stream).await;
     assert!(is_whole(&answer), "{} bytes came", answer.len());
-    assert!(gateway.end_of(0).await, "the stop is no failure");
+    assert!(gateway.wait_for_exit(0).await, "the stop is no failure");
 }
 
 /// A stopping node took streams by what their callers expected, which is often far too little: a
@@ -166,7 +166,7 @@
     });
     assert_eq!(first.events(), Some(220), "it ends before the node does: {first:?}");
     assert_eq!((late.status, late.code()), (503, 2108), "{late:?}");
-    assert!(gateway.end_of(node).await, "the stop is no failure");
+    assert!(gateway.wait_for_exit(node).await, "the stop is no failure");
 }
 
 /// A stream that waits for an engine while its node stops, and gets one when it can no longer end before
@@ -194,7 +194,7 @@
     assert_eq!(first.events(), Some(220), "it ends before the node does: {first:?}");
     assert_eq!((waited.status, waited.code()), (503, 2108), "{waited:?}\n{}", gateway.logs());
     assert_eq!(model.replica.seen().len(), 1, "the second was sent to no engine");
-    assert!(gateway.end_of(node).await, "the stop is no failure");
+    assert!(gateway.wait_for_exit(node).await, "the stop is no failure");
 }
 
 /// The line that tells of a stop's end was never seen, in seven runs of a fleet with stops all day:
@@ -210,7 +210,7 @@
     (0..nodes).for_each(|n| gateway.signal(n, "-TERM"));
     let mut silent = Vec::new();
     for n in 0..nodes {
-        assert!(gateway.end_of(n).await, "the stop is no failure");
+        assert!(gateway.wait_for_exit(n).await, "the stop is no failure");
         if !gateway.log(n).contains("event=stopped") {
             silent.push(n);
         }
@@ -226,11 +226,11 @@
     let settings = gateway.settings(0, gateway.store_address(), "");
     let short = settings.replace("stop_within: 6s", "stop_within: 600ms");
     std::fs::write(gateway.settings_path(0), short).expect("writable");
-    gateway.start_again(0);
+    gateway.restart_node(0);
     gateway.until_ready(0).await;
     // A second begins with the first line that follows.
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
+    let mut stream = TcpStream::connect(gateway.client_address(0)).await.expect("it listens");
     let began = Instant::now();
     let refused = "GET /nowhere/ HTTP/1.1\r\nhost: h.example\r\n\r\n".repeat(499);
     let last = "GET /nowhere/ HTTP/1.1\r\nhost: h.example\r\nconnection: close\r\n\r\n";
@@ -238,7 +238,7 @@
     let answers = read_to_end(&mut stream).await;
     assert_eq!(answers.matches("HTTP/1.1 404").count(), 500);
     gateway.signal(0, "-TERM");
-    assert!(gateway.end_of(0).await, "the stop is no failure");
+    assert!(gateway.wait_for_exit(0).await, "the stop is no failure");
     let log = gateway.log(0);
     assert!(log.contains("event=stopped"), "{}", gateway.logs());
     let written = log.matches("event=refused").count();
@@ -253,10 +253,10 @@
     let mut silent = Vec::new();
     for n in 0..12 {
         // The callers' port is the traffic thread's, the balancer's the control thread's.
-        let address = if n % 2 == 0 { gateway.front(n) } else { gateway.ready(n) };
+        let address = if n % 2 == 0 { gateway.client_address(n) } else { gateway.ready(n) };
         let _taken = TcpListener::bind(address).expect("it is free");
         gateway.start_node();
-        assert!(!gateway.end_of(n).await, "a port is taken");
+        assert!(!gateway.wait_for_exit(n).await, "a port is taken");
         if !gateway.log(n).contains("event=failed") {
             silent.push(n);
         }
@@ -268,7 +268,7 @@
 #[tokio::test]
 async fn test_a_reader_that_does_not_read_does_not_hold_up_the_end() {
     let gateway = Gateway::start().await;
-    let _taken = TcpListener::bind(gateway.front(0)).expect("it is free");
+    let _taken = TcpListener::bind(gateway.client_address(0)).expect("it is free");
     let yaml = gateway.settings(0, gateway.store_address(), "");
     std::fs::write(gateway.settings_path(0), yaml).expect("writable");
     let (_reader, mut writer) = std::io::pipe().expect("a pipe");
--- a/node/tests/test_gateway_store_copies.rs
+++ b/node/tests/test_gateway_store_restore.rs
@@ -15,17 +15,17 @@
 
 const NODES: usize = 6;
 /// Changes that the copy lacks.
-const LOST: usize = 90;
+const LOST_CHANGES: usize = 90;
 /// How long the store is away.
-const AWAY: Duration = Duration::from_millis(1_500);
+const OUTAGE: Duration = Duration::from_millis(1_500);
 /// Nodes follow a store that is back, and know what they learn from it, within this.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const FOLLOWED_WITHIN: Duration = Duration::from_secs(3);
 /// A replica that leaves gets nothing after this.
-const LEFT_WITHIN: Duration = Duration::from_secs(2);
+const EFFECTIVE_WITHIN: Duration = Duration::from_secs(2);
 /// Who follows the store is settled by then, and the store known to answer.
 const SETTLED_AFTER: Duration = Duration::from_secs(6);
 /// How long the fleet is under load.
-const LASTS: Duration = Duration::from_secs(4);
+const LOAD_DURATION: Duration = Duration::from_secs(4);
 
 /// Writes objects that concern nobody.
 fn write_others(fleet: &LoadedFleet, objects: usize) {
@@ -40,21 +40,21 @@
 }
 
 /// The store goes away and comes back from a copy; returns once nodes follow it again.
-async fn come_back(fleet: &LoadedFleet, copy: Copy) {
+async fn restore(fleet: &LoadedFleet, copy: Copy) {
     fleet.gateway.store.set_fault(StoreFault::Refuses);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE).await;
     fleet.gateway.store.come_back_from(copy);
-    tokio::time::sleep(KNOWN_WITHIN).await;
+    tokio::time::sleep(FOLLOWED_WITHIN).await;
 }
 
 /// A fleet whose store has come back from a copy that lacks many changes.
-async fn after_return(replicas: usize) -> LoadedFleet {
+async fn start_restored(replicas: usize) -> LoadedFleet {
     let fleet = LoadedFleet::start(BOOKING, NODES, replicas).await;
     let copy = fleet.gateway.store.copy();
-    write_others(&fleet, LOST);
+    write_others(&fleet, LOST_CHANGES);
     write_entry(&fleet, 0, "ready");
     fleet.load(&[4.0; NODES], Duration::from_secs(1), read).await;
-    come_back(&fleet, copy).await;
+    restore(&fleet, copy).await;
     fleet
 }
 
@@ -65,21 +65,21 @@
 }
 
 #[tokio::test]
-async fn test_a_replica_that_leaves_after_the_store_came_back_from_a_copy_is_left_by_all_nodes() {
-    let fleet = after_return(3).await;
+async fn test_a_replica_that_leaves_after_a_store_restore_is_unused_by_all_nodes() {
+    let fleet = start_restored(3).await;
     write_entry(&fleet, 0, "draining");
-    tokio::time::sleep(LEFT_WITHIN).await;
+    tokio::time::sleep(EFFECTIVE_WITHIN).await;
     let from = Instant::now();
-    assert_all_served(&fleet.load(&[8.0; NODES], LASTS, read).await, &fleet);
+    assert_all_served(&fleet.load(&[8.0; NODES], LOAD_DURATION, read).await, &fleet);
     assert_unused(&fleet, 0, from);
 }
 
 #[tokio::test]
-async fn test_a_replica_that_appears_after_the_store_came_back_from_a_copy_is_used_by_all_nodes() {
-    let fleet = after_return(1).await;
+async fn test_a_replica_that_starts_after_a_store_restore_is_used_by_all_nodes() {
+    let fleet = start_restored(1).await;
     let new = fleet.gateway.start_replica(BOOKING, "booking-new", 4).await;
-    tokio::time::sleep(LEFT_WITHIN).await;
-    assert_all_served(&fleet.load(&[8.0; NODES], LASTS, read).await, &fleet);
+    tokio::time::sleep(EFFECTIVE_WITHIN).await;
+    assert_all_served(&fleet.load(&[8.0; NODES], LOAD_DURATION, read).await, &fleet);
     let seen = new.replica.seen();
     let through = |node: usize| {
         let of_node = |id: &str| id.starts_with(&format!("{node}-"));
@@ -91,10 +91,10 @@
 
 /// The configuration is watched on from a revision that the store has again, for other changes: no 410 tells of it.
 #[tokio::test]
-async fn test_a_configuration_between_revisions_that_are_given_out_again_is_in_force() {
+async fn test_a_configuration_written_between_reused_revisions_comes_into_force() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 1).await;
     let copy = fleet.gateway.store.copy();
-    write_others(&fleet, LOST);
+    write_others(&fleet, LOST_CHANGES);
     fleet.gateway.store.put("config", "main", config(2));
     let in_force = async |version: u64| {
         for node in 0..NODES {
@@ -104,16 +104,16 @@
     };
     in_force(2).await;
     fleet.gateway.store.set_fault(StoreFault::Refuses);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE).await;
     fleet.gateway.store.come_back_from(copy);
     fleet.gateway.store.put("config", "main", config(3));
-    write_others(&fleet, 2 * LOST);
+    write_others(&fleet, 2 * LOST_CHANGES);
     in_force(3).await;
 }
 
 /// The copy is older than what nodes know: a replica whose entry is gone since is not used again before it writes.
 #[tokio::test]
-async fn test_an_entry_that_a_copy_brings_back_is_not_used() {
+async fn test_a_deleted_entry_that_a_restore_brings_back_is_not_used() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
     tokio::time::sleep(SETTLED_AFTER).await;
     let copy = fleet.gateway.store.copy();
@@ -123,14 +123,14 @@
         fleet.gateway.until("each node knows", knows).await;
     }
     let from = Instant::now();
-    come_back(&fleet, copy).await;
-    assert_all_served(&fleet.load(&[8.0; NODES], LASTS, read).await, &fleet);
+    restore(&fleet, copy).await;
+    assert_all_served(&fleet.load(&[8.0; NODES], LOAD_DURATION, read).await, &fleet);
     assert_unused(&fleet, 0, from);
 }
 
 /// A fleet that has just started does not know yet that the store answers, so that an entry that goes may only have lapsed.
 #[tokio::test]
-async fn test_a_replica_whose_entry_lapsed_is_left_by_all_nodes() {
+async fn test_a_replica_whose_entry_expired_is_known_as_leaving_to_all_nodes() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
     fleet.gateway.store.delete("servers", &fleet.replicas[0].replica.id);
     for node in 0..NODES {
@@ -141,7 +141,7 @@
 
 /// A replica that the copy lacks writes its entry again soon, and is used all the while.
 #[tokio::test]
-async fn test_a_replica_that_a_copy_lacks_is_not_taken_for_gone() {
+async fn test_a_replica_whose_entry_the_backup_lacks_is_not_considered_gone() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 1).await;
     let copy = fleet.gateway.store.copy();
     let new = fleet.gateway.start_replica(BOOKING, "booking-new", 4).await;
@@ -153,11 +153,11 @@
         })
         .await;
     fleet.gateway.store.set_fault(StoreFault::Refuses);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE).await;
     fleet.gateway.store.come_back_from(copy);
-    let loaded = async { fleet.load(&[8.0; NODES], LASTS, read).await };
+    let loaded = async { fleet.load(&[8.0; NODES], LOAD_DURATION, read).await };
     let written = async {
-        tokio::time::sleep(AWAY).await;
+        tokio::time::sleep(OUTAGE).await;
         fleet.gateway.write_entry(BOOKING, &new, "ready");
     };
     tokio::join!(loaded, written);
--- a/node/tests/test_gateway_streams.rs
+++ b/node/tests/test_gateway_streams.rs
@@ -9,12 +9,12 @@
 use tokio::net::TcpSocket;
 use tokio::time::Instant;
 
-use crate::gateway_environment::Called;
+use crate::gateway_environment::CallResult;
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::KEY;
 use crate::gateway_environment::MODEL;
-use crate::gateway_environment::PATIENCE;
 use crate::gateway_environment::RunningReplica;
+use crate::gateway_environment::WAIT_TIMEOUT;
 use crate::gateway_environment::chat;
 use crate::gateway_environment::config;
 
@@ -98,7 +98,7 @@
 }
 
 /// Plays one fault; returns what the caller saw and how many engines ran the generation.
-async fn play(fault: Fault) -> (Called, usize, String) {
+async fn play(fault: Fault) -> (CallResult, usize, String) {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(3).await;
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), strike(&gateway, &mut models, fault));
     let starts = models.iter().flat_map(|m| m.replica.seen());
@@ -142,7 +142,7 @@
 async fn test_a_stream_whose_caller_leaves_is_ended() {
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
     let (connection, res) =
-        crate::gateway_environment::send(&gateway.front(0), chat("r-1")).await.expect("it begins");
+        crate::gateway_environment::send(&gateway.client_address(0), chat("r-1")).await.expect("it begins");
     assert_eq!(models[0].replica.running(), 1);
     drop((connection, res));
     gateway.until("it ends", async || models[0].replica.running() == 0).await;
@@ -360,7 +360,7 @@
     gateway.until_ready(0).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("it is small");
-    let front = gateway.front(0).parse().expect("an address");
+    let front = gateway.client_address(0).parse().expect("an address");
     let mut stream = socket.connect(front).await.expect("it listens");
     let head = format!(
         "POST /chat/x HTTP/1.1\r\nhost: h.example\r\nleadstage-request-id: r-1\r\n\
@@ -371,7 +371,7 @@
     let began = Instant::now();
     gateway.until("it runs", async || model.replica.running() > 0).await;
     let mut buf = [0; 2_048];
-    while model.replica.running() > 0 && began.elapsed() < PATIENCE {
+    while model.replica.running() > 0 && began.elapsed() < WAIT_TIMEOUT {
         let taken = stream.read(&mut buf).await.expect("it is open");
         assert_ne!(taken, 0, "the stream goes on");
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/node/tests/test_gateway_upgrade_soak.rs
+++ b/node/tests/test_gateway_upgrade_soak.rs
@@ -84,7 +84,7 @@
         for node in 0..NODES {
             if self.gateway().ended(node).is_some() {
                 self.suspended.retain(|(suspended, _)| *suspended != node);
-                self.gateway().start_again(node);
+                self.gateway().restart_node(node);
             }
         }
     }
@@ -120,7 +120,7 @@
     let fleet = UpgradedFleet::start(BOOKING, NODES, REPLICAS).await;
     let mut soak = UpgradeSoak { fleet, rng, suspended: Vec::new() };
     let mut clients = JoinSet::new();
-    (0..NODES).for_each(|node| drop(clients.spawn(client(soak.fleet.gateway().front(node), node))));
+    (0..NODES).for_each(|node| drop(clients.spawn(client(soak.fleet.gateway().client_address(node), node))));
     soak.fleet.order(WITHIN, None).await;
     let ordered = Instant::now();
     let new: Vec<Arc<GatewayReplica>> =
--- a/node/tests/upgraded_fleet.rs
+++ b/node/tests/upgraded_fleet.rs
@@ -16,8 +16,8 @@
 
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::RunningReplica;
-use crate::loaded_fleet::Answer;
 use crate::loaded_fleet::LoadedFleet;
+use crate::loaded_fleet::TimedCall;
 
 /// The share and the number of requests that a bad version may get.
 const EXPOSURE_SHARE: f64 = 0.2;
@@ -80,7 +80,7 @@
     pub async fn start_cut_off_node(&mut self) -> usize {
         let gateway = Arc::get_mut(&mut self.fleet.gateway).expect("no load is running");
         let nobody = format!("{}:7001", gateway.own_store_ip());
-        let seed = gateway.front(0);
+        let seed = gateway.client_address(0);
         let node = gateway.start_node_with(|yaml| {
             with_exposure(yaml).replace(&format!("seeds: ['{seed}']"), &format!("seeds: ['{nobody}']"))
         });
@@ -219,7 +219,7 @@
         per_second: f64,
         lasts: Duration,
         make: fn(&str) -> Request<Full<Bytes>>,
-    ) -> tokio::task::JoinHandle<Vec<Answer>> {
+    ) -> tokio::task::JoinHandle<Vec<TimedCall>> {
         self.load_each(vec![per_second; self.fleet.gateway.nodes()], lasts, make)
     }
 
@@ -229,7 +229,7 @@
         per_second: Vec<f64>,
         lasts: Duration,
         make: fn(&str) -> Request<Full<Bytes>>,
-    ) -> tokio::task::JoinHandle<Vec<Answer>> {
+    ) -> tokio::task::JoinHandle<Vec<TimedCall>> {
         let fleet = LoadedFleet { gateway: self.fleet.gateway.clone(), replicas: Vec::new() };
         tokio::spawn(async move { fleet.load(&per_second, lasts, make).await })
     }
@@ -252,7 +252,7 @@
 }
 
 /// The share of the answers that are good.
-pub fn good(answers: &[Answer]) -> f64 {
+pub fn good(answers: &[TimedCall]) -> f64 {
     let good = answers.iter().filter(|answer| answer.called.status == 200 && answer.called.whole).count();
     good as f64 / answers.len().max(1) as f64
 }
