--- a/node/tests/gateway_environment.rs
+++ b/node/tests/gateway_environment.rs
@@ -1,5 +1,5 @@
-//! A gateway fleet on loopback: nodes as processes, the platform's side as stand-ins inside
-//! the test.
+//! A gateway fleet on loopback: the nodes are processes; the metadata store and the replicas are fakes that
+//! run inside the test process.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -36,34 +36,33 @@
 use tokio::net::UdpSocket;
 use tokio_util::task::AbortOnDropHandle;
 
-/// What should come about does so within this; nothing is asserted about speed but where a
-/// test says so.
+/// Timeout of each wait. It asserts nothing about speed; tests that do so have bounds of their own.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 static NEXT_NET: AtomicU32 = AtomicU32::new(0);
 
-/// The service of plain calls.
+/// Name of the service that serves plain calls.
 pub const BOOKING: &str = "booking";
-/// The model service.
+/// Name of the service whose engines serve streams.
 pub const MODEL: &str = "model";
-/// A key of organisation `org-a`.
+/// API key of organisation `org-a`.
 pub const KEY: &str = "key-a";
 
-/// A replica with its server.
+/// A fake replica and its server.
 pub struct RunningReplica {
     /// The replica.
     pub replica: Arc<GatewayReplica>,
-    /// Its server; `None` once it is gone.
+    /// Its server; `None` once it is shut down.
     pub server: Option<Server>,
 }
 
-/// The fleet.
+/// A gateway fleet with its store and engines; its nodes are killed on drop.
 pub struct Gateway {
-    /// The store.
+    /// The metadata store of the fleet.
     pub store: Arc<MetadataStore>,
     store_server: Server,
-    /// What the engines share.
+    /// State shared by all engines.
     pub engines: Arc<Engines>,
     nodes: Vec<Child>,
     net: String,
@@ -71,7 +70,7 @@
     _guard: TcpListener,
 }
 
-/// A configuration with two plain routes and two of streams, of which one is resumable.
+/// A configuration with two routes for plain calls and two for streams, of which one is resumable.
 pub fn config(version: u64) -> Value {
     let resumable = |mut route: Value| {
         route["resumable"] = true.into();
@@ -101,8 +100,8 @@
     })
 }
 
-/// [`config`] with so many plain routes more, `/more-0/` and on: some 200 bytes each, of which a
-/// tenth is like nothing else.
+/// [`config`] with `routes` additional plain routes, `/more-0/` and up. Each takes about 200 bytes, a tenth
+/// of which is unique to the route.
 pub fn large_config(version: u64, routes: usize) -> Value {
     let mut config = config(version);
     let more = (0..routes as u64).map(|n| {
@@ -116,7 +115,7 @@
 }
 
 impl Gateway {
-    /// A fleet without nodes and replicas.
+    /// Starts a fleet without nodes and replicas.
     pub async fn start() -> Gateway {
         let (net, guard) = reserve_net();
         let (store, store_server) = MetadataStore::start(&format!("{net}.1")).await;
@@ -131,7 +130,7 @@
         }
     }
 
-    /// A fleet with the configuration, `replicas` of each service and one ready node.
+    /// Starts a fleet with version 1 of [`config`], `replicas` replicas of each service and one ready node.
     pub async fn with_replicas(replicas: usize) -> (Gateway, Vec<RunningReplica>, Vec<RunningReplica>) {
         let mut gateway = Gateway::start().await;
         gateway.store.put("config", "main", config(1));
@@ -150,24 +149,24 @@
         (gateway, bookings, models)
     }
 
-    /// Starts a replica whose generations have `events`, and lists it.
+    /// Starts a replica whose generations have `events` events, and writes its entry to the store.
     pub async fn start_replica(&self, service: &str, id: &str, events: u64) -> RunningReplica {
         self.start_cold_replica(service, id, events, Duration::ZERO).await
     }
 
-    /// Starts a replica that is not listed.
+    /// Starts a replica without writing its entry to the store.
     pub async fn start_unlisted_replica(&self, id: &str, events: u64) -> RunningReplica {
         let (replica, server) =
             GatewayReplica::start(&self.replicas_ip(), id, events, self.engines.clone()).await;
         RunningReplica { replica, server: Some(server) }
     }
 
-    /// How many nodes were started.
+    /// Number of nodes started so far.
     pub fn nodes(&self) -> usize {
         self.nodes.len()
     }
 
-    /// The same for one that is slow from its start for so long.
+    /// Like [`Gateway::start_replica`], for a replica that is slow for `cold` after its start.
     pub async fn start_cold_replica(
         &self,
         service: &str,
@@ -183,7 +182,7 @@
         RunningReplica { replica, server: Some(server) }
     }
 
-    /// Puts a proxy before a replica and lists the replica there.
+    /// Puts a proxy in front of a replica and writes the proxy's address to the replica's entry.
     pub async fn put_proxy_before(&self, service: &str, running: &RunningReplica) -> FaultyProxy {
         let address = running.server.as_ref().expect("it serves").address;
         let proxy = FaultyProxy::start(&self.replicas_ip(), address).await;
@@ -193,18 +192,18 @@
         proxy
     }
 
-    /// Where replicas listen.
+    /// IP address that replicas listen on.
     pub fn replicas_ip(&self) -> String {
         format!("{}.2", self.net)
     }
 
-    /// Kills a node and waits for its end.
+    /// Kills a node and waits until its process has exited.
     pub fn kill(&mut self, node: usize) {
         let _ = self.nodes[node].kill();
         let _ = self.nodes[node].wait();
     }
 
-    /// Starts a node that has ended again, with the settings that are there now.
+    /// Restarts a node that has exited, with the current contents of its settings file.
     pub fn restart_node(&mut self, node: usize) {
         let path = self.dir.path().join(format!("node-{node}.log"));
         let log = std::fs::File::options().append(true).open(path).expect("a log");
@@ -218,36 +217,36 @@
         command.spawn().expect("it starts")
     }
 
-    /// A replica says in the store that it leaves.
+    /// Writes a replica's entry with the state `draining`.
     pub fn drain(&self, service: &str, running: &RunningReplica) {
         self.write_entry(service, running, "draining");
     }
 
-    /// A replica writes its entry.
+    /// Writes a replica's entry with the given state.
     pub fn write_entry(&self, service: &str, running: &RunningReplica, state: &str) {
         let address = running.server.as_ref().expect("it serves").address;
         let entry = replica_entry(service, address, "hall-1", state);
         self.store.put("servers", &running.replica.id, entry);
     }
 
-    /// Starts a node at the fleet's store.
+    /// Starts a node that uses the fleet's store.
     pub fn start_node(&mut self) -> usize {
         self.start_node_at(self.store_server.address)
     }
 
-    /// Starts a node at a store of its own.
+    /// Starts a node that uses the store at `store`.
     pub fn start_node_at(&mut self, store: SocketAddr) -> usize {
         let yaml = self.settings(self.nodes.len(), store, "");
         self.start_with_settings(yaml)
     }
 
-    /// Starts a node at a store of its own that knows no other node.
+    /// Starts a node that uses the store at `store` and has no seeds, so that it knows no other node.
     pub fn start_lone_node_at(&mut self, store: SocketAddr) -> usize {
         let yaml = self.settings(self.nodes.len(), store, "").replace("seeds: [", "seeds: [] # [");
         self.start_with_settings(yaml)
     }
 
-    /// Starts a node at the fleet's store with changed settings.
+    /// Starts a node that uses the fleet's store, with settings changed by `change`.
     pub fn start_node_with(&mut self, change: impl Fn(String) -> String) -> usize {
         let yaml = change(self.settings(self.nodes.len(), self.store_address(), ""));
         self.start_with_settings(yaml)
@@ -262,7 +261,7 @@
         node
     }
 
-    /// The text of a node's settings, with `more` lines at the end.
+    /// The text of a node's settings file, with the lines `more` at the end.
     pub fn settings(&self, node: usize, store: SocketAddr, more: &str) -> String {
         let ip = self.ip(node);
         let seed = self.ip(0);
@@ -272,17 +271,17 @@
         )
     }
 
-    /// Where a node's settings are.
+    /// Path of a node's settings file.
     pub fn settings_path(&self, node: usize) -> PathBuf {
         self.dir.path().join(format!("node-{node}.yaml"))
     }
 
-    /// The fleet's store.
+    /// Address of the fleet's store.
     pub fn store_address(&self) -> SocketAddr {
         self.store_server.address
     }
 
-    /// A free address for a store of its own.
+    /// An IP address for a store besides the fleet's own.
     pub fn own_store_ip(&self) -> String {
         format!("{}.3", self.net)
     }
@@ -291,38 +290,38 @@
         format!("{}.{}", self.net, 11 + node)
     }
 
-    /// Where callers connect.
+    /// Address that clients connect to.
     pub fn client_address(&self, node: usize) -> String {
         format!("{}:7001", self.ip(node))
     }
 
-    /// Where the balancer asks.
+    /// Address that the load balancer's readiness checks are sent to.
     pub fn ready(&self, node: usize) -> String {
         format!("{}:7002", self.ip(node))
     }
 
-    /// Where metrics are served.
+    /// Address that serves metrics and the node's status.
     pub fn metrics(&self, node: usize) -> String {
         format!("{}:7004", self.ip(node))
     }
 
-    /// Where other nodes fetch from.
+    /// Address that other nodes fetch configurations and replica lists from.
     pub fn peer(&self, node: usize) -> String {
         format!("{}:7003", self.ip(node))
     }
 
-    /// The status that the balancer gets; 0 for none.
+    /// HTTP status of a readiness check; 0 if there is no response.
     pub async fn ready_status(&self, node: usize) -> u16 {
         let req = Request::get("/v1/readyz").header("host", "x").body(Full::default()).expect("valid");
         send(&self.ready(node), req).await.map_or(0, |(_connection, res)| res.status().as_u16())
     }
 
-    /// Waits until a node takes connections.
+    /// Waits until a node's readiness check succeeds.
     pub async fn until_ready(&self, node: usize) {
         self.until("ready", async || self.ready_status(node).await == 200).await;
     }
 
-    /// Waits for something to come about.
+    /// Polls until the condition `is_met` holds; panics with `what` if it does not hold in time.
     pub async fn until(&self, what: &str, mut is_met: impl AsyncFnMut() -> bool) {
         let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         while tokio::time::Instant::now() < deadline {
@@ -331,21 +330,21 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("{what}: did not come about\n{}", self.logs());
+        panic!("timed out waiting for: {what}\n{}", self.logs());
     }
 
-    /// Calls a path of a node and reads the whole answer.
+    /// Sends a request to a node's client port and reads the whole response.
     pub async fn call(&self, node: usize, req: Request<Full<Bytes>>) -> CallResult {
         call(&self.client_address(node), req).await
     }
 
-    /// What a node tells operators of itself.
+    /// The status that a node reports to operators.
     pub async fn node_status(&self, node: usize) -> NodeStatus {
         let status = call(&self.metrics(node), request("GET", "/status", "", "")).await;
         serde_json::from_str(&status.body).unwrap_or_default()
     }
 
-    /// The status of a call with nothing special about it.
+    /// HTTP status of a GET request for `path` with the API key `key`; 0 if the connection failed.
     pub async fn status_of(&self, node: usize, path: &str, key: &str) -> u16 {
         let called = self.call(node, request("GET", path, key, "r-1")).await;
         if called.status == 0 {
@@ -361,17 +360,17 @@
         assert!(status.success(), "{signal} node {node}");
     }
 
-    /// A node's process.
+    /// A node's process id.
     pub fn pid(&self, node: usize) -> u32 {
         self.nodes[node].id()
     }
 
-    /// Whether a node has ended, and if so without a failure.
+    /// Whether a node that has exited did so successfully; `None` while it runs.
     pub fn ended(&mut self, node: usize) -> Option<bool> {
         self.nodes[node].try_wait().expect("a child").map(|status| status.success())
     }
 
-    /// Waits for a node that ends by itself; true if it did so without a failure.
+    /// Waits for a node to exit by itself; true if it exited successfully.
     pub async fn wait_for_exit(&mut self, node: usize) -> bool {
         let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         while tokio::time::Instant::now() < deadline {
@@ -380,15 +379,15 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("node {node} did not end\n{}", self.logs());
+        panic!("node {node} did not exit\n{}", self.logs());
     }
 
-    /// A node's log.
+    /// The text of a node's log.
     pub fn log(&self, node: usize) -> String {
         std::fs::read_to_string(self.dir.path().join(format!("node-{node}.log"))).unwrap_or_default()
     }
 
-    /// The lines of all logs that have a word in them, by node.
+    /// The lines of all logs that contain `word`, each preceded by its node's number.
     pub fn lines_with(&self, word: &str) -> String {
         let lines = (0..self.nodes.len()).flat_map(|node| {
             let log = self.log(node);
@@ -399,7 +398,7 @@
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    /// The last lines of all logs, for a failure's message.
+    /// The last 25 lines of each node's log, for the messages of failed assertions.
     pub fn logs(&self) -> String {
         let logs = (0..self.nodes.len()).map(|node| {
             let log = self.log(node);
@@ -419,7 +418,7 @@
     }
 }
 
-/// A network of its own in 127.0.0.0/8, held by a listener on its last address.
+/// Reserves a /24 network in 127.0.0.0/8 by a listener on its address 254.
 fn reserve_net() -> (String, TcpListener) {
     loop {
         let n = NEXT_NET.fetch_add(1, Ordering::Relaxed).wrapping_mul(11) + std::process::id();
@@ -430,7 +429,7 @@
     }
 }
 
-/// A request with a key and an id.
+/// A request with an API key and a request id.
 pub fn request(method: &str, path: &str, key: &str, id: &str) -> Request<Full<Bytes>> {
     Request::builder()
         .method(method)
@@ -443,22 +442,22 @@
         .expect("valid")
 }
 
-/// A call that may be repeated.
+/// An idempotent call.
 pub fn read(id: &str) -> Request<Full<Bytes>> {
     request("GET", "/read/x", KEY, id)
 }
 
-/// A call that may not be repeated.
+/// A call that is not idempotent.
 pub fn book(id: &str) -> Request<Full<Bytes>> {
     request("POST", "/book/x", KEY, id)
 }
 
-/// A request for a stream.
+/// A request for a stream that is not resumable.
 pub fn chat(id: &str) -> Request<Full<Bytes>> {
     stream("/chat/x", id)
 }
 
-/// A request for a stream that may be resumed.
+/// A request for a resumable stream.
 pub fn tag(id: &str) -> Request<Full<Bytes>> {
     stream("/tag/x", id)
 }
@@ -472,7 +471,7 @@
     req
 }
 
-/// Sends a request on a connection of its own, which lasts as long as the handle.
+/// Sends a request on a new connection, which stays open until the returned handle is dropped.
 pub async fn send(
     address: &str,
     req: Request<Full<Bytes>>,
@@ -486,26 +485,26 @@
     Ok((connection, res))
 }
 
-/// Calls a path at an address and reads the whole answer.
+/// Sends a request to an address and reads the whole response.
 pub async fn call(address: &str, req: Request<Full<Bytes>>) -> CallResult {
     let calling = async {
         let (_connection, res) = send(address, req).await?;
         CallResult::read(res).await
     };
-    let called = tokio::time::timeout(WAIT_TIMEOUT, calling).await.expect("an answer in time");
+    let called = tokio::time::timeout(WAIT_TIMEOUT, calling).await.expect("response before the timeout");
     called.unwrap_or_else(CallResult::failed)
 }
 
-/// An answer read to its end.
+/// The result of a request, with the response body read to its end.
 #[derive(Debug)]
 pub struct CallResult {
-    /// The status; 0 if the connection broke before one came.
+    /// HTTP status; 0 if the connection failed before a response arrived.
     pub status: u16,
-    /// The headers.
+    /// Response headers.
     pub headers: http::HeaderMap,
-    /// What came of the body.
+    /// The part of the response body that was received, or the error if there was no response.
     pub body: String,
-    /// Whether the answer looked complete.
+    /// Whether the response body ended without an error.
     pub whole: bool,
 }
 
@@ -532,30 +531,30 @@
         Ok(called)
     }
 
-    /// The body says how it broke.
+    /// A request without a response; the body holds the error message.
     fn failed(error: String) -> CallResult {
         CallResult { status: 0, headers: http::HeaderMap::new(), body: error, whole: false }
     }
 
-    /// The code of a refusal, 0 for none.
+    /// Error code in the body of a refusal; 0 if there is none.
     pub fn code(&self) -> u64 {
         let body: Value = serde_json::from_str(&self.body).unwrap_or_default();
         body["error"]["code"].as_u64().unwrap_or(0)
     }
 
-    /// A header's text.
+    /// Value of a response header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// How many events came; `None` unless the body is just the first events of the
-    /// stand-in's generations, each once, in order and whole.
+    /// Number of events received; `None` unless the body consists of the first events of the fake engine's
+    /// generation, each once, in order and complete.
     pub fn events(&self) -> Option<u64> {
         self.last_event_after(0)
     }
 
-    /// The last event that came; `None` unless the body is just the events after `from`, each
-    /// once, in order and whole. It is `from` if none came.
+    /// Id of the last event received, `from` if there was none; `None` unless the body consists of the events
+    /// after `from`, each once, in order and complete.
     pub fn last_event_after(&self, from: u64) -> Option<u64> {
         let last = from + self.body.matches("\n\n").count() as u64;
         let expected: String = (from + 1..=last).map(|n| format!("id: {n}\ndata: token {n}\n\n")).collect();
@@ -563,8 +562,8 @@
     }
 }
 
-/// Tells the node at `to`, in the name of the node at `from`, that this one has a configuration, and up
-/// to which revision it knows the replicas: the datagram that nodes send for that.
+/// Sends the node at `to` the datagram in which the node at `from` would announce the version of its
+/// configuration and the store revision of its replica list.
 pub async fn send_config_announcement(from: SocketAddr, version: u64, replicas_at: u64, to: SocketAddr) {
     const NEW_CONFIG: u32 = 14;
     let closed_halls = ClosedHalls::default();
--- a/node/tests/loaded_fleet.rs
+++ b/node/tests/loaded_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet under a load that goes on, and what its replicas got of it.
+//! A fleet under constant load, and checks of the requests that its replicas received.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,40 +15,41 @@
 use crate::gateway_environment::call;
 use crate::gateway_environment::config;
 
-/// A limit binds this long after it was first named.
+/// Limits are checked this long after they were first announced, when all nodes must respect them.
 pub const LIMIT_APPLIES_AFTER: Duration = Duration::from_secs(3);
-/// The time in which requests are counted.
+/// Length of the windows in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Times that a limit may be exceeded in some window, and requests beyond that.
+/// A window may hold `OVERSHOOT` times the requests that the limit allows, and `SLACK` requests more.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Part of what a replica names that is used at least, while there is work for it.
+/// Least share of a replica's limit that is used while there are enough requests.
 const MIN_USED_SHARE: f64 = 0.75;
 
 /// A fleet with replicas of one service.
 pub struct LoadedFleet {
-    /// The fleet.
+    /// The fleet's nodes and store.
     pub gateway: Arc<Gateway>,
-    /// The replicas.
+    /// The replicas, in the order in which they were started.
     pub replicas: Vec<RunningReplica>,
 }
 
-/// The answer to a call of a load.
+/// The result of one call of a load, with its duration.
 #[derive(Debug)]
 pub struct TimedCall {
-    /// What came.
+    /// The result of the call.
     pub called: CallResult,
-    /// How long it took.
+    /// Duration of the call.
     pub took: Duration,
 }
 
 impl LoadedFleet {
-    /// So many nodes that know each other, and so many replicas.
+    /// Starts `nodes` nodes that know each other, and `replicas` replicas of a service.
     pub async fn start(service: &str, nodes: usize, replicas: usize) -> LoadedFleet {
         LoadedFleet::start_with(service, nodes, replicas, 4, |yaml| yaml).await
     }
 
-    /// The same, with generations of so many events and changed settings.
+    /// Like [`LoadedFleet::start`], with generations of `events` events and the nodes' settings changed by
+    /// `change`.
     pub async fn start_with(
         service: &str,
         nodes: usize,
@@ -68,12 +69,13 @@
         }
         for node in 0..nodes {
             let knows_all = async || gateway.node_status(node).await.peers.len() == nodes - 1;
-            gateway.until("a node knows all others", knows_all).await;
+            gateway.until("a node knows all other nodes", knows_all).await;
         }
         LoadedFleet { gateway: Arc::new(gateway), replicas: running }
     }
 
-    /// Has the first replicas name these limits from now on; returns when they bind.
+    /// Has the first replicas announce these limits from now on; returns the time from which they are
+    /// checked.
     pub fn announce_limits(&self, limits: &[f64]) -> Instant {
         for (running, limit) in self.replicas.iter().zip(limits) {
             running.replica.set_limit(Some(&limit.to_string()));
@@ -81,8 +83,8 @@
         Instant::now() + LIMIT_APPLIES_AFTER
     }
 
-    /// Calls go to the nodes at so many a second each for a time; all answers. Their ids begin with their node's
-    /// number.
+    /// Sends calls to each node at its rate (`per_second`) for `duration` and returns the results of all. A
+    /// request id begins with the number of the node that the request is sent to.
     pub async fn load(
         &self,
         per_second: &[f64],
@@ -109,13 +111,13 @@
         calls.join_all().await
     }
 
-    /// When requests came to a replica, from a moment on.
+    /// Arrival times at a replica of all requests, from `from` on.
     pub fn arrivals(&self, replica: usize, from: Instant) -> Vec<Instant> {
         let seen = self.replicas[replica].replica.seen();
         seen.into_iter().map(|seen| seen.at).filter(|at| *at >= from).collect()
     }
 
-    /// When requests of one node's callers came to a replica, from a moment on.
+    /// Arrival times at a replica of the requests sent through a node, from `from` on.
     pub fn arrivals_through(&self, node: usize, replica: usize, from: Instant) -> Vec<Instant> {
         let through = format!("{node}-");
         let seen = self.replicas[replica].replica.seen();
@@ -125,7 +127,7 @@
         requests.map(|seen| seen.at).filter(|at| *at >= from).collect()
     }
 
-    /// Asserts that no replica got more in any window than its limit allows.
+    /// Asserts that no replica received more requests in any window than its limit allows.
     pub fn assert_limits_kept(&self, limits: &[f64], from: Instant) {
         for (replica, limit) in limits.iter().enumerate() {
             let allowed = (limit * OVERSHOOT * WINDOW.as_secs_f64() + SLACK) as usize;
@@ -138,14 +140,14 @@
         }
     }
 
-    /// The most requests that a replica got within a time.
+    /// The maximum number of requests that a replica received in any window of this length.
     pub fn max_arrivals_within(&self, replica: usize, from: Instant, window: Duration) -> usize {
         let arrivals = self.arrivals(replica, from);
         let counts = arrivals.iter().map(|start| count_within(&arrivals, *start, *start + window));
         counts.max().unwrap_or(0)
     }
 
-    /// Asserts that most of what each replica names was used in a time.
+    /// Asserts that each replica received at least [`MIN_USED_SHARE`] of its limit in the given time.
     pub fn assert_limits_used(&self, limits: &[f64], from: Instant, duration: Duration) {
         for (replica, limit) in limits.iter().enumerate() {
             let used = count_within(&self.arrivals(replica, from), from, from + duration) as f64;
@@ -163,7 +165,7 @@
     times.iter().filter(|at| **at >= from && **at < until).count()
 }
 
-/// Asserts that all calls were served.
+/// Asserts that all calls were answered with 200 and a complete body.
 pub fn assert_all_served(answers: &[TimedCall], fleet: &LoadedFleet) {
     for TimedCall { called, .. } in answers {
         assert!(called.status == 200 && called.whole, "{called:?}\n{}", fleet.gateway.logs());
--- a/node/tests/test_gateway_config_delivery.rs
+++ b/node/tests/test_gateway_config_delivery.rs
@@ -1,4 +1,4 @@
-//! What still holds a configuration up on its way to a node, though another way is open.
+//! Faults that must not delay a configuration that a node can get from another source.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,11 +31,12 @@
 
 const MAX_ROUTES: usize = 5_000;
 const LAST_ROUTE: &str = "/more-4999/x";
-/// What a node needs at most to take 5,000 routes from another one over a link that is free, beside
-/// a busy machine.
+/// Maximum time in which a node fetches 5,000 routes from another node over an idle link, on a busy machine
+/// too.
 const MAX_FETCH_TIME: Duration = Duration::from_secs(3);
 
-/// A node that serves version 1 and does not know the node that has version 2.
+/// Two nodes that don't know each other: `source` has version 2 of the configuration, `outdated` serves
+/// version 1.
 struct NodePair {
     gateway: Gateway,
     source: usize,
@@ -59,10 +60,14 @@
         let store_proxy = FaultyProxy::start(&gateway.own_store_ip(), server.address).await;
         let outdated = gateway.start_lone_node_at(store_proxy.address);
         gateway.until_ready(outdated).await;
-        // Past the time in which it listens first: it follows its store.
+        // After its start phase, in which it only receives messages, the node follows its store.
         tokio::time::sleep(Duration::from_secs(2)).await;
         gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-        gateway.until("in force", async || gateway.log(source).contains("config_in_force version=2")).await;
+        gateway
+            .until("version 2 is in force", async || {
+                gateway.log(source).contains("config_in_force version=2")
+            })
+            .await;
         NodePair { gateway, source, outdated, own_store, store_proxy, _servers: (booking, server) }
     }
 
@@ -70,8 +75,8 @@
         self.gateway.peer(node).parse().expect("an address")
     }
 
-    /// How long it takes until version 2 is in force while the node that has it says so; `None` if
-    /// that takes longer than [`FREE_LINK_WITHIN`].
+    /// How long it takes until version 2 is in force at the outdated node while the source keeps announcing
+    /// it; `None` if that takes longer than [`MAX_FETCH_TIME`].
     async fn time_until_fetched(&self) -> Option<Duration> {
         let began = Instant::now();
         while began.elapsed() < MAX_FETCH_TIME {
@@ -85,9 +90,9 @@
     }
 }
 
-/// A transfer that breaks off after some seconds goes on where it was: the node that hands out sends
-/// less than twice the whole. What the other one counts can't show that: what it threw away and what
-/// came in its place add up to the same.
+/// A transfer that breaks off after some seconds is resumed at the same offset, so that the serving node
+/// sends less than twice the size of the configuration. The byte count of the fetching node can't show that:
+/// it is the same if received bytes are discarded and fetched again.
 #[tokio::test]
 async fn test_an_interrupted_transfer_is_resumed() {
     let pair = NodePair::start().await;
@@ -95,14 +100,18 @@
     let proxy = FaultyProxy::start(&pair.gateway.replicas_ip(), pair.peer(pair.source)).await;
     proxy.set(LinkFault::Thin(30_000));
     send_config_announcement(proxy.address, 2, 0, pair.peer(pair.outdated)).await;
-    // Datagrams don't pass between: 2.3 s after it was told the node may take the other one for dead.
+    // The proxy passes no datagrams: 2.3 s after the announcement the node may consider the other node dead.
     tokio::time::sleep(Duration::from_secs(1)).await;
     proxy.set(LinkFault::Reset);
     let gateway = &pair.gateway;
-    gateway.until("it breaks off", async || gateway.log(pair.outdated).contains("event=fetch_failed")).await;
+    gateway
+        .until("the transfer breaks off", async || gateway.log(pair.outdated).contains("event=fetch_failed"))
+        .await;
     proxy.set(LinkFault::None);
     gateway
-        .until("in force", async || gateway.log(pair.outdated).contains("config_in_force version=2"))
+        .until("version 2 is in force", async || {
+            gateway.log(pair.outdated).contains("config_in_force version=2")
+        })
         .await;
     let metrics = gateway.metrics(pair.source);
     let req = Request::get("/metrics").header("host", "x").body(Default::default()).expect("valid");
@@ -116,7 +125,7 @@
     assert!(sent < 2 * size - 12_000, "{sent} bytes sent for a size of {size}\n{}", gateway.logs());
 }
 
-/// What the others measure against: nothing stands in the way.
+/// The baseline of the other tests: no fault delays the transfer.
 #[tokio::test]
 async fn test_a_large_configuration_is_fetched_quickly_without_faults() {
     let pair = NodePair::start().await;
@@ -125,7 +134,7 @@
     assert!(took.is_some(), "{}", pair.gateway.logs());
 }
 
-/// The first node that told hands its configuration over slowly; another one has it, too.
+/// The first node that announces the configuration serves it slowly; another node has it, too.
 #[tokio::test]
 async fn test_a_slow_node_does_not_delay_a_configuration_that_other_nodes_have() {
     let pair = NodePair::start().await;
@@ -138,8 +147,8 @@
     assert!(took.is_some(), "{}", pair.gateway.logs());
 }
 
-/// Three nodes did not answer, so the store is read, over a small link; then a node is met that has
-/// the configuration.
+/// Three nodes don't respond, so the store is read, over a slow link; then a node that has the configuration
+/// announces it.
 #[tokio::test]
 async fn test_a_slow_store_read_does_not_delay_a_configuration_that_other_nodes_have() {
     let pair = NodePair::start().await;
@@ -155,8 +164,8 @@
     assert!(took.is_some(), "{}", pair.gateway.logs());
 }
 
-/// Six large configurations within two seconds over a link that takes three for each: all but the
-/// first and the last may be left out.
+/// Six large configurations are written within two seconds, over a link that takes three seconds for each:
+/// all but the first and the last may be skipped.
 #[tokio::test]
 async fn test_a_lagging_watcher_skips_to_the_newest_configuration() {
     let mut gateway = Gateway::start().await;
@@ -172,13 +181,18 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     let last = Instant::now();
-    gateway.until("the last", async || gateway.log(node).contains("config_in_force version=7")).await;
+    gateway
+        .until("the last version is in force", async || {
+            gateway.log(node).contains("config_in_force version=7")
+        })
+        .await;
     let took = last.elapsed();
     assert!(took < Duration::from_secs(10), "{took:?}\n{}", gateway.logs());
     assert!(!gateway.log(node).contains("event=store_lost kind=config"), "{}", gateway.logs());
 }
 
-/// A large configuration that came slowly, and none after it: it is not listed as well.
+/// A large configuration that a watch received slowly, with none after it, is not read by a list request,
+/// too.
 #[tokio::test]
 async fn test_a_large_configuration_that_a_watch_received_is_not_listed() {
     let mut gateway = Gateway::start().await;
@@ -193,15 +207,17 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = counting.lists.load(Ordering::Relaxed);
     gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-    gateway.until("in force", async || gateway.log(node).contains("config_in_force version=2")).await;
+    gateway
+        .until("version 2 is in force", async || gateway.log(node).contains("config_in_force version=2"))
+        .await;
     tokio::time::sleep(Duration::from_secs(4)).await;
     let lists = counting.lists.load(Ordering::Relaxed) - before;
     assert_eq!(lists, 0, "{lists} list requests\n{}", gateway.logs());
     assert!(!gateway.log(node).contains("event=store_lost kind=config"), "{}", gateway.logs());
 }
 
-/// A node whose configuration another one can't read, as when a newer leadstaged has taken one that
-/// an older does not know.
+/// A node whose configuration other nodes can't read, as when a newer leadstaged has accepted one that an
+/// older one does not understand.
 struct UnreadableConfigNode {
     requests: AtomicU64,
 }
@@ -228,7 +244,7 @@
     assert!((1..=8).contains(&requests), "{requests} requests in 3 s\n{}", pair.gateway.logs());
 }
 
-/// A node that has no place for a transfer and says when to come back.
+/// A node that has no capacity for a transfer and responds with `Retry-After`.
 struct BusyNode {
     requests: AtomicU64,
 }
@@ -257,8 +273,8 @@
     assert!((1..=4).contains(&requests), "{requests} requests in 3 s\n{}", pair.gateway.logs());
 }
 
-/// A node with a small link starts in a large fleet. The first that tells it of its configuration
-/// stands still; the store works.
+/// A node with a slow link starts in a large fleet. The first node that announces a configuration to it does
+/// not respond; the store works.
 #[tokio::test]
 async fn test_a_silent_node_does_not_delay_the_start_of_another() {
     const OTHERS: u16 = 300;
@@ -272,7 +288,7 @@
     let to: SocketAddr = gateway.peer(node).parse().expect("an address");
     gateway.until("its port is open", async || gateway.log(node).contains("event=start")).await;
     let began = Instant::now();
-    // Others that have no configuration yet: the node is not one of the few that follow the store.
+    // Other nodes have no configuration yet: the node is not one of the few that follow the store.
     for port in 0..OTHERS {
         send_config_announcement(format!("{ip}:{}", 20_000 + port).parse().expect("an address"), 0, 0, to)
             .await;
@@ -281,13 +297,15 @@
         send_config_announcement(silent.address, 1, 0, to).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // Not by the log: of 300 nodes that are met at once some lines are left out.
-    gateway.until("it serves", async || gateway.status_of(node, "/read/x", KEY).await == 200).await;
+    // The log can't be checked: when 300 nodes are discovered at once, some of its lines are dropped.
+    gateway
+        .until("the node serves requests", async || gateway.status_of(node, "/read/x", KEY).await == 200)
+        .await;
     let took = began.elapsed();
     assert!(took < Duration::from_millis(1_500), "{took:?}\n{}", gateway.logs());
 }
 
-/// A node that named a newer configuration is gone, and nobody has what it named.
+/// A node that announced a newer configuration is gone, and no other node has that configuration.
 #[tokio::test]
 async fn test_a_version_announced_by_a_dead_node_is_not_waited_for_forever() {
     const DETECTION_TIME: Duration = Duration::from_secs(12);
@@ -310,7 +328,7 @@
     assert_eq!((status, lists), (404, 0), "{}", gateway.logs());
 }
 
-/// A store that counts how often its configurations are listed.
+/// A store that counts the list requests for its configurations.
 struct CountingStore {
     store: Arc<MetadataStore>,
     lists: AtomicU64,
@@ -326,7 +344,7 @@
     }
 }
 
-/// A watch that is cut goes on after the revision that it had; the configuration has not changed.
+/// A watch whose connection is cut resumes after its last revision; the configuration has not changed.
 #[tokio::test]
 async fn test_a_large_configuration_is_not_read_again_when_a_watch_is_cut() {
     let mut gateway = Gateway::start().await;
@@ -349,11 +367,12 @@
     assert_eq!(gateway.status_of(node, LAST_ROUTE, KEY).await, 200);
     assert_eq!(lists, 0, "{lists} list requests for 4 cuts\n{}", gateway.logs());
     let regained = gateway.log(node).matches("event=store_regained kind=config").count();
-    assert_eq!(regained, 4, "each time before the next cut\n{}", gateway.logs());
+    assert_eq!(regained, 4, "the store is regained once per cut\n{}", gateway.logs());
 }
 
-/// A store that has no history for any watch is listed, but not without a pause: each list may have
-/// 1 MB. Found by reading: nothing stood between the list and the next watch.
+/// A store that has lost the history for all watches is listed, with a pause between the list requests: a
+/// list response may have 1 MB. The fault was that the next watch, and with it the next list, followed a list
+/// at once.
 #[tokio::test]
 async fn test_a_store_without_history_is_listed_at_a_limited_rate() {
     let mut gateway = Gateway::start().await;
@@ -361,11 +380,13 @@
     let _booking = gateway.start_replica("booking", "booking-1", 1).await;
     let node = gateway.start_node();
     gateway.until_ready(node).await;
-    gateway.until("it watches", async || gateway.log(node).contains("event=store_watch")).await;
+    gateway
+        .until("the node watches the store", async || gateway.log(node).contains("event=store_watch"))
+        .await;
     gateway.store.set_fault(StoreFault::ForgetsHistory);
     let before = gateway.store.calls();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    // Two kinds are listed and watched once a second, and pulses come beside them.
+    // Two kinds of objects are listed and watched once a second; availability checks come on top.
     let calls = gateway.store.calls() - before;
     assert!(calls <= 30, "{calls} calls in 3 s");
 }
--- a/node/tests/test_gateway_foreign_entries.rs
+++ b/node/tests/test_gateway_foreign_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of other writers in the store: they name no replica to use, and the others hold.
+//! Invalid entries in the store: no replica is used because of them, and valid entries stay in effect.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::KEY;
 
-/// A sound entry with one field changed, or without it where there is no value.
+/// The entry with `field` set to `value`, or without the field if there is no value.
 fn with_field(mut entry: Value, field: &str, value: Option<Value>) -> Value {
     let fields = entry.as_object_mut().expect("an object");
     match value {
@@ -36,18 +36,21 @@
     entries.push(with_field(valid(), "born", Some(json!(1.5))));
     for (n, entry) in entries.into_iter().enumerate() {
         gateway.store.put("servers", &format!("foreign-{n}"), entry.clone());
-        // A replica's own entry that someone has overwritten names none either.
+        // A valid entry of a replica that is overwritten by an invalid one is not used either.
         gateway.store.put("servers", "foreign", entry);
     }
-    gateway.until("they were read", async || gateway.log(0).contains("name=foreign-20")).await;
+    gateway.until("the entries were read", async || gateway.log(0).contains("name=foreign-20")).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     let before = foreign.replica.seen().len();
     for _ in 0..20 {
         assert_eq!(gateway.status_of(0, "/read/x", KEY).await, 200);
     }
     assert_eq!(foreign.replica.seen().len(), before, "{}", gateway.logs());
-    assert!(bookings.iter().all(|booking| !booking.replica.seen().is_empty()), "the others hold");
-    // A node that starts reads them in a list.
+    assert!(
+        bookings.iter().all(|booking| !booking.replica.seen().is_empty()),
+        "the other replicas are still used"
+    );
+    // A node that starts reads the invalid entries in a list response.
     let mut gateway = gateway;
     let second = gateway.start_node();
     gateway.until_ready(second).await;
@@ -55,10 +58,10 @@
         assert_eq!(gateway.status_of(second, "/read/x", KEY).await, 200);
     }
     assert_eq!(foreign.replica.seen().len(), before, "{}", gateway.logs());
-    // Its own next entry names it again.
+    // The next valid entry of the replica puts it into use again.
     gateway.store.put("servers", "foreign", valid());
     gateway
-        .until("it is used again", async || {
+        .until("the replica is used again", async || {
             gateway.status_of(0, "/read/x", KEY).await;
             foreign.replica.seen().len() > before
         })
--- a/node/tests/test_gateway_large_config.rs
+++ b/node/tests/test_gateway_large_config.rs
@@ -1,15 +1,10 @@
-//! Large configurations over small links.
+//! Large configurations over slow links.
 //!
-//! What users saw: routes that had been added were not served, and requests were still handled by
-//! a configuration that had been replaced many seconds before. Three times 1,400 routes were added,
-//! up to 830 kB in all; the nodes' links carry 10 Mbit/s, on which that takes 0.66 s when they do
-//! nothing else. The order of events: each node that heard of the new configuration fetched it whole
-//! from whoever had it, and gave up after 0.6 s; then it read the store, and gave up after 1 s; then
-//! it began anew from nothing. Their attempts filled the links, so that fewer and fewer got through:
-//! the last configuration came to 38 of 62 nodes. The evidence: 423 fetches that ended with "no
-//! answer within 600ms" and 290 reads of the store with "no answer within 1s"; every change of
-//! 284 kB came to all nodes within 1.6 s, of 555 kB within 3 s. The cause: limits on a whole
-//! transfer that did not know its size.
+//! Guards against time limits on a whole transfer that ignore its size. With limits of 0.6 s for a fetch from
+//! another node and 1 s for a read of the store, each attempt that ran out of time started again from
+//! nothing. On links of 10 Mbit/s, where 830 kB take 0.66 s at best, these attempts filled the links, so that
+//! ever fewer transfers completed: some nodes kept serving a replaced configuration, without the added
+//! routes. Changes of up to 555 kB still reached all nodes within 3 s.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -34,14 +29,15 @@
 use crate::gateway_environment::send;
 use crate::gateway_environment::send_config_announcement;
 
-/// Some 1 MB, the most that the store holds in one object.
+/// About 1 MB, the maximum size of an object in the store.
 const MAX_ROUTES: usize = 5_000;
-/// Path of the last of them.
+/// A path of the last of these routes.
 const LAST_ROUTE: &str = "/more-4999/x";
-/// Bytes a second: a configuration of that size takes three seconds whole.
+/// In bytes per second: a configuration of about 1 MB takes three seconds.
 const SLOW_LINK: LinkFault = LinkFault::Thin(350_000);
 
-/// A node reads the store when it starts. However small its link, what it reads comes in the end.
+/// The configuration that a node reads from the store at its start arrives in the end, however slow the link
+/// is.
 #[tokio::test]
 async fn test_a_large_configuration_is_read_over_a_slow_link_at_start() {
     let mut gateway = Gateway::start().await;
@@ -54,7 +50,8 @@
     assert_eq!(gateway.status_of(node, LAST_ROUTE, KEY).await, 200, "{}", gateway.logs());
 }
 
-/// Whether the store answers is asked every 0.8 s, and must not take longer the more it holds.
+/// The store's availability is checked every 0.8 s. The duration of a check must not depend on the size of
+/// the store's contents.
 #[tokio::test]
 async fn test_store_checks_do_not_depend_on_the_size_of_the_configuration() {
     let mut gateway = Gateway::start().await;
@@ -65,14 +62,18 @@
     let node = gateway.start_node_at(proxy.address);
     gateway.until_ready(node).await;
     gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-    gateway.until("in force", async || gateway.status_of(node, LAST_ROUTE, KEY).await == 200).await;
-    // Some questions more.
+    gateway
+        .until("the configuration is in force", async || {
+            gateway.status_of(node, LAST_ROUTE, KEY).await == 200
+        })
+        .await;
+    // Time for some more checks.
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert!(!gateway.log(node).contains("event=store_lost"), "{}", gateway.logs());
 }
 
-/// Two nodes that don't know each other. The first has a large configuration; the second's store
-/// answers no more, and what the first hands out passes a proxy.
+/// Two nodes that don't know each other. The first one has a large configuration and serves it through a
+/// proxy; the store of the second one is unavailable.
 struct NodePair {
     gateway: Gateway,
     outdated: usize,
@@ -95,13 +96,18 @@
         gateway.until_ready(outdated).await;
         own_store.set_fault(StoreFault::Refuses);
         gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-        gateway.until("in force", async || gateway.log(source).contains("config_in_force version=2")).await;
+        gateway
+            .until("the configuration is in force", async || {
+                gateway.log(source).contains("config_in_force version=2")
+            })
+            .await;
         let peer = gateway.peer(source).parse().expect("an address");
         let proxy = FaultyProxy::start(&gateway.replicas_ip(), peer).await;
         NodePair { gateway, outdated, proxy, _servers: (booking, server) }
     }
 
-    /// Tells the second node of the first one's configuration until something comes about.
+    /// Announces the first node's configuration to the second one until the second one's log meets a
+    /// condition.
     async fn announce_until(&self, what: &str, is_met: impl Fn(&str) -> bool) {
         let outdated_address: SocketAddr = self.gateway.peer(self.outdated).parse().expect("an address");
         let gateway = &self.gateway;
@@ -114,16 +120,17 @@
     }
 }
 
-/// What one node has comes to another one over a link that is fifty times smaller than the text,
-/// though the store answers only the first.
+/// A configuration is transferred from one node to another over a link that carries a fiftieth of its size
+/// per second, while the second node's store is unavailable.
 #[tokio::test]
 async fn test_a_large_configuration_is_fetched_from_a_node_over_a_slow_link() {
     let pair = NodePair::start().await;
     pair.proxy.set(LinkFault::Thin(20_000));
-    pair.announce_until("handed over", |log| log.contains("config_in_force version=2")).await;
+    pair.announce_until("the configuration is transferred", |log| log.contains("config_in_force version=2"))
+        .await;
 }
 
-/// One transfer after the other fits through a small link: others are told when to come back.
+/// On a slow link transfers are served one at a time; other requests get a `Retry-After` header.
 #[tokio::test]
 async fn test_a_node_with_a_slow_link_serves_one_transfer_at_a_time() {
     let mut gateway = Gateway::start().await;
@@ -134,14 +141,16 @@
     let peer = gateway.peer(node);
     let first = send(&peer, get_request("/config?0")).await.expect("it answers");
     let second = get(&peer, "/config?0").await;
-    let after: f64 = second.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
+    let after: f64 =
+        second.header("retry-after").and_then(|after| after.parse().ok()).expect("a number of seconds");
     assert!(second.status == 503 && (0.03..=1.0).contains(&after), "{second:?}");
     drop(first);
-    gateway.until("its turn", async || get(&peer, "/config?0").await.status == 200).await;
+    gateway.until("the next transfer is served", async || get(&peer, "/config?0").await.status == 200).await;
     assert_eq!(get(&peer, "/config?1").await.status, 304);
 }
 
-/// A route that a newer configuration may have is not denied while that is on its way.
+/// Requests for unknown routes and keys are not refused for good while a newer configuration, which may have
+/// them, is being transferred.
 #[tokio::test]
 async fn test_unknown_routes_and_keys_get_503_while_a_newer_configuration_is_transferred() {
     let pair = NodePair::start().await;
@@ -150,7 +159,7 @@
     pair.proxy.set(LinkFault::Thin(20_000));
     let outdated_address: SocketAddr = gateway.peer(outdated).parse().expect("an address");
     gateway
-        .until("it waits", async || {
+        .until("the node waits for the configuration", async || {
             send_config_announcement(pair.proxy.address, 2, 0, outdated_address).await;
             gateway.status_of(outdated, LAST_ROUTE, KEY).await == 503
         })
@@ -158,7 +167,11 @@
     assert_eq!(gateway.status_of(outdated, "/read/x", "unknown").await, 503);
     assert_eq!(gateway.status_of(outdated, "/read/x", KEY).await, 200);
     pair.proxy.set(LinkFault::None);
-    gateway.until("it is served", async || gateway.status_of(outdated, LAST_ROUTE, KEY).await == 200).await;
+    gateway
+        .until("the added route is served", async || {
+            gateway.status_of(outdated, LAST_ROUTE, KEY).await == 200
+        })
+        .await;
     assert_eq!(gateway.status_of(outdated, "/nothing/x", KEY).await, 404);
 }
 
--- a/node/tests/test_gateway_leaving_header.rs
+++ b/node/tests/test_gateway_leaving_header.rs
@@ -1,4 +1,4 @@
-//! Replicas that say in their answers that they leave.
+//! Replicas that announce in a response header that they are leaving.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,11 +19,11 @@
 use crate::loaded_fleet::assert_all_served;
 
 const NODES: usize = 6;
-/// How long the fleet is under load with each state of the store.
+/// How long the fleet is under load in each state of the store.
 const LOAD_DURATION: Duration = Duration::from_secs(4);
-/// Requests that a node sent before the answer with the word came have arrived by then.
+/// Requests that a node sent before it received the leaving header arrive within this.
 const IN_TRANSIT: Duration = Duration::from_secs(1);
-/// A refusal that needs no waiting comes within this, on a busy machine too.
+/// Maximum latency of an immediate refusal, on a busy machine too.
 const MAX_REFUSAL_LATENCY: Duration = Duration::from_secs(1);
 
 type Req = http::Request<http_body_util::Full<bytes::Bytes>>;
@@ -32,14 +32,15 @@
     LoadedFleet::start_with(service, NODES, replicas, events, |yaml| yaml).await
 }
 
-/// A fleet whose store is away.
+/// A fleet whose store is unavailable.
 async fn start_without_store(service: &str, replicas: usize, events: u64) -> LoadedFleet {
     let fleet = start(service, replicas, events).await;
     fleet.gateway.store.set_fault(StoreFault::Refuses);
     fleet
 }
 
-/// Asserts that each node sent nothing to a replica since soon after it had first heard its word.
+/// Asserts that no node sent a request to a replica later than [`IN_TRANSIT`] after its first request since
+/// `announced_at`.
 fn assert_unused_after_announcement(fleet: &LoadedFleet, replica: usize, announced_at: Instant) {
     let late: Vec<(usize, usize)> = (0..NODES)
         .map(|node| {
@@ -49,10 +50,11 @@
         })
         .filter(|(_, late)| *late > 0)
         .collect();
-    assert!(late.is_empty(), "nodes that sent more, and how much: {late:?}\n{}", fleet.gateway.logs());
+    assert!(late.is_empty(), "(node, late requests): {late:?}\n{}", fleet.gateway.logs());
 }
 
-/// The first of three replicas says that it leaves, and its entry in the store is written anew and says otherwise.
+/// The first of three replicas announces that it is leaving. No node uses it, even after its entry in the
+/// store is rewritten with the state `ready`.
 async fn check_unused_after_announcement(
     fleet: &LoadedFleet,
     service: &str,
@@ -77,13 +79,14 @@
         .await;
 }
 
-/// The store answers, so that the engines' health, which tells of leaving too, is not asked.
+/// The store is available, so that the engines' health checks, which report leaving too, are not run.
 #[tokio::test]
 async fn test_streams_avoid_an_engine_that_sent_the_leaving_header() {
     check_unused_after_announcement(&start(MODEL, 3, 4).await, MODEL, &[8.0; NODES], chat).await;
 }
 
-/// Whoever leads the engines' service has heard the word from other nodes only, and believes the entry.
+/// The lead of the engines' service is notified of the leaving engine by other nodes only, and the store
+/// entry says `ready`.
 #[tokio::test]
 async fn test_lead_places_nothing_at_an_engine_that_sent_the_leaving_header_to_other_nodes() {
     let mut through_two = [0.0; NODES];
@@ -91,7 +94,8 @@
     check_unused_after_announcement(&start(MODEL, 3, 4).await, MODEL, &through_two, chat).await;
 }
 
-/// The word stands on failures too, of which callers get nothing where they are sent again elsewhere.
+/// The leaving header is read from failed responses too, which clients don't receive where the call is
+/// retried at another replica.
 #[tokio::test]
 async fn test_leaving_header_of_a_failed_response_is_read() {
     let fleet = start_without_store(BOOKING, 3, 4).await;
@@ -106,7 +110,8 @@
     assert_unused_after_announcement(&fleet, 0, announced_at);
 }
 
-/// Whoever has not heard the word itself is told of it: the load goes to one node.
+/// Nodes that have not received the leaving header themselves are notified by the node that has: the load is
+/// sent through one node only.
 #[tokio::test]
 async fn test_other_nodes_are_notified_of_a_leaving_replica() {
     let fleet = start_without_store(BOOKING, 3, 4).await;
@@ -121,7 +126,8 @@
     assert_eq!(arrivals, [0; NODES], "{}", fleet.gateway.logs());
 }
 
-/// A generation that runs at an engine moves away once a later answer of the engine says that it leaves.
+/// A running generation is moved to another engine once a later response of its engine carries the leaving
+/// header.
 #[tokio::test]
 async fn test_generations_move_from_an_engine_that_sent_the_leaving_header() {
     let fleet = start(MODEL, 2, 200).await;
@@ -139,7 +145,7 @@
     assert_eq!(fleet.replicas[engine].replica.running(), 0);
 }
 
-/// All replicas of a service leave: what comes is refused at once.
+/// When all replicas of a service are leaving, requests are refused at once.
 #[tokio::test]
 async fn test_calls_are_refused_at_once_when_all_replicas_sent_the_leaving_header() {
     let fleet = start_without_store(BOOKING, 2, 4).await;
--- a/node/tests/test_gateway_regions.rs
+++ b/node/tests/test_gateway_regions.rs
@@ -1,5 +1,5 @@
-//! Requests whose route or organisation names regions are served there alone, wherever their callers connect and
-//! wherever their generations move.
+//! Requests whose route or organisation has allowed regions are served only there, whichever node their
+//! clients connect to and wherever their generations are moved.
 
 use std::time::Duration;
 
@@ -19,13 +19,13 @@
 
 const REGIONS: &str = "regions: {hall-1: north, hall-2: north, hall-3: south}\n";
 const HALLS: [&str; 3] = ["hall-1", "hall-2", "hall-3"];
-/// Events of a generation; it runs for some seconds.
+/// Events per generation; at this length one runs for some seconds.
 const EVENTS: u64 = 300;
 
-/// Replicas of a service by hall.
+/// Replicas of a service, one per hall in the order of [`HALLS`].
 type ByHall = Vec<RunningReplica>;
 
-/// A configuration in which some routes, and the organisation, are restricted.
+/// A configuration in which the given routes and the organisation have allowed regions.
 fn restricted_config(routes: &[(&str, Value)], organisation: Value) -> Value {
     let mut config = config(1);
     for route in config["routes"].as_array_mut().expect("routes") {
@@ -37,7 +37,7 @@
     config
 }
 
-/// Two nodes, in the north and in the south, and a replica of each service in each hall.
+/// Starts two nodes, one in the north and one in the south, and a replica of each service in each hall.
 async fn fleet(config: Value) -> (Gateway, ByHall, ByHall) {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config);
@@ -79,19 +79,22 @@
         for n in 0..10 {
             assert_eq!(gateway.status_of(node, "/read/x", KEY).await, 200);
             let chat = gateway.call(node, chat(&format!("c-{node}-{n}")));
-            tokio::time::timeout(Duration::from_millis(30), chat).await.expect_err("it goes on");
+            tokio::time::timeout(Duration::from_millis(30), chat).await.expect_err("it is still running");
         }
     }
     assert_eq!(count_requests(&bookings), [0, 0, 20], "{}", gateway.logs());
     let chats = count_requests(&models);
     assert!(chats[0] + chats[1] == 20 && chats[2] == 0, "{chats:?}\n{}", gateway.logs());
-    // A route without regions uses them all.
+    // A route without allowed regions uses all regions.
     for _ in 0..40 {
         assert_eq!(gateway.status_of(0, "/book/x", KEY).await, 200);
     }
     assert!(count_requests(&bookings)[0] > 0, "{}", gateway.logs());
     let headers = models.iter().chain(&bookings).flat_map(|running| running.replica.seen());
-    assert!(headers.into_iter().all(|seen| seen.header("kv-backup").is_none()), "no copy is kept elsewhere");
+    assert!(
+        headers.into_iter().all(|seen| seen.header("kv-backup").is_none()),
+        "no KV cache backup is kept outside of the allowed regions"
+    );
 }
 
 #[tokio::test]
@@ -105,7 +108,7 @@
         for _ in 0..10 {
             assert_eq!(gateway.status_of(node, "/read/x", KEY).await, 200);
         }
-        // No region is left: that is told at once, and runs nowhere.
+        // No region is allowed by both: the request is refused at once and sent to no replica.
         for req in [request("POST", "/book/x", KEY, "b-1"), chat("c-1")] {
             let began = std::time::Instant::now();
             let refused = gateway.call(node, req).await;
@@ -126,8 +129,8 @@
             fleet(restricted_config(&[("chat", json!(["north"]))], Value::Null)).await;
         let (chat, ()) = tokio::join!(gateway.call(node, chat("c-1")), async {
             let runs_at = || models.iter().position(|running| running.replica.running() > 0);
-            gateway.until("it runs", async || runs_at().is_some()).await;
-            let at = runs_at().expect("it runs");
+            gateway.until("the generation runs", async || runs_at().is_some()).await;
+            let at = runs_at().expect("the generation runs");
             write_entry(&gateway, MODEL, &models[at], HALLS[at], "draining");
         });
         assert!(chat.whole && chat.events() == Some(EVENTS), "{chat:?}\n{}", gateway.logs());
--- a/node/tests/test_gateway_restarts.rs
+++ b/node/tests/test_gateway_restarts.rs
@@ -1,5 +1,5 @@
-//! Replicas that start again under the id that they had: what ran there is lost at once, and goes on elsewhere
-//! where it may.
+//! Replicas that restart under the same id: requests that ran there are considered lost at once, and are
+//! resumed at another replica where that is allowed.
 
 use leadstage_testutils::gateway_replica::ReplicaFault;
 use leadstage_testutils::gateway_replica::StreamFault;
@@ -15,7 +15,8 @@
 use crate::gateway_environment::request;
 use crate::gateway_environment::tag;
 
-/// A fleet of one node that follows the store, with two replicas of each service that started at 100.
+/// A fleet of one node that follows the store, with two replicas of each service whose start time (`born`) is
+/// 100.
 async fn fleet() -> (Gateway, Vec<RunningReplica>, Vec<RunningReplica>) {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
@@ -36,7 +37,7 @@
     (gateway, services.pop().expect("two"), models)
 }
 
-/// The replica says that it started at `born`.
+/// Writes the entry of a replica with the start time `born`.
 fn write_entry_with_start(gateway: &Gateway, service: &str, running: &RunningReplica, born: u64) {
     let address = running.server.as_ref().expect("it serves").address;
     let mut entry = replica_entry(service, address, "hall-1", "ready");
@@ -44,7 +45,7 @@
     gateway.store.put("servers", &running.replica.id, entry);
 }
 
-/// The replica that a request has reached.
+/// Waits until a request has reached one of the replicas, and returns that replica.
 async fn wait_for_replica_with_request<'a>(
     gateway: &Gateway,
     replicas: &'a [RunningReplica],
@@ -54,10 +55,12 @@
 }
 
 async fn wait_until_restart_known(gateway: &Gateway) {
-    gateway.until("it is known", async || gateway.log(0).contains("event=replica_restarted")).await;
+    gateway
+        .until("the node knows of the restart", async || gateway.log(0).contains("event=replica_restarted"))
+        .await;
 }
 
-/// The engine is silent; without the news the stream would wait for it.
+/// The engine sends nothing; without the update of its entry the stream would wait for it.
 #[tokio::test]
 async fn test_a_stream_at_a_restarted_engine_is_resumed_at_another() {
     let (gateway, _bookings, models) = fleet().await;
@@ -66,16 +69,16 @@
         let engine = wait_for_replica_with_request(&gateway, &models).await;
         write_entry_with_start(&gateway, MODEL, engine, 200);
         wait_until_restart_known(&gateway).await;
-        // Older words, late: they undo nothing.
+        // A late entry of the earlier start changes nothing.
         write_entry_with_start(&gateway, MODEL, engine, 100);
     });
     assert!(called.whole && called.events() == Some(60), "{called:?}\n{}", gateway.logs());
     let arrivals = models.iter().filter(|model| !model.replica.seen().is_empty()).count();
-    assert_eq!(arrivals, 2, "it went on at the other engine");
+    assert_eq!(arrivals, 2, "the stream was resumed at the other engine");
     assert_eq!(gateway.log(0).matches("event=replica_restarted").count(), 1, "{}", gateway.logs());
 }
 
-/// A stream that may not be resumed ends, and its caller is not left waiting.
+/// A stream that is not resumable ends, so that its client does not wait for the lost engine.
 #[tokio::test]
 async fn test_a_non_resumable_stream_ends_when_its_engine_restarts() {
     let (gateway, _bookings, models) = fleet().await;
@@ -87,10 +90,10 @@
     });
     assert!(!called.whole && called.events().is_some(), "{called:?}");
     let arrivals: usize = models.iter().map(|model| model.replica.seen().len()).sum();
-    assert_eq!(arrivals, 1, "it is sent once");
+    assert_eq!(arrivals, 1, "the request is sent once");
 }
 
-/// Whether a call ran at the earlier start nobody knows: it is not sent again.
+/// It is unknown whether the call was executed before the restart, so it is not sent again.
 #[tokio::test]
 async fn test_a_non_idempotent_call_is_not_sent_to_the_restarted_replica() {
     let (gateway, bookings, _models) = fleet().await;
--- a/node/tests/test_gateway_retry_after.rs
+++ b/node/tests/test_gateway_retry_after.rs
@@ -1,4 +1,4 @@
-//! Replicas that turn requests away and ask for rest.
+//! Replicas that reject requests and ask for a back-off with `Retry-After`.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,22 +15,22 @@
 use crate::loaded_fleet::assert_all_served;
 
 const NODES: usize = 6;
-/// What the replicas ask for, in seconds.
+/// `Retry-After` header of the replicas, in seconds.
 const RETRY_AFTER: &str = "3";
 const BACK_OFF: Duration = Duration::from_secs(3);
-/// A request that a node sent before it was asked for rest has arrived by then.
+/// A request that a node sent before it received the `Retry-After` header arrives within this.
 const IN_TRANSIT: Duration = Duration::from_millis(500);
-/// Requests that may reach a replica from a node in the rest of the time.
+/// Requests that a node may send to a replica during the remaining back-off.
 const MAX_IN_BACK_OFF: usize = 2;
-/// How long the fleet is under load, and how many rests can begin in that time.
+/// How long the fleet is under load, and how many back-offs can begin in that time.
 const LOAD_DURATION: Duration = Duration::from_secs(8);
 const MAX_BACK_OFFS: usize = 3;
-/// A refusal that needs no waiting comes within this, on a busy machine too.
+/// Maximum latency of an immediate refusal, on a busy machine too.
 const MAX_REFUSAL_LATENCY: Duration = Duration::from_secs(1);
 
 type Req = http::Request<http_body_util::Full<bytes::Bytes>>;
 
-/// The first replicas turn all requests away and ask for rest.
+/// Has the first replicas reject all requests with `Retry-After`; returns the time from which they do.
 fn reject_requests(fleet: &LoadedFleet, replicas: usize) -> Instant {
     for running in &fleet.replicas[..replicas] {
         running.replica.set_rest(Some(RETRY_AFTER));
@@ -39,7 +39,8 @@
     Instant::now()
 }
 
-/// Asserts that a replica which turned all requests away got none of a node that it had asked for rest.
+/// Asserts that no node sent more than [`MAX_IN_BACK_OFF`] requests to a replica during a back-off that the
+/// replica had asked it for.
 fn assert_backed_off(fleet: &LoadedFleet, replica: usize, from: Instant) {
     for node in 0..NODES {
         let arrivals = fleet.arrivals_through(node, replica, from);
@@ -55,7 +56,7 @@
     }
 }
 
-/// Of several replicas some turn requests away; returns how many were served, and all answers.
+/// Two of five replicas reject all requests; returns the results of all requests.
 async fn check_some_reject(service: &str, make: fn(&str) -> Req) -> Vec<TimedCall> {
     let fleet = LoadedFleet::start(service, NODES, 5).await;
     let from = reject_requests(&fleet, 2);
@@ -69,7 +70,8 @@
     assert!(refused <= max_refused, "{refused} of {} were refused", answers.len());
 }
 
-/// Each node asks each of the two replicas once in a rest, and a request that may not be repeated ends with that.
+/// Each node sends each of the two replicas one request per back-off; a request that may not be retried fails
+/// with its rejection.
 fn assert_few_refused(answers: &[TimedCall]) {
     assert_refused_at_most(answers, NODES * 2 * MAX_BACK_OFFS);
 }
@@ -84,15 +86,15 @@
     assert_few_refused(&check_some_reject(MODEL, chat).await);
 }
 
-/// Calls that may be repeated are served elsewhere, but those that both replicas turned away, which is one of each node
-/// in a rest.
+/// Calls that may be retried are served by other replicas, except those that both replicas reject: one per
+/// node and back-off.
 #[tokio::test]
 async fn test_retries_avoid_replicas_that_sent_retry_after() {
     let answers = check_some_reject(BOOKING, read).await;
     assert_refused_at_most(&answers, NODES * MAX_BACK_OFFS);
 }
 
-/// All replicas ask for rest: what comes is refused at once, with a time to come back.
+/// When all replicas ask for a back-off, requests are refused at once with a `Retry-After` header.
 async fn check_all_reject(service: &str, make: fn(&str) -> Req) {
     let fleet = LoadedFleet::start(service, NODES, 3).await;
     let from = reject_requests(&fleet, 3);
@@ -100,13 +102,14 @@
     (0..3).for_each(|replica| assert_backed_off(&fleet, replica, from));
     for TimedCall { called, took } in &answers {
         assert_eq!(called.status, 503, "{called:?}");
-        let after: f64 = called.header("retry-after").and_then(|s| s.parse().ok()).expect("a time");
+        let after: f64 =
+            called.header("retry-after").and_then(|s| s.parse().ok()).expect("a number of seconds");
         assert!(after > 0.0 && *took < MAX_REFUSAL_LATENCY, "{took:?} {called:?}\n{}", fleet.gateway.logs());
     }
     let retry_afters =
         answers.iter().filter_map(|answer| answer.called.header("retry-after")?.parse::<f64>().ok());
     let longest = retry_afters.fold(0.0, f64::max);
-    assert!(longest > 1.0, "nobody was told of the rest: {longest} s at most");
+    assert!(longest > 1.0, "the longest Retry-After sent to a client was {longest} s");
 }
 
 #[tokio::test]
@@ -119,7 +122,7 @@
     check_all_reject(MODEL, chat).await;
 }
 
-/// A replica that takes requests again is used again.
+/// A replica that accepts requests again is used again after the back-off.
 #[tokio::test]
 async fn test_replica_is_used_again_after_its_back_off() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
--- a/node/tests/test_gateway_store_restore.rs
+++ b/node/tests/test_gateway_store_restore.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from a copy some seconds old.
+//! A store that is restored from a backup that is some seconds old.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,32 +14,32 @@
 use crate::loaded_fleet::assert_all_served;
 
 const NODES: usize = 6;
-/// Changes that the copy lacks.
+/// Number of changes that the backup lacks.
 const LOST_CHANGES: usize = 90;
-/// How long the store is away.
+/// How long the store is unavailable before it is restored.
 const OUTAGE: Duration = Duration::from_millis(1_500);
-/// Nodes follow a store that is back, and know what they learn from it, within this.
+/// Nodes follow a restored store again, and know of its changes, within this.
 const FOLLOWED_WITHIN: Duration = Duration::from_secs(3);
-/// A replica that leaves gets nothing after this.
+/// A change of a replica's entry takes effect at all nodes within this.
 const EFFECTIVE_WITHIN: Duration = Duration::from_secs(2);
-/// Who follows the store is settled by then, and the store known to answer.
+/// After this it is settled which nodes follow the store, and they know that it is available.
 const SETTLED_AFTER: Duration = Duration::from_secs(6);
 /// How long the fleet is under load.
 const LOAD_DURATION: Duration = Duration::from_secs(4);
 
-/// Writes objects that concern nobody.
+/// Writes objects that no node reads, to advance the store's revision.
 fn write_others(fleet: &LoadedFleet, objects: usize) {
     for n in 0..objects {
         fleet.gateway.store.put("others", &format!("o-{n}"), json!({}));
     }
 }
 
-/// Writes the entry of a replica anew.
+/// Rewrites the entry of a replica.
 fn write_entry(fleet: &LoadedFleet, replica: usize, state: &str) {
     fleet.gateway.write_entry(BOOKING, &fleet.replicas[replica], state);
 }
 
-/// The store goes away and comes back from a copy; returns once nodes follow it again.
+/// Makes the store unavailable and restores it from a backup; returns once nodes follow it again.
 async fn restore(fleet: &LoadedFleet, copy: Copy) {
     fleet.gateway.store.set_fault(StoreFault::Refuses);
     tokio::time::sleep(OUTAGE).await;
@@ -47,7 +47,8 @@
     tokio::time::sleep(FOLLOWED_WITHIN).await;
 }
 
-/// A fleet whose store has come back from a copy that lacks many changes.
+/// Starts a fleet and restores its store from a backup that lacks [`LOST_CHANGES`] changes and one more of
+/// the first replica's entry.
 async fn start_restored(replicas: usize) -> LoadedFleet {
     let fleet = LoadedFleet::start(BOOKING, NODES, replicas).await;
     let copy = fleet.gateway.store.copy();
@@ -58,10 +59,10 @@
     fleet
 }
 
-/// Asserts that no node sends anything to a replica from a moment on.
+/// Asserts that no node has sent a request to a replica since `from`.
 fn assert_unused(fleet: &LoadedFleet, replica: usize, from: Instant) {
     let used: Vec<usize> = (0..NODES).map(|node| fleet.arrivals_through(node, replica, from).len()).collect();
-    assert_eq!(used, [0; NODES], "requests of each node\n{}", fleet.gateway.logs());
+    assert_eq!(used, [0; NODES], "requests sent by each node\n{}", fleet.gateway.logs());
 }
 
 #[tokio::test]
@@ -89,7 +90,8 @@
     assert_eq!(used, [true; NODES], "nodes that used it\n{}", fleet.gateway.logs());
 }
 
-/// The configuration is watched on from a revision that the store has again, for other changes: no 410 tells of it.
+/// After the restore the store assigns revisions again that nodes have seen for other changes. Watches resume
+/// from such a revision, and no 410 response reveals the restore.
 #[tokio::test]
 async fn test_a_configuration_written_between_reused_revisions_comes_into_force() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 1).await;
@@ -111,7 +113,8 @@
     in_force(3).await;
 }
 
-/// The copy is older than what nodes know: a replica whose entry is gone since is not used again before it writes.
+/// The backup is older than what the nodes know: a replica whose entry was deleted since is not used until it
+/// writes its entry again.
 #[tokio::test]
 async fn test_a_deleted_entry_that_a_restore_brings_back_is_not_used() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
@@ -120,7 +123,7 @@
     fleet.gateway.store.delete("servers", &fleet.replicas[0].replica.id);
     for node in 0..NODES {
         let knows = async || fleet.gateway.log(node).contains("event=replica_leaves");
-        fleet.gateway.until("each node knows", knows).await;
+        fleet.gateway.until("each node knows that the replica has left", knows).await;
     }
     let from = Instant::now();
     restore(&fleet, copy).await;
@@ -128,18 +131,19 @@
     assert_unused(&fleet, 0, from);
 }
 
-/// A fleet that has just started does not know yet that the store answers, so that an entry that goes may only have lapsed.
+/// Nodes that have just started don't know yet whether the store is available, so that a deleted entry may
+/// only have expired.
 #[tokio::test]
 async fn test_a_replica_whose_entry_expired_is_known_as_leaving_to_all_nodes() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
     fleet.gateway.store.delete("servers", &fleet.replicas[0].replica.id);
     for node in 0..NODES {
         let knows = async || fleet.gateway.log(node).contains("event=replica_leaves");
-        fleet.gateway.until("each node knows", knows).await;
+        fleet.gateway.until("each node knows that the replica has left", knows).await;
     }
 }
 
-/// A replica that the copy lacks writes its entry again soon, and is used all the while.
+/// A replica whose entry the backup lacks writes it again soon, and is used in the meantime.
 #[tokio::test]
 async fn test_a_replica_whose_entry_the_backup_lacks_is_not_considered_gone() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 1).await;
@@ -162,5 +166,5 @@
     };
     tokio::join!(loaded, written);
     let leaves = (0..NODES).filter(|node| fleet.gateway.log(*node).contains("event=replica_leaves")).count();
-    assert_eq!(leaves, 0, "nodes that took it for gone\n{}", fleet.gateway.logs());
+    assert_eq!(leaves, 0, "nodes that considered the replica gone\n{}", fleet.gateway.logs());
 }
