--- a/node/tests/gateway_environment.rs
+++ b/node/tests/gateway_environment.rs
@@ -1,5 +1,5 @@
-//! A gateway fleet on loopback: the nodes are processes; the metadata store and the replicas are fakes that
-//! run inside the test process.
+//! A gateway fleet on loopback: the nodes are processes; the metadata store and the replicas are stand-ins
+//! that run inside the test process.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -49,7 +49,7 @@
 /// API key of organisation `org-a`.
 pub const KEY: &str = "key-a";
 
-/// A fake replica and its server.
+/// A stand-in replica and its server.
 pub struct RunningReplica {
     /// The replica.
     pub replica: Arc<GatewayReplica>,
@@ -547,8 +547,8 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Number of events received; `None` unless the body consists of the first events of the fake engine's
-    /// generation, each once, in order and complete.
+    /// Number of events received; `None` unless the body consists of the first events of the stand-in
+    /// engine's generation, each once, in order and complete.
     pub fn events(&self) -> Option<u64> {
         self.last_event_after(0)
     }
--- a/node/tests/test_gateway_config_delivery.rs
+++ b/node/tests/test_gateway_config_delivery.rs
@@ -63,11 +63,7 @@
         // After its start phase, in which it only receives messages, the node follows its store.
         tokio::time::sleep(Duration::from_secs(2)).await;
         gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-        gateway
-            .until("version 2 is in force", async || {
-                gateway.log(source).contains("config_in_force version=2")
-            })
-            .await;
+        gateway.until("version 2", async || gateway.log(source).contains("config_in_force version=2")).await;
         NodePair { gateway, source, outdated, own_store, store_proxy, _servers: (booking, server) }
     }
 
@@ -104,14 +100,10 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     proxy.set(LinkFault::Reset);
     let gateway = &pair.gateway;
-    gateway
-        .until("the transfer breaks off", async || gateway.log(pair.outdated).contains("event=fetch_failed"))
-        .await;
+    gateway.until("fetch failure", async || gateway.log(pair.outdated).contains("event=fetch_failed")).await;
     proxy.set(LinkFault::None);
     gateway
-        .until("version 2 is in force", async || {
-            gateway.log(pair.outdated).contains("config_in_force version=2")
-        })
+        .until("version 2", async || gateway.log(pair.outdated).contains("config_in_force version=2"))
         .await;
     let metrics = gateway.metrics(pair.source);
     let req = Request::get("/metrics").header("host", "x").body(Default::default()).expect("valid");
@@ -181,11 +173,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     let last = Instant::now();
-    gateway
-        .until("the last version is in force", async || {
-            gateway.log(node).contains("config_in_force version=7")
-        })
-        .await;
+    gateway.until("version 7", async || gateway.log(node).contains("config_in_force version=7")).await;
     let took = last.elapsed();
     assert!(took < Duration::from_secs(10), "{took:?}\n{}", gateway.logs());
     assert!(!gateway.log(node).contains("event=store_lost kind=config"), "{}", gateway.logs());
@@ -207,9 +195,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = counting.lists.load(Ordering::Relaxed);
     gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-    gateway
-        .until("version 2 is in force", async || gateway.log(node).contains("config_in_force version=2"))
-        .await;
+    gateway.until("version 2", async || gateway.log(node).contains("config_in_force version=2")).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
     let lists = counting.lists.load(Ordering::Relaxed) - before;
     assert_eq!(lists, 0, "{lists} list requests\n{}", gateway.logs());
@@ -371,8 +357,8 @@
 }
 
 /// A store that has lost the history for all watches is listed, with a pause between the list requests: a
-/// list response may have 1 MB. The fault was that the next watch, and with it the next list, followed a list
-/// at once.
+/// list response may have 1 MB. Without the pause, the next watch fails and the next list request
+/// follows at once.
 #[tokio::test]
 async fn test_a_store_without_history_is_listed_at_a_limited_rate() {
     let mut gateway = Gateway::start().await;
--- a/node/tests/test_gateway_large_config.rs
+++ b/node/tests/test_gateway_large_config.rs
@@ -62,11 +62,7 @@
     let node = gateway.start_node_at(proxy.address);
     gateway.until_ready(node).await;
     gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-    gateway
-        .until("the configuration is in force", async || {
-            gateway.status_of(node, LAST_ROUTE, KEY).await == 200
-        })
-        .await;
+    gateway.until("version 2", async || gateway.status_of(node, LAST_ROUTE, KEY).await == 200).await;
     // Time for some more checks.
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert!(!gateway.log(node).contains("event=store_lost"), "{}", gateway.logs());
@@ -96,11 +92,7 @@
         gateway.until_ready(outdated).await;
         own_store.set_fault(StoreFault::Refuses);
         gateway.store.put("config", "main", large_config(2, MAX_ROUTES));
-        gateway
-            .until("the configuration is in force", async || {
-                gateway.log(source).contains("config_in_force version=2")
-            })
-            .await;
+        gateway.until("version 2", async || gateway.log(source).contains("config_in_force version=2")).await;
         let peer = gateway.peer(source).parse().expect("an address");
         let proxy = FaultyProxy::start(&gateway.replicas_ip(), peer).await;
         NodePair { gateway, outdated, proxy, _servers: (booking, server) }
@@ -167,11 +159,7 @@
     assert_eq!(gateway.status_of(outdated, "/read/x", "unknown").await, 503);
     assert_eq!(gateway.status_of(outdated, "/read/x", KEY).await, 200);
     pair.proxy.set(LinkFault::None);
-    gateway
-        .until("the added route is served", async || {
-            gateway.status_of(outdated, LAST_ROUTE, KEY).await == 200
-        })
-        .await;
+    gateway.until("added route", async || gateway.status_of(outdated, LAST_ROUTE, KEY).await == 200).await;
     assert_eq!(gateway.status_of(outdated, "/nothing/x", KEY).await, 404);
 }
 
