--- a/node/tests/crashing_fleet.rs
+++ b/node/tests/crashing_fleet.rs
@@ -13,7 +13,7 @@
 use crate::gateway_environment::config;
 
 /// The body that ends replicas.
-const ENDS_REPLICAS: &str = "ends replicas";
+const CRASHING_BODY: &str = "ends replicas";
 /// Nodes of a fleet.
 pub const NODES: usize = 3;
 /// Replicas of a service.
@@ -21,15 +21,15 @@
 /// Events of a generation.
 pub const EVENTS: u64 = 60;
 /// The caller comes back after this.
-const COMES_BACK_AFTER: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// An ended replica is no longer listed after this, as its heartbeats are missed.
-const LAPSES_AFTER: Duration = Duration::from_millis(1_500);
+const UNLISTED_AFTER: Duration = Duration::from_millis(1_500);
 /// Replicas that have to end before the fleet can know.
-pub const ENDS_UNTIL_KNOWN: usize = 3;
+pub const CRASHES_UNTIL_QUARANTINE: usize = 3;
 /// Every node knows this long after the last of these ended.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const QUARANTINED_WITHIN: Duration = Duration::from_secs(3);
 /// Sends that may still come after that.
-pub const LATE_SENDS: usize = 3;
+pub const MAX_LATE_SENDS: usize = 3;
 
 /// A fleet whose replicas of one service end when they run a certain body, and are replaced.
 pub struct CrashingFleet {
@@ -71,55 +71,55 @@
     pub async fn add_replica(&mut self) {
         let id = format!("{}-{}", self.service, self.replicas.len() + 1);
         let running = self.gateway.start_replica(self.service, &id, EVENTS).await;
-        running.replica.set_ends_on(ENDS_REPLICAS);
+        running.replica.set_ends_on(CRASHING_BODY);
         self.replicas.push(running);
     }
 
     /// Replicas that have ended.
-    pub fn ended(&self) -> usize {
+    pub fn ended_count(&self) -> usize {
         self.replicas.iter().filter(|running| running.replica.has_ended()).count()
     }
 
     /// Requests with the body that reached replicas.
     pub fn sends(&self) -> usize {
         let seen = self.replicas.iter().flat_map(|running| running.replica.seen());
-        seen.filter(|seen| seen.body == ENDS_REPLICAS).count()
+        seen.filter(|seen| seen.body == CRASHING_BODY).count()
     }
 
     /// The caller tries once more, at the next node. Replicas that end start again under another id
     /// meanwhile, and lapse.
-    pub async fn attempt(&mut self, make: impl Fn(&str) -> Request<Full<Bytes>>) -> Called {
-        let before = self.ended();
+    pub async fn attempt(&mut self, make_request: impl Fn(&str) -> Request<Full<Bytes>>) -> Called {
+        let before = self.ended_count();
         self.attempts += 1;
         let node = self.attempts % NODES;
-        let called = self.gateway.call(node, make(&format!("r-{}", self.attempts))).await;
-        tokio::time::sleep(COMES_BACK_AFTER).await;
-        for _ in before..self.ended() {
+        let called = self.gateway.call(node, make_request(&format!("r-{}", self.attempts))).await;
+        tokio::time::sleep(RETRY_DELAY).await;
+        for _ in before..self.ended_count() {
             self.add_replica().await;
         }
-        self.lapse();
+        self.unlist_ended_replicas();
         called
     }
 
     /// Ended replicas are no longer listed, some time after their end.
-    fn lapse(&self) {
+    fn unlist_ended_replicas(&self) {
         for running in self.replicas.iter().filter(|running| running.replica.has_ended()) {
             let (store, id) = (self.gateway.store.clone(), running.replica.id.clone());
             tokio::spawn(async move {
-                tokio::time::sleep(LAPSES_AFTER).await;
+                tokio::time::sleep(UNLISTED_AFTER).await;
                 store.delete("servers", &id);
             });
         }
     }
 
     /// Tries until three replicas have ended and everyone may know; returns how many sends there were.
-    pub async fn until_known(&mut self, make: impl Fn(&str) -> Request<Full<Bytes>>) -> usize {
-        while self.ended() < ENDS_UNTIL_KNOWN {
-            self.attempt(&make).await;
+    pub async fn until_quarantined(&mut self, make_request: impl Fn(&str) -> Request<Full<Bytes>>) -> usize {
+        while self.ended_count() < CRASHES_UNTIL_QUARANTINE {
+            self.attempt(&make_request).await;
         }
-        let known = Instant::now() + KNOWN_WITHIN;
-        while Instant::now() < known {
-            self.attempt(&make).await;
+        let deadline = Instant::now() + QUARANTINED_WITHIN;
+        while Instant::now() < deadline {
+            self.attempt(&make_request).await;
         }
         self.sends()
     }
@@ -130,7 +130,7 @@
     }
 
     /// Asserts that nothing speaks against any request at any node.
-    pub fn assert_nobody_is_suspected(&self) {
+    pub fn assert_no_request_suspected(&self) {
         for node in 0..NODES {
             let log = self.gateway.log(node);
             assert!(!log.contains("event=request_suspected"), "node {node}\n{}", self.gateway.logs());
@@ -139,6 +139,6 @@
 }
 
 /// A request whose body ends replicas.
-pub fn ending(req: Request<Full<Bytes>>) -> Request<Full<Bytes>> {
-    req.map(|_| Full::from(ENDS_REPLICAS))
+pub fn with_crashing_body(req: Request<Full<Bytes>>) -> Request<Full<Bytes>> {
+    req.map(|_| Full::from(CRASHING_BODY))
 }
--- a/node/tests/test_gateway_chosen_nodes.rs
+++ b/node/tests/test_gateway_chosen_nodes.rs
@@ -22,33 +22,33 @@
 
 const NODES: usize = 6;
 /// As long as a death may go unbelieved, and a little longer.
-const AWAY_FOR: Duration = Duration::from_millis(4_500);
+const UNAVAILABLE_FOR: Duration = Duration::from_millis(4_500);
 /// Nothing goes to a closed hall later than this after it was closed.
 const EVACUATED_WITHIN: Duration = Duration::from_secs(5);
 
 /// What happens to the node that holds the place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Strike {
-    Ends,
-    IsSuspended,
+enum NodeFailure {
+    Killed,
+    Suspended,
 }
 
-impl Strike {
-    const ALL: [Strike; 2] = [Strike::Ends, Strike::IsSuspended];
+impl NodeFailure {
+    const ALL: [NodeFailure; 2] = [NodeFailure::Killed, NodeFailure::Suspended];
 
-    fn strike(self, gateway: &Gateway, node: usize) {
-        gateway.signal(node, if self == Strike::Ends { "-KILL" } else { "-STOP" });
+    fn inject(self, gateway: &Gateway, node: usize) {
+        gateway.signal(node, if self == NodeFailure::Killed { "-KILL" } else { "-STOP" });
     }
 
-    fn end(self, gateway: &Gateway, node: usize) {
-        if self == Strike::IsSuspended {
+    fn recover(self, gateway: &Gateway, node: usize) {
+        if self == NodeFailure::Suspended {
             gateway.signal(node, "-CONT");
         }
     }
 }
 
 /// The node that a name is hashed to.
-fn chosen(gateway: &Gateway, name: &str) -> usize {
+fn chosen_node(gateway: &Gateway, name: &str) -> usize {
     let peers: Vec<String> = (0..NODES).map(|node| gateway.peer(node)).collect();
     let first = rendezvous::pick(name, &peers).expect("there are nodes");
     peers.iter().position(|peer| peer == first).expect("one of them")
@@ -61,16 +61,16 @@
 
 /// A lead that is silent is passed over by each node that asks it.
 #[tokio::test]
-async fn test_streams_begin_while_the_lead_of_their_service_is_away() {
-    for strike in Strike::ALL {
+async fn test_streams_start_while_the_lead_of_their_service_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start_with(MODEL, NODES, 4, 20, |yaml| yaml).await;
-        let lead = chosen(&fleet.gateway, MODEL);
-        strike.strike(&fleet.gateway, lead);
-        let answers = fleet.load(&rates_without(lead, 3.0), AWAY_FOR, chat).await;
-        strike.end(&fleet.gateway, lead);
+        let lead = chosen_node(&fleet.gateway, MODEL);
+        failure.inject(&fleet.gateway, lead);
+        let answers = fleet.load(&rates_without(lead, 3.0), UNAVAILABLE_FOR, chat).await;
+        failure.recover(&fleet.gateway, lead);
         for answer in &answers {
             let is_whole = answer.called.whole && answer.called.events() == Some(20);
-            assert!(is_whole, "{strike:?} {answer:?}\n{}", fleet.gateway.logs());
+            assert!(is_whole, "{failure:?} {answer:?}\n{}", fleet.gateway.logs());
         }
     }
 }
@@ -78,44 +78,45 @@
 /// Whoever grants what a replica's limit allows is replaced by a substitute, whose grants and its own later ones keep
 /// to the limit together.
 #[tokio::test]
-async fn test_a_limit_is_kept_while_who_grants_it_is_away() {
-    for strike in Strike::ALL {
+async fn test_a_limit_is_kept_while_its_granting_node_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
         let limits = [4.0];
         let binds = fleet.name_limits(&limits);
-        let granter = chosen(&fleet.gateway, "booking-1");
-        let rates = rates_without(granter, 8.0);
+        let granting_node = chosen_node(&fleet.gateway, "booking-1");
+        let rates = rates_without(granting_node, 8.0);
         fleet.load(&rates, BINDS_AFTER, read).await;
-        strike.strike(&fleet.gateway, granter);
-        let away = Instant::now();
-        fleet.load(&rates, AWAY_FOR, read).await;
-        strike.end(&fleet.gateway, granter);
+        failure.inject(&fleet.gateway, granting_node);
+        let failed_at = Instant::now();
+        fleet.load(&rates, UNAVAILABLE_FOR, read).await;
+        failure.recover(&fleet.gateway, granting_node);
         fleet.load(&rates, Duration::from_secs(4), read).await;
         fleet.assert_all_kept(&limits, binds);
-        let got = fleet.arrivals(0, away).into_iter().filter(|at| *at < away + AWAY_FOR).count();
-        assert!(got > 0, "{strike:?}: nobody used the limit\n{}", fleet.gateway.logs());
+        let got =
+            fleet.arrivals(0, failed_at).into_iter().filter(|at| *at < failed_at + UNAVAILABLE_FOR).count();
+        assert!(got > 0, "{failure:?}: nobody used the limit\n{}", fleet.gateway.logs());
     }
 }
 
 /// The standbys of who follows the store first tell all others what it would have told.
 #[tokio::test]
-async fn test_halls_are_closed_in_time_while_who_follows_the_store_is_away() {
-    for strike in Strike::ALL {
+async fn test_halls_are_closed_in_time_while_the_first_store_watcher_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
         let gateway = &fleet.gateway;
-        let first = chosen(gateway, "store watchers");
-        strike.strike(gateway, first);
+        let first_watcher = chosen_node(gateway, "store watchers");
+        failure.inject(gateway, first_watcher);
         let closed_at = Instant::now();
         gateway.store.put("evacuations", "hall-1", json!({}));
-        for node in (0..NODES).filter(|node| *node != first) {
+        for node in (0..NODES).filter(|node| *node != first_watcher) {
             gateway.until("it is known", async || closed_halls(gateway, node).await == ["hall-1"]).await;
         }
         let known_after = closed_at.elapsed();
-        strike.end(gateway, first);
-        assert!(known_after < EVACUATED_WITHIN, "{strike:?}: {known_after:?}\n{}", gateway.logs());
+        failure.recover(gateway, first_watcher);
+        assert!(known_after < EVACUATED_WITHIN, "{failure:?}: {known_after:?}\n{}", gateway.logs());
         gateway
             .until("the first knows, too", async || {
-                strike == Strike::Ends || closed_halls(gateway, first).await == ["hall-1"]
+                failure == NodeFailure::Killed || closed_halls(gateway, first_watcher).await == ["hall-1"]
             })
             .await;
     }
@@ -123,18 +124,18 @@
 
 /// A new configuration reaches all nodes in that time, too.
 #[tokio::test]
-async fn test_a_configuration_spreads_while_who_follows_the_store_is_away() {
-    for strike in Strike::ALL {
+async fn test_a_configuration_spreads_while_the_first_store_watcher_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
         let gateway: Arc<Gateway> = fleet.gateway.clone();
-        let first = chosen(&gateway, "store watchers");
-        strike.strike(&gateway, first);
+        let first_watcher = chosen_node(&gateway, "store watchers");
+        failure.inject(&gateway, first_watcher);
         gateway.store.put("config", "main", config(2));
-        for node in (0..NODES).filter(|node| *node != first) {
+        for node in (0..NODES).filter(|node| *node != first_watcher) {
             let has_it = async || gateway.node_status(node).await.bundle == Some(2);
             gateway.until("each node has the configuration", has_it).await;
         }
-        strike.end(&gateway, first);
+        failure.recover(&gateway, first_watcher);
     }
 }
 
--- a/node/tests/test_gateway_closed_halls.rs
+++ b/node/tests/test_gateway_closed_halls.rs
@@ -22,7 +22,7 @@
 const HALLS: [&str; 2] = ["hall-1", "hall-2"];
 
 /// A fleet with a replica of each service in two halls.
-async fn two_halls() -> (Gateway, [RunningReplica; 2], [RunningReplica; 2]) {
+async fn start_two_halls() -> (Gateway, [RunningReplica; 2], [RunningReplica; 2]) {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let mut services = Vec::new();
@@ -30,7 +30,7 @@
         let mut running = Vec::new();
         for hall in HALLS {
             let replica = gateway.start_replica(service, &format!("{service}-{hall}"), 60).await;
-            gateway.store.put("servers", &replica.replica.id, entry(service, &replica, hall));
+            gateway.store.put("servers", &replica.replica.id, entry_in_hall(service, &replica, hall));
             running.push(replica);
         }
         services.push(running.try_into().ok().expect("two"));
@@ -41,7 +41,7 @@
     (gateway, services.pop().expect("two"), models)
 }
 
-fn entry(service: &str, running: &RunningReplica, hall: &str) -> serde_json::Value {
+fn entry_in_hall(service: &str, running: &RunningReplica, hall: &str) -> serde_json::Value {
     let address = running.server.as_ref().expect("it serves").address;
     replica_entry(service, address, hall, "ready")
 }
@@ -51,17 +51,17 @@
     serde_json::from_str::<NodeStatus>(&status.body).unwrap_or_default().closed_halls
 }
 
-async fn until_closed(gateway: &Gateway, node: usize, halls: &[&str]) {
+async fn until_closed_halls_are(gateway: &Gateway, node: usize, halls: &[&str]) {
     gateway.until("what is closed", async || closed_halls(gateway, node).await == halls).await;
 }
 
 #[tokio::test]
 async fn test_nothing_new_goes_to_a_closed_hall_until_it_is_opened() {
-    let (gateway, bookings, models) = two_halls().await;
+    let (gateway, bookings, models) = start_two_halls().await;
     let (running, ()) = tokio::join!(gateway.call(0, chat("runs")), async {
         gateway.until("it runs", async || models.iter().any(|m| !m.replica.seen().is_empty())).await;
         gateway.store.put("evacuations", "hall-1", json!({}));
-        until_closed(&gateway, 0, &["hall-1"]).await;
+        until_closed_halls_are(&gateway, 0, &["hall-1"]).await;
         let before = [&bookings[0], &models[0]].map(|r| r.replica.seen().len());
         for n in 0..12 {
             assert_eq!(gateway.status_of(0, "/book/x", KEY).await, 200);
@@ -73,7 +73,7 @@
     });
     assert!(running.whole && running.events() == Some(60), "what ran there ends by itself: {running:?}");
     gateway.store.delete("evacuations", "hall-1");
-    until_closed(&gateway, 0, &[]).await;
+    until_closed_halls_are(&gateway, 0, &[]).await;
     let before = bookings[0].replica.seen().len();
     gateway
         .until("a call there", async || {
@@ -86,20 +86,20 @@
 /// Where all halls are closed, callers are told at once that nothing ran, and when to come back; who waits
 /// already is told as well.
 #[tokio::test]
-async fn test_where_all_halls_are_closed_callers_are_told_at_once() {
-    let (gateway, bookings, models) = two_halls().await;
+async fn test_requests_are_refused_at_once_while_all_halls_are_closed() {
+    let (gateway, bookings, models) = start_two_halls().await;
     HALLS.iter().for_each(|hall| gateway.store.put("evacuations", hall, json!({})));
-    until_closed(&gateway, 0, &HALLS).await;
+    until_closed_halls_are(&gateway, 0, &HALLS).await;
     let before: Vec<usize> = bookings.iter().chain(&models).map(|r| r.replica.seen().len()).collect();
     for req in [chat("r-1"), request("GET", "/read/x", KEY, "r-2"), request("GET", "/book/x", KEY, "r-3")] {
-        let asked = tokio::time::Instant::now();
+        let sent_at = tokio::time::Instant::now();
         let refused = gateway.call(0, req).await;
         assert_eq!((refused.status, refused.code()), (503, 2104), "{refused:?}\n{}", gateway.logs());
         let back: f64 = refused.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
         assert!(back >= 2.0, "{back}: no hall is opened as soon as an engine is free");
         // The objective is 500 ms: held for a quarter of it, this would count as waiting.
-        let told_in = asked.elapsed();
-        assert!(told_in < Duration::from_secs(2), "{told_in:?}");
+        let refused_after = sent_at.elapsed();
+        assert!(refused_after < Duration::from_secs(2), "{refused_after:?}");
     }
     let after: Vec<usize> = bookings.iter().chain(&models).map(|r| r.replica.seen().len()).collect();
     assert_eq!(after, before);
@@ -107,35 +107,35 @@
 
 /// A node that the store turns away hears of it from others, and so does one that starts meanwhile.
 #[tokio::test]
-async fn test_nodes_tell_each_other_which_halls_are_closed() {
-    let (mut gateway, bookings, _models) = two_halls().await;
+async fn test_nodes_announce_closed_halls_to_each_other() {
+    let (mut gateway, bookings, _models) = start_two_halls().await;
     let (own, server) = MetadataStore::start(&gateway.own_store_ip()).await;
     own.put("config", "main", config(1));
     for (booking, hall) in bookings.iter().zip(HALLS) {
-        own.put("servers", &booking.replica.id, entry(BOOKING, booking, hall));
+        own.put("servers", &booking.replica.id, entry_in_hall(BOOKING, booking, hall));
     }
     let second = gateway.start_node_at(server.address);
     gateway.until_ready(second).await;
     own.set_fault(StoreFault::Refuses);
     // Revisions are the store's: what the other one says is as old as it gets.
     gateway.store.put("evacuations", "hall-2", json!({"note": "whatever stands here"}));
-    until_closed(&gateway, 0, &["hall-2"]).await;
-    until_closed(&gateway, second, &["hall-2"]).await;
+    until_closed_halls_are(&gateway, 0, &["hall-2"]).await;
+    until_closed_halls_are(&gateway, second, &["hall-2"]).await;
     let third = gateway.start_node_at(server.address);
-    until_closed(&gateway, third, &["hall-2"]).await;
+    until_closed_halls_are(&gateway, third, &["hall-2"]).await;
     gateway.store.delete("evacuations", "hall-2");
     for node in [0, second, third] {
-        until_closed(&gateway, node, &[]).await;
+        until_closed_halls_are(&gateway, node, &[]).await;
     }
 }
 
 /// A store that forgets its history while a hall is closed or opened.
 #[tokio::test]
-async fn test_a_store_without_history_still_tells_which_halls_are_closed() {
-    let (gateway, _bookings, _models) = two_halls().await;
+async fn test_closed_halls_are_read_from_a_store_without_history() {
+    let (gateway, _bookings, _models) = start_two_halls().await;
     gateway.store.set_fault(StoreFault::ForgetsHistory);
     gateway.store.put("evacuations", "hall-1", json!({}));
-    until_closed(&gateway, 0, &["hall-1"]).await;
+    until_closed_halls_are(&gateway, 0, &["hall-1"]).await;
     gateway.store.delete("evacuations", "hall-1");
-    until_closed(&gateway, 0, &[]).await;
+    until_closed_halls_are(&gateway, 0, &[]).await;
 }
--- a/node/tests/test_gateway_crash_evidence.rs
+++ b/node/tests/test_gateway_crash_evidence.rs
@@ -17,40 +17,40 @@
 use crate::gateway_environment::request;
 
 /// What a break was taken for is known after this.
-const ASKED_WITHIN: Duration = Duration::from_millis(600);
+const BREAK_CLASSIFIED_WITHIN: Duration = Duration::from_millis(600);
 
 /// Replicas break off streams, and answers to calls, and live.
 #[tokio::test]
-async fn test_a_break_at_a_replica_that_lives_is_no_end() {
+async fn test_a_broken_stream_of_a_live_replica_is_no_crash() {
     let mut fleet = CrashingFleet::start(MODEL).await;
     fleet.gateway.engines.set_stream_faults([StreamFault::BreaksAfter(0); 6]);
     for _ in 0..6 {
         let called = fleet.attempt(chat).await;
         assert!(!called.whole, "{called:?}");
     }
-    tokio::time::sleep(ASKED_WITHIN).await;
-    fleet.assert_nobody_is_suspected();
+    tokio::time::sleep(BREAK_CLASSIFIED_WITHIN).await;
+    fleet.assert_no_request_suspected();
     assert!(fleet.gateway.logs().contains("event=run_broke"));
     assert!(fleet.attempt(chat).await.whole);
 }
 
 #[tokio::test]
-async fn test_an_answer_that_is_cut_off_is_no_end() {
+async fn test_a_truncated_answer_is_no_crash() {
     let mut fleet = CrashingFleet::start(BOOKING).await;
     fleet.replicas.iter().for_each(|running| running.replica.set_fault(ReplicaFault::CutsBody));
     let read = |id: &str| request("GET", "/read/x", KEY, id);
     for _ in 0..6 {
         assert_eq!(fleet.attempt(read).await.status, 502);
     }
-    tokio::time::sleep(ASKED_WITHIN).await;
-    fleet.assert_nobody_is_suspected();
+    tokio::time::sleep(BREAK_CLASSIFIED_WITHIN).await;
+    fleet.assert_no_request_suspected();
     fleet.replicas.iter().for_each(|running| running.replica.set_fault(ReplicaFault::None));
     assert_eq!(fleet.attempt(read).await.status, 200);
 }
 
 /// The links to replicas are reset under a stream, and let connections through again.
 #[tokio::test]
-async fn test_a_reset_link_is_no_end() {
+async fn test_a_reset_link_is_no_crash() {
     let mut fleet = CrashingFleet::start(MODEL).await;
     let mut proxies = Vec::new();
     for running in &fleet.replicas {
@@ -70,14 +70,14 @@
         tokio::join!(calling, resets);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    tokio::time::sleep(ASKED_WITHIN).await;
-    fleet.assert_nobody_is_suspected();
+    tokio::time::sleep(BREAK_CLASSIFIED_WITHIN).await;
+    fleet.assert_no_request_suspected();
     assert!(fleet.attempt(chat).await.whole);
 }
 
 /// A replica says that it leaves, and ends with what it still runs.
 #[tokio::test]
-async fn test_a_planned_end_is_held_against_nobody() {
+async fn test_a_planned_shutdown_makes_no_request_suspect() {
     let mut fleet = CrashingFleet::start(BOOKING).await;
     fleet.replicas.iter().for_each(|running| running.replica.set_fault(ReplicaFault::Hangs));
     for n in 0..REPLICAS {
@@ -88,14 +88,14 @@
             fleet.gateway.until("it arrives", async || reached().is_some()).await;
             let running = reached().expect("one");
             fleet.gateway.drain(BOOKING, running);
-            tokio::time::sleep(ASKED_WITHIN).await;
+            tokio::time::sleep(BREAK_CLASSIFIED_WITHIN).await;
             running.replica.end();
         };
         let (called, ()) = tokio::join!(calling, ending);
         assert_eq!(called.status, 502, "{called:?}");
     }
-    tokio::time::sleep(ASKED_WITHIN).await;
-    fleet.assert_nobody_is_suspected();
+    tokio::time::sleep(BREAK_CLASSIFIED_WITHIN).await;
+    fleet.assert_no_request_suspected();
     fleet.add_replica().await;
     let is_served = async || fleet.gateway.status_of(0, "/book/x", KEY).await == 200;
     fleet.gateway.until("it is served", is_served).await;
@@ -104,7 +104,7 @@
 /// Half of all replicas end at once, again and again, under a call that everyone makes: it runs on all of
 /// them, ends well on the rest, and is served all the time.
 #[tokio::test]
-async fn test_a_popular_call_is_served_while_replicas_end() {
+async fn test_a_frequent_call_is_served_while_replicas_crash() {
     let mut fleet = CrashingFleet::start(BOOKING).await;
     let slow = ReplicaFault::Late(Duration::from_millis(40));
     let read = |id: &str| request("GET", "/read/x", KEY, id);
@@ -129,7 +129,7 @@
         for _ in 0..REPLICAS / 2 {
             fleet.add_replica().await;
         }
-        tokio::time::sleep(ASKED_WITHIN).await;
+        tokio::time::sleep(BREAK_CLASSIFIED_WITHIN).await;
     }
     for node in 0..NODES {
         assert!(!fleet.gateway.log(node).contains("event=request_quarantined"), "{}", fleet.gateway.logs());
--- a/node/tests/test_gateway_crashing_requests.rs
+++ b/node/tests/test_gateway_crashing_requests.rs
@@ -14,11 +14,11 @@
 use http::Request;
 use http_body_util::Full;
 
+use crate::crashing_fleet::CRASHES_UNTIL_QUARANTINE;
 use crate::crashing_fleet::CrashingFleet;
-use crate::crashing_fleet::ENDS_UNTIL_KNOWN;
-use crate::crashing_fleet::LATE_SENDS;
+use crate::crashing_fleet::MAX_LATE_SENDS;
 use crate::crashing_fleet::NODES;
-use crate::crashing_fleet::ending;
+use crate::crashing_fleet::with_crashing_body;
 use crate::gateway_environment::BOOKING;
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::KEY;
@@ -32,46 +32,46 @@
 
 /// The request comes at all nodes in turn, for longer than they need to learn of it. It must reach
 /// hardly any replica after that, and whatever else there is must be served.
-async fn check(service: &'static str, make: impl Fn(&str) -> Request<Full<Bytes>>) {
+async fn check_is_quarantined(service: &'static str, make_request: impl Fn(&str) -> Request<Full<Bytes>>) {
     let mut fleet = CrashingFleet::start(service).await;
-    let ending_one = |id: &str| ending(make(id));
-    let until_known = fleet.until_known(ending_one).await;
+    let crashing_request = |id: &str| with_crashing_body(make_request(id));
+    let sends_until_quarantine = fleet.until_quarantined(crashing_request).await;
     for _ in 0..3 * NODES {
-        fleet.attempt(ending_one).await;
+        fleet.attempt(crashing_request).await;
     }
-    let late = fleet.sends() - until_known;
-    assert!(late <= LATE_SENDS, "{late} sends after everyone could know\n{}", fleet.gateway.logs());
+    let late = fleet.sends() - sends_until_quarantine;
+    assert!(late <= MAX_LATE_SENDS, "{late} sends after everyone could know\n{}", fleet.gateway.logs());
     for node in 0..NODES {
-        let called = fleet.gateway.call(node, make("r-sound")).await;
+        let called = fleet.gateway.call(node, make_request("r-sound")).await;
         assert!(called.status == 200 && called.whole, "{called:?}\n{}", fleet.gateway.logs());
     }
 }
 
 #[tokio::test]
-async fn test_a_stream_that_ends_its_replicas_is_no_longer_sent() {
-    check(MODEL, chat).await;
+async fn test_a_stream_that_crashes_its_replicas_is_no_longer_sent() {
+    check_is_quarantined(MODEL, chat).await;
 }
 
 #[tokio::test]
-async fn test_a_call_that_ends_its_replicas_is_no_longer_sent() {
-    check(BOOKING, |id| request("GET", "/read/x", KEY, id)).await;
+async fn test_a_call_that_crashes_its_replicas_is_no_longer_sent() {
+    check_is_quarantined(BOOKING, |id| request("GET", "/read/x", KEY, id)).await;
 }
 
 #[tokio::test]
-async fn test_a_stream_that_goes_on_elsewhere_and_ends_its_replicas_is_no_longer_sent() {
-    check(MODEL, tag).await;
+async fn test_a_resumable_stream_that_crashes_its_replicas_is_no_longer_sent() {
+    check_is_quarantined(MODEL, tag).await;
 }
 
 /// Each request that everyone knows of gets its answer at once, and is not told to come back soon.
 #[tokio::test]
-async fn test_a_quarantined_request_is_refused_for_as_long_as_it_is() {
+async fn test_a_quarantined_request_is_refused_for_the_rest_of_its_quarantine() {
     let mut fleet = CrashingFleet::start(MODEL).await;
-    fleet.until_known(|id| ending(chat(id))).await;
+    fleet.until_quarantined(|id| with_crashing_body(chat(id))).await;
     for node in 0..NODES {
-        let called = fleet.gateway.call(node, ending(chat("r-known"))).await;
+        let called = fleet.gateway.call(node, with_crashing_body(chat("r-known"))).await;
         assert_eq!((called.status, called.code()), (503, 2111), "{called:?}");
-        let comes_back: f64 = called.header("retry-after").and_then(|s| s.parse().ok()).expect("a time");
-        assert!((3_000.0..=3_600.0).contains(&comes_back), "{comes_back}");
+        let retry_after: f64 = called.header("retry-after").and_then(|s| s.parse().ok()).expect("a time");
+        assert!((3_000.0..=3_600.0).contains(&retry_after), "{retry_after}");
         assert_eq!(fleet.quarantined(node).await.len(), 1);
         assert!(fleet.gateway.log(node).contains("event=request_quarantined"));
     }
@@ -79,9 +79,9 @@
 
 /// Nothing that a node knows outlasts it: after all have gone, the store still knows.
 #[tokio::test]
-async fn test_a_fleet_that_starts_anew_still_knows() {
+async fn test_a_quarantine_survives_a_restart_of_all_nodes() {
     let mut fleet = CrashingFleet::start(MODEL).await;
-    let until_known = fleet.until_known(|id| ending(chat(id))).await;
+    let sends_until_quarantine = fleet.until_quarantined(|id| with_crashing_body(chat(id))).await;
     (0..NODES).for_each(|node| fleet.gateway.kill(node));
     (0..NODES).for_each(|node| fleet.gateway.start_again(node));
     for node in 0..NODES {
@@ -89,16 +89,16 @@
         fleet.gateway.until("it is known", async || fleet.quarantined(node).await.len() == 1).await;
     }
     for _ in 0..2 * NODES {
-        fleet.attempt(|id| ending(chat(id))).await;
+        fleet.attempt(|id| with_crashing_body(chat(id))).await;
     }
-    assert_eq!(fleet.sends(), until_known, "{}", fleet.gateway.logs());
+    assert_eq!(fleet.sends(), sends_until_quarantine, "{}", fleet.gateway.logs());
 }
 
 /// A node that starts later is told by the others, also where the store answers it nothing.
 #[tokio::test]
-async fn test_a_node_that_starts_later_is_told() {
+async fn test_a_node_that_starts_later_receives_the_quarantine() {
     let mut fleet = CrashingFleet::start(MODEL).await;
-    fleet.until_known(|id| ending(chat(id))).await;
+    fleet.until_quarantined(|id| with_crashing_body(chat(id))).await;
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let node = fleet.gateway.start_node_at(nowhere);
     fleet.gateway.until("it is told", async || fleet.quarantined(node).await.len() == 1).await;
@@ -106,15 +106,18 @@
 
 /// Nodes that reach the store and no other node learn from it.
 #[tokio::test]
-async fn test_nodes_that_reach_only_the_store_know() {
+async fn test_nodes_that_reach_only_the_store_share_a_quarantine() {
     let start_node = |gateway: &mut Gateway| gateway.start_lone_node_at(gateway.store_address());
     let mut fleet = CrashingFleet::start_with(MODEL, start_node).await;
-    let until_known = fleet.until_known(|id| ending(chat(id))).await;
+    let sends_until_quarantine = fleet.until_quarantined(|id| with_crashing_body(chat(id))).await;
     for _ in 0..2 * NODES {
-        fleet.attempt(|id| ending(chat(id))).await;
+        fleet.attempt(|id| with_crashing_body(chat(id))).await;
     }
-    let late = fleet.sends() - until_known;
-    assert!(late <= LATE_SENDS && until_known <= 2 * ENDS_UNTIL_KNOWN, "{late}, {until_known}");
+    let late = fleet.sends() - sends_until_quarantine;
+    assert!(
+        late <= MAX_LATE_SENDS && sends_until_quarantine <= 2 * CRASHES_UNTIL_QUARANTINE,
+        "{late}, {sends_until_quarantine}"
+    );
     assert!(fleet.gateway.logs().contains("event=request_quarantined"), "{}", fleet.gateway.logs());
 }
 
@@ -122,14 +125,14 @@
 #[tokio::test]
 async fn test_an_operator_lifts_a_quarantine() {
     let mut fleet = CrashingFleet::start(MODEL).await;
-    fleet.until_known(|id| ending(chat(id))).await;
+    fleet.until_quarantined(|id| with_crashing_body(chat(id))).await;
     fleet.replicas.iter().for_each(|running| running.replica.set_ends_on("nothing that comes"));
     let names = fleet.gateway.store.names(KIND);
     assert_eq!(names.len(), 1);
     fleet.gateway.store.delete(KIND, &names[0]);
     for node in 0..NODES {
         fleet.gateway.until("it is lifted", async || fleet.quarantined(node).await.is_empty()).await;
-        let called = fleet.gateway.call(node, ending(chat("r-lifted"))).await;
+        let called = fleet.gateway.call(node, with_crashing_body(chat("r-lifted"))).await;
         assert!(called.status == 200 && called.whole, "{called:?}\n{}", fleet.gateway.logs());
     }
     assert!(fleet.gateway.store.names(KIND).is_empty(), "nobody writes it again");
--- a/node/tests/test_gateway_inventories.rs
+++ b/node/tests/test_gateway_inventories.rs
@@ -19,13 +19,13 @@
 const EVENTS: u64 = 800;
 
 /// A stream that goes on as long as this lives.
-type Open = (AbortOnDropHandle<()>, Response<Incoming>);
+type OpenStream = (AbortOnDropHandle<()>, Response<Incoming>);
 
 /// A status is older than this at no time.
-const STATUS_AGE: Duration = Duration::from_millis(3_000);
+const MAX_STATUS_AGE: Duration = Duration::from_millis(3_000);
 
 /// Two nodes that serve `config`; each knows which services it leads.
-async fn two_nodes(config: Value) -> Gateway {
+async fn start_two_nodes(config: Value) -> Gateway {
     let models = config["services"].as_array().expect("services").len() - 1;
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config);
@@ -36,7 +36,8 @@
     gateway.until("they know each other", async || gateway.log(0).contains("nodes_met")).await;
     gateway
         .until("each service has one lead", async || {
-            let (mut led, others) = (running(&gateway, 0).await, running(&gateway, 1).await);
+            let (mut led, others) =
+                (running_generations(&gateway, 0).await, running_generations(&gateway, 1).await);
             let both = led.len() + others.len();
             led.extend(others);
             both == models && led.len() == models
@@ -46,7 +47,7 @@
 }
 
 /// The generations that a node knows of, by the services that it leads.
-async fn running(gateway: &Gateway, node: usize) -> BTreeMap<String, u64> {
+async fn running_generations(gateway: &Gateway, node: usize) -> BTreeMap<String, u64> {
     let req = http::Request::get("/status").header("host", "x").body(Default::default()).expect("valid");
     let status = crate::gateway_environment::call(&gateway.metrics(node), req).await;
     let status: Value = serde_json::from_str(&status.body).unwrap_or_default();
@@ -56,7 +57,7 @@
         .collect()
 }
 
-async fn begin(gateway: &Gateway, node: usize, path: &str, id: &str) -> Open {
+async fn open_stream(gateway: &Gateway, node: usize, path: &str, id: &str) -> OpenStream {
     let mut req = chat(id);
     *req.uri_mut() = path.parse().expect("a path");
     let open = send(&gateway.front(node), req).await.expect("it begins");
@@ -72,22 +73,22 @@
     config["services"][1]["maxConnections"] = 200.into();
     config["services"][1]["engine"]["slots"] = 100.into();
     config["services"][1]["engine"]["kvCacheTokens"] = 1_000_000.into();
-    let mut gateway = two_nodes(config).await;
+    let mut gateway = start_two_nodes(config).await;
     let _engine = gateway.start_replica(MODEL, &"e".repeat(400), EVENTS).await;
-    let lead = if running(&gateway, 0).await.contains_key(MODEL) { 0 } else { 1 };
-    let entry = 1 - lead;
+    let lead = if running_generations(&gateway, 0).await.contains_key(MODEL) { 0 } else { 1 };
+    let entry_node = 1 - lead;
     gateway
-        .until("the engine is known", async || gateway.call(entry, chat("first")).await.status == 200)
+        .until("the engine is known", async || gateway.call(entry_node, chat("first")).await.status == 200)
         .await;
     let mut open = Vec::new();
     for n in 0..50 {
-        open.push(begin(&gateway, entry, "/chat/x", &format!("r-{n}")).await);
+        open.push(open_stream(&gateway, entry_node, "/chat/x", &format!("r-{n}")).await);
     }
     gateway.kill(lead);
     gateway.start_again(lead);
     let mut known = 0;
     for _ in 0..60 {
-        known = running(&gateway, lead).await.get(MODEL).copied().unwrap_or(0).max(known);
+        known = running_generations(&gateway, lead).await.get(MODEL).copied().unwrap_or(0).max(known);
         if known == 50 {
             break;
         }
@@ -112,24 +113,25 @@
         config["routes"].as_array_mut().expect("routes").push(route);
         config["services"].as_array_mut().expect("services").push(service);
     }
-    let gateway = two_nodes(config).await;
+    let gateway = start_two_nodes(config).await;
     let mut engines = Vec::new();
     for n in 0..4 {
         engines.push(gateway.start_replica(&format!("model-{n}"), &format!("e-{n}"), EVENTS).await);
     }
-    let led = running(&gateway, 0).await.into_keys().filter(|name| name != MODEL).count();
+    let led = running_generations(&gateway, 0).await.into_keys().filter(|name| name != MODEL).count();
     let lead = if led >= 2 { 0 } else { 1 };
-    let led: Vec<String> = running(&gateway, lead).await.into_keys().filter(|name| name != MODEL).collect();
+    let led: Vec<String> =
+        running_generations(&gateway, lead).await.into_keys().filter(|name| name != MODEL).collect();
     assert!(led.len() >= 2, "{led:?}");
     let mut open = Vec::new();
     for name in &led {
-        open.push(begin(&gateway, 1 - lead, &format!("/{name}/x"), name).await);
+        open.push(open_stream(&gateway, 1 - lead, &format!("/{name}/x"), name).await);
     }
-    tokio::time::sleep(STATUS_AGE).await;
+    tokio::time::sleep(MAX_STATUS_AGE).await;
     let mut unknown = 0;
     for _ in 0..30 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let running = running(&gateway, lead).await;
+        let running = running_generations(&gateway, lead).await;
         unknown += led.iter().filter(|name| running.get(*name) != Some(&1)).count();
     }
     assert_eq!(unknown, 0, "of 30 looks at {} generations that run\n{}", led.len(), gateway.logs());
--- a/node/tests/test_gateway_limits.rs
+++ b/node/tests/test_gateway_limits.rs
@@ -16,7 +16,7 @@
 
 /// Bounds how long a test waits for a connection's end: far above every limit set here, and
 /// far below the one that must no longer hold.
-const PATIENCE: Duration = Duration::from_secs(8);
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
 
 async fn connect(gateway: &Gateway) -> TcpStream {
     TcpStream::connect(gateway.front(0)).await.expect("it listens")
@@ -26,7 +26,7 @@
 async fn read_to_end(stream: &mut TcpStream) -> (String, Duration) {
     let began = Instant::now();
     let mut text = Vec::new();
-    let reading = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut text)).await;
+    let reading = tokio::time::timeout(READ_TIMEOUT, stream.read_to_end(&mut text)).await;
     // A connection that is reset is closed as well.
     let _ = reading.expect("the node closes the connection");
     (String::from_utf8_lossy(&text).into_owned(), began.elapsed())
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn test_a_head_that_comes_too_slowly_ends_its_connection() {
+async fn test_a_slow_request_head_closes_its_connection() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let mut stream = connect(&gateway).await;
     stream.write_all(b"GET /read/x HTTP/1.1\r\nhost: h.ex").await.expect("writable");
@@ -92,42 +92,42 @@
 
 /// How long the head of a request is held back, around the moment at which its connection breaks
 /// the limit of 1 s and has a tenth of a second to close.
-const HELD_BACK_MS: [u64; 10] = [960, 980, 1_000, 1_020, 1_040, 1_060, 1_080, 1_100, 1_120, 1_140];
+const HEAD_DELAYS_MS: [u64; 10] = [960, 980, 1_000, 1_020, 1_040, 1_060, 1_080, 1_100, 1_120, 1_140];
 
 /// A stream was cut 100 ms after it had begun: the rest of its request's head came just after its
 /// connection had broken the limit on heads, the request was taken and handed to an engine, and the
 /// connection was dropped with it when the time to close was over. Found by reading; the engine
 /// told of a caller that left.
 #[tokio::test]
-async fn test_a_request_that_is_taken_late_is_served() {
+async fn test_a_request_accepted_at_the_head_timeout_is_served() {
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
-    let calls = HELD_BACK_MS.map(|held| late_stream(&gateway, held));
+    let calls = HEAD_DELAYS_MS.map(|delay_ms| request_stream_with_delayed_head(&gateway, delay_ms));
     let answers = futures::future::join_all(calls).await;
     let seen = models[0].replica.seen();
     let mut cut = Vec::new();
-    for (held, answer) in HELD_BACK_MS.iter().zip(answers) {
-        let id = format!("r-{held}");
-        let was_run = seen.iter().any(|seen| seen.header("leadstage-request-id") == Some(&id));
-        if was_run && !answer.ends_with("0\r\n\r\n") {
-            cut.push(held);
+    for (delay_ms, answer) in HEAD_DELAYS_MS.iter().zip(answers) {
+        let id = format!("r-{delay_ms}");
+        let was_executed = seen.iter().any(|seen| seen.header("leadstage-request-id") == Some(&id));
+        if was_executed && !answer.ends_with("0\r\n\r\n") {
+            cut.push(delay_ms);
         }
     }
     assert!(cut.is_empty(), "cut after {cut:?} ms\n{}", gateway.logs());
 }
 
 /// Asks for a stream and holds a part of the head back so long; returns what came.
-async fn late_stream(gateway: &Gateway, held_ms: u64) -> String {
+async fn request_stream_with_delayed_head(gateway: &Gateway, delay_ms: u64) -> String {
     let mut stream = connect(gateway).await;
     stream.write_all(b"POST /chat/x HTTP/1.1\r\nhost: h.example\r\n").await.expect("writable");
-    tokio::time::sleep(Duration::from_millis(held_ms)).await;
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     let rest = format!(
-        "leadstage-request-id: r-{held_ms}\r\nleadstage-model: m\r\nleadstage-token-usage: 100,2000\r\n\
+        "leadstage-request-id: r-{delay_ms}\r\nleadstage-model: m\r\nleadstage-token-usage: 100,2000\r\n\
          authorization: Token {KEY}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
     );
     // It may be closed already.
     let _ = stream.write_all(rest.as_bytes()).await;
     let mut text = Vec::new();
-    let reading = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut text)).await;
+    let reading = tokio::time::timeout(READ_TIMEOUT, stream.read_to_end(&mut text)).await;
     // A connection that is reset is closed as well.
     let _ = reading.expect("the node closes the connection");
     String::from_utf8_lossy(&text).into_owned()
--- a/node/tests/test_gateway_replica_limits.rs
+++ b/node/tests/test_gateway_replica_limits.rs
@@ -27,48 +27,48 @@
 /// Nodes of the users' fleet.
 const NODES: usize = 6;
 /// What is measured once limits bind.
-const MEASURED: Duration = Duration::from_secs(8);
+const MEASURED_FOR: Duration = Duration::from_secs(8);
 /// A node renews its status each 2 s.
-const STATUS_IS_OLD_AFTER: Duration = Duration::from_millis(2_500);
+const MAX_STATUS_AGE: Duration = Duration::from_millis(2_500);
 /// A refusal that needs no waiting comes within this, on a busy machine too.
 const REFUSED_WITHIN: Duration = Duration::from_secs(1);
 
 /// Two of three replicas are in need; the third one takes the rest.
-async fn check_two_of_three(per_second: &[f64; NODES]) {
+async fn check_two_limited_replicas(per_second: &[f64; NODES]) {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [3.0, 4.4];
     let binds = fleet.name_limits(&limits);
-    let answers = fleet.load(per_second, BINDS_AFTER + MEASURED, read).await;
+    let answers = fleet.load(per_second, BINDS_AFTER + MEASURED_FOR, read).await;
     assert_all_served(&answers, &fleet);
     fleet.assert_all_kept(&limits, binds);
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    fleet.assert_all_used(&limits, binds, MEASURED_FOR);
 }
 
 #[tokio::test]
 async fn test_limits_of_replicas_are_kept_by_all_nodes_together() {
-    check_two_of_three(&[8.0; NODES]).await;
+    check_two_limited_replicas(&[8.0; NODES]).await;
 }
 
 #[tokio::test]
-async fn test_limits_of_replicas_are_used_by_whichever_nodes_have_calls() {
-    check_two_of_three(&[30.0, 0.0, 0.0, 1.0, 8.0, 0.0]).await;
+async fn test_limits_of_replicas_are_used_by_the_nodes_that_have_calls() {
+    check_two_limited_replicas(&[30.0, 0.0, 0.0, 1.0, 8.0, 0.0]).await;
 }
 
 /// One of three replicas comes into need under its usual load, 55 requests a second. Windows that reach
 /// back to before count too: with what it names granted at once it gets some 86 in 4 s, of 77 allowed.
 #[tokio::test]
-async fn test_a_replica_that_comes_into_need_is_left_to_others_at_first() {
+async fn test_a_newly_rate_limited_replica_is_avoided_at_first() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [12.0];
     let (answers, binds) =
-        tokio::join!(fleet.load(&[27.5; NODES], 2 * BINDS_AFTER + MEASURED, read), async {
+        tokio::join!(fleet.load(&[27.5; NODES], 2 * BINDS_AFTER + MEASURED_FOR, read), async {
             tokio::time::sleep(BINDS_AFTER).await;
             fleet.name_limits(&limits)
         });
     assert_all_served(&answers, &fleet);
     let named = binds - BINDS_AFTER;
     fleet.assert_all_kept(&limits, named - Duration::from_secs(1));
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    fleet.assert_all_used(&limits, binds, MEASURED_FOR);
 }
 
 /// Generations come through the lead of their model, which no other node goes around.
@@ -76,22 +76,22 @@
 async fn test_limits_of_engines_are_kept() {
     let fleet = LoadedFleet::start(MODEL, NODES, 3).await;
     let binds = fleet.name_limits(&[2.0]);
-    let answers = fleet.load(&[3.0; NODES], BINDS_AFTER + MEASURED, chat).await;
+    let answers = fleet.load(&[3.0; NODES], BINDS_AFTER + MEASURED_FOR, chat).await;
     assert_all_served(&answers, &fleet);
     fleet.assert_all_kept(&[2.0], binds);
-    fleet.assert_all_used(&[2.0], binds, MEASURED);
+    fleet.assert_all_used(&[2.0], binds, MEASURED_FOR);
 }
 
 /// All replicas are in need: what they take is served, and the rest is refused at once, with a time to come
 /// back.
 #[tokio::test]
-async fn test_what_replicas_in_need_do_not_take_is_refused_at_once() {
+async fn test_requests_above_the_limits_of_all_replicas_are_refused_at_once() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [2.0, 3.0, 4.0];
     let binds = fleet.name_limits(&limits);
-    let answers = fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED, read).await;
+    let answers = fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED_FOR, read).await;
     fleet.assert_all_kept(&limits, binds);
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    fleet.assert_all_used(&limits, binds, MEASURED_FOR);
     let refused: Vec<_> = answers.iter().filter(|answer| answer.called.status != 200).collect();
     assert!(!refused.is_empty());
     for answer in refused {
@@ -105,24 +105,24 @@
 /// Calls that may be repeated fail at the replica without a limit: their second attempts go to the two in
 /// need, and count there like first ones.
 #[tokio::test]
-async fn test_repeats_count_against_limits() {
+async fn test_retries_count_against_limits() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [2.0, 3.0];
     fleet.replicas[2].replica.set_fault(ReplicaFault::Fails);
     let binds = fleet.name_limits(&limits);
-    fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED, read).await;
+    fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED_FOR, read).await;
     fleet.assert_all_kept(&limits, binds);
 }
 
 /// The need ends: the first answer without a limit is told to all nodes, whoever gets it.
 #[tokio::test]
-async fn test_a_limit_ends_with_the_need() {
+async fn test_a_limit_ends_with_the_first_answer_without_one() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 1).await;
     fleet.replicas[0].replica.set_limit(Some("1"));
     fleet.load(&[4.0; NODES], Duration::from_secs(2), read).await;
     for node in 0..NODES {
-        let names_one = async || fleet.gateway.node_status(node).await.limits == ["booking-1 1/s"];
-        fleet.gateway.until("each node knows the limit", names_one).await;
+        let knows_limit = async || fleet.gateway.node_status(node).await.limits == ["booking-1 1/s"];
+        fleet.gateway.until("each node knows the limit", knows_limit).await;
     }
     fleet.replicas[0].replica.set_limit(None);
     fleet.load(&[4.0; NODES], Duration::from_secs(4), read).await;
@@ -152,11 +152,11 @@
 /// a cold one bears. It bears 4 requests a second, and 12 a second are named.
 #[tokio::test]
 async fn test_a_cold_replica_with_a_limit_gets_no_more_than_a_cold_one() {
-    const BEARS: u32 = 4;
+    const COLD_RATE_PER_S: u32 = 4;
     let mut fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
     let mut config = config(2);
     config["services"][0]["coldStartS"] = 60.into();
-    config["services"][0]["warmupPerS"] = BEARS.into();
+    config["services"][0]["warmupPerS"] = COLD_RATE_PER_S.into();
     fleet.gateway.store.put("config", "main", config);
     for node in 0..NODES {
         let has_it = async || fleet.gateway.node_status(node).await.bundle == Some(2);
@@ -166,15 +166,15 @@
     cold.replica.set_limit(Some("12"));
     fleet.replicas.push(cold);
     let began = Instant::now();
-    let answers = fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED, read).await;
+    let answers = fleet.load(&[8.0; NODES], BINDS_AFTER + MEASURED_FOR, read).await;
     assert_all_served(&answers, &fleet);
     let most = fleet.most_within(2, began, Duration::from_secs(1));
-    assert!((1..=BEARS as usize).contains(&most), "{most} in a second\n{}", fleet.gateway.logs());
+    assert!((1..=COLD_RATE_PER_S as usize).contains(&most), "{most} in a second\n{}", fleet.gateway.logs());
 }
 
 /// What a replica takes from all nodes is not for callers.
 #[tokio::test]
-async fn test_callers_are_not_told_of_limits() {
+async fn test_limits_are_not_passed_on_to_callers() {
     let fleet = LoadedFleet::start(BOOKING, 1, 1).await;
     fleet.replicas[0].replica.set_limit(Some("5"));
     let called = fleet.gateway.call(0, read("r-1")).await;
@@ -184,25 +184,25 @@
 /// Of a limit of 0.4 a second 16 nodes have no whole share each; 7 requests are allowed in 4 s.
 #[tokio::test]
 async fn test_a_limit_below_one_a_second_is_kept_by_many_nodes() {
-    const MANY: usize = 16;
-    let fleet = LoadedFleet::start(BOOKING, MANY, 2).await;
+    const MANY_NODES: usize = 16;
+    let fleet = LoadedFleet::start(BOOKING, MANY_NODES, 2).await;
     let binds = fleet.name_limits(&[0.4]);
-    let answers = fleet.load(&[4.0; MANY], BINDS_AFTER + 4 * MEASURED, read).await;
+    let answers = fleet.load(&[4.0; MANY_NODES], BINDS_AFTER + 4 * MEASURED_FOR, read).await;
     assert_all_served(&answers, &fleet);
     fleet.assert_all_kept(&[0.4], binds);
-    fleet.assert_all_used(&[0.4], binds, 4 * MEASURED);
+    fleet.assert_all_used(&[0.4], binds, 4 * MEASURED_FOR);
 }
 
 /// All engines are in need: generations wait at the lead for their turn, and who can't begin in time is told at
 /// once.
 #[tokio::test]
-async fn test_generations_wait_for_engines_in_need() {
+async fn test_generations_wait_for_rate_limited_engines() {
     let fleet = LoadedFleet::start(MODEL, NODES, 2).await;
     let limits = [2.0, 3.0];
     let binds = fleet.name_limits(&limits);
-    let answers = fleet.load(&[2.0; NODES], BINDS_AFTER + MEASURED, chat).await;
+    let answers = fleet.load(&[2.0; NODES], BINDS_AFTER + MEASURED_FOR, chat).await;
     fleet.assert_all_kept(&limits, binds);
-    fleet.assert_all_used(&limits, binds, MEASURED);
+    fleet.assert_all_used(&limits, binds, MEASURED_FOR);
     for answer in answers {
         assert!(matches!(answer.called.status, 200 | 503), "{answer:?}\n{}", fleet.gateway.logs());
     }
@@ -214,7 +214,7 @@
 
 /// A long call that was sent before the need is answered while it lasts, and takes nothing back.
 #[tokio::test]
-async fn test_a_late_answer_takes_no_limit_back() {
+async fn test_a_late_answer_removes_no_limit() {
     let fleet = LoadedFleet::start(BOOKING, 1, 1).await;
     let replica = &fleet.replicas[0].replica;
     replica.set_fault(ReplicaFault::Late(Duration::from_secs(1)));
@@ -228,8 +228,8 @@
     replica.set_limit(None);
     let early = early.await.expect("no panic");
     assert_eq!(early.status, 200);
-    let names_one = async || fleet.gateway.node_status(0).await.limits == ["booking-1 3/s"];
-    fleet.gateway.until("the node knows the limit", names_one).await;
-    tokio::time::sleep(STATUS_IS_OLD_AFTER).await;
+    let knows_limit = async || fleet.gateway.node_status(0).await.limits == ["booking-1 3/s"];
+    fleet.gateway.until("the node knows the limit", knows_limit).await;
+    tokio::time::sleep(MAX_STATUS_AGE).await;
     assert_eq!(fleet.gateway.node_status(0).await.limits, ["booking-1 3/s"]);
 }
--- a/node/tests/test_gateway_upgrade_soak.rs
+++ b/node/tests/test_gateway_upgrade_soak.rs
@@ -30,13 +30,13 @@
 const GOOD_VERSIONS: &[u64] = &[2, 6, 16, 30, 34, 48];
 const NODES: usize = 6;
 const REPLICAS: usize = 4;
-const WITHIN: Duration = Duration::from_secs(6);
+const ORDER_DURATION: Duration = Duration::from_secs(6);
 /// Time between two calls to a node.
 const CALL_EVERY: Duration = Duration::from_millis(40);
 /// Faults come until so long after the order.
 const FAULTS_FOR: Duration = Duration::from_secs(7);
 /// The operator knows the end so long after the last fault, whatever there was.
-const CONCLUDED_WITHIN: Duration = Duration::from_secs(40);
+const FINISHED_WITHIN: Duration = Duration::from_secs(40);
 
 struct UpgradeSoak {
     fleet: UpgradedFleet,
@@ -51,10 +51,10 @@
     }
 
     /// One fault; some last beyond the next. Nodes that others depend on are struck as often as all others together.
-    fn strike(&mut self) {
-        let chosen = [self.fleet.judges()[0], self.fleet.judges()[1], self.fleet.first_watcher()];
+    fn inject_fault(&mut self) {
+        let special_nodes = [self.fleet.judges()[0], self.fleet.judges()[1], self.fleet.first_watcher()];
         let node = match self.rng.random_bool(0.5) {
-            true => chosen[self.rng.random_range(0..chosen.len())],
+            true => special_nodes[self.rng.random_range(0..special_nodes.len())],
             false => self.rng.random_range(0..NODES),
         };
         let is_suspended = self.suspended.iter().any(|(suspended, _)| *suspended == node);
@@ -72,11 +72,11 @@
     }
 
     /// The platform starts processes that ended again, and suspensions end.
-    fn tend(&mut self, now: Instant) {
-        let over: Vec<usize> =
+    fn restore_nodes(&mut self, now: Instant) {
+        let expired: Vec<usize> =
             self.suspended.iter().filter(|(_, until)| *until <= now).map(|(node, _)| *node).collect();
         self.suspended.retain(|(_, until)| *until > now);
-        for node in over {
+        for node in expired {
             if self.gateway().ended(node).is_none() {
                 self.gateway().signal(node, "-CONT");
             }
@@ -89,20 +89,20 @@
         }
     }
 
-    async fn strike_until(&mut self, until: Instant) {
+    async fn inject_faults_until(&mut self, until: Instant) {
         while Instant::now() < until {
-            self.strike();
-            self.tend(Instant::now());
+            self.inject_fault();
+            self.restore_nodes(Instant::now());
             let pause = Duration::from_millis(self.rng.random_range(100..700));
             tokio::time::sleep(pause).await;
         }
         self.gateway().store.set_fault(StoreFault::None);
-        self.tend(until + Duration::from_secs(3_600));
+        self.restore_nodes(until + Duration::from_secs(3_600));
     }
 }
 
 /// Calls a node again and again; a call that finds nobody there is another caller's.
-async fn client(front: String, node: usize) {
+async fn send_calls(front: String, node: usize) {
     let mut calls = JoinSet::new();
     for n in 0_u64.. {
         let (front, req) = (front.clone(), read(&format!("{node}-{n}")));
@@ -112,59 +112,59 @@
     }
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let is_bad = seed % 2 == 1;
-    let turns_bad_at = Duration::from_millis(rng.random_range(0..4_000));
+    let fails_after = Duration::from_millis(rng.random_range(0..4_000));
     let bad = PartialFault { fault: ReplicaFault::Fails, one_of: 2, prefix: "/".to_owned() };
     let fleet = UpgradedFleet::start(BOOKING, NODES, REPLICAS).await;
     let mut soak = UpgradeSoak { fleet, rng, suspended: Vec::new() };
     let mut clients = JoinSet::new();
-    (0..NODES).for_each(|node| drop(clients.spawn(client(soak.fleet.gateway().front(node), node))));
-    soak.fleet.order(WITHIN, None).await;
-    let ordered = Instant::now();
+    (0..NODES).for_each(|node| drop(clients.spawn(send_calls(soak.fleet.gateway().front(node), node))));
+    soak.fleet.start_upgrade(ORDER_DURATION, None).await;
+    let ordered_at = Instant::now();
     let new: Vec<Arc<GatewayReplica>> =
         soak.fleet.new.iter().map(|running| running.replica.clone()).collect();
-    let turns_bad = AbortOnDropHandle::new(tokio::spawn(async move {
-        tokio::time::sleep_until((ordered + turns_bad_at).into()).await;
+    let failing = AbortOnDropHandle::new(tokio::spawn(async move {
+        tokio::time::sleep_until((ordered_at + fails_after).into()).await;
         if is_bad {
             new.iter().for_each(|replica| replica.set_partial_fault(bad.clone()));
         }
-        ordered.elapsed()
+        ordered_at.elapsed()
     }));
-    soak.strike_until(ordered + FAULTS_FOR).await;
-    let concluded = soak.fleet.conclude(CONCLUDED_WITHIN).await;
-    let told = soak.fleet.since_order(concluded.at);
-    let turned_bad_at = turns_bad.await.expect("it turns bad");
-    println!("seed {seed}: bad {is_bad}, from {turned_bad_at:?} on; {} by {told:?}", concluded.state);
+    soak.inject_faults_until(ordered_at + FAULTS_FOR).await;
+    let outcome = soak.fleet.finish_order(FINISHED_WITHIN).await;
+    let reported_after = soak.fleet.since_order(outcome.at);
+    let failed_after = failing.await.expect("it turns bad");
+    println!("seed {seed}: bad {is_bad}, from {failed_after:?} on; {} by {reported_after:?}", outcome.state);
     println!("{}", soak.fleet.gateway().lines_with("event=upgrade_judged"));
     let logs = || format!("seed {seed}\n{}", soak.fleet.logs());
     match is_bad {
         true => {
-            assert_eq!(concluded.state, "rolled_back", "{}", logs());
-            soak.fleet.assert_exposure(concluded.at);
+            assert_eq!(outcome.state, "rolled_back", "{}", logs());
+            soak.fleet.assert_exposure(outcome.at);
             // All nodes know by then; what they sent before has arrived.
             tokio::time::sleep(Duration::from_secs(3)).await;
-            soak.fleet.assert_gets_nothing(&concluded);
+            soak.fleet.assert_no_later_requests(&outcome);
         }
-        false => assert_eq!(concluded.state, "succeeded", "{}", logs()),
+        false => assert_eq!(outcome.state, "succeeded", "{}", logs()),
     }
 }
 
-fn seeds(of_ci: &[u64], is_own: impl Fn(u64) -> bool) -> Vec<u64> {
+fn seeds(ci_seeds: &[u64], is_selected: impl Fn(u64) -> bool) -> Vec<u64> {
     let Ok(text) = std::env::var("LEADSTAGE_UPGRADE_SOAK_SEEDS") else {
-        return of_ci.to_vec();
+        return ci_seeds.to_vec();
     };
     let (first, last) = text.split_once("..").unwrap_or((&text, &text));
     let number = |text: &str| text.parse().expect("LEADSTAGE_UPGRADE_SOAK_SEEDS is N or N..M");
-    (number(first)..=number(last)).filter(|seed| is_own(*seed)).collect()
+    (number(first)..=number(last)).filter(|seed| is_selected(*seed)).collect()
 }
 
 /// Guards against a success of a bad version, more than its share, and requests to it after it was given up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_upgrade_soak_of_bad_versions() {
     for seed in seeds(BAD_VERSIONS, |seed| seed % 2 == 1) {
-        play(seed).await;
+        run_seed(seed).await;
     }
 }
 
@@ -172,6 +172,6 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_upgrade_soak_of_good_versions() {
     for seed in seeds(GOOD_VERSIONS, |seed| seed % 2 == 0) {
-        play(seed).await;
+        run_seed(seed).await;
     }
 }
--- a/node/tests/upgraded_fleet.rs
+++ b/node/tests/upgraded_fleet.rs
@@ -23,7 +23,7 @@
 const EXPOSURE_SHARE: f64 = 0.2;
 const EXPOSURE_SLACK: f64 = 20.0;
 /// A version that was given up gets nothing after this: news take some tenths of a second.
-const REVERTED_EVERYWHERE: Duration = Duration::from_secs(2);
+const REVERTED_WITHIN: Duration = Duration::from_secs(2);
 /// Events of a generation.
 const EVENTS: u64 = 150;
 
@@ -36,12 +36,12 @@
     /// The new replicas.
     pub new: Vec<RunningReplica>,
     /// When the operator gave the order.
-    ordered: Instant,
+    ordered_at: Instant,
 }
 
 /// When an order's status first said what became of it.
 #[derive(Debug)]
-pub struct Concluded {
+pub struct OrderOutcome {
     /// `succeeded` or `rolled_back`; whatever it says last where the time is over.
     pub state: String,
     /// When.
@@ -51,8 +51,8 @@
 impl UpgradedFleet {
     /// So many nodes, with as many old replicas of a service as new ones are started later.
     pub async fn start(service: &'static str, nodes: usize, replicas: usize) -> UpgradedFleet {
-        let fleet = LoadedFleet::start_with(service, nodes, replicas, EVENTS, with_exposure).await;
-        UpgradedFleet { fleet, service, new: Vec::new(), ordered: Instant::now() }
+        let fleet = LoadedFleet::start_with(service, nodes, replicas, EVENTS, with_exposure_bounds).await;
+        UpgradedFleet { fleet, service, new: Vec::new(), ordered_at: Instant::now() }
     }
 
     /// The fleet's nodes and store.
@@ -77,20 +77,21 @@
     }
 
     /// Starts a node that reaches the store and none of the other nodes.
-    pub async fn start_cut_off_node(&mut self) -> usize {
+    pub async fn start_isolated_node(&mut self) -> usize {
         let gateway = Arc::get_mut(&mut self.fleet.gateway).expect("no load is running");
-        let nobody = format!("{}:7001", gateway.own_store_ip());
+        let unreachable = format!("{}:7001", gateway.own_store_ip());
         let seed = gateway.front(0);
         let node = gateway.start_node_with(|yaml| {
-            with_exposure(yaml).replace(&format!("seeds: ['{seed}']"), &format!("seeds: ['{nobody}']"))
+            with_exposure_bounds(yaml)
+                .replace(&format!("seeds: ['{seed}']"), &format!("seeds: ['{unreachable}']"))
         });
         gateway.until_ready(node).await;
         node
     }
 
     /// Sleeps until so long after the order.
-    pub async fn at(&self, since_order: Duration) {
-        tokio::time::sleep_until((self.ordered + since_order).into()).await;
+    pub async fn sleep_until(&self, since_order: Duration) {
+        tokio::time::sleep_until((self.ordered_at + since_order).into()).await;
     }
 
     /// From now on the new version answers like this.
@@ -101,7 +102,7 @@
 
     /// Time since the order.
     pub fn since_order(&self, at: Instant) -> Duration {
-        at.saturating_duration_since(self.ordered)
+        at.saturating_duration_since(self.ordered_at)
     }
 
     /// Requests that the new version got from a moment on.
@@ -113,9 +114,9 @@
     }
 
     /// Asserts that the new version gets nothing any more so long after it turned bad.
-    pub fn assert_given_up_within(&self, turned_bad: Instant, within: Duration) {
-        let arrivals = self.new_arrivals(turned_bad);
-        let last = arrivals.last().map_or(Duration::ZERO, |at| at.duration_since(turned_bad));
+    pub fn assert_reverted_within(&self, failing_since: Instant, within: Duration) {
+        let arrivals = self.new_arrivals(failing_since);
+        let last = arrivals.last().map_or(Duration::ZERO, |at| at.duration_since(failing_since));
         assert!(
             last <= within,
             "the new version got {} requests, the last {last:?} after it turned bad\n{}",
@@ -125,7 +126,7 @@
     }
 
     /// Gives an order, and starts as many new replicas as there are old ones.
-    pub async fn order(&mut self, within: Duration, fault: Option<PartialFault>) {
+    pub async fn start_upgrade(&mut self, within: Duration, fault: Option<PartialFault>) {
         self.put_order(within.as_secs_f64());
         for n in 0..self.fleet.replicas.len() {
             let id = format!("{}-new-{n}", self.service);
@@ -140,7 +141,7 @@
 
     /// Puts the order into the store.
     pub fn put_order(&mut self, within_s: f64) {
-        self.ordered = Instant::now();
+        self.ordered_at = Instant::now();
         let order = json!({"service": self.service, "targetVersion": "v2", "durationS": within_s});
         self.gateway().store.put("rollouts", self.service, order);
     }
@@ -159,7 +160,7 @@
 
     /// Waits until the status is final, and ends the old replicas at once if the order succeeded. The wait ends
     /// in any case after `at_most`.
-    pub async fn conclude(&mut self, at_most: Duration) -> Concluded {
+    pub async fn finish_order(&mut self, at_most: Duration) -> OrderOutcome {
         let until = Instant::now() + at_most;
         let state = loop {
             let state = self.status()["state"].as_str().unwrap_or_default().to_owned();
@@ -175,21 +176,21 @@
                 self.fleet.gateway.store.delete("servers", &running.replica.id);
             }
         }
-        Concluded { state, at }
+        OrderOutcome { state, at }
     }
 
     /// Requests that old and new replicas got between the order and `until`.
-    pub fn got(&self, until: Instant) -> (usize, usize) {
-        let of = |running: &[RunningReplica]| {
+    pub fn request_counts(&self, until: Instant) -> (usize, usize) {
+        let count = |running: &[RunningReplica]| {
             let arrivals = running.iter().flat_map(|running| running.replica.seen());
-            arrivals.filter(|seen| seen.at >= self.ordered && seen.at < until).count()
+            arrivals.filter(|seen| seen.at >= self.ordered_at && seen.at < until).count()
         };
-        (of(&self.fleet.replicas), of(&self.new))
+        (count(&self.fleet.replicas), count(&self.new))
     }
 
     /// Asserts that a bad version got no more than it may until `until`.
     pub fn assert_exposure(&self, until: Instant) {
-        let (old, new) = self.got(until);
+        let (old, new) = self.request_counts(until);
         let allowed = EXPOSURE_SHARE * (old + new) as f64 + EXPOSURE_SLACK;
         assert!(
             new as f64 <= allowed,
@@ -200,8 +201,8 @@
     }
 
     /// Asserts that a version that was given up gets nothing a moment later.
-    pub fn assert_gets_nothing(&self, concluded: &Concluded) {
-        let from = concluded.at + REVERTED_EVERYWHERE;
+    pub fn assert_no_later_requests(&self, outcome: &OrderOutcome) {
+        let from = outcome.at + REVERTED_WITHIN;
         let arrivals = self.new.iter().flat_map(|running| running.replica.seen());
         let late = arrivals.filter(|seen| seen.at >= from).count();
         assert_eq!(late, 0, "requests went to a version that was given up\n{}", self.logs());
@@ -218,32 +219,32 @@
         &self,
         per_second: f64,
         lasts: Duration,
-        make: fn(&str) -> Request<Full<Bytes>>,
+        make_request: fn(&str) -> Request<Full<Bytes>>,
     ) -> tokio::task::JoinHandle<Vec<Answer>> {
-        self.load_each(vec![per_second; self.fleet.gateway.nodes()], lasts, make)
+        self.load_with_rates(vec![per_second; self.fleet.gateway.nodes()], lasts, make_request)
     }
 
     /// The same, with a rate for each node.
-    pub fn load_each(
+    pub fn load_with_rates(
         &self,
         per_second: Vec<f64>,
         lasts: Duration,
-        make: fn(&str) -> Request<Full<Bytes>>,
+        make_request: fn(&str) -> Request<Full<Bytes>>,
     ) -> tokio::task::JoinHandle<Vec<Answer>> {
         let fleet = LoadedFleet { gateway: self.fleet.gateway.clone(), replicas: Vec::new() };
-        tokio::spawn(async move { fleet.load(&per_second, lasts, make).await })
+        tokio::spawn(async move { fleet.load(&per_second, lasts, make_request).await })
     }
 }
 
 /// Settings that name what a bad version may get.
-fn with_exposure(yaml: String) -> String {
+fn with_exposure_bounds(yaml: String) -> String {
     let bounds =
         format!("retry_slack: 100, exposure_share: {EXPOSURE_SHARE}, exposure_slack: {EXPOSURE_SLACK}");
     yaml.replace("retry_slack: 100", &bounds)
 }
 
 /// One of so many requests on a path meets a fault.
-pub fn fault(
+pub fn partial_fault(
     fault: leadstage_testutils::gateway_replica::ReplicaFault,
     one_of: usize,
     prefix: &str,
@@ -252,7 +253,8 @@
 }
 
 /// The share of the answers that are good.
-pub fn good(answers: &[Answer]) -> f64 {
-    let good = answers.iter().filter(|answer| answer.called.status == 200 && answer.called.whole).count();
-    good as f64 / answers.len().max(1) as f64
+pub fn success_share(answers: &[Answer]) -> f64 {
+    let successful =
+        answers.iter().filter(|answer| answer.called.status == 200 && answer.called.whole).count();
+    successful as f64 / answers.len().max(1) as f64
 }
