--- a/node/tests/crashing_fleet.rs
+++ b/node/tests/crashing_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet whose replicas of one service end when they run a certain body, and are replaced.
+//! A fleet in which the replicas of one service crash on requests with a certain body, and are replaced.
 
 use std::time::Duration;
 
@@ -12,42 +12,42 @@
 use crate::gateway_environment::RunningReplica;
 use crate::gateway_environment::config;
 
-/// The body that ends replicas.
+/// The request body that crashes replicas.
 const CRASHING_BODY: &str = "ends replicas";
-/// Nodes of a fleet.
+/// The number of nodes in a fleet.
 pub const NODES: usize = 3;
-/// Replicas of a service.
+/// The number of live replicas of the service.
 pub const REPLICAS: usize = 4;
-/// Events of a generation.
+/// The number of events of a generation.
 pub const EVENTS: u64 = 60;
-/// The caller comes back after this.
+/// The time after which the caller retries.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// An ended replica is no longer listed after this, as its heartbeats are missed.
+/// The time after which a crashed replica is removed from the list because its heartbeats are missing.
 const UNLISTED_AFTER: Duration = Duration::from_millis(1_500);
-/// Replicas that have to end before the fleet can know.
+/// The number of crashed replicas that the fleet needs to quarantine a request.
 pub const CRASHES_UNTIL_QUARANTINE: usize = 3;
-/// Every node knows this long after the last of these ended.
+/// The time after the last of these crashes within which all nodes have quarantined the request.
 const QUARANTINED_WITHIN: Duration = Duration::from_secs(3);
-/// Sends that may still come after that.
+/// The number of sends that are tolerated after that time.
 pub const MAX_LATE_SENDS: usize = 3;
 
-/// A fleet whose replicas of one service end when they run a certain body, and are replaced.
+/// A fleet in which the replicas of one service crash on requests with a certain body, and are replaced.
 pub struct CrashingFleet {
-    /// The fleet.
+    /// The nodes and the store.
     pub gateway: Gateway,
     service: &'static str,
-    /// All replicas that ever ran.
+    /// All replicas that were started, including the crashed ones.
     pub replicas: Vec<RunningReplica>,
     attempts: usize,
 }
 
 impl CrashingFleet {
-    /// Nodes that know each other.
+    /// Starts a fleet whose nodes know each other.
     pub async fn start(service: &'static str) -> CrashingFleet {
         CrashingFleet::start_with(service, Gateway::start_node).await
     }
 
-    /// Nodes that are started so.
+    /// Starts a fleet whose nodes are started by `start_node`.
     pub async fn start_with(
         service: &'static str,
         start_node: impl Fn(&mut Gateway) -> usize,
@@ -63,11 +63,11 @@
             fleet.gateway.until_ready(node).await;
         }
         let follows = async || fleet.gateway.logs().contains("event=store_watch");
-        fleet.gateway.until("a node follows the store", follows).await;
+        fleet.gateway.until("a node watches the store", follows).await;
         fleet
     }
 
-    /// One replica more.
+    /// Starts one more replica.
     pub async fn add_replica(&mut self) {
         let id = format!("{}-{}", self.service, self.replicas.len() + 1);
         let running = self.gateway.start_replica(self.service, &id, EVENTS).await;
@@ -75,19 +75,19 @@
         self.replicas.push(running);
     }
 
-    /// Replicas that have ended.
+    /// The number of replicas that have crashed.
     pub fn ended_count(&self) -> usize {
         self.replicas.iter().filter(|running| running.replica.has_ended()).count()
     }
 
-    /// Requests with the body that reached replicas.
+    /// The number of requests with the crashing body that reached replicas.
     pub fn sends(&self) -> usize {
         let seen = self.replicas.iter().flat_map(|running| running.replica.seen());
         seen.filter(|seen| seen.body == CRASHING_BODY).count()
     }
 
-    /// The caller tries once more, at the next node. Replicas that end start again under another id
-    /// meanwhile, and lapse.
+    /// Sends the caller's next attempt to the next node. Replicas that crash meanwhile are replaced by ones
+    /// with new ids, and removed from the list.
     pub async fn attempt(&mut self, make_request: impl Fn(&str) -> Request<Full<Bytes>>) -> Called {
         let before = self.ended_count();
         self.attempts += 1;
@@ -101,7 +101,7 @@
         called
     }
 
-    /// Ended replicas are no longer listed, some time after their end.
+    /// Removes crashed replicas from the store after [`UNLISTED_AFTER`].
     fn unlist_ended_replicas(&self) {
         for running in self.replicas.iter().filter(|running| running.replica.has_ended()) {
             let (store, id) = (self.gateway.store.clone(), running.replica.id.clone());
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Tries until three replicas have ended and everyone may know; returns how many sends there were.
+    /// Sends attempts until [`CRASHES_UNTIL_QUARANTINE`] replicas have crashed and all nodes have had time to
+    /// quarantine the request; returns the number of sends so far.
     pub async fn until_quarantined(&mut self, make_request: impl Fn(&str) -> Request<Full<Bytes>>) -> usize {
         while self.ended_count() < CRASHES_UNTIL_QUARANTINE {
             self.attempt(&make_request).await;
@@ -124,12 +125,12 @@
         self.sends()
     }
 
-    /// What each node sends to no replica.
+    /// The fingerprints of requests that the node has in quarantine.
     pub async fn quarantined(&self, node: usize) -> Vec<String> {
         self.gateway.node_status(node).await.quarantined
     }
 
-    /// Asserts that nothing speaks against any request at any node.
+    /// Asserts that no node suspects any request.
     pub fn assert_no_request_suspected(&self) {
         for node in 0..NODES {
             let log = self.gateway.log(node);
@@ -138,7 +139,7 @@
     }
 }
 
-/// A request whose body ends replicas.
+/// Replaces the body of a request by the one that crashes replicas.
 pub fn with_crashing_body(req: Request<Full<Bytes>>) -> Request<Full<Bytes>> {
     req.map(|_| Full::from(CRASHING_BODY))
 }
--- a/node/tests/test_gateway_chosen_nodes.rs
+++ b/node/tests/test_gateway_chosen_nodes.rs
@@ -1,5 +1,5 @@
-//! Places that one node holds, chosen by a hash over who is believed to be alive: what callers get between the moment
-//! at which it ends or is suspended and the belief in its death.
+//! Roles held by one node, which is chosen by a rendezvous hash over the nodes considered alive: what callers
+//! get from the moment at which that node is killed or suspended until the others consider it dead.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 use crate::loaded_fleet::LoadedFleet;
 
 const NODES: usize = 6;
-/// As long as a death may go unbelieved, and a little longer.
+/// Slightly longer than the fleet may take to consider a node dead.
 const UNAVAILABLE_FOR: Duration = Duration::from_millis(4_500);
-/// Nothing goes to a closed hall later than this after it was closed.
+/// The time after which no requests are sent to a closed hall.
 const EVACUATED_WITHIN: Duration = Duration::from_secs(5);
 
-/// What happens to the node that holds the place.
+/// What happens to the node that holds the role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NodeFailure {
     Killed,
@@ -47,19 +47,19 @@
     }
 }
 
-/// The node that a name is hashed to.
+/// The node that the rendezvous hash chooses for a name.
 fn chosen_node(gateway: &Gateway, name: &str) -> usize {
     let peers: Vec<String> = (0..NODES).map(|node| gateway.peer(node)).collect();
     let first = rendezvous::pick(name, &peers).expect("there are nodes");
-    peers.iter().position(|peer| peer == first).expect("one of them")
+    peers.iter().position(|peer| peer == first).expect("the chosen peer is one of the nodes")
 }
 
-/// A rate for each node but one.
+/// The same rate for all nodes except one, which gets no requests.
 fn rates_without(node: usize, rate: f64) -> Vec<f64> {
     (0..NODES).map(|other| if other == node { 0.0 } else { rate }).collect()
 }
 
-/// A lead that is silent is passed over by each node that asks it.
+/// Each node skips a lead that does not answer its requests.
 #[tokio::test]
 async fn test_streams_start_while_the_lead_of_their_service_is_unavailable() {
     for failure in NodeFailure::ALL {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Whoever grants what a replica's limit allows is replaced by a substitute, whose grants and its own later ones keep
-/// to the limit together.
+/// A substitute replaces the node that grants shares of a replica's limit. Its grants and the later ones of
+/// the original node stay within the limit together.
 #[tokio::test]
 async fn test_a_limit_is_kept_while_its_granting_node_is_unavailable() {
     for failure in NodeFailure::ALL {
@@ -94,11 +94,11 @@
         fleet.assert_all_kept(&limits, binds);
         let got =
             fleet.arrivals(0, failed_at).into_iter().filter(|at| *at < failed_at + UNAVAILABLE_FOR).count();
-        assert!(got > 0, "{failure:?}: nobody used the limit\n{}", fleet.gateway.logs());
+        assert!(got > 0, "{failure:?}: no request used the limit\n{}", fleet.gateway.logs());
     }
 }
 
-/// The standbys of who follows the store first tell all others what it would have told.
+/// The standbys of the first store watcher announce to all other nodes what it would have announced.
 #[tokio::test]
 async fn test_halls_are_closed_in_time_while_the_first_store_watcher_is_unavailable() {
     for failure in NodeFailure::ALL {
@@ -109,20 +109,24 @@
         let closed_at = Instant::now();
         gateway.store.put("evacuations", "hall-1", json!({}));
         for node in (0..NODES).filter(|node| *node != first_watcher) {
-            gateway.until("it is known", async || closed_halls(gateway, node).await == ["hall-1"]).await;
+            gateway
+                .until("the nodes know that the hall is closed", async || {
+                    closed_halls(gateway, node).await == ["hall-1"]
+                })
+                .await;
         }
         let known_after = closed_at.elapsed();
         failure.recover(gateway, first_watcher);
         assert!(known_after < EVACUATED_WITHIN, "{failure:?}: {known_after:?}\n{}", gateway.logs());
         gateway
-            .until("the first knows, too", async || {
+            .until("the first watcher knows that the hall is closed", async || {
                 failure == NodeFailure::Killed || closed_halls(gateway, first_watcher).await == ["hall-1"]
             })
             .await;
     }
 }
 
-/// A new configuration reaches all nodes in that time, too.
+/// A new configuration reaches all other nodes while the first store watcher is unavailable, too.
 #[tokio::test]
 async fn test_a_configuration_spreads_while_the_first_store_watcher_is_unavailable() {
     for failure in NodeFailure::ALL {
--- a/node/tests/test_gateway_closed_halls.rs
+++ b/node/tests/test_gateway_closed_halls.rs
@@ -1,5 +1,5 @@
-//! Halls that the operator closes: nothing new goes there, what runs there ends by itself, and all nodes
-//! know of it.
+//! Halls that the operator closes: they get no new requests, running ones complete there, and all nodes are
+//! notified.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 
 const HALLS: [&str; 2] = ["hall-1", "hall-2"];
 
-/// A fleet with a replica of each service in two halls.
+/// Starts one node, and a replica of each service in each of two halls.
 async fn start_two_halls() -> (Gateway, [RunningReplica; 2], [RunningReplica; 2]) {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
@@ -33,16 +33,16 @@
             gateway.store.put("servers", &replica.replica.id, entry_in_hall(service, &replica, hall));
             running.push(replica);
         }
-        services.push(running.try_into().ok().expect("two"));
+        services.push(running.try_into().ok().expect("two replicas or services"));
     }
     let node = gateway.start_node();
     gateway.until_ready(node).await;
-    let models = services.pop().expect("two");
-    (gateway, services.pop().expect("two"), models)
+    let models = services.pop().expect("two replicas or services");
+    (gateway, services.pop().expect("two replicas or services"), models)
 }
 
 fn entry_in_hall(service: &str, running: &RunningReplica, hall: &str) -> serde_json::Value {
-    let address = running.server.as_ref().expect("it serves").address;
+    let address = running.server.as_ref().expect("the replica is serving").address;
     replica_entry(service, address, hall, "ready")
 }
 
@@ -52,14 +52,16 @@
 }
 
 async fn until_closed_halls_are(gateway: &Gateway, node: usize, halls: &[&str]) {
-    gateway.until("what is closed", async || closed_halls(gateway, node).await == halls).await;
+    gateway
+        .until("the node knows which halls are closed", async || closed_halls(gateway, node).await == halls)
+        .await;
 }
 
 #[tokio::test]
 async fn test_nothing_new_goes_to_a_closed_hall_until_it_is_opened() {
     let (gateway, bookings, models) = start_two_halls().await;
     let (running, ()) = tokio::join!(gateway.call(0, chat("runs")), async {
-        gateway.until("it runs", async || models.iter().any(|m| !m.replica.seen().is_empty())).await;
+        gateway.until("the stream runs", async || models.iter().any(|m| !m.replica.seen().is_empty())).await;
         gateway.store.put("evacuations", "hall-1", json!({}));
         until_closed_halls_are(&gateway, 0, &["hall-1"]).await;
         let before = [&bookings[0], &models[0]].map(|r| r.replica.seen().len());
@@ -71,20 +73,23 @@
         let after = [&bookings[0], &models[0]].map(|r| r.replica.seen().len());
         assert_eq!(after, before, "{}", gateway.logs());
     });
-    assert!(running.whole && running.events() == Some(60), "what ran there ends by itself: {running:?}");
+    assert!(
+        running.whole && running.events() == Some(60),
+        "a running stream completes in its closed hall: {running:?}"
+    );
     gateway.store.delete("evacuations", "hall-1");
     until_closed_halls_are(&gateway, 0, &[]).await;
     let before = bookings[0].replica.seen().len();
     gateway
-        .until("a call there", async || {
+        .until("a call is sent to the opened hall", async || {
             gateway.status_of(0, "/read/x", KEY).await;
             bookings[0].replica.seen().len() > before
         })
         .await;
 }
 
-/// Where all halls are closed, callers are told at once that nothing ran, and when to come back; who waits
-/// already is told as well.
+/// While all halls are closed, requests are refused at once with the information that nothing was executed
+/// and when to retry. Requests that are already waiting are refused in the same way.
 #[tokio::test]
 async fn test_requests_are_refused_at_once_while_all_halls_are_closed() {
     let (gateway, bookings, models) = start_two_halls().await;
@@ -96,8 +101,8 @@
         let refused = gateway.call(0, req).await;
         assert_eq!((refused.status, refused.code()), (503, 2104), "{refused:?}\n{}", gateway.logs());
         let back: f64 = refused.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
-        assert!(back >= 2.0, "{back}: no hall is opened as soon as an engine is free");
-        // The objective is 500 ms: held for a quarter of it, this would count as waiting.
+        assert!(back >= 2.0, "{back}: must not depend on when an engine becomes free");
+        // The objective is 500 ms: a request held for a quarter of it would count as waiting.
         let refused_after = sent_at.elapsed();
         assert!(refused_after < Duration::from_secs(2), "{refused_after:?}");
     }
@@ -105,7 +110,8 @@
     assert_eq!(after, before);
 }
 
-/// A node that the store turns away hears of it from others, and so does one that starts meanwhile.
+/// A node whose store refuses requests is notified of closed halls by other nodes, and so is a node that
+/// starts meanwhile.
 #[tokio::test]
 async fn test_nodes_announce_closed_halls_to_each_other() {
     let (mut gateway, bookings, _models) = start_two_halls().await;
@@ -117,7 +123,8 @@
     let second = gateway.start_node_at(server.address);
     gateway.until_ready(second).await;
     own.set_fault(StoreFault::Refuses);
-    // Revisions are the store's: what the other one says is as old as it gets.
+    // Updates are ordered by revisions, which each store counts on its own: an update from the other store is
+    // as old as its revision there says.
     gateway.store.put("evacuations", "hall-2", json!({"note": "whatever stands here"}));
     until_closed_halls_are(&gateway, 0, &["hall-2"]).await;
     until_closed_halls_are(&gateway, second, &["hall-2"]).await;
@@ -129,7 +136,7 @@
     }
 }
 
-/// A store that forgets its history while a hall is closed or opened.
+/// Closed halls stay correct although the store forgets its history while a hall is closed or opened.
 #[tokio::test]
 async fn test_closed_halls_are_read_from_a_store_without_history() {
     let (gateway, _bookings, _models) = start_two_halls().await;
--- a/node/tests/test_gateway_crash_evidence.rs
+++ b/node/tests/test_gateway_crash_evidence.rs
@@ -1,5 +1,5 @@
-//! What is not held against a request: breaks at replicas that live, planned ends, and ends of replicas
-//! that run everything.
+//! Events that must not make a request suspect: broken connections of live replicas, planned shutdowns, and
+//! crashes of replicas that run the same frequent call.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 use crate::gateway_environment::chat;
 use crate::gateway_environment::request;
 
-/// What a break was taken for is known after this.
+/// The time within which a node finds out whether a broken connection was a crash.
 const BREAK_CLASSIFIED_WITHIN: Duration = Duration::from_millis(600);
 
-/// Replicas break off streams, and answers to calls, and live.
+/// Replicas break off streams before their first event, and stay alive.
 #[tokio::test]
 async fn test_a_broken_stream_of_a_live_replica_is_no_crash() {
     let mut fleet = CrashingFleet::start(MODEL).await;
@@ -56,8 +56,8 @@
     for running in &fleet.replicas {
         proxies.push(fleet.gateway.put_proxy_before(MODEL, running).await);
     }
-    // The nodes have read the new addresses.
-    fleet.gateway.until("it is served", async || fleet.gateway.call(0, chat("r-0")).await.whole).await;
+    // Wait until the nodes have read the new addresses.
+    fleet.gateway.until("a request is served", async || fleet.gateway.call(0, chat("r-0")).await.whole).await;
     for n in 0..2 * NODES {
         let id = format!("r-{n}");
         let calling = fleet.gateway.call(n % NODES, chat(&id));
@@ -75,7 +75,7 @@
     assert!(fleet.attempt(chat).await.whole);
 }
 
-/// A replica says that it leaves, and ends with what it still runs.
+/// A replica announces that it is leaving, and shuts down with a call still running.
 #[tokio::test]
 async fn test_a_planned_shutdown_makes_no_request_suspect() {
     let mut fleet = CrashingFleet::start(BOOKING).await;
@@ -85,8 +85,8 @@
         let calling = fleet.gateway.call(n % NODES, request("GET", "/book/x", KEY, &id));
         let ending = async {
             let reached = || fleet.replicas.iter().find(|running| running.replica.running() > 0);
-            fleet.gateway.until("it arrives", async || reached().is_some()).await;
-            let running = reached().expect("one");
+            fleet.gateway.until("the call arrives at a replica", async || reached().is_some()).await;
+            let running = reached().expect("a replica runs the call");
             fleet.gateway.drain(BOOKING, running);
             tokio::time::sleep(BREAK_CLASSIFIED_WITHIN).await;
             running.replica.end();
@@ -98,11 +98,11 @@
     fleet.assert_no_request_suspected();
     fleet.add_replica().await;
     let is_served = async || fleet.gateway.status_of(0, "/book/x", KEY).await == 200;
-    fleet.gateway.until("it is served", is_served).await;
+    fleet.gateway.until("a request is served", is_served).await;
 }
 
-/// Half of all replicas end at once, again and again, under a call that everyone makes: it runs on all of
-/// them, ends well on the rest, and is served all the time.
+/// Half of all replicas crash at once, repeatedly, under a frequent call that runs on all of them. As it
+/// succeeds on the other replicas, it must not be quarantined, and is served throughout.
 #[tokio::test]
 async fn test_a_frequent_call_is_served_while_replicas_crash() {
     let mut fleet = CrashingFleet::start(BOOKING).await;
--- a/node/tests/test_gateway_crashing_requests.rs
+++ b/node/tests/test_gateway_crashing_requests.rs
@@ -1,14 +1,11 @@
-//! Requests that end each replica that begins to run them.
+//! Requests that crash each replica that begins to run them.
 //!
-//! What users saw: one summary of a failed build came again and again, with another request id and at
-//! another node each time. Each replica that began it ended 0.1 s later, with all that ran there; 13 of a
-//! service's 12 replicas ended in 14 s, and those that had started again ended once more.
-//! The order of events: a caller's attempt is sent to one replica; that replica ends, the caller's
-//! connection breaks; the caller comes back to another node, which has never heard of the request.
-//! The cause: an attempt's end says something of its replica, and nothing of its request, neither at the
-//! node that saw it nor at any other.
-//! The evidence: the runs that broke before their first event at six nodes carry one fingerprint, that of
-//! a request whose replicas were all gone afterwards.
+//! Guards against a caller that retries such a request at other nodes and with other request ids, and crashes
+//! all replicas of a service, each 0.1 s after the request began there and with all other requests on it (13
+//! crashes among 12 replicas in 14 s). It comes about if a failed attempt counts against its replica only, as
+//! then neither the node that saw the failure nor any other recognises the request. The evidence is that runs
+//! that broke before their first event at six nodes share one fingerprint, and that all their replicas were
+//! gone afterwards.
 
 use bytes::Bytes;
 use http::Request;
@@ -27,11 +24,11 @@
 use crate::gateway_environment::request;
 use crate::gateway_environment::tag;
 
-/// The store's kind of such requests.
+/// The kind of the store objects for suspect requests.
 const KIND: &str = "crash-suspects";
 
-/// The request comes at all nodes in turn, for longer than they need to learn of it. It must reach
-/// hardly any replica after that, and whatever else there is must be served.
+/// Sends the request to all nodes in turn, for longer than they need to quarantine it. After that it must
+/// reach hardly any replica, and other requests must be served.
 async fn check_is_quarantined(service: &'static str, make_request: impl Fn(&str) -> Request<Full<Bytes>>) {
     let mut fleet = CrashingFleet::start(service).await;
     let crashing_request = |id: &str| with_crashing_body(make_request(id));
@@ -40,7 +37,11 @@
         fleet.attempt(crashing_request).await;
     }
     let late = fleet.sends() - sends_until_quarantine;
-    assert!(late <= MAX_LATE_SENDS, "{late} sends after everyone could know\n{}", fleet.gateway.logs());
+    assert!(
+        late <= MAX_LATE_SENDS,
+        "{late} sends after all nodes should have quarantined the request\n{}",
+        fleet.gateway.logs()
+    );
     for node in 0..NODES {
         let called = fleet.gateway.call(node, make_request("r-sound")).await;
         assert!(called.status == 200 && called.whole, "{called:?}\n{}", fleet.gateway.logs());
@@ -62,7 +63,7 @@
     check_is_quarantined(MODEL, tag).await;
 }
 
-/// Each request that everyone knows of gets its answer at once, and is not told to come back soon.
+/// All nodes refuse a quarantined request at once, with a `retry-after` close to the hour of the quarantine.
 #[tokio::test]
 async fn test_a_quarantined_request_is_refused_for_the_rest_of_its_quarantine() {
     let mut fleet = CrashingFleet::start(MODEL).await;
@@ -77,7 +78,8 @@
     }
 }
 
-/// Nothing that a node knows outlasts it: after all have gone, the store still knows.
+/// Nodes keep no state over a restart: after all of them have restarted, they read the quarantine from the
+/// store.
 #[tokio::test]
 async fn test_a_quarantine_survives_a_restart_of_all_nodes() {
     let mut fleet = CrashingFleet::start(MODEL).await;
@@ -86,7 +88,10 @@
     (0..NODES).for_each(|node| fleet.gateway.start_again(node));
     for node in 0..NODES {
         fleet.gateway.until_ready(node).await;
-        fleet.gateway.until("it is known", async || fleet.quarantined(node).await.len() == 1).await;
+        fleet
+            .gateway
+            .until("the quarantine is read from the store", async || fleet.quarantined(node).await.len() == 1)
+            .await;
     }
     for _ in 0..2 * NODES {
         fleet.attempt(|id| with_crashing_body(chat(id))).await;
@@ -94,17 +99,22 @@
     assert_eq!(fleet.sends(), sends_until_quarantine, "{}", fleet.gateway.logs());
 }
 
-/// A node that starts later is told by the others, also where the store answers it nothing.
+/// A node that starts later receives the quarantine from the others, also if the store does not answer it.
 #[tokio::test]
 async fn test_a_node_that_starts_later_receives_the_quarantine() {
     let mut fleet = CrashingFleet::start(MODEL).await;
     fleet.until_quarantined(|id| with_crashing_body(chat(id))).await;
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let node = fleet.gateway.start_node_at(nowhere);
-    fleet.gateway.until("it is told", async || fleet.quarantined(node).await.len() == 1).await;
+    fleet
+        .gateway
+        .until("the quarantine is received from other nodes", async || {
+            fleet.quarantined(node).await.len() == 1
+        })
+        .await;
 }
 
-/// Nodes that reach the store and no other node learn from it.
+/// Nodes that reach the store but no other node share a quarantine through the store.
 #[tokio::test]
 async fn test_nodes_that_reach_only_the_store_share_a_quarantine() {
     let start_node = |gateway: &mut Gateway| gateway.start_lone_node_at(gateway.store_address());
@@ -121,7 +131,7 @@
     assert!(fleet.gateway.logs().contains("event=request_quarantined"), "{}", fleet.gateway.logs());
 }
 
-/// The replicas' software is mended, and an operator removes the request's object.
+/// An operator lifts a quarantine by removing its store object after the software of the replicas was fixed.
 #[tokio::test]
 async fn test_an_operator_lifts_a_quarantine() {
     let mut fleet = CrashingFleet::start(MODEL).await;
@@ -131,9 +141,12 @@
     assert_eq!(names.len(), 1);
     fleet.gateway.store.delete(KIND, &names[0]);
     for node in 0..NODES {
-        fleet.gateway.until("it is lifted", async || fleet.quarantined(node).await.is_empty()).await;
+        fleet
+            .gateway
+            .until("the quarantine is lifted", async || fleet.quarantined(node).await.is_empty())
+            .await;
         let called = fleet.gateway.call(node, with_crashing_body(chat("r-lifted"))).await;
         assert!(called.status == 200 && called.whole, "{called:?}\n{}", fleet.gateway.logs());
     }
-    assert!(fleet.gateway.store.names(KIND).is_empty(), "nobody writes it again");
+    assert!(fleet.gateway.store.names(KIND).is_empty(), "no node writes the removed object again");
 }
--- a/node/tests/test_gateway_inventories.rs
+++ b/node/tests/test_gateway_inventories.rs
@@ -1,4 +1,4 @@
-//! What leads know of the generations of other nodes.
+//! Leads learn of the generations of other nodes from their inventories.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::gateway_environment::config;
 use crate::gateway_environment::send;
 
-/// Events of each generation: some twelve seconds of them.
+/// The number of events of each generation, which lasts some twelve seconds.
 const EVENTS: u64 = 800;
 
-/// A stream that goes on as long as this lives.
+/// A stream that stays open until this is dropped.
 type OpenStream = (AbortOnDropHandle<()>, Response<Incoming>);
 
-/// A status is older than this at no time.
+/// The maximum age of a node's status.
 const MAX_STATUS_AGE: Duration = Duration::from_millis(3_000);
 
-/// Two nodes that serve `config`; each knows which services it leads.
+/// Starts two nodes that serve `config`, and waits until each service has exactly one lead.
 async fn start_two_nodes(config: Value) -> Gateway {
     let models = config["services"].as_array().expect("services").len() - 1;
     let mut gateway = Gateway::start().await;
@@ -33,7 +33,7 @@
         gateway.start_node();
         gateway.until_ready(node).await;
     }
-    gateway.until("they know each other", async || gateway.log(0).contains("nodes_met")).await;
+    gateway.until("the nodes know each other", async || gateway.log(0).contains("nodes_met")).await;
     gateway
         .until("each service has one lead", async || {
             let (mut led, others) =
@@ -46,7 +46,7 @@
     gateway
 }
 
-/// The generations that a node knows of, by the services that it leads.
+/// The number of generations that a node knows of, for each service that it leads.
 async fn running_generations(gateway: &Gateway, node: usize) -> BTreeMap<String, u64> {
     let req = http::Request::get("/status").header("host", "x").body(Default::default()).expect("valid");
     let status = crate::gateway_environment::call(&gateway.metrics(node), req).await;
@@ -60,13 +60,13 @@
 async fn open_stream(gateway: &Gateway, node: usize, path: &str, id: &str) -> OpenStream {
     let mut req = chat(id);
     *req.uri_mut() = path.parse().expect("a path");
-    let open = send(&gateway.front(node), req).await.expect("it begins");
+    let open = send(&gateway.front(node), req).await.expect("the stream begins");
     assert_eq!(open.1.status(), 200, "{}", gateway.logs());
     open
 }
 
-/// 50 generations at engines with names of 400 bytes take 20 kB to tell of, more than a datagram
-/// holds. A lead that starts anew must learn of all of them all the same.
+/// The inventory of 50 generations at engines with names of 400 bytes takes 20 kB, more than a datagram
+/// holds. A restarted lead must learn of all of them nevertheless.
 #[tokio::test]
 async fn test_a_new_lead_learns_of_all_generations_of_a_busy_node() {
     let mut config = config(1);
@@ -97,8 +97,8 @@
     assert_eq!(known, 50, "{}", gateway.logs());
 }
 
-/// What a node tells a lead of one service must not end what it told of another one that the same
-/// node leads: of four services, one of two nodes leads two or more.
+/// An inventory that a node sends to the lead of one service must not replace the one for another service
+/// with the same lead. Of four services, one of two nodes leads two or more.
 #[tokio::test]
 async fn test_a_lead_of_several_services_knows_the_generations_of_all() {
     let mut config = config(1);
@@ -134,5 +134,11 @@
         let running = running_generations(&gateway, lead).await;
         unknown += led.iter().filter(|name| running.get(*name) != Some(&1)).count();
     }
-    assert_eq!(unknown, 0, "of 30 looks at {} generations that run\n{}", led.len(), gateway.logs());
+    assert_eq!(
+        unknown,
+        0,
+        "generations unknown to their lead in 30 checks of {} running ones\n{}",
+        led.len(),
+        gateway.logs()
+    );
 }
--- a/node/tests/test_gateway_limits.rs
+++ b/node/tests/test_gateway_limits.rs
@@ -1,5 +1,5 @@
-//! Bounds on what callers may send, and how long they may take: those of the configuration in
-//! force, for connections that were open before it as well.
+//! Limits on the size and the duration of what callers send. The configuration in force applies to
+//! connections that were open before it, too.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,20 +14,20 @@
 use crate::gateway_environment::config;
 use crate::gateway_environment::request;
 
-/// Bounds how long a test waits for a connection's end: far above every limit set here, and
-/// far below the one that must no longer hold.
+/// How long a test waits until a connection is closed: far above every limit set here, and far below the one
+/// that must no longer apply.
 const READ_TIMEOUT: Duration = Duration::from_secs(8);
 
 async fn connect(gateway: &Gateway) -> TcpStream {
-    TcpStream::connect(gateway.front(0)).await.expect("it listens")
+    TcpStream::connect(gateway.front(0)).await.expect("the node listens")
 }
 
-/// Reads until the node closes the connection; returns what came and how long it took.
+/// Reads until the node closes the connection; returns the received text and how long that took.
 async fn read_to_end(stream: &mut TcpStream) -> (String, Duration) {
     let began = Instant::now();
     let mut text = Vec::new();
     let reading = tokio::time::timeout(READ_TIMEOUT, stream.read_to_end(&mut text)).await;
-    // A connection that is reset is closed as well.
+    // A reset connection counts as closed.
     let _ = reading.expect("the node closes the connection");
     (String::from_utf8_lossy(&text).into_owned(), began.elapsed())
 }
@@ -60,7 +60,7 @@
     assert!(took >= Duration::from_millis(900), "the limit is 1 s: {took:?}");
 }
 
-/// A shorter limit holds at once for a connection that was idle before.
+/// A shorter limit applies at once to a connection that is already idle.
 #[tokio::test]
 async fn test_idle_connections_follow_a_new_limit() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
@@ -74,10 +74,10 @@
     assert!(buf[..read].starts_with(b"HTTP/1.1 200"), "{}", String::from_utf8_lossy(&buf[..read]));
     gateway.store.put("config", "main", with_limits(2, 1_000, 300));
     let (rest, _) = read_to_end(&mut stream).await;
-    assert_eq!(rest, "", "nothing but the end");
+    assert_eq!(rest, "", "the connection is closed without further data");
 }
 
-/// A longer limit keeps a connection open that the old one would have ended.
+/// A longer limit keeps a connection open that would have been closed under the old one.
 #[tokio::test]
 async fn test_a_longer_limit_keeps_a_connection_open() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
@@ -87,17 +87,16 @@
     gateway.store.put("config", "main", with_limits(3, 1_000, 60_000));
     let mut byte = [0; 1];
     let closed = tokio::time::timeout(Duration::from_millis(2_500), stream.read(&mut byte)).await;
-    assert!(closed.is_err(), "it stays open");
+    assert!(closed.is_err(), "the connection stays open");
 }
 
-/// How long the head of a request is held back, around the moment at which its connection breaks
-/// the limit of 1 s and has a tenth of a second to close.
+/// How long a part of the request head is delayed, around the moment at which its connection exceeds the
+/// limit of 1 s and has a tenth of a second to close.
 const HEAD_DELAYS_MS: [u64; 10] = [960, 980, 1_000, 1_020, 1_040, 1_060, 1_080, 1_100, 1_120, 1_140];
 
-/// A stream was cut 100 ms after it had begun: the rest of its request's head came just after its
-/// connection had broken the limit on heads, the request was taken and handed to an engine, and the
-/// connection was dropped with it when the time to close was over. Found by reading; the engine
-/// told of a caller that left.
+/// Guards against a stream that is cut 100 ms after its start. If the rest of the request head arrives just
+/// after the connection has exceeded the head timeout, the request may be accepted and sent to an engine, and
+/// the connection dropped with it once the time to close is over. The engine then sees a caller that left.
 #[tokio::test]
 async fn test_a_request_accepted_at_the_head_timeout_is_served() {
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
@@ -115,7 +114,7 @@
     assert!(cut.is_empty(), "cut after {cut:?} ms\n{}", gateway.logs());
 }
 
-/// Asks for a stream and holds a part of the head back so long; returns what came.
+/// Requests a stream with a part of the head delayed; returns the received text.
 async fn request_stream_with_delayed_head(gateway: &Gateway, delay_ms: u64) -> String {
     let mut stream = connect(gateway).await;
     stream.write_all(b"POST /chat/x HTTP/1.1\r\nhost: h.example\r\n").await.expect("writable");
@@ -124,11 +123,11 @@
         "leadstage-request-id: r-{delay_ms}\r\nleadstage-model: m\r\nleadstage-token-usage: 100,2000\r\n\
          authorization: Token {KEY}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
     );
-    // It may be closed already.
+    // The connection may be closed already.
     let _ = stream.write_all(rest.as_bytes()).await;
     let mut text = Vec::new();
     let reading = tokio::time::timeout(READ_TIMEOUT, stream.read_to_end(&mut text)).await;
-    // A connection that is reset is closed as well.
+    // A reset connection counts as closed.
     let _ = reading.expect("the node closes the connection");
     String::from_utf8_lossy(&text).into_owned()
 }
--- a/node/tests/test_gateway_replica_limits.rs
+++ b/node/tests/test_gateway_replica_limits.rs
@@ -1,13 +1,10 @@
-//! Replicas that name a limit, and get more than it.
+//! Replicas that announce a limit must not get more requests than that from all nodes together.
 //!
-//! What users saw: two of the three replicas of a service for plain calls were in need and named 3.1 and
-//! 4.4 requests a second in their answers; 3 s later they had got 28 and 46 in 4 s from six nodes, where
-//! one and a half times the limit and 5 requests are allowed: 24 and 31.
-//! The order of events: a replica names its limit in an answer; the node passes the answer on and sends the
-//! next request there as before; so do the five others, each of which chooses by what is in flight there.
-//! The cause: no node reads what a replica names, and a bound on the sum over all nodes is kept by nobody.
-//! The evidence: in this test's logs each node hears the limit (`limit_named`), and goes on sending first
-//! attempts there (`sent_to_limited ... sent=0`), at the rate from before.
+//! Guards against nodes that ignore limits in answers and choose replicas only by the requests in flight
+//! there, while no node enforces a bound on the sum over all nodes. Two of three replicas of a service for
+//! plain calls then announced 3.1 and 4.4 requests a second, and 3 s later got 28 and 46 requests in 4 s from
+//! six nodes, where 1.5 times the limit and 5 requests are allowed: 24 and 31. In the logs, each node notes
+//! the limit (`limit_named`) and keeps sending first attempts at the old rate (`sent_to_limited ... sent=0`).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,16 +21,16 @@
 use crate::loaded_fleet::LoadedFleet;
 use crate::loaded_fleet::assert_all_served;
 
-/// Nodes of the users' fleet.
+/// The number of nodes.
 const NODES: usize = 6;
-/// What is measured once limits bind.
+/// How long requests are measured once limits apply.
 const MEASURED_FOR: Duration = Duration::from_secs(8);
-/// A node renews its status each 2 s.
+/// The maximum age of a node's status, which it renews every 2 s.
 const MAX_STATUS_AGE: Duration = Duration::from_millis(2_500);
-/// A refusal that needs no waiting comes within this, on a busy machine too.
+/// The time within which an immediate refusal arrives, on a busy machine too.
 const REFUSED_WITHIN: Duration = Duration::from_secs(1);
 
-/// Two of three replicas are in need; the third one takes the rest.
+/// Two of three replicas are rate-limited; the third one takes the remaining requests.
 async fn check_two_limited_replicas(per_second: &[f64; NODES]) {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
     let limits = [3.0, 4.4];
@@ -54,8 +51,9 @@
     check_two_limited_replicas(&[30.0, 0.0, 0.0, 1.0, 8.0, 0.0]).await;
 }
 
-/// One of three replicas comes into need under its usual load, 55 requests a second. Windows that reach
-/// back to before count too: with what it names granted at once it gets some 86 in 4 s, of 77 allowed.
+/// One of three replicas becomes rate-limited under its usual load of 55 requests a second. Windows that
+/// begin before that count too: if its whole limit were granted at once, it would get some 86 requests in
+/// 4 s, of 77 allowed.
 #[tokio::test]
 async fn test_a_newly_rate_limited_replica_is_avoided_at_first() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
@@ -71,7 +69,7 @@
     fleet.assert_all_used(&limits, binds, MEASURED_FOR);
 }
 
-/// Generations come through the lead of their model, which no other node goes around.
+/// All generations are placed by the lead of their model; no node bypasses it.
 #[tokio::test]
 async fn test_limits_of_engines_are_kept() {
     let fleet = LoadedFleet::start(MODEL, NODES, 3).await;
@@ -82,8 +80,8 @@
     fleet.assert_all_used(&[2.0], binds, MEASURED_FOR);
 }
 
-/// All replicas are in need: what they take is served, and the rest is refused at once, with a time to come
-/// back.
+/// All replicas are rate-limited: requests within the limits are served, and the others are refused at once,
+/// with a time after which to retry.
 #[tokio::test]
 async fn test_requests_above_the_limits_of_all_replicas_are_refused_at_once() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
@@ -102,8 +100,8 @@
     }
 }
 
-/// Calls that may be repeated fail at the replica without a limit: their second attempts go to the two in
-/// need, and count there like first ones.
+/// Repeatable calls fail at the replica without a limit. Their second attempts go to the two rate-limited
+/// replicas, and count against the limits like first attempts.
 #[tokio::test]
 async fn test_retries_count_against_limits() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
@@ -114,7 +112,7 @@
     fleet.assert_all_kept(&limits, binds);
 }
 
-/// The need ends: the first answer without a limit is told to all nodes, whoever gets it.
+/// The node that receives the first answer without a limit announces the end of the limit to all nodes.
 #[tokio::test]
 async fn test_a_limit_ends_with_the_first_answer_without_one() {
     let fleet = LoadedFleet::start(BOOKING, NODES, 1).await;
@@ -130,7 +128,7 @@
     assert_all_served(&answers, &fleet);
 }
 
-/// Whoever grants is killed, and another node takes over with nothing saved up.
+/// The granting node is killed, and another node takes over without any saved-up grants.
 #[tokio::test]
 async fn test_limits_are_kept_while_nodes_are_lost() {
     let mut fleet = LoadedFleet::start(BOOKING, NODES, 3).await;
@@ -148,8 +146,8 @@
     fleet.assert_all_kept(&limits, binds);
 }
 
-/// A cold replica that names a limit is given no more than either allows: grants come beside no share of what
-/// a cold one bears. It bears 4 requests a second, and 12 a second are named.
+/// A cold replica with a limit gets no more than the lower of its limit and its cold rate: grants do not add
+/// to its cold rate. The cold rate is 4 requests a second, and the limit 12 a second.
 #[tokio::test]
 async fn test_a_cold_replica_with_a_limit_gets_no_more_than_a_cold_one() {
     const COLD_RATE_PER_S: u32 = 4;
@@ -172,7 +170,7 @@
     assert!((1..=COLD_RATE_PER_S as usize).contains(&most), "{most} in a second\n{}", fleet.gateway.logs());
 }
 
-/// What a replica takes from all nodes is not for callers.
+/// The limit of a replica on all nodes together is removed from its answers to callers.
 #[tokio::test]
 async fn test_limits_are_not_passed_on_to_callers() {
     let fleet = LoadedFleet::start(BOOKING, 1, 1).await;
@@ -181,7 +179,8 @@
     assert_eq!((called.status, called.header("server-limit")), (200, None), "{called:?}");
 }
 
-/// Of a limit of 0.4 a second 16 nodes have no whole share each; 7 requests are allowed in 4 s.
+/// Divided among 16 nodes, a limit of 0.4 a second leaves each less than a whole request; 7 requests are
+/// allowed in 4 s.
 #[tokio::test]
 async fn test_a_limit_below_one_a_second_is_kept_by_many_nodes() {
     const MANY_NODES: usize = 16;
@@ -193,8 +192,8 @@
     fleet.assert_all_used(&[0.4], binds, 4 * MEASURED_FOR);
 }
 
-/// All engines are in need: generations wait at the lead for their turn, and who can't begin in time is told at
-/// once.
+/// All engines are rate-limited: generations wait at the lead for their turn, and those that cannot begin in
+/// time are refused at once.
 #[tokio::test]
 async fn test_generations_wait_for_rate_limited_engines() {
     let fleet = LoadedFleet::start(MODEL, NODES, 2).await;
@@ -212,7 +211,8 @@
     assert!(waited.clone().all(|line| line.contains("memory_ms=0")), "{logs}");
 }
 
-/// A long call that was sent before the need is answered while it lasts, and takes nothing back.
+/// The answer to a long call that was sent before the limit was announced arrives while the limit applies,
+/// and does not remove it.
 #[tokio::test]
 async fn test_a_late_answer_removes_no_limit() {
     let fleet = LoadedFleet::start(BOOKING, 1, 1).await;
@@ -220,7 +220,7 @@
     replica.set_fault(ReplicaFault::Late(Duration::from_secs(1)));
     let (gateway, late) = (fleet.gateway.clone(), replica.clone());
     let early = tokio::spawn(async move { gateway.call(0, read("r-early")).await });
-    fleet.gateway.until("it is there", async || late.running() == 1).await;
+    fleet.gateway.until("the call arrives at the replica", async || late.running() == 1).await;
     replica.set_fault(ReplicaFault::None);
     replica.set_limit(Some("3"));
     let called = fleet.gateway.call(0, read("r-1")).await;
--- a/node/tests/test_gateway_upgrade_judges.rs
+++ b/node/tests/test_gateway_upgrade_judges.rs
@@ -1,5 +1,5 @@
-//! Upgrades whose judges end, are suspended or are cut off, and a store that is away from the first: one node's trouble
-//! must not keep the others from giving up a bad version, nor let a bad one succeed.
+//! Upgrades whose judges are killed, suspended or isolated, or whose store is unavailable from the start: the
+//! failure of one node must neither keep the others from reverting a bad version nor let a bad one succeed.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,21 +19,21 @@
 
 const NODES: usize = 6;
 const REPLICAS: usize = 4;
-/// Calls a second to each node.
+/// The number of calls a second to each node.
 const PER_SECOND: f64 = 40.0;
-/// The time that most orders give here.
+/// The duration that most orders here specify.
 const ORDER_DURATION: Duration = Duration::from_secs(10);
 const FAILS_AFTER: Duration = Duration::from_secs(3);
-/// A node can't be taken for dead sooner than this after its last word.
+/// The minimum time after its last message at which a node is considered dead.
 const MIN_FAILURE_DETECTION: Duration = SUSPICION_TIMEOUT;
-/// The operator is told no later than this after the time is over, on a busy machine too.
+/// The outcome is reported no later than this after the order's duration, on a busy machine too.
 const REPORTED_WITHIN: Duration = Duration::from_secs(3);
 
 fn read(id: &str) -> http::Request<http_body_util::Full<bytes::Bytes>> {
     request("GET", "/read/x", KEY, id)
 }
 
-/// Node 5 gets reads only, all others calls of both routes in turn.
+/// Node 5 gets only reads; all other nodes get calls of both routes in turn.
 fn reads_only_at_the_last_node(id: &str) -> http::Request<http_body_util::Full<bytes::Bytes>> {
     let is_even = id.as_bytes().last().is_some_and(|digit| digit % 2 == 0);
     if id.starts_with("5-") || is_even { read(id) } else { request("POST", "/book/x", KEY, id) }
@@ -43,8 +43,8 @@
     PartialFault { fault: ReplicaFault::Fails, one_of: 1, prefix: prefix.to_owned() }
 }
 
-/// Plays an upgrade to a version all of whose answers fail from [`FAILS_AFTER`] on, while something happens to
-/// the first judges.
+/// Runs an upgrade to a version whose answers all fail from [`FAILS_AFTER`] on, with a fault injected into
+/// the first judges, and checks that it is reverted.
 async fn check_is_reverted(inject_fault: impl AsyncFnOnce(&UpgradedFleet, &[usize])) {
     let mut fleet = UpgradedFleet::start(BOOKING, NODES, REPLICAS).await;
     let judges = fleet.judges();
@@ -60,13 +60,13 @@
     fleet.assert_exposure(Instant::now());
 }
 
-/// Guards against a fleet that sees nothing until the death of its judge is believed.
+/// Guards against a fleet that detects no bad version until it considers its judge dead.
 #[tokio::test]
 async fn test_a_bad_version_is_reverted_while_its_judge_is_killed() {
     check_is_reverted(async |fleet, judges| fleet.gateway().signal(judges[0], "-KILL")).await;
 }
 
-/// Guards against the same where the next judge ends with the first one.
+/// Guards against the same if the next judge is killed together with the first one.
 #[tokio::test]
 async fn test_a_bad_version_is_reverted_while_two_judges_are_killed() {
     check_is_reverted(async |fleet, judges| {
@@ -76,7 +76,7 @@
     .await;
 }
 
-/// Guards against a fleet that waits for a judge that is there and does nothing.
+/// Guards against a fleet that waits for a judge that is running but suspended.
 #[tokio::test]
 async fn test_a_bad_version_is_reverted_while_its_judge_is_suspended() {
     check_is_reverted(async |fleet, judges| {
@@ -88,8 +88,8 @@
     .await;
 }
 
-/// Guards against the next judge that tells a success by its own counts alone, as the others report to it only once they
-/// believe in the death of the first.
+/// Guards against a next judge that declares a success by its own counts alone, because the other nodes
+/// report to it only once they consider the first judge dead.
 #[tokio::test]
 async fn test_a_version_that_fails_later_is_reverted_while_its_judge_is_suspended() {
     const ORDER_DURATION: Duration = Duration::from_secs(6);
@@ -111,8 +111,8 @@
     futures::future::join_all(runs).await;
 }
 
-/// Plays an upgrade to a good version while something happens to the first judges; returns when the operator was
-/// told, from the order on.
+/// Runs an upgrade to a good version with a fault injected into the first judges; returns the time from the
+/// order until its success was reported.
 async fn run_good_upgrade(
     inject_fault: impl AsyncFnOnce(&UpgradedFleet, &[usize]),
 ) -> (UpgradedFleet, Duration) {
@@ -128,7 +128,8 @@
     (fleet, reported_after)
 }
 
-/// Guards against an operator who is told of a success after the time is over, as the judge ended late in it.
+/// Guards against a success that is reported only after the order's duration because the judge was killed
+/// late in it.
 #[tokio::test]
 async fn test_a_success_is_told_in_time_though_the_judge_ends_late() {
     let (fleet, reported_after) = run_good_upgrade(async |fleet, judges| {
@@ -136,11 +137,11 @@
         fleet.gateway().signal(judges[0], "-KILL");
     })
     .await;
-    assert!(reported_after <= ORDER_DURATION, "told after {reported_after:?}\n{}", fleet.logs());
+    assert!(reported_after <= ORDER_DURATION, "reported after {reported_after:?}\n{}", fleet.logs());
 }
 
-/// Guards against an operator who is told of a success after the time is over, as nobody wrote it in place of the node
-/// that follows the store first.
+/// Guards against a success that is reported only after the order's duration because no node wrote the status
+/// in place of the first store watcher.
 #[tokio::test]
 async fn test_a_success_is_reported_in_time_though_the_first_store_watcher_is_unavailable() {
     for signal in ["-KILL", "-STOP"] {
@@ -151,13 +152,13 @@
         .await;
         assert!(
             reported_after <= ORDER_DURATION,
-            "{signal}: told after {reported_after:?}\n{}",
+            "{signal}: reported after {reported_after:?}\n{}",
             fleet.logs()
         );
     }
 }
 
-/// Guards against a fleet that can't tell a success any more after half of it has gone.
+/// Guards against a fleet that can no longer report a success once half of its nodes are gone.
 #[tokio::test]
 async fn test_a_success_is_reported_though_half_of_the_nodes_are_killed() {
     run_good_upgrade(async |fleet, judges| {
@@ -167,7 +168,8 @@
     .await;
 }
 
-/// Guards against a node that knows no other, takes itself for the fleet and tells a success by its own counts.
+/// Guards against a node that knows no other node, takes itself for the whole fleet and reports a success by
+/// its own counts.
 #[tokio::test]
 async fn test_an_isolated_node_reports_no_success() {
     const ORDER_DURATION: Duration = Duration::from_secs(5);
@@ -175,7 +177,7 @@
     let judge = fleet.judges()[0];
     let isolated_node = fleet.start_isolated_node().await;
     let is_isolated = async || fleet.gateway().log(isolated_node).contains("liveness=Dead");
-    fleet.gateway().until("it takes its seed for dead", is_isolated).await;
+    fleet.gateway().until("the isolated node considers its seed dead", is_isolated).await;
     let mut per_second = vec![25.0; NODES - 1];
     per_second.push(PER_SECOND);
     let load =
@@ -184,46 +186,46 @@
     fleet.sleep_until(Duration::from_secs(2)).await;
     fleet.gateway().signal(judge, "-STOP");
     fleet.sleep_until(Duration::from_millis(2_500)).await;
-    // The node that is cut off gets no call on that route.
+    // The isolated node gets no calls on that route.
     fleet.set_fault(&all_fail("/book/"));
     let outcome = fleet.finish_order(ORDER_DURATION + REPORTED_WITHIN).await;
     fleet.gateway().signal(judge, "-CONT");
     load.await.expect("the load ends");
-    assert_eq!(outcome.state, "rolled_back", "node {isolated_node} is cut off\n{}", fleet.logs());
+    assert_eq!(outcome.state, "rolled_back", "node {isolated_node} is isolated\n{}", fleet.logs());
 }
 
 fn all_but(node: usize) -> Vec<usize> {
     (0..NODES).filter(|other| *other != node).collect()
 }
 
-/// Suspends nodes from 2.5 s after the order on; returns at a moment after it, with the nodes still suspended.
+/// Suspends nodes 2.5 s after the order; returns at `until` after the order, with the nodes still suspended.
 async fn suspend_until(fleet: &UpgradedFleet, nodes: &[usize], until: Duration) {
     fleet.sleep_until(Duration::from_millis(2_500)).await;
     nodes.iter().for_each(|node| fleet.gateway().signal(*node, "-STOP"));
     fleet.sleep_until(until).await;
 }
 
-/// Guards against a judge that tells a success by what others reported before they fell silent.
+/// Guards against a judge that declares a success by old reports of nodes that have since fallen silent.
 #[tokio::test]
 async fn test_a_success_waits_for_nodes_whose_reports_are_old() {
     const ORDER_DURATION: Duration = Duration::from_secs(6);
     let mut fleet = UpgradedFleet::start(BOOKING, NODES, REPLICAS).await;
     let judge = fleet.judges()[0];
     let others = all_but(judge);
-    // All callers are at the judge, so that no calls pile up at the others.
+    // All callers use the judge, so that no calls queue up at the other nodes.
     let per_second = (0..NODES).map(|node| if node == judge { PER_SECOND } else { 0.0 }).collect();
     let load = fleet.load_with_rates(per_second, 2 * ORDER_DURATION, read);
     fleet.start_upgrade(ORDER_DURATION, None).await;
     suspend_until(&fleet, &others, ORDER_DURATION + Duration::from_secs(1)).await;
-    assert_eq!(fleet.status()["state"], "running", "one of six was heard\n{}", fleet.logs());
+    assert_eq!(fleet.status()["state"], "running", "only one of six nodes has reported\n{}", fleet.logs());
     others.iter().for_each(|node| fleet.gateway().signal(*node, "-CONT"));
     let outcome = fleet.finish_order(ORDER_DURATION).await;
     assert_eq!(outcome.state, "succeeded", "{}", fleet.logs());
     load.await.expect("the load ends");
 }
 
-/// Guards against a good version that is given up as slow, by times that the nodes' own suspension and what had queued up in it
-/// have lengthened.
+/// Guards against a good version that is reverted as slow because the suspension of the nodes themselves, and
+/// the requests that queued up during it, increased the measured times.
 #[tokio::test]
 async fn test_a_good_version_is_kept_though_most_nodes_were_suspended() {
     const ORDER_DURATION: Duration = Duration::from_secs(6);
@@ -239,8 +241,8 @@
     load.await.expect("the load ends");
 }
 
-/// Guards against a share that is exceeded, or an operator who is never told, where the store goes away before it
-/// took the first status.
+/// Guards against an exceeded exposure share, and against an outcome that is never reported, if the store
+/// becomes unavailable before it accepted the first status.
 #[tokio::test]
 async fn test_the_exposure_share_holds_while_the_store_is_unavailable_before_the_first_status() {
     const ORDER_DURATION: Duration = Duration::from_secs(6);
@@ -252,10 +254,15 @@
         let knows = |node| fleet.gateway().log(node).contains("event=upgrade_stage");
         (0..NODES).all(knows) && fleet.new.iter().any(|running| !running.replica.seen().is_empty())
     };
-    fleet.gateway().until("all know the order", all_know).await;
+    fleet.gateway().until("all nodes know the order", all_know).await;
     fleet.gateway().store.set_fault(StoreFault::Refuses);
     fleet.sleep_until(ORDER_DURATION + Duration::from_secs(1)).await;
-    assert_eq!(fleet.status(), Value::Null, "nobody can be told\n{}", fleet.logs());
+    assert_eq!(
+        fleet.status(),
+        Value::Null,
+        "the store accepted a status while it was unavailable\n{}",
+        fleet.logs()
+    );
     fleet.assert_exposure(Instant::now());
     fleet.gateway().store.set_fault(StoreFault::None);
     let outcome = fleet.finish_order(ORDER_DURATION).await;
--- a/node/tests/test_gateway_upgrade_soak.rs
+++ b/node/tests/test_gateway_upgrade_soak.rs
@@ -1,8 +1,9 @@
-//! A randomized soak of upgrades: good and bad versions, while nodes are killed, suspended, stopped and started again and the
-//! store comes and goes, in series and overlapping.
+//! A randomized soak test of upgrades to good and bad versions, while nodes are killed, suspended, stopped
+//! and restarted and the store becomes unavailable and available again, in sequence and overlapping.
 //!
-//! A seed fixes the schedule; odd ones play a version that turns bad. CI plays a few; more by hand, of which each test takes its
-//! own: `LEADSTAGE_UPGRADE_SOAK_SEEDS=1..50 cargo test -p leadstage-node --test runner upgrade_soak -- --nocapture`.
+//! A seed determines the schedule; odd seeds run a version that begins to fail. CI runs a few seeds. More are
+//! run by hand, and each test takes those that belong to it: `LEADSTAGE_UPGRADE_SOAK_SEEDS=1..50
+//! cargo test -p leadstage-node --test runner upgrade_soak -- --nocapture`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,24 +25,25 @@
 use crate::gateway_environment::read;
 use crate::upgraded_fleet::UpgradedFleet;
 
-/// Seeds that CI plays: one, and each that ever failed.
+/// Seeds that CI runs: one, and each that has failed.
 const BAD_VERSIONS: &[u64] = &[1, 19];
-/// 6, 16, 30, 34 and 48: given up as slow, by answers to what had queued up at nodes that were suspended.
+/// With 6, 16, 30, 34 and 48, a good version was reverted as slow because of the answers to requests that had
+/// queued up at suspended nodes.
 const GOOD_VERSIONS: &[u64] = &[2, 6, 16, 30, 34, 48];
 const NODES: usize = 6;
 const REPLICAS: usize = 4;
 const ORDER_DURATION: Duration = Duration::from_secs(6);
-/// Time between two calls to a node.
+/// The time between two calls to a node.
 const CALL_EVERY: Duration = Duration::from_millis(40);
-/// Faults come until so long after the order.
+/// How long after the order faults are injected.
 const FAULTS_FOR: Duration = Duration::from_secs(7);
-/// The operator knows the end so long after the last fault, whatever there was.
+/// The time after the last fault within which the outcome is reported, whatever faults there were.
 const FINISHED_WITHIN: Duration = Duration::from_secs(40);
 
 struct UpgradeSoak {
     fleet: UpgradedFleet,
     rng: SmallRng,
-    /// Nodes that are suspended, with until when.
+    /// Suspended nodes and the times at which they resume.
     suspended: Vec<(usize, Instant)>,
 }
 
@@ -50,7 +52,8 @@
         Arc::get_mut(&mut self.fleet.fleet.gateway).expect("no other holder")
     }
 
-    /// One fault; some last beyond the next. Nodes that others depend on are struck as often as all others together.
+    /// Injects one fault; some last longer than the time to the next one. With a probability of one half,
+    /// it is aimed at a node that others depend on, and at any node otherwise.
     fn inject_fault(&mut self) {
         let special_nodes = [self.fleet.judges()[0], self.fleet.judges()[1], self.fleet.first_watcher()];
         let node = match self.rng.random_bool(0.5) {
@@ -71,7 +74,7 @@
         }
     }
 
-    /// The platform starts processes that ended again, and suspensions end.
+    /// Resumes nodes whose suspension is over, and restarts processes that have ended, as the platform does.
     fn restore_nodes(&mut self, now: Instant) {
         let expired: Vec<usize> =
             self.suspended.iter().filter(|(_, until)| *until <= now).map(|(node, _)| *node).collect();
@@ -101,7 +104,7 @@
     }
 }
 
-/// Calls a node again and again; a call that finds nobody there is another caller's.
+/// Sends calls to a node continuously, and ignores their outcome.
 async fn send_calls(front: String, node: usize) {
     let mut calls = JoinSet::new();
     for n in 0_u64.. {
@@ -135,7 +138,7 @@
     soak.inject_faults_until(ordered_at + FAULTS_FOR).await;
     let outcome = soak.fleet.finish_order(FINISHED_WITHIN).await;
     let reported_after = soak.fleet.since_order(outcome.at);
-    let failed_after = failing.await.expect("it turns bad");
+    let failed_after = failing.await.expect("the task that sets the fault ends");
     println!("seed {seed}: bad {is_bad}, from {failed_after:?} on; {} by {reported_after:?}", outcome.state);
     println!("{}", soak.fleet.gateway().lines_with("event=upgrade_judged"));
     let logs = || format!("seed {seed}\n{}", soak.fleet.logs());
@@ -143,7 +146,7 @@
         true => {
             assert_eq!(outcome.state, "rolled_back", "{}", logs());
             soak.fleet.assert_exposure(outcome.at);
-            // All nodes know by then; what they sent before has arrived.
+            // By then all nodes know the outcome, and the requests that they sent before it have arrived.
             tokio::time::sleep(Duration::from_secs(3)).await;
             soak.fleet.assert_no_later_requests(&outcome);
         }
@@ -160,7 +163,8 @@
     (number(first)..=number(last)).filter(|seed| is_selected(*seed)).collect()
 }
 
-/// Guards against a success of a bad version, more than its share, and requests to it after it was given up.
+/// Guards against a success of a bad version, requests to it beyond the exposure bounds, and requests to it
+/// after it was reverted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_upgrade_soak_of_bad_versions() {
     for seed in seeds(BAD_VERSIONS, |seed| seed % 2 == 1) {
@@ -168,7 +172,7 @@
     }
 }
 
-/// Guards against a good version that is given up.
+/// Guards against reverting a good version.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_upgrade_soak_of_good_versions() {
     for seed in seeds(GOOD_VERSIONS, |seed| seed % 2 == 0) {
--- a/node/tests/test_gateway_upgrades.rs
+++ b/node/tests/test_gateway_upgrades.rs
@@ -1,5 +1,5 @@
-//! Upgrades of a service's software: a bad version is found and gets little, a good one takes over without a lost
-//! request, and the operator is told in time.
+//! Upgrades of a service's software: a bad version is detected and gets few requests, a good one takes over
+//! without a lost request, and the outcome is reported to the operator in time.
 
 use std::time::Duration;
 
@@ -17,28 +17,28 @@
 use crate::upgraded_fleet::partial_fault;
 use crate::upgraded_fleet::success_share;
 
-/// The time that an order gives.
+/// The duration that an order specifies.
 const ORDER_DURATION: Duration = Duration::from_secs(6);
-/// Calls a second to each node.
+/// The number of calls a second to each node.
 const PER_SECOND: f64 = 25.0;
 const REPLICAS: usize = 4;
-/// The operator is told no later than this after the time is over, on a busy machine too.
+/// The outcome is reported no later than this after the order's duration, on a busy machine too.
 const REPORTED_WITHIN: Duration = Duration::from_secs(3);
 
-/// Ten nodes, or as many as are asked for by hand: `LEADSTAGE_UPGRADE_NODES=60`.
+/// The number of nodes: ten, or as set in the environment (`LEADSTAGE_UPGRADE_NODES=60`).
 fn nodes() -> usize {
     let nodes = std::env::var("LEADSTAGE_UPGRADE_NODES").ok();
     nodes.map_or(10, |text| text.parse().expect("LEADSTAGE_UPGRADE_NODES is a number"))
 }
 
-/// Calls that may repeat and such that may not, in turn.
+/// Repeatable and non-repeatable calls in turn.
 fn calls(id: &str) -> http::Request<http_body_util::Full<bytes::Bytes>> {
     let is_even = id.as_bytes().last().is_some_and(|digit| digit % 2 == 0);
     let (method, path) = if is_even { ("GET", "/read/x") } else { ("POST", "/book/x") };
     request(method, path, KEY, id)
 }
 
-/// Plays an upgrade to a version that is bad; returns what became of it.
+/// Runs an upgrade to a version that begins to fail after `delay`; returns its outcome.
 async fn run_bad_upgrade(
     bad: Option<leadstage_testutils::gateway_replica::PartialFault>,
     delay: Duration,
@@ -124,7 +124,7 @@
     let load = fleet.load(PER_SECOND, ORDER_DURATION + REPORTED_WITHIN, calls);
     fleet.start_upgrade(ORDER_DURATION, partial_fault(ReplicaFault::Fails, 4, "/")).await;
     tokio::time::sleep(Duration::from_millis(700)).await;
-    // Whoever tells the operator, and whoever judges, may be among them.
+    // The node that writes the status and the judge may be among them.
     for node in [0, 2, 4] {
         fleet.gateway().signal(node, "-KILL");
     }
@@ -140,7 +140,7 @@
     let mut fleet = UpgradedFleet::start(BOOKING, 6, REPLICAS).await;
     let load = fleet.load(PER_SECOND, 2 * ORDER_DURATION + REPORTED_WITHIN, calls);
     fleet.start_upgrade(ORDER_DURATION, None).await;
-    // The operator is told with the next look of whoever follows the store first, if the store takes it by then.
+    // The first store watcher writes the status in its next pass, if the store accepts it by then.
     let all_know = async || {
         let mut know = 0;
         for node in 0..6 {
@@ -149,10 +149,15 @@
         let is_reported = fleet.status()["state"] == "running";
         know == 6 && is_reported && fleet.new.iter().any(|running| !running.replica.seen().is_empty())
     };
-    fleet.gateway().until("all know the order", all_know).await;
+    fleet.gateway().until("all nodes know the order", all_know).await;
     fleet.gateway().store.set_fault(StoreFault::Refuses);
     tokio::time::sleep(ORDER_DURATION + Duration::from_secs(1)).await;
-    assert_eq!(fleet.status()["state"], "running", "nobody can be told\n{}", fleet.logs());
+    assert_eq!(
+        fleet.status()["state"],
+        "running",
+        "the status changed while the store was unavailable\n{}",
+        fleet.logs()
+    );
     fleet.assert_exposure(std::time::Instant::now());
     fleet.gateway().store.set_fault(StoreFault::None);
     let outcome = fleet.finish_order(ORDER_DURATION).await;
@@ -167,7 +172,7 @@
     let load = fleet.load(PER_SECOND, 2 * ORDER_DURATION, calls);
     fleet.start_upgrade(ORDER_DURATION, None).await;
     let receives_requests = async || fleet.new.iter().any(|running| !running.replica.seen().is_empty());
-    fleet.gateway().until("it is tried", receives_requests).await;
+    fleet.gateway().until("the new version gets a request", receives_requests).await;
     fleet.gateway().store.set_fault(StoreFault::Refuses);
     let bad = partial_fault(ReplicaFault::Fails, 2, "/").expect("a fault");
     fleet.new.iter().for_each(|running| running.replica.set_partial_fault(bad.clone()));
@@ -175,7 +180,7 @@
         fleet.gateway().logs().contains("stage=reverted")
             || (0..6).any(|node| fleet.gateway().log(node).contains("stage=reverted"))
     };
-    fleet.gateway().until("it is given up", reverted).await;
+    fleet.gateway().until("the new version is reverted", reverted).await;
     let reverted = OrderOutcome { state: String::new(), at: std::time::Instant::now() };
     fleet.gateway().store.set_fault(StoreFault::None);
     let outcome = fleet.finish_order(ORDER_DURATION).await;
@@ -198,10 +203,10 @@
             let status = store.status("rollouts", name).unwrap_or_default();
             status["state"] == "rolled_back" && !status["reason"].as_str().unwrap_or_default().is_empty()
         };
-        fleet.gateway().until("the operator is told why", is_reported).await;
+        fleet.gateway().until("the status gives a reason", is_reported).await;
     }
     let refused = async || (0..2).any(|node| fleet.gateway().log(node).contains("event=upgrade_refused"));
-    fleet.gateway().until("the log tells it", refused).await;
+    fleet.gateway().until("the refused order is logged", refused).await;
     let answers = load.await.expect("the load ends");
     assert!(success_share(&answers) == 1.0, "{}", fleet.logs());
 }
@@ -211,11 +216,11 @@
     let mut fleet = UpgradedFleet::start(BOOKING, 2, 2).await;
     let store = fleet.gateway().store.clone();
     let load = fleet.load(PER_SECOND, Duration::from_secs(12), calls);
-    // Another hand has written a status of another version.
+    // The status of another version was written by something other than the gateway.
     store.put("rollouts", BOOKING, json!({"service": BOOKING, "targetVersion": "v9", "durationS": 60}));
     store.put_status("rollouts", BOOKING, json!({"state": "succeeded", "targetVersion": "v8"}));
     let runs = json!({"state": "running", "targetVersion": "v9"});
-    fleet.gateway().until("it is followed", async || fleet.status() == runs).await;
+    fleet.gateway().until("the order is in progress", async || fleet.status() == runs).await;
     fleet.start_upgrade(Duration::from_secs(4), None).await;
     let outcome = fleet.finish_order(Duration::from_secs(10)).await;
     assert_eq!(outcome.state, "succeeded", "{}", fleet.logs());
--- a/node/tests/upgraded_fleet.rs
+++ b/node/tests/upgraded_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in which the operator upgrades a service under load: new replicas run beside the old ones, and the operator ends
-//! one of the two as soon as the order's status says which.
+//! A fleet in which the operator upgrades a service under load: new replicas run beside the old ones, and the
+//! operator stops one of the two sets once the status of the upgrade order says which.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,37 +19,37 @@
 use crate::loaded_fleet::Answer;
 use crate::loaded_fleet::LoadedFleet;
 
-/// The share and the number of requests that a bad version may get.
+/// The share of all requests that a bad version may get, and the number that it may get in addition.
 const EXPOSURE_SHARE: f64 = 0.2;
 const EXPOSURE_SLACK: f64 = 20.0;
-/// A version that was given up gets nothing after this: news take some tenths of a second.
+/// The time after which a reverted version gets no more requests: announcements take some tenths of a second.
 const REVERTED_WITHIN: Duration = Duration::from_secs(2);
-/// Events of a generation.
+/// The number of events of a generation.
 const EVENTS: u64 = 150;
 
-/// The fleet.
+/// A fleet with an upgrade in progress.
 pub struct UpgradedFleet {
-    /// Its nodes, store and old replicas.
+    /// The nodes, the store and the old replicas.
     pub fleet: LoadedFleet,
-    /// The service.
+    /// The service that is upgraded.
     service: &'static str,
     /// The new replicas.
     pub new: Vec<RunningReplica>,
-    /// When the operator gave the order.
+    /// When the order was put into the store.
     ordered_at: Instant,
 }
 
-/// When an order's status first said what became of it.
+/// The final state of an order and the time at which its status first reported it.
 #[derive(Debug)]
 pub struct OrderOutcome {
-    /// `succeeded` or `rolled_back`; whatever it says last where the time is over.
+    /// `succeeded` or `rolled_back`, or the last state seen if the wait timed out.
     pub state: String,
-    /// When.
+    /// When the state was first seen.
     pub at: Instant,
 }
 
 impl UpgradedFleet {
-    /// So many nodes, with as many old replicas of a service as new ones are started later.
+    /// Starts the nodes and the old replicas of the service; an upgrade starts as many new replicas.
     pub async fn start(service: &'static str, nodes: usize, replicas: usize) -> UpgradedFleet {
         let fleet = LoadedFleet::start_with(service, nodes, replicas, EVENTS, with_exposure_bounds).await;
         UpgradedFleet { fleet, service, new: Vec::new(), ordered_at: Instant::now() }
@@ -60,12 +60,12 @@
         &self.fleet.gateway
     }
 
-    /// Nodes in the order in which they are asked to judge an upgrade of the service.
+    /// The nodes in the order in which they become judge of an upgrade of the service.
     pub fn judges(&self) -> Vec<usize> {
         self.ranked(&format!("judge of {}", self.service))
     }
 
-    /// The node that follows the store first.
+    /// The first of the nodes that watch the store.
     pub fn first_watcher(&self) -> usize {
         self.ranked("store watchers")[0]
     }
@@ -76,7 +76,7 @@
         nodes
     }
 
-    /// Starts a node that reaches the store and none of the other nodes.
+    /// Starts a node that can reach the store but no other node.
     pub async fn start_isolated_node(&mut self) -> usize {
         let gateway = Arc::get_mut(&mut self.fleet.gateway).expect("no load is running");
         let unreachable = format!("{}:7001", gateway.own_store_ip());
@@ -89,23 +89,23 @@
         node
     }
 
-    /// Sleeps until so long after the order.
+    /// Sleeps until the given time after the order.
     pub async fn sleep_until(&self, since_order: Duration) {
         tokio::time::sleep_until((self.ordered_at + since_order).into()).await;
     }
 
-    /// From now on the new version answers like this.
+    /// Applies the fault to all new replicas; returns the current time.
     pub fn set_fault(&self, fault: &PartialFault) -> Instant {
         self.new.iter().for_each(|running| running.replica.set_partial_fault(fault.clone()));
         Instant::now()
     }
 
-    /// Time since the order.
+    /// The time from the order to `at`.
     pub fn since_order(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.ordered_at)
     }
 
-    /// Requests that the new version got from a moment on.
+    /// The arrival times of requests at the new version, starting at `from`.
     pub fn new_arrivals(&self, from: Instant) -> Vec<Instant> {
         let arrivals = self.new.iter().flat_map(|running| running.replica.seen());
         let mut arrivals: Vec<Instant> = arrivals.map(|seen| seen.at).filter(|at| *at >= from).collect();
@@ -113,19 +113,19 @@
         arrivals
     }
 
-    /// Asserts that the new version gets nothing any more so long after it turned bad.
+    /// Asserts that the new version gets no requests later than `within` after it began to fail.
     pub fn assert_reverted_within(&self, failing_since: Instant, within: Duration) {
         let arrivals = self.new_arrivals(failing_since);
         let last = arrivals.last().map_or(Duration::ZERO, |at| at.duration_since(failing_since));
         assert!(
             last <= within,
-            "the new version got {} requests, the last {last:?} after it turned bad\n{}",
+            "the new version got {} requests, the last {last:?} after it began to fail\n{}",
             arrivals.len(),
             self.logs()
         );
     }
 
-    /// Gives an order, and starts as many new replicas as there are old ones.
+    /// Puts an order into the store, and starts as many new replicas as there are old ones.
     pub async fn start_upgrade(&mut self, within: Duration, fault: Option<PartialFault>) {
         self.put_order(within.as_secs_f64());
         for n in 0..self.fleet.replicas.len() {
@@ -147,19 +147,19 @@
     }
 
     fn list(&self, running: &RunningReplica, version: &str, state: &str) {
-        let address = running.server.as_ref().expect("it serves").address;
+        let address = running.server.as_ref().expect("the replica is serving").address;
         let mut entry = replica_entry(self.service, address, "hall-1", state);
         entry["version"] = version.into();
         self.gateway().store.put("servers", &running.replica.id, entry);
     }
 
-    /// What the order's status says.
+    /// The status of the order.
     pub fn status(&self) -> Value {
         self.gateway().store.status("rollouts", self.service).unwrap_or_default()
     }
 
-    /// Waits until the status is final, and ends the old replicas at once if the order succeeded. The wait ends
-    /// in any case after `at_most`.
+    /// Waits until the status is final, but no longer than `at_most`. If the order succeeded, stops the old
+    /// replicas at once.
     pub async fn finish_order(&mut self, at_most: Duration) -> OrderOutcome {
         let until = Instant::now() + at_most;
         let state = loop {
@@ -179,7 +179,7 @@
         OrderOutcome { state, at }
     }
 
-    /// Requests that old and new replicas got between the order and `until`.
+    /// The number of requests that old and new replicas got between the order and `until`.
     pub fn request_counts(&self, until: Instant) -> (usize, usize) {
         let count = |running: &[RunningReplica]| {
             let arrivals = running.iter().flat_map(|running| running.replica.seen());
@@ -188,33 +188,33 @@
         (count(&self.fleet.replicas), count(&self.new))
     }
 
-    /// Asserts that a bad version got no more than it may until `until`.
+    /// Asserts that the new version got no more requests before `until` than the exposure bounds allow.
     pub fn assert_exposure(&self, until: Instant) {
         let (old, new) = self.request_counts(until);
         let allowed = EXPOSURE_SHARE * (old + new) as f64 + EXPOSURE_SLACK;
         assert!(
             new as f64 <= allowed,
-            "{new} of {} went to the new version, {allowed} may\n{}",
+            "{new} of {} requests went to the new version, {allowed} are allowed\n{}",
             old + new,
             self.logs()
         );
     }
 
-    /// Asserts that a version that was given up gets nothing a moment later.
+    /// Asserts that the reverted version gets no requests later than [`REVERTED_WITHIN`] after the outcome.
     pub fn assert_no_later_requests(&self, outcome: &OrderOutcome) {
         let from = outcome.at + REVERTED_WITHIN;
         let arrivals = self.new.iter().flat_map(|running| running.replica.seen());
         let late = arrivals.filter(|seen| seen.at >= from).count();
-        assert_eq!(late, 0, "requests went to a version that was given up\n{}", self.logs());
+        assert_eq!(late, 0, "requests went to a reverted version\n{}", self.logs());
     }
 
-    /// All that the logs say of upgrades, and their last lines.
+    /// All log lines about upgrades, followed by the last lines of all logs.
     pub fn logs(&self) -> String {
         let gateway = self.gateway();
         format!("{}\n{}", gateway.lines_with("event=upgrade_"), gateway.logs())
     }
 
-    /// Puts calls to each node at so many a second for a time, beside what else is done.
+    /// Sends `per_second` requests to each node in the background for the given time.
     pub fn load(
         &self,
         per_second: f64,
@@ -224,7 +224,7 @@
         self.load_with_rates(vec![per_second; self.fleet.gateway.nodes()], lasts, make_request)
     }
 
-    /// The same, with a rate for each node.
+    /// Like [`UpgradedFleet::load`], with a separate rate for each node.
     pub fn load_with_rates(
         &self,
         per_second: Vec<f64>,
@@ -236,14 +236,14 @@
     }
 }
 
-/// Settings that name what a bad version may get.
+/// Adds the exposure bounds to the settings of a node.
 fn with_exposure_bounds(yaml: String) -> String {
     let bounds =
         format!("retry_slack: 100, exposure_share: {EXPOSURE_SHARE}, exposure_slack: {EXPOSURE_SLACK}");
     yaml.replace("retry_slack: 100", &bounds)
 }
 
-/// One of so many requests on a path meets a fault.
+/// A fault that affects one of `one_of` requests whose path starts with `prefix`.
 pub fn partial_fault(
     fault: leadstage_testutils::gateway_replica::ReplicaFault,
     one_of: usize,
@@ -252,7 +252,7 @@
     Some(PartialFault { fault, one_of, prefix: prefix.to_owned() })
 }
 
-/// The share of the answers that are good.
+/// The share of the answers that are successful and complete.
 pub fn success_share(answers: &[Answer]) -> f64 {
     let successful =
         answers.iter().filter(|answer| answer.called.status == 200 && answer.called.whole).count();
