--- a/node/tests/test_gateway_chosen_nodes.rs
+++ b/node/tests/test_gateway_chosen_nodes.rs
@@ -110,9 +110,7 @@
         gateway.store.put("evacuations", "hall-1", json!({}));
         for node in (0..NODES).filter(|node| *node != first_watcher) {
             gateway
-                .until("the nodes know that the hall is closed", async || {
-                    closed_halls(gateway, node).await == ["hall-1"]
-                })
+                .until("the hall is closed", async || closed_halls(gateway, node).await == ["hall-1"])
                 .await;
         }
         let known_after = closed_at.elapsed();
--- a/node/tests/test_gateway_closed_halls.rs
+++ b/node/tests/test_gateway_closed_halls.rs
@@ -33,12 +33,12 @@
             gateway.store.put("servers", &replica.replica.id, entry_in_hall(service, &replica, hall));
             running.push(replica);
         }
-        services.push(running.try_into().ok().expect("two replicas or services"));
+        services.push(running.try_into().ok().expect("two replicas"));
     }
     let node = gateway.start_node();
     gateway.until_ready(node).await;
-    let models = services.pop().expect("two replicas or services");
-    (gateway, services.pop().expect("two replicas or services"), models)
+    let models = services.pop().expect("two services");
+    (gateway, services.pop().expect("two services"), models)
 }
 
 fn entry_in_hall(service: &str, running: &RunningReplica, hall: &str) -> serde_json::Value {
--- a/node/tests/test_gateway_crashing_requests.rs
+++ b/node/tests/test_gateway_crashing_requests.rs
@@ -106,12 +106,7 @@
     fleet.until_quarantined(|id| with_crashing_body(chat(id))).await;
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let node = fleet.gateway.start_node_at(nowhere);
-    fleet
-        .gateway
-        .until("the quarantine is received from other nodes", async || {
-            fleet.quarantined(node).await.len() == 1
-        })
-        .await;
+    fleet.gateway.until("the other nodes report it", async || fleet.quarantined(node).await.len() == 1).await;
 }
 
 /// Nodes that reach the store but no other node share a quarantine through the store.
--- a/node/tests/test_gateway_upgrade_soak.rs
+++ b/node/tests/test_gateway_upgrade_soak.rs
@@ -27,8 +27,8 @@
 
 /// Seeds that CI runs: one, and each that has failed.
 const BAD_VERSIONS: &[u64] = &[1, 19];
-/// With 6, 16, 30, 34 and 48, a good version was reverted as slow because of the answers to requests that had
-/// queued up at suspended nodes.
+/// 6, 16, 30, 34 and 48 guard against reverting a good version as slow because of the answers to requests
+/// that queued up at suspended nodes.
 const GOOD_VERSIONS: &[u64] = &[2, 6, 16, 30, 34, 48];
 const NODES: usize = 6;
 const REPLICAS: usize = 4;
