--- a/node/tests/test_gateway_upgrade_soak.rs
+++ b/node/tests/test_gateway_upgrade_soak.rs
@@ -53,7 +53,7 @@
     }
 
     /// Injects one fault; some last longer than the time to the next one. With a probability of one half,
-    /// it is aimed at a node that others depend on, and at any node otherwise.
+    /// a node fault is aimed at a node that others depend on, and at any node otherwise.
     fn inject_fault(&mut self) {
         let special_nodes = [self.fleet.judges()[0], self.fleet.judges()[1], self.fleet.first_watcher()];
         let node = match self.rng.random_bool(0.5) {
