--- a/node/tests/test_gateway_noise.rs
+++ b/node/tests/test_gateway_noise.rs
@@ -18,57 +18,57 @@
 use crate::gateway_environment::Gateway;
 
 /// Seeds of the usual run; `LEADSTAGE_NOISE_SEEDS=50` plays more.
-const SEEDS: u64 = 2;
-const DATAGRAMS: usize = 5_000;
-const CONNECTIONS: usize = 50;
+const DEFAULT_SEEDS: u64 = 2;
+const DATAGRAM_COUNT: usize = 5_000;
+const CONNECTION_COUNT: usize = 50;
 /// More than the kinds of messages that there are.
-const KINDS: u8 = 24;
+const MESSAGE_KINDS: u8 = 24;
 /// Memory that noise may cost a node: a few times what it has at the start.
-const MOST_GROWTH_KB: u64 = 64 << 10;
+const MAX_GROWTH_KB: u64 = 64 << 10;
 /// Datagrams that are sent at once; the receiver's buffer holds some hundred.
-const AT_ONCE: usize = 20;
+const DATAGRAM_BURST: usize = 20;
 
 /// Bytes of which many are small numbers, as those of sound messages are.
-fn noise(rng: &mut StdRng, most: usize) -> Vec<u8> {
-    let len = rng.random_range(0..most);
+fn random_bytes(rng: &mut StdRng, max_len: usize) -> Vec<u8> {
+    let len = rng.random_range(0..max_len);
     (0..len).map(|_| if rng.random_bool(0.5) { rng.random_range(0..4) } else { rng.random() }).collect()
 }
 
-fn datagram(from: SocketAddr, rng: &mut StdRng) -> Vec<u8> {
+fn random_datagram(from: SocketAddr, rng: &mut StdRng) -> Vec<u8> {
     if rng.random_bool(0.1) {
-        return noise(rng, 2_000);
+        return random_bytes(rng, 2_000);
     }
     let head = (from, 1_u64, 0_u64, ClosedHalls::default(), 0_u64, 0_u64);
     let mut bytes = postcard::to_stdvec(&head).expect("it can be encoded");
-    bytes.push(rng.random_range(0..KINDS));
+    bytes.push(rng.random_range(0..MESSAGE_KINDS));
     // Numbers of which each byte says that another one follows are the largest ones.
     if rng.random_bool(0.2) {
         bytes.extend([0xff; 9]);
         bytes.push(1);
     }
-    bytes.extend(noise(rng, 120));
+    bytes.extend(random_bytes(rng, 120));
     bytes
 }
 
 async fn send_datagrams(to: SocketAddr, from: SocketAddr, rng: &mut StdRng) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
-    for n in 0..DATAGRAMS {
+    for n in 0..DATAGRAM_COUNT {
         // A node whose socket is closed would refuse, which is found out in the end.
-        let _ = socket.send_to(&datagram(from, rng), to).await;
-        if n % AT_ONCE == 0 {
+        let _ = socket.send_to(&random_datagram(from, rng), to).await;
+        if n % DATAGRAM_BURST == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 }
 
 /// Noise, or a head that goes wrong at some byte.
-async fn send_streams(to: &str, rng: &mut StdRng) {
-    for _ in 0..CONNECTIONS {
+async fn send_malformed_requests(to: &str, rng: &mut StdRng) {
+    for _ in 0..CONNECTION_COUNT {
         let Ok(mut stream) = TcpStream::connect(to).await else { continue };
         let mut bytes = b"POST /v1/chat HTTP/1.1\r\nhost: a.example\r\ncontent-length: 40\r\n\r\n{}".to_vec();
         let at = rng.random_range(0..bytes.len());
         bytes.truncate(at);
-        bytes.extend(noise(rng, 4_000));
+        bytes.extend(random_bytes(rng, 4_000));
         // It may answer and close before all is written.
         let _ = stream.write_all(&bytes).await;
         let _ = stream.shutdown().await;
@@ -78,38 +78,38 @@
 }
 
 /// Memory that a node has, in kilobytes.
-fn memory_kb(gateway: &Gateway, node: usize) -> u64 {
+fn resident_memory_kb(gateway: &Gateway, node: usize) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.pid(node))).expect("it runs");
     let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("it is told");
     line.split_whitespace().nth(1).and_then(|s| s.parse().ok()).expect("a number")
 }
 
-async fn check(seed: u64) {
+async fn check_seed(seed: u64) {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(2).await;
     let other = gateway.start_node();
     gateway.until_ready(other).await;
-    let before = memory_kb(&gateway, 0);
+    let before = resident_memory_kb(&gateway, 0);
     let mut rng = StdRng::seed_from_u64(seed);
     let [to, from] = [0, other].map(|node| gateway.peer(node).parse().expect("an address"));
     send_datagrams(to, from, &mut rng).await;
     for port in [gateway.front(0), gateway.peer(0), gateway.ready(0), gateway.metrics(0)] {
-        send_streams(&port, &mut rng).await;
+        send_malformed_requests(&port, &mut rng).await;
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     for node in [0, other] {
         assert_eq!(gateway.ended(node), None, "seed {seed}\n{}", gateway.logs());
         assert!(!gateway.log(node).contains("panicked"), "seed {seed}\n{}", gateway.log(node));
     }
-    let growth = memory_kb(&gateway, 0).saturating_sub(before);
-    assert!(growth < MOST_GROWTH_KB, "seed {seed}: {growth} kB more\n{}", gateway.logs());
+    let growth = resident_memory_kb(&gateway, 0).saturating_sub(before);
+    assert!(growth < MAX_GROWTH_KB, "seed {seed}: {growth} kB more\n{}", gateway.logs());
     assert_eq!(gateway.ready_status(0).await, 200, "seed {seed}\n{}", gateway.logs());
 }
 
 #[tokio::test]
-async fn test_noise_ends_no_node() {
+async fn test_nodes_survive_malformed_input() {
     let seeds = std::env::var("LEADSTAGE_NOISE_SEEDS").ok();
-    let seeds = seeds.map_or(SEEDS, |text| text.parse().expect("LEADSTAGE_NOISE_SEEDS is a number"));
+    let seeds = seeds.map_or(DEFAULT_SEEDS, |text| text.parse().expect("LEADSTAGE_NOISE_SEEDS is a number"));
     for seed in 0..seeds {
-        check(seed).await;
+        check_seed(seed).await;
     }
 }
--- a/node/tests/test_gateway_resuming.rs
+++ b/node/tests/test_gateway_resuming.rs
@@ -15,44 +15,47 @@
 const EVENTS: u64 = 60;
 
 /// What the engines do with the stream, one after the other as they get it.
-struct Case {
+struct FaultCase {
     name: &'static str,
     faults: &'static [StreamFault],
 }
 
 /// Longer than the objective, after which the engine is doubted, and shorter than twice that, after
 /// which it is left.
-const LATE: Duration = Duration::from_millis(750);
+const RESPONSE_DELAY: Duration = Duration::from_millis(750);
 
-const MATRIX: [Case; 14] = [
-    Case { name: "none", faults: &[] },
-    Case { name: "dies before its head", faults: &[StreamFault::NoHead] },
-    Case { name: "fails it", faults: &[StreamFault::Fails] },
-    Case { name: "did not run it", faults: &[StreamFault::NotRun] },
-    Case { name: "answers late", faults: &[StreamFault::Late(LATE)] },
-    Case { name: "never answers", faults: &[StreamFault::Hangs] },
-    Case { name: "breaks before an event", faults: &[StreamFault::BreaksAfter(0)] },
-    Case { name: "breaks between events", faults: &[StreamFault::BreaksAfter(7)] },
-    Case { name: "breaks inside an event", faults: &[StreamFault::BreaksInside(7)] },
-    Case { name: "breaks after the last event", faults: &[StreamFault::BreaksAfter(EVENTS)] },
-    Case { name: "falls silent", faults: &[StreamFault::StallsAfter(7)] },
-    Case {
+const FAULT_CASES: [FaultCase; 14] = [
+    FaultCase { name: "none", faults: &[] },
+    FaultCase { name: "dies before its head", faults: &[StreamFault::NoHead] },
+    FaultCase { name: "fails it", faults: &[StreamFault::Fails] },
+    FaultCase { name: "did not run it", faults: &[StreamFault::NotRun] },
+    FaultCase { name: "answers late", faults: &[StreamFault::Late(RESPONSE_DELAY)] },
+    FaultCase { name: "never answers", faults: &[StreamFault::Hangs] },
+    FaultCase { name: "breaks before an event", faults: &[StreamFault::BreaksAfter(0)] },
+    FaultCase { name: "breaks between events", faults: &[StreamFault::BreaksAfter(7)] },
+    FaultCase { name: "breaks inside an event", faults: &[StreamFault::BreaksInside(7)] },
+    FaultCase { name: "breaks after the last event", faults: &[StreamFault::BreaksAfter(EVENTS)] },
+    FaultCase { name: "falls silent", faults: &[StreamFault::StallsAfter(7)] },
+    FaultCase {
         name: "the second breaks too",
         faults: &[StreamFault::BreaksAfter(7), StreamFault::BreaksInside(20)],
     },
-    Case {
+    FaultCase {
         name: "all break",
         faults: &[StreamFault::BreaksAfter(7), StreamFault::BreaksAfter(20), StreamFault::BreaksAfter(30)],
     },
-    Case { name: "the second starts over", faults: &[StreamFault::BreaksAfter(7), StreamFault::StartsOver] },
+    FaultCase {
+        name: "the second starts over",
+        faults: &[StreamFault::BreaksAfter(7), StreamFault::StartsOver],
+    },
 ];
 
-fn arrivals(models: &[RunningReplica]) -> Vec<Seen> {
+fn received_requests(models: &[RunningReplica]) -> Vec<Seen> {
     models.iter().flat_map(|model| model.replica.seen()).collect()
 }
 
 /// The signature of the engine whose head went to the caller.
-fn first_signature(logs: &str) -> Option<String> {
+fn first_engine_signature(logs: &str) -> Option<String> {
     let begins = logs.lines().find(|line| line.contains("event=stream_begins"))?;
     let engine = begins.split_whitespace().find_map(|word| word.strip_prefix("upstream="))?;
     Some(format!("sig-{engine}"))
@@ -61,9 +64,9 @@
 /// Each event comes once, whole and in order, whatever becomes of the engines; an end comes only
 /// after the last one; the head is the first engine's; and no more engines are asked than the route allows.
 #[tokio::test]
-async fn test_matrix_of_faults() {
+async fn test_resumed_streams_have_no_gaps_or_repeats() {
     let mut rows = Vec::new();
-    for (n, case) in MATRIX.iter().enumerate() {
+    for (n, case) in FAULT_CASES.iter().enumerate() {
         let (gateway, _bookings, models) = Gateway::with_replicas(4).await;
         let id = format!("r-{n}");
         gateway.engines.set_stream_faults(case.faults.iter().copied());
@@ -74,9 +77,9 @@
         if called.status == 200 {
             assert_eq!(called.whole, events == Some(EVENTS), "{}: {events:?}\n{logs}", case.name);
             let signature = called.header("leadstage-server-signature");
-            assert_eq!(signature, first_signature(&logs).as_deref(), "{}\n{logs}", case.name);
+            assert_eq!(signature, first_engine_signature(&logs).as_deref(), "{}\n{logs}", case.name);
         }
-        let seen = arrivals(&models);
+        let seen = received_requests(&models);
         assert!(seen.len() <= 3, "{}: {} engines\n{logs}", case.name, seen.len());
         let mut resumed: Vec<&str> = seen.iter().filter_map(|seen| seen.header("last-event-id")).collect();
         resumed.sort_by_key(|id| id.len());
@@ -110,11 +113,11 @@
 /// A caller that comes back names the last event that it has: on a resumable route the engine gets
 /// to know it, on others it is for the system alone.
 #[tokio::test]
-async fn test_a_caller_may_go_on_after_its_last_event() {
+async fn test_last_event_id_of_a_caller_reaches_the_engine_on_resumable_routes() {
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
-    let mut came_back = tag("r-1");
-    came_back.headers_mut().insert("last-event-id", "40".parse().expect("valid"));
-    let called = gateway.call(0, came_back).await;
+    let mut reconnect = tag("r-1");
+    reconnect.headers_mut().insert("last-event-id", "40".parse().expect("valid"));
+    let called = gateway.call(0, reconnect).await;
     assert_eq!((called.whole, called.last_event_after(40)), (true, Some(EVENTS)), "{}", called.body);
     let mut other = chat("r-2");
     other.headers_mut().insert("last-event-id", "40".parse().expect("valid"));
@@ -127,36 +130,36 @@
 /// A caller that came back and whose engine breaks before an event goes on after the event that it
 /// named, and not from the first.
 #[tokio::test]
-async fn test_a_caller_that_came_back_goes_on_once_more() {
+async fn test_a_reconnected_stream_resumes_after_a_break() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(2).await;
     gateway.engines.set_stream_faults([StreamFault::BreaksAfter(40)]);
-    let mut came_back = tag("r-1");
-    came_back.headers_mut().insert("last-event-id", "40".parse().expect("valid"));
-    let called = gateway.call(0, came_back).await;
+    let mut reconnect = tag("r-1");
+    reconnect.headers_mut().insert("last-event-id", "40".parse().expect("valid"));
+    let called = gateway.call(0, reconnect).await;
     assert_eq!((called.whole, called.last_event_after(40)), (true, Some(EVENTS)), "{}", gateway.logs());
 }
 
 /// A stream that may not be resumed ends where its engine breaks.
 #[tokio::test]
-async fn test_other_streams_are_not_sent_twice() {
+async fn test_non_resumable_streams_are_not_retried() {
     let (gateway, _bookings, models) = Gateway::with_replicas(3).await;
     for fault in [StreamFault::NoHead, StreamFault::Fails, StreamFault::BreaksAfter(7)] {
         gateway.engines.set_stream_faults([fault]);
-        let before = arrivals(&models).len();
+        let before = received_requests(&models).len();
         let called = gateway.call(0, chat("r-1")).await;
         assert!(called.status != 200 || !called.whole, "{fault:?}");
-        assert_eq!(arrivals(&models).len(), before + 1, "{fault:?}");
+        assert_eq!(received_requests(&models).len(), before + 1, "{fault:?}");
     }
 }
 
 /// Nobody is asked to go on for a caller that has left.
 #[tokio::test]
-async fn test_a_caller_that_left_is_not_gone_on_for() {
+async fn test_a_stream_is_not_resumed_after_its_caller_disconnected() {
     let (gateway, _bookings, models) = Gateway::with_replicas(2).await;
     gateway.engines.set_stream_faults([StreamFault::StallsAfter(7)]);
     let answer = send(&gateway.front(0), tag("r-1")).await.expect("it begins");
     drop(answer);
     gateway.until("it ends", async || models.iter().all(|m| m.replica.running() == 0)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(arrivals(&models).len(), 1);
+    assert_eq!(received_requests(&models).len(), 1);
 }
--- a/node/tests/test_gateway_silent.rs
+++ b/node/tests/test_gateway_silent.rs
@@ -21,19 +21,19 @@
 use crate::gateway_environment::tag;
 
 /// How long the callers of these tests wait for a plain call.
-const DEADLINE: Duration = Duration::from_millis(1_500);
+const CALL_DEADLINE: Duration = Duration::from_millis(1_500);
 /// Calls at once that leave a node with as many unused connections to each replica as it keeps.
-const CROWD: usize = 24;
+const WARM_UP_CALLS: usize = 24;
 /// An answered connection is used again after a short rest; this is longer.
-const REST: Duration = Duration::from_millis(60);
+const REUSE_DELAY: Duration = Duration::from_millis(60);
 /// Callers leave a stream after so long a silence.
-const CALLERS_LEAVE_AFTER: Duration = Duration::from_millis(2_000);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time for news of the store to reach a node whose old connections are silent: some pulses, each
 /// of which shows within half a second whether the store answers.
-const NEWS_WITHIN: Duration = Duration::from_secs(5);
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(5);
 /// The longest wait of a watch, and some seconds.
-const WATCH_OVER: Duration = Duration::from_secs(40);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(40);
 /// The kernel's mark for a socket whose next timer is a keep-alive probe, in `/proc/net/tcp`.
 const KEEP_ALIVE_TIMER: &str = "02:";
 
@@ -49,24 +49,25 @@
     }
     gateway.start_node();
     gateway.until_ready(0).await;
-    let crowd = (0..CROWD).map(|n| gateway.call(0, plain("/read/x", &format!("warm-{n}"))));
-    for called in futures::future::join_all(crowd).await {
+    let warm_up_calls =
+        (0..WARM_UP_CALLS).map(|n| gateway.call(0, plain_request("/read/x", &format!("warm-{n}"))));
+    for called in futures::future::join_all(warm_up_calls).await {
         assert_eq!(called.status, 200, "{}", gateway.logs());
     }
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(REUSE_DELAY).await;
     (gateway, running, proxies)
 }
 
-fn plain(path: &str, id: &str) -> Request<http_body_util::Full<bytes::Bytes>> {
+fn plain_request(path: &str, id: &str) -> Request<http_body_util::Full<bytes::Bytes>> {
     let mut req = request("POST", path, KEY, id);
-    let deadline = DEADLINE.as_millis().to_string().parse().expect("valid");
+    let deadline = CALL_DEADLINE.as_millis().to_string().parse().expect("valid");
     req.headers_mut().insert("leadstage-deadline-ms", deadline);
     req
 }
 
-async fn timed(gateway: &Gateway, path: &str, id: &str) -> (Called, Duration) {
+async fn timed_call(gateway: &Gateway, path: &str, id: &str) -> (Called, Duration) {
     let began = Instant::now();
-    let called = gateway.call(0, plain(path, id)).await;
+    let called = gateway.call(0, plain_request(path, id)).await;
     (called, began.elapsed())
 }
 
@@ -74,23 +75,23 @@
 /// after the other of them, waited there until their deadline and came to nothing, though a new
 /// connection answers within some milliseconds: three of the six calls ended with 504 after 1.5 s.
 #[tokio::test]
-async fn test_calls_that_may_repeat_outlive_silent_connections() {
+async fn test_repeatable_calls_are_retried_after_silent_connections() {
     let (gateway, _replicas, proxies) = with_unused_connections(2).await;
     proxies.iter().for_each(FaultyProxy::silence_open);
     let mut rows = Vec::new();
     for n in 0..6 {
-        let (called, took) = timed(&gateway, "/read/x", &format!("r-{n}")).await;
-        rows.push((called.status, took < DEADLINE.mul_f64(0.7)));
+        let (called, took) = timed_call(&gateway, "/read/x", &format!("r-{n}")).await;
+        rows.push((called.status, took < CALL_DEADLINE.mul_f64(0.7)));
     }
     assert_eq!(rows, vec![(200, true); 6], "statuses, and whether in time\n{}", gateway.logs());
 }
 
 /// The same with a single replica: a new connection to it answers, so the call is sent there again.
 #[tokio::test]
-async fn test_a_call_goes_to_the_same_replica_again_where_there_is_no_other() {
+async fn test_a_call_is_retried_at_the_only_replica() {
     let (gateway, replicas, proxies) = with_unused_connections(1).await;
     proxies.iter().for_each(FaultyProxy::silence_open);
-    let (called, _took) = timed(&gateway, "/read/x", "r-1").await;
+    let (called, _took) = timed_call(&gateway, "/read/x", "r-1").await;
     assert_eq!(called.status, 200, "{}", gateway.logs());
     let arrivals = replicas[0].replica.seen();
     let arrivals = arrivals.iter().filter(|seen| seen.header("leadstage-request-id") == Some("r-1"));
@@ -101,12 +102,12 @@
 /// the first one. Those that followed were sent on the other silent connections to the same
 /// replica, and failed too: three of the eight calls to two replicas.
 #[tokio::test]
-async fn test_one_silent_connection_to_a_replica_condemns_its_others() {
+async fn test_one_silent_connection_retires_all_kept_connections_to_its_replica() {
     let (gateway, replicas, proxies) = with_unused_connections(2).await;
     proxies.iter().for_each(FaultyProxy::silence_open);
     let mut failed = 0;
     for n in 0..8 {
-        let (called, _took) = timed(&gateway, "/book/x", &format!("r-{n}")).await;
+        let (called, _took) = timed_call(&gateway, "/book/x", &format!("r-{n}")).await;
         failed += usize::from(called.status != 200);
     }
     assert!(failed <= replicas.len(), "{failed} of 8 failed\n{}", gateway.logs());
@@ -118,11 +119,11 @@
 /// A replica that never answers what came on a kept connection looks the same: the call is sent to
 /// the other one while there is time for its answer.
 #[tokio::test]
-async fn test_a_replica_that_never_answers_on_a_kept_connection_is_left_in_time() {
+async fn test_calls_are_retried_at_another_replica_before_their_deadline() {
     let (gateway, replicas, _proxies) = with_unused_connections(2).await;
     replicas[0].replica.set_fault(ReplicaFault::Hangs);
     for n in 0..6 {
-        let (called, _took) = timed(&gateway, "/read/x", &format!("r-{n}")).await;
+        let (called, _took) = timed_call(&gateway, "/read/x", &format!("r-{n}")).await;
         assert_eq!(called.status, 200, "{}", gateway.logs());
     }
 }
@@ -143,7 +144,7 @@
 }
 
 /// Waits until a stream has run for a while, and silences all open connections to engines.
-async fn silence_midway(gateway: &Gateway, models: &[RunningReplica], proxies: &[FaultyProxy]) {
+async fn silence_running_stream(gateway: &Gateway, models: &[RunningReplica], proxies: &[FaultyProxy]) {
     gateway.until("it runs", async || models.iter().any(|model| model.replica.running() > 0)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     proxies.iter().for_each(FaultyProxy::silence_open);
@@ -161,12 +162,13 @@
 /// A stream's connection falls silent midway while its engine goes on and is well: a resumable
 /// stream goes on at the other engine before its caller leaves.
 #[tokio::test]
-async fn test_a_resumable_stream_goes_on_before_its_caller_leaves_a_silent_connection() {
+async fn test_a_resumable_stream_on_a_silent_connection_is_resumed_in_time() {
     let (gateway, models, proxies) = with_engines(60).await;
-    let (called, ()) = tokio::join!(gateway.call(0, tag("r-1")), silence_midway(&gateway, &models, &proxies));
+    let (called, ()) =
+        tokio::join!(gateway.call(0, tag("r-1")), silence_running_stream(&gateway, &models, &proxies));
     assert!(called.whole && called.events() == Some(60), "{called:?}\n{}", gateway.logs());
     let gap = longest_gap(&gateway).await;
-    assert!(gap < CALLERS_LEAVE_AFTER, "silent for {gap:?}\n{}", gateway.logs());
+    assert!(gap < CALLER_TIMEOUT, "silent for {gap:?}\n{}", gateway.logs());
 }
 
 /// The connection of a stream that may not be resumed fell silent midway, and the box that dropped
@@ -175,13 +177,13 @@
 /// worked all the while and a copy of the generation's memory counts as the same run: 19 of 200 events
 /// reached the caller, and its stream broke after 8.0 s.
 #[tokio::test]
-async fn test_a_stream_that_may_not_be_resumed_is_moved_off_a_silent_connection() {
+async fn test_a_non_resumable_stream_is_moved_off_a_silent_connection() {
     let (gateway, models, proxies) = with_engines(200).await;
     let (called, ()) =
-        tokio::join!(gateway.call(0, chat("r-1")), silence_midway(&gateway, &models, &proxies));
+        tokio::join!(gateway.call(0, chat("r-1")), silence_running_stream(&gateway, &models, &proxies));
     assert!(called.whole && called.events() == Some(200), "{called:?}\n{}", gateway.logs());
     let gap = longest_gap(&gateway).await;
-    assert!(gap < CALLERS_LEAVE_AFTER, "silent for {gap:?}\n{}", gateway.logs());
+    assert!(gap < CALLER_TIMEOUT, "silent for {gap:?}\n{}", gateway.logs());
     let seen: Vec<_> = models.iter().flat_map(|model| model.replica.seen()).collect();
     let fresh = seen.iter().filter(|seen| seen.header("kv-from").is_none()).count();
     assert_eq!(fresh, 1, "a generation starts once");
@@ -195,10 +197,10 @@
 /// Its generation stays: to move it costs the link and the other engine's memory, and the caller
 /// gains nothing.
 #[tokio::test]
-async fn test_a_stream_whose_engine_makes_no_events_stays_there() {
+async fn test_a_stream_whose_engine_stalls_is_not_moved() {
     let (gateway, models, _proxies) = with_engines(200).await;
     gateway.engines.set_stream_faults([StreamFault::StallsAfter(20)]);
-    let leaving = tokio::time::timeout(CALLERS_LEAVE_AFTER, gateway.call(0, chat("r-1"))).await;
+    let leaving = tokio::time::timeout(CALLER_TIMEOUT, gateway.call(0, chat("r-1"))).await;
     assert!(leaving.is_err(), "{leaving:?}\n{}", gateway.logs());
     let copies: usize = models.iter().map(|model| model.replica.copy_calls()).sum();
     assert_eq!(copies, 0, "{}", gateway.logs());
@@ -208,7 +210,7 @@
 /// a new one and called the store well. News of the store came when the watch ended by itself: a
 /// configuration was in force 30.8 s after it was stored.
 #[tokio::test]
-async fn test_news_of_the_store_come_though_a_watch_is_silent() {
+async fn test_store_changes_arrive_although_a_watch_is_silent() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let _replica = gateway.start_replica("booking", "booking-1", 1).await;
@@ -218,18 +220,18 @@
     gateway.until("it watches", async || gateway.log(0).contains("event=store_watch")).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     proxy.silence_open();
-    let mut newer = config(2);
-    newer["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
-    gateway.store.put("config", "main", newer);
+    let mut new_config = config(2);
+    new_config["tenants"][0]["apiKeys"] = serde_json::json!(["key-b"]);
+    gateway.store.put("config", "main", new_config);
     let put = Instant::now();
-    while gateway.status_of(0, "/read/x", "key-b").await != 200 && put.elapsed() < WATCH_OVER {
+    while gateway.status_of(0, "/read/x", "key-b").await != 200 && put.elapsed() < WATCH_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(put.elapsed() < NEWS_WITHIN, "in force after {:?}\n{}", put.elapsed(), gateway.logs());
+    assert!(put.elapsed() < MAX_UPDATE_DELAY, "in force after {:?}\n{}", put.elapsed(), gateway.logs());
 }
 
 /// An address as `/proc/net/tcp` writes it.
-fn proc_form(address: SocketAddr) -> String {
+fn proc_net_address(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else {
         panic!("{address} is not of IPv4");
     };
@@ -237,10 +239,10 @@
 }
 
 /// Whether the kernel is to probe the server's socket of a connection.
-fn is_probed(server: SocketAddr, client: SocketAddr) -> bool {
+fn has_keep_alive_timer(server: SocketAddr, client: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("readable");
-    let ends = format!("{} {} ", proc_form(server), proc_form(client));
-    let line = table.lines().find(|line| line.contains(&ends)).expect("it is open");
+    let endpoints = format!("{} {} ", proc_net_address(server), proc_net_address(client));
+    let line = table.lines().find(|line| line.contains(&endpoints)).expect("it is open");
     line.split_whitespace().any(|word| word.starts_with(KEEP_ALIVE_TIMER))
 }
 
@@ -248,7 +250,7 @@
 /// good. Those of the ports that answer from what is at hand (the balancer's, the nodes', the
 /// operators') were not probed, so they stayed open until the process ended and took descriptors.
 #[tokio::test]
-async fn test_every_port_probes_its_connections() {
+async fn test_every_port_sends_keep_alive_probes() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     let ports = [
         ("callers", gateway.front(0)),
@@ -259,9 +261,9 @@
     let mut probed = Vec::new();
     for (port, address) in ports {
         let stream = TcpStream::connect(&address).await.expect("it listens");
-        tokio::time::sleep(REST).await;
-        let ends = (stream.peer_addr().expect("open"), stream.local_addr().expect("open"));
-        probed.push((port, is_probed(ends.0, ends.1)));
+        tokio::time::sleep(REUSE_DELAY).await;
+        let endpoints = (stream.peer_addr().expect("open"), stream.local_addr().expect("open"));
+        probed.push((port, has_keep_alive_timer(endpoints.0, endpoints.1)));
     }
     let all = ["callers", "balancer", "peers", "metrics"].map(|port| (port, true));
     assert_eq!(probed, all);
--- a/node/tests/test_gateway_slow_readers.rs
+++ b/node/tests/test_gateway_slow_readers.rs
@@ -24,28 +24,32 @@
 
 /// Memory of the smallest VM of all deployments, in 10^6 bytes.
 const MEMORY_MB: usize = 88;
-const SLOW_CALLERS: usize = 300;
+const SLOW_CALLER_COUNT: usize = 300;
 const ENGINES: usize = 12;
 /// A caller that is refused comes back after this.
-const COMES_BACK_AFTER: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// What a slow caller reads in a second.
-const SLOW_BYTES: usize = 1_000;
+const SLOW_BYTES_PER_SECOND: usize = 1_000;
 
 /// A fleet of one small node, whose plain service answers `/read/` with so many bytes, and whose generations have
 /// events of so many.
-async fn small_node(answer: usize, event: usize) -> (Gateway, RunningReplica, Vec<RunningReplica>) {
+async fn small_node(
+    response_bytes: usize,
+    event_bytes: usize,
+) -> (Gateway, RunningReplica, Vec<RunningReplica>) {
     let mut gateway = Gateway::start().await;
     let mut config = config(1);
     config["limits"]["maxBodyBytes"] = 4_000_000.into();
     config["services"][1]["engine"]["kvCacheTokens"] = 10_000_000.into();
     gateway.store.put("config", "main", config);
     let booking = gateway.start_replica(BOOKING, "booking-1", 4).await;
-    let long = PartialFault { fault: ReplicaFault::Long(answer), one_of: 1, prefix: "/read/".to_owned() };
+    let long =
+        PartialFault { fault: ReplicaFault::Long(response_bytes), one_of: 1, prefix: "/read/".to_owned() };
     booking.replica.set_partial_fault(long);
     let mut models = Vec::new();
     for n in 0..ENGINES {
         let model = gateway.start_replica(MODEL, &format!("model-{n}"), 60).await;
-        model.replica.set_padding(event);
+        model.replica.set_padding(event_bytes);
         models.push(model);
     }
     let node = gateway.start_node_with(|yaml| format!("{yaml}memory_mb: {MEMORY_MB}\n"));
@@ -70,14 +74,14 @@
 
 /// A caller on a connection with a small window, which reads slowly for a time, or until it
 /// is refused. Returns the status line.
-async fn slow_caller(address: String, req: String, lasts: Duration) -> String {
+async fn slow_caller(address: String, req: String, duration: Duration) -> String {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("a small window");
     let mut stream = socket.connect(address.parse().expect("an address")).await.expect("it connects");
     stream.write_all(req.as_bytes()).await.expect("it is sent");
-    let mut buf = vec![0; SLOW_BYTES];
+    let mut buf = vec![0; SLOW_BYTES_PER_SECOND];
     let mut head = String::new();
-    let until = tokio::time::Instant::now() + lasts;
+    let until = tokio::time::Instant::now() + duration;
     while tokio::time::Instant::now() < until {
         match tokio::time::timeout_at(until, stream.read(&mut buf)).await {
             Ok(Ok(read)) if read > 0 => {
@@ -110,60 +114,71 @@
 
 /// The same for one that comes back as long as it is refused: 300 streams at once are more than engines on a busy machine
 /// read in time. Its last status line.
-async fn patient_caller(address: String, req: String, lasts: Duration) -> String {
-    let until = tokio::time::Instant::now() + lasts;
+async fn retrying_slow_caller(address: String, req: String, duration: Duration) -> String {
+    let until = tokio::time::Instant::now() + duration;
     loop {
         let left = until - tokio::time::Instant::now();
         let head = slow_caller(address.clone(), req.clone(), left).await;
         if !head.contains(" 503 ") || tokio::time::Instant::now() >= until {
             return head;
         }
-        tokio::time::sleep(COMES_BACK_AFTER).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-fn patient_callers(gateway: &Gateway, make: fn(usize) -> String, lasts: Duration) -> JoinSet<String> {
-    let callers = (0..SLOW_CALLERS).map(|n| patient_caller(gateway.front(0), make(n), lasts));
+fn retrying_slow_callers(
+    gateway: &Gateway,
+    make_request: fn(usize) -> String,
+    duration: Duration,
+) -> JoinSet<String> {
+    let callers =
+        (0..SLOW_CALLER_COUNT).map(|n| retrying_slow_caller(gateway.front(0), make_request(n), duration));
     callers.collect()
 }
 
-fn slow_callers(gateway: &Gateway, make: fn(usize) -> String, lasts: Duration) -> JoinSet<String> {
+fn slow_callers(gateway: &Gateway, make_request: fn(usize) -> String, duration: Duration) -> JoinSet<String> {
     let mut callers = JoinSet::new();
-    for n in 0..SLOW_CALLERS {
-        callers.spawn(slow_caller(gateway.front(0), make(n), lasts));
+    for n in 0..SLOW_CALLER_COUNT {
+        callers.spawn(slow_caller(gateway.front(0), make_request(n), duration));
     }
     callers
 }
 
 /// Answers that nobody takes fit into the bound: everybody is served.
 #[tokio::test]
-async fn test_calm_callers_are_served_beside_slow_ones() {
-    for (make, engines_are_free) in [(plain_request as fn(usize) -> String, true), (stream_request, false)] {
+async fn test_callers_are_served_beside_slow_readers() {
+    for (make_request, engines_are_free) in
+        [(plain_request as fn(usize) -> String, true), (stream_request, false)]
+    {
         // 40 kB each: 12 MB for all, of 18 from which on requests are refused.
         let (gateway, _booking, _models) = small_node(40_000, 650).await;
-        let slow = patient_callers(&gateway, make, Duration::from_secs(6));
-        let mut most = 0;
+        let slow = retrying_slow_callers(&gateway, make_request, Duration::from_secs(6));
+        let mut peak = 0;
         for n in 0..40 {
             assert_eq!(gateway.status_of(0, "/book/x", KEY).await, 200, "{}", gateway.logs());
             if n % 10 == 0 && engines_are_free {
                 let chat = gateway.call(0, chat(&format!("c-{n}"))).await;
                 assert!(chat.whole && chat.status == 200, "{chat:?}\n{}", gateway.logs());
             }
-            most = most.max(memory_mb(&gateway));
+            peak = peak.max(memory_mb(&gateway));
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        assert!(most < MEMORY_MB, "{most} MB");
+        assert!(peak < MEMORY_MB, "{peak} MB");
         let answered = slow.join_all().await.iter().filter(|head| head.contains(" 200 ")).count();
-        assert!(answered >= SLOW_CALLERS * 9 / 10, "{answered}\n{}", gateway.lines_with("event=refused"));
+        assert!(
+            answered >= SLOW_CALLER_COUNT * 9 / 10,
+            "{answered}\n{}",
+            gateway.lines_with("event=refused")
+        );
     }
 }
 
 /// Answers of which all together would take more than the VM has: what would go beyond is refused, and it has not run.
 #[tokio::test]
-async fn test_what_is_held_is_bounded_and_beyond_it_is_refused() {
+async fn test_held_bytes_are_bounded_and_excess_calls_refused() {
     let (gateway, booking, _models) = small_node(1_200_000, 0).await;
     let slow = slow_callers(&gateway, plain_request, Duration::from_secs(5));
-    let mut most = (0, 0);
+    let mut peak = (0, 0);
     let mut refused = 0;
     for _ in 0..60 {
         let before = booking.replica.seen().len();
@@ -176,12 +191,12 @@
             assert_eq!(called.status, 200, "{called:?}\n{}", gateway.logs());
             assert!(booking.replica.seen().len() > before);
         }
-        most = (most.0.max(memory_mb(&gateway)), most.1.max(held_bytes(&gateway).await));
+        peak = (peak.0.max(memory_mb(&gateway)), peak.1.max(held_bytes(&gateway).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(refused > 0, "nothing was refused, {most:?}");
-    assert!(most.0 < MEMORY_MB, "{most:?}");
-    assert!(most.1 > 1_000_000 && most.1 <= MEMORY_MB * 300_000, "{most:?}");
+    assert!(refused > 0, "nothing was refused, {peak:?}");
+    assert!(peak.0 < MEMORY_MB, "{peak:?}");
+    assert!(peak.1 > 1_000_000 && peak.1 <= MEMORY_MB * 300_000, "{peak:?}");
     slow.join_all().await;
     let is_served = async || gateway.status_of(0, "/book/x", KEY).await == 200;
     gateway.until("calls are served again", is_served).await;
@@ -198,7 +213,7 @@
     tokio::spawn(async move {
         loop {
             let (stream, _) = slow.accept().await.expect("it accepts");
-            tokio::spawn(read_slowly(stream));
+            tokio::spawn(read_body_slowly(stream));
         }
     });
     gateway.store.put("servers", "slow-1", replica_entry(BOOKING, address, "hall-1", "ready"));
@@ -213,16 +228,16 @@
         req.headers_mut().insert("leadstage-deadline-ms", "4000".parse().expect("valid"));
         callers.spawn(async move { call(&front, req).await.status });
     }
-    let mut most = 0;
+    let mut peak = 0;
     while !callers.is_empty() {
-        most = most.max(memory_mb(&gateway));
+        peak = peak.max(memory_mb(&gateway));
         let _ = tokio::time::timeout(Duration::from_millis(50), callers.join_next()).await;
     }
-    assert!(most < MEMORY_MB, "{most} MB\n{}", gateway.logs());
+    assert!(peak < MEMORY_MB, "{peak} MB\n{}", gateway.logs());
 }
 
-async fn read_slowly(mut stream: TcpStream) {
-    let mut buf = vec![0; SLOW_BYTES];
+async fn read_body_slowly(mut stream: TcpStream) {
+    let mut buf = vec![0; SLOW_BYTES_PER_SECOND];
     while stream.read(&mut buf).await.is_ok_and(|read| read > 0) {
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
--- a/node/tests/test_gateway_stop.rs
+++ b/node/tests/test_gateway_stop.rs
@@ -23,16 +23,16 @@
 
 /// A node without open requests ends about 2.3 s after the signal. Connections that came this
 /// long after it are not closed as unused before.
-const CONNECTED_AT: Duration = Duration::from_millis(1_500);
+const CONNECT_DELAY: Duration = Duration::from_millis(1_500);
 /// What is sent then comes before the node decides to end, with time to spare.
-const SENT_BEFORE: Duration = Duration::from_millis(2_000);
+const EARLY_SEND_DELAY: Duration = Duration::from_millis(2_000);
 /// What is sent from then on meets the node's end.
-const SENT_AT: Duration = Duration::from_millis(2_200);
+const LATE_SEND_DELAY: Duration = Duration::from_millis(2_200);
 /// Bytes that a pipe holds for its reader.
-const PIPE_BYTES: usize = 64 << 10;
+const PIPE_CAPACITY_BYTES: usize = 64 << 10;
 
 /// A call as the bytes that a caller sends.
-fn call(id: &str) -> String {
+fn call_bytes(id: &str) -> String {
     format!(
         "POST /book/x HTTP/1.1\r\nhost: h.example\r\nleadstage-request-id: {id}\r\n\
          authorization: Token {KEY}\r\ncontent-length: 4\r\n\r\nbody"
@@ -47,7 +47,7 @@
 }
 
 /// Whether an answer is a success with its whole body.
-fn is_whole(answer: &str) -> bool {
+fn is_complete_success(answer: &str) -> bool {
     let Some((head, body)) = answer.split_once("\r\n\r\n") else {
         return false;
     };
@@ -60,49 +60,49 @@
 /// on a kept connection 38 ms after the last stream's end, 3 s after the signal: it reached its
 /// replica, and 27 ms later the process was gone, without an answer.
 #[tokio::test]
-async fn test_calls_that_meet_the_end_of_a_stop_are_answered_or_not_taken() {
+async fn test_calls_at_the_end_of_a_stop_are_answered_or_not_accepted() {
     let (mut gateway, bookings, _models) = Gateway::with_replicas(1).await;
     bookings[0].replica.set_fault(ReplicaFault::Late(Duration::from_millis(50)));
     gateway.signal(0, "-TERM");
     let began = tokio::time::Instant::now();
-    tokio::time::sleep_until(began + CONNECTED_AT).await;
+    tokio::time::sleep_until(began + CONNECT_DELAY).await;
     let mut calls = JoinSet::new();
     for n in 0..18 {
         let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
         calls.spawn(async move {
             // The pauses between the calls let the node find none open, at one place or another.
-            tokio::time::sleep_until(began + SENT_AT + n * Duration::from_millis(110)).await;
+            tokio::time::sleep_until(began + LATE_SEND_DELAY + n * Duration::from_millis(110)).await;
             let id = format!("r-{n}");
             // Where the connection is closed by now, nothing is taken.
-            let _ = stream.write_all(call(&id).as_bytes()).await;
+            let _ = stream.write_all(call_bytes(&id).as_bytes()).await;
             let answer = read_to_end(&mut stream).await;
-            is_whole(&answer).then_some(id)
+            is_complete_success(&answer).then_some(id)
         });
     }
     let mut answered: Vec<String> = calls.join_all().await.into_iter().flatten().collect();
     let seen = bookings[0].replica.seen();
-    let mut taken: Vec<String> =
+    let mut received: Vec<String> =
         seen.iter().filter_map(|seen| seen.header("leadstage-request-id").map(str::to_owned)).collect();
-    taken.sort();
+    received.sort();
     answered.sort();
-    assert_eq!(taken, answered, "reached the replica, and were answered");
+    assert_eq!(received, answered, "reached the replica, and were answered");
     assert!(gateway.end_of(0).await, "the stop is no failure");
 }
 
 /// The end of an answer to a call of which a node has only the part before `split` when it
 /// decides to end.
-async fn answer_to_a_call_split_at(split: &str) -> String {
+async fn response_to_a_call_split_at(split: &str) -> String {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     gateway.signal(0, "-TERM");
     let began = tokio::time::Instant::now();
-    tokio::time::sleep_until(began + CONNECTED_AT).await;
+    tokio::time::sleep_until(began + CONNECT_DELAY).await;
     let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
-    let call = call("r-1");
+    let call = call_bytes("r-1");
     let (first, rest) = call.split_at(call.find(split).expect("a part of it"));
     // The head may take 1 s.
-    tokio::time::sleep_until(began + SENT_BEFORE).await;
+    tokio::time::sleep_until(began + EARLY_SEND_DELAY).await;
     stream.write_all(first.as_bytes()).await.expect("it is open");
-    tokio::time::sleep_until(began + SENT_BEFORE + Duration::from_millis(700)).await;
+    tokio::time::sleep_until(began + EARLY_SEND_DELAY + Duration::from_millis(700)).await;
     // Where the node is gone the answer is empty.
     let _ = stream.write_all(rest.as_bytes()).await;
     read_to_end(&mut stream).await
@@ -111,37 +111,37 @@
 /// Nor did a node that ended know of requests of which it had read a part of the head: it closed
 /// their connections, and a caller can't know how far it had read.
 #[tokio::test]
-async fn test_a_call_whose_head_is_half_read_at_the_end_of_a_stop_is_served() {
-    let answer = answer_to_a_call_split_at("leadstage-request-id").await;
-    assert!(is_whole(&answer), "{answer:?}");
+async fn test_a_call_with_a_partial_head_at_the_end_of_a_stop_is_served() {
+    let answer = response_to_a_call_split_at("leadstage-request-id").await;
+    assert!(is_complete_success(&answer), "{answer:?}");
 }
 
 #[tokio::test]
-async fn test_a_call_whose_body_is_half_read_at_the_end_of_a_stop_is_served() {
-    let answer = answer_to_a_call_split_at("dy").await;
-    assert!(is_whole(&answer), "{answer:?}");
+async fn test_a_call_with_a_partial_body_at_the_end_of_a_stop_is_served() {
+    let answer = response_to_a_call_split_at("dy").await;
+    assert!(is_complete_success(&answer), "{answer:?}");
 }
 
 /// A call counted as open only until its answer was handed over to be written. A node that stopped
 /// cut what its callers had not read 50 ms later, beyond what the system holds for them.
 #[tokio::test]
-async fn test_an_answer_that_is_read_slowly_is_whole_when_its_node_stops() {
+async fn test_a_stopping_node_completes_slowly_read_responses() {
     let (mut gateway, bookings, _models) = Gateway::with_replicas(1).await;
     // Both sockets together held 3.6 MB of it, on loopback.
     bookings[0].replica.set_fault(ReplicaFault::Long(4_000_000));
     gateway.signal(0, "-TERM");
     let began = tokio::time::Instant::now();
-    tokio::time::sleep_until(began + CONNECTED_AT).await;
+    tokio::time::sleep_until(began + CONNECT_DELAY).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(16 << 10).expect("a size");
     let front = gateway.front(0).parse().expect("an address");
     let mut stream = socket.connect(front).await.expect("it listens");
-    tokio::time::sleep_until(began + SENT_BEFORE).await;
-    stream.write_all(call("r-1").as_bytes()).await.expect("it is open");
+    tokio::time::sleep_until(began + EARLY_SEND_DELAY).await;
+    stream.write_all(call_bytes("r-1").as_bytes()).await.expect("it is open");
     // A caller that reads nothing for 1.5 s counts as gone.
-    tokio::time::sleep_until(began + SENT_BEFORE + Duration::from_millis(800)).await;
+    tokio::time::sleep_until(began + EARLY_SEND_DELAY + Duration::from_millis(800)).await;
     let answer = read_to_end(&mut stream).await;
-    assert!(is_whole(&answer), "{} bytes came", answer.len());
+    assert!(is_complete_success(&answer), "{} bytes came", answer.len());
     assert!(gateway.end_of(0).await, "the stop is no failure");
 }
 
@@ -149,7 +149,7 @@
 /// stream that came 4.4 s after the signal was cut with the process 3.3 s later. While the balancer
 /// still sends callers, the estimate counts; after that, the most that the stream may make.
 #[tokio::test]
-async fn test_a_stopping_node_takes_no_stream_that_may_outlast_it() {
+async fn test_a_stopping_node_refuses_streams_that_may_outlast_it() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     // 15 ms an event: it lasts 3.3 s, and the node ends 5.75 s after the signal at the latest.
@@ -172,27 +172,27 @@
 /// A stream that waits for an engine while its node stops, and gets one when it can no longer end before
 /// the node does: it was begun and cut. It has not run, so its caller is sent to another node.
 #[tokio::test]
-async fn test_a_stream_that_waits_too_long_at_a_stopping_node_is_not_begun() {
+async fn test_a_stopping_node_refuses_queued_streams_that_may_outlast_it() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     // 15 ms an event: each lasts 3.3 s, and the engine has room for one.
     let model = gateway.start_replica(MODEL, "model-1", 220).await;
     let node = gateway.start_node();
     gateway.until_ready(node).await;
-    let sized = |id: &str, usage: &str| {
+    let chat_with_usage = |id: &str, usage: &str| {
         let mut req = chat(id);
         req.headers_mut().insert("leadstage-token-usage", usage.parse().expect("valid"));
         req.headers_mut().insert("length-hint", "40".parse().expect("valid"));
         req
     };
-    let (first, waited) = tokio::join!(gateway.call(node, sized("r-1", "30000,2000")), async {
+    let (first, queued) = tokio::join!(gateway.call(node, chat_with_usage("r-1", "30000,2000")), async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         gateway.signal(node, "-TERM");
         tokio::time::sleep(Duration::from_millis(1_600)).await;
-        gateway.call(node, sized("r-2", "2000,2000")).await
+        gateway.call(node, chat_with_usage("r-2", "2000,2000")).await
     });
     assert_eq!(first.events(), Some(220), "it ends before the node does: {first:?}");
-    assert_eq!((waited.status, waited.code()), (503, 2108), "{waited:?}\n{}", gateway.logs());
+    assert_eq!((queued.status, queued.code()), (503, 2108), "{queued:?}\n{}", gateway.logs());
     assert_eq!(model.replica.seen().len(), 1, "the second was sent to no engine");
     assert!(gateway.end_of(node).await, "the stop is no failure");
 }
@@ -208,14 +208,14 @@
         gateway.until_ready(n).await;
     }
     (0..nodes).for_each(|n| gateway.signal(n, "-TERM"));
-    let mut silent = Vec::new();
+    let mut nodes_without_line = Vec::new();
     for n in 0..nodes {
         assert!(gateway.end_of(n).await, "the stop is no failure");
         if !gateway.log(n).contains("event=stopped") {
-            silent.push(n);
+            nodes_without_line.push(n);
         }
     }
-    assert_eq!(silent, [0; 0], "nodes that did not say that they stopped\n{}", gateway.logs());
+    assert_eq!(nodes_without_line, [0; 0], "nodes that did not say that they stopped\n{}", gateway.logs());
 }
 
 /// Beyond 300 lines a second lines are left out, and the last ones of a busy node were among them.
@@ -224,17 +224,17 @@
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     gateway.kill(0);
     let settings = gateway.settings(0, gateway.store_address(), "");
-    let short = settings.replace("stop_within: 6s", "stop_within: 600ms");
-    std::fs::write(gateway.settings_path(0), short).expect("writable");
+    let short_stop = settings.replace("stop_within: 6s", "stop_within: 600ms");
+    std::fs::write(gateway.settings_path(0), short_stop).expect("writable");
     gateway.start_again(0);
     gateway.until_ready(0).await;
     // A second begins with the first line that follows.
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
     let began = Instant::now();
-    let refused = "GET /nowhere/ HTTP/1.1\r\nhost: h.example\r\n\r\n".repeat(499);
+    let refused_calls = "GET /nowhere/ HTTP/1.1\r\nhost: h.example\r\n\r\n".repeat(499);
     let last = "GET /nowhere/ HTTP/1.1\r\nhost: h.example\r\nconnection: close\r\n\r\n";
-    stream.write_all((refused + last).as_bytes()).await.expect("it is open");
+    stream.write_all((refused_calls + last).as_bytes()).await.expect("it is open");
     let answers = read_to_end(&mut stream).await;
     assert_eq!(answers.matches("HTTP/1.1 404").count(), 500);
     gateway.signal(0, "-TERM");
@@ -248,31 +248,31 @@
 
 /// The reason why a node failed was lost in the same way.
 #[tokio::test]
-async fn test_nodes_that_fail_log_why() {
+async fn test_failing_nodes_log_the_reason() {
     let mut gateway = Gateway::start().await;
-    let mut silent = Vec::new();
+    let mut nodes_without_line = Vec::new();
     for n in 0..12 {
         // The callers' port is the traffic thread's, the balancer's the control thread's.
         let address = if n % 2 == 0 { gateway.front(n) } else { gateway.ready(n) };
-        let _taken = TcpListener::bind(address).expect("it is free");
+        let _bound_port = TcpListener::bind(address).expect("it is free");
         gateway.start_node();
         assert!(!gateway.end_of(n).await, "a port is taken");
         if !gateway.log(n).contains("event=failed") {
-            silent.push(n);
+            nodes_without_line.push(n);
         }
     }
-    assert_eq!(silent, [0; 0], "nodes that did not say why\n{}", gateway.logs());
+    assert_eq!(nodes_without_line, [0; 0], "nodes that did not say why\n{}", gateway.logs());
 }
 
 /// Whoever collects the logs may have stopped reading: the end does not wait for it.
 #[tokio::test]
-async fn test_a_reader_that_does_not_read_does_not_hold_up_the_end() {
+async fn test_an_unread_log_pipe_does_not_delay_the_exit() {
     let gateway = Gateway::start().await;
-    let _taken = TcpListener::bind(gateway.front(0)).expect("it is free");
+    let _bound_port = TcpListener::bind(gateway.front(0)).expect("it is free");
     let yaml = gateway.settings(0, gateway.store_address(), "");
     std::fs::write(gateway.settings_path(0), yaml).expect("writable");
     let (_reader, mut writer) = std::io::pipe().expect("a pipe");
-    writer.write_all(&[b'\n'; PIPE_BYTES]).expect("it holds so much");
+    writer.write_all(&[b'\n'; PIPE_CAPACITY_BYTES]).expect("it holds so much");
     let mut command = Command::new(env!("CARGO_BIN_EXE_leadstaged"));
     command.arg("--config").arg(gateway.settings_path(0));
     command.stdout(writer).stderr(Stdio::null()).stdin(Stdio::null());
--- a/node/tests/test_gateway_streams.rs
+++ b/node/tests/test_gateway_streams.rs
@@ -22,7 +22,7 @@
 const EVENTS: u64 = 60;
 
 /// When a fault strikes, counted in events of the generation.
-const MIDWAY: u64 = 20;
+const FAULT_AFTER_EVENTS: u64 = 20;
 
 /// What happens to a stream at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,20 +43,20 @@
     LeavesTwice,
 }
 
-async fn engine_of<'a>(
+async fn wait_for_running_engine<'a>(
     gateway: &Gateway,
     models: &'a mut [RunningReplica],
-    made: u64,
+    event_count: u64,
 ) -> &'a mut RunningReplica {
     gateway.until("it runs", async || models.iter().any(|m| m.replica.running() > 0)).await;
     let at = models.iter().position(|m| m.replica.running() > 0).expect("it runs");
-    let pause = models[at].replica.pace * made as u32;
+    let pause = models[at].replica.pace * event_count as u32;
     tokio::time::sleep(pause).await;
     &mut models[at]
 }
 
-async fn strike(gateway: &Gateway, models: &mut [RunningReplica], fault: Fault) {
-    let engine = engine_of(gateway, models, MIDWAY).await;
+async fn inject_fault(gateway: &Gateway, models: &mut [RunningReplica], fault: Fault) {
+    let engine = wait_for_running_engine(gateway, models, FAULT_AFTER_EVENTS).await;
     match fault {
         Fault::Leaves => gateway.drain(MODEL, engine),
         Fault::LeavesWithoutRoom => {
@@ -98,9 +98,10 @@
 }
 
 /// Plays one fault; returns what the caller saw and how many engines ran the generation.
-async fn play(fault: Fault) -> (Called, usize, String) {
+async fn run_with_fault(fault: Fault) -> (Called, usize, String) {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(3).await;
-    let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), strike(&gateway, &mut models, fault));
+    let (called, ()) =
+        tokio::join!(gateway.call(0, chat("r-chat")), inject_fault(&gateway, &mut models, fault));
     let starts = models.iter().flat_map(|m| m.replica.seen());
     let fresh = starts.clone().filter(|seen| seen.header("kv-from").is_none()).count();
     assert_eq!(fresh, 1, "{fault:?}: a generation starts once\n{}", gateway.logs());
@@ -110,7 +111,7 @@
 /// Whatever happens: events without a gap or a repeat, an end only after the last one, and
 /// one generation.
 #[tokio::test]
-async fn test_matrix_of_faults() {
+async fn test_streams_survive_engine_faults_without_gaps_or_repeats() {
     let mut rows = Vec::new();
     for fault in [
         Fault::Leaves,
@@ -121,7 +122,7 @@
         Fault::TargetsFail,
         Fault::LeavesTwice,
     ] {
-        let (called, engines, logs) = play(fault).await;
+        let (called, engines, logs) = run_with_fault(fault).await;
         let events = called.events();
         assert!(events.is_some(), "{fault:?}: not just the events: {}\n{logs}", called.body);
         assert_eq!(called.whole, events == Some(EVENTS), "{fault:?}: {events:?} events\n{logs}");
@@ -139,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn test_a_stream_whose_caller_leaves_is_ended() {
+async fn test_a_generation_ends_when_its_caller_disconnects() {
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
     let (connection, res) =
         crate::gateway_environment::send(&gateway.front(0), chat("r-1")).await.expect("it begins");
@@ -150,19 +151,19 @@
 }
 
 /// What the engines do, one after the other, with a stream and with the calls to go on with it.
-struct Reluctance {
+struct RefusalCase {
     name: &'static str,
     faults: &'static [StreamFault],
 }
 
 /// A generation that was stopped to be moved is asked for at the engine with its copy, and at the
 /// one where it stopped.
-const RELUCTANT: [Reluctance; 4] = [
-    Reluctance {
+const REFUSAL_CASES: [RefusalCase; 4] = [
+    RefusalCase {
         name: "the target turns it away, then the source does",
         faults: &[StreamFault::None, StreamFault::NotRun, StreamFault::NotRun],
     },
-    Reluctance {
+    RefusalCase {
         name: "both turn it away twice",
         faults: &[
             StreamFault::None,
@@ -172,11 +173,14 @@
             StreamFault::NotRun,
         ],
     },
-    Reluctance {
+    RefusalCase {
         name: "the target fails it, and the source turns it away",
         faults: &[StreamFault::None, StreamFault::Fails, StreamFault::NotRun],
     },
-    Reluctance { name: "both fail it", faults: &[StreamFault::None, StreamFault::Fails, StreamFault::Fails] },
+    RefusalCase {
+        name: "both fail it",
+        faults: &[StreamFault::None, StreamFault::Fails, StreamFault::Fails],
+    },
 ];
 
 /// A stream broke for its caller although its generation lay whole in the memory of two engines:
@@ -184,13 +188,13 @@
 /// the engine that it came from did too, and neither was asked again. Logs of busy engines showed
 /// it: two refusals at the target and one at the source within 8 ms, then the end "engine lost".
 #[tokio::test]
-async fn test_a_stopped_generation_is_asked_for_until_an_engine_takes_it() {
+async fn test_a_stopped_generation_is_retried_until_an_engine_resumes_it() {
     let mut rows = Vec::new();
-    for case in &RELUCTANT {
+    for case in &REFUSAL_CASES {
         let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
         gateway.engines.set_stream_faults(case.faults.iter().copied());
         let (called, ()) =
-            tokio::join!(gateway.call(0, chat("r-chat")), strike(&gateway, &mut models, Fault::Leaves));
+            tokio::join!(gateway.call(0, chat("r-chat")), inject_fault(&gateway, &mut models, Fault::Leaves));
         let events = called.events();
         assert!(events.is_some(), "{}: not just the events: {}", case.name, called.body);
         rows.push(format!("{}: whole {}", case.name, called.whole));
@@ -204,7 +208,7 @@
 }
 
 /// More calls to go on with a generation than are made while its caller waits.
-const REFUSALS: usize = 100;
+const REFUSAL_COUNT: usize = 100;
 
 /// A stream broke for its caller while its engine ran the generation: the call that was to stop it
 /// found no connection, as a large configuration filled the node's link for a second, and the
@@ -213,12 +217,12 @@
 /// The log told "stop_unanswered: no connection: timed out", then "not sent: timed out" and "503",
 /// and the engine made events until the node hung up.
 #[tokio::test]
-async fn test_a_generation_whose_stop_was_never_sent_runs_on() {
+async fn test_a_generation_continues_if_its_stop_was_never_sent() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
-    let refusals = std::iter::repeat_n(StreamFault::NotRun, REFUSALS);
+    let refusals = std::iter::repeat_n(StreamFault::NotRun, REFUSAL_COUNT);
     gateway.engines.set_stream_faults(std::iter::once(StreamFault::None).chain(refusals));
     let leave = async {
-        let engine = engine_of(&gateway, &mut models, MIDWAY).await;
+        let engine = wait_for_running_engine(&gateway, &mut models, FAULT_AFTER_EVENTS).await;
         engine.replica.set_copy_fault(CopyFault::ClosesPort);
         gateway.drain(MODEL, engine);
     };
@@ -230,9 +234,9 @@
 }
 
 /// How much later than the stream breaks the stop of its generation is answered.
-const STOP_ANSWERED_AFTER: Duration = Duration::from_millis(200);
+const STOP_RESPONSE_DELAY: Duration = Duration::from_millis(200);
 /// How long the engine with the copy takes to answer.
-const GOES_ON_AFTER: Duration = Duration::from_millis(800);
+const RESUME_RESPONSE_DELAY: Duration = Duration::from_millis(800);
 
 /// A generation stayed on an engine that leaves, and would have broken with it: the answer to its
 /// stop at the engine before came while the next one was being asked to go on, lay unread until
@@ -241,15 +245,16 @@
 #[tokio::test]
 async fn test_a_late_answer_to_a_stop_does_not_end_the_next_move() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(3).await;
-    gateway.engines.set_stream_faults([StreamFault::None, StreamFault::Late(GOES_ON_AFTER)]);
+    gateway.engines.set_stream_faults([StreamFault::None, StreamFault::Late(RESUME_RESPONSE_DELAY)]);
     let leave_twice = async {
-        let first = engine_of(&gateway, &mut models, MIDWAY).await;
-        first.replica.set_copy_fault(CopyFault::StopLate(STOP_ANSWERED_AFTER));
+        let first = wait_for_running_engine(&gateway, &mut models, FAULT_AFTER_EVENTS).await;
+        first.replica.set_copy_fault(CopyFault::StopLate(STOP_RESPONSE_DELAY));
         let first_id = first.replica.id.clone();
         gateway.drain(MODEL, first);
-        let is_asked = |m: &RunningReplica| m.replica.id != first_id && !m.replica.seen().is_empty();
-        gateway.until("it is to go on", async || models.iter().any(is_asked)).await;
-        let second = models.iter().find(|m| is_asked(m)).expect("it is to go on");
+        let is_asked_to_resume =
+            |m: &RunningReplica| m.replica.id != first_id && !m.replica.seen().is_empty();
+        gateway.until("it is to go on", async || models.iter().any(is_asked_to_resume)).await;
+        let second = models.iter().find(|m| is_asked_to_resume(m)).expect("it is to go on");
         gateway.drain(MODEL, second);
     };
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), leave_twice);
@@ -264,11 +269,11 @@
 /// generation was stopped to be moved. Found by reading; the log told "stream_end: done" with 33
 /// of 60 events.
 #[tokio::test]
-async fn test_an_unframed_stream_that_is_stopped_goes_on() {
+async fn test_a_stopped_unframed_stream_is_resumed() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
     gateway.engines.set_stream_faults([StreamFault::Unframed]);
     let (called, ()) =
-        tokio::join!(gateway.call(0, chat("r-chat")), strike(&gateway, &mut models, Fault::StopHangs));
+        tokio::join!(gateway.call(0, chat("r-chat")), inject_fault(&gateway, &mut models, Fault::StopHangs));
     assert!(called.whole, "{}", gateway.logs());
     assert_eq!(called.events(), Some(EVENTS), "{}", gateway.logs());
 }
@@ -284,23 +289,23 @@
 }
 
 /// How long an engine that leaves takes no connections.
-const OUT_OF_REACH_FOR: Duration = Duration::from_millis(150);
+const UNREACHABLE_FOR: Duration = Duration::from_millis(150);
 
 /// A generation stayed on an engine that leaves and would have broken with it: the first call that
 /// was to copy it found no connection, as when other traffic fills the node's link, and the engine
 /// was taken to be gone, though its stream ran on. The log told "copy outcome=Err(Connect(..))" and
 /// no copy after that.
 #[tokio::test]
-async fn test_an_engine_that_is_out_of_reach_for_a_moment_is_still_left() {
+async fn test_a_generation_moves_off_a_briefly_unreachable_engine() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
     let leave = async {
-        let engine = engine_of(&gateway, &mut models, MIDWAY).await;
+        let engine = wait_for_running_engine(&gateway, &mut models, FAULT_AFTER_EVENTS).await;
         let server = engine.server.as_ref().expect("it serves");
         server.close_port.notify_one();
         tokio::time::sleep(engine.replica.pace).await;
         gateway.drain(MODEL, engine);
         gateway.until("it is to leave", async || gateway.log(0).contains("event=replica_leaves")).await;
-        tokio::time::sleep(OUT_OF_REACH_FOR).await;
+        tokio::time::sleep(UNREACHABLE_FOR).await;
         server.open_port.notify_one();
     };
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), leave);
@@ -311,25 +316,25 @@
 }
 
 /// Longer than engines that turn a generation away are asked, and shorter than a caller waits.
-const BOTH_OUT_OF_REACH_FOR: Duration = Duration::from_millis(1_800);
+const BOTH_UNREACHABLE_FOR: Duration = Duration::from_millis(1_800);
 
 /// Where the configuration has the route of `chat`.
-const CHAT_ROUTE: usize = 2;
+const CHAT_ROUTE_INDEX: usize = 2;
 /// Callers wait four times as long for an event: 6 s.
-const FIRST_EVENT_DUE_MS: u64 = 1_500;
+const TARGET_LATENCY_MS: u64 = 1_500;
 
 /// A stream broke for its caller although two engines kept its generation's memory and nobody had
 /// turned it away: neither could be reached for a moment longer than engines that refuse are asked,
 /// while its caller would have waited some seconds more for the next event.
 #[tokio::test]
-async fn test_a_stopped_generation_waits_for_engines_that_are_out_of_reach() {
+async fn test_a_stopped_generation_waits_for_unreachable_engines() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
-    let mut patient = config(2);
-    patient["routes"][CHAT_ROUTE]["targetLatencyMs"] = FIRST_EVENT_DUE_MS.into();
-    gateway.store.put("config", "main", patient);
+    let mut long_latency_config = config(2);
+    long_latency_config["routes"][CHAT_ROUTE_INDEX]["targetLatencyMs"] = TARGET_LATENCY_MS.into();
+    gateway.store.put("config", "main", long_latency_config);
     gateway.until("version 2", async || gateway.log(0).contains("event=config_in_force version=2")).await;
     let leave = async {
-        let first = engine_of(&gateway, &mut models, MIDWAY).await;
+        let first = wait_for_running_engine(&gateway, &mut models, FAULT_AFTER_EVENTS).await;
         first.replica.set_copy_fault(CopyFault::StopClosesPort);
         let first_id = first.replica.id.clone();
         let (first, second): (Vec<_>, Vec<_>) = models.iter().partition(|m| m.replica.id == first_id);
@@ -337,7 +342,7 @@
         servers[1].close_port.notify_one();
         gateway.drain(MODEL, first[0]);
         gateway.until("it is out of reach", async || gateway.log(0).contains("event=move_failed")).await;
-        tokio::time::sleep(BOTH_OUT_OF_REACH_FOR).await;
+        tokio::time::sleep(BOTH_UNREACHABLE_FOR).await;
         for server in servers {
             server.open_port.notify_one();
         }
@@ -351,7 +356,7 @@
 /// taken what was there, and did not look at the time meanwhile: the engine worked on the stream for
 /// 20.6 s, though its caller had told that it waits 3 s at most.
 #[tokio::test]
-async fn test_an_engine_is_left_in_time_though_the_caller_takes_little() {
+async fn test_a_slowly_read_stream_ends_at_its_deadline() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
     let model = gateway.start_replica(MODEL, "model-1", 900).await;
