--- a/node/tests/test_gateway_noise.rs
+++ b/node/tests/test_gateway_noise.rs
@@ -1,7 +1,7 @@
-//! Bytes that nobody should send, at each port of a node: it goes on, with bounded memory.
+//! Malformed input at each port of a node: the node keeps running, with bounded memory.
 //!
-//! A datagram is either noise, or its head is one that nodes send and the message behind it is noise: most of
-//! these can be read, with numbers, times and lengths that no node would tell.
+//! A datagram is either all random bytes, or a valid header followed by random bytes. Most of the latter can
+//! be decoded, into numbers, times and lengths that no node would send.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,18 +17,18 @@
 
 use crate::gateway_environment::Gateway;
 
-/// Seeds of the usual run; `LEADSTAGE_NOISE_SEEDS=50` plays more.
+/// Seeds run by default; `LEADSTAGE_NOISE_SEEDS=50` runs more.
 const DEFAULT_SEEDS: u64 = 2;
 const DATAGRAM_COUNT: usize = 5_000;
 const CONNECTION_COUNT: usize = 50;
-/// More than the kinds of messages that there are.
+/// More than the number of message kinds, so that unknown kinds are sent too.
 const MESSAGE_KINDS: u8 = 24;
-/// Memory that noise may cost a node: a few times what it has at the start.
+/// Allowed memory growth of a node: a few times its initial memory.
 const MAX_GROWTH_KB: u64 = 64 << 10;
-/// Datagrams that are sent at once; the receiver's buffer holds some hundred.
+/// Datagrams sent without a pause; the receive buffer holds some hundred.
 const DATAGRAM_BURST: usize = 20;
 
-/// Bytes of which many are small numbers, as those of sound messages are.
+/// Generates bytes of which many are small numbers, as in valid messages.
 fn random_bytes(rng: &mut StdRng, max_len: usize) -> Vec<u8> {
     let len = rng.random_range(0..max_len);
     (0..len).map(|_| if rng.random_bool(0.5) { rng.random_range(0..4) } else { rng.random() }).collect()
@@ -39,9 +39,9 @@
         return random_bytes(rng, 2_000);
     }
     let head = (from, 1_u64, 0_u64, ClosedHalls::default(), 0_u64, 0_u64);
-    let mut bytes = postcard::to_stdvec(&head).expect("it can be encoded");
+    let mut bytes = postcard::to_stdvec(&head).expect("the header can be encoded");
     bytes.push(rng.random_range(0..MESSAGE_KINDS));
-    // Numbers of which each byte says that another one follows are the largest ones.
+    // A varint whose bytes all have the continuation bit encodes the largest number.
     if rng.random_bool(0.2) {
         bytes.extend([0xff; 9]);
         bytes.push(1);
@@ -53,7 +53,7 @@
 async fn send_datagrams(to: SocketAddr, from: SocketAddr, rng: &mut StdRng) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
     for n in 0..DATAGRAM_COUNT {
-        // A node whose socket is closed would refuse, which is found out in the end.
+        // A closed socket refuses the datagram; the checks at the end detect that.
         let _ = socket.send_to(&random_datagram(from, rng), to).await;
         if n % DATAGRAM_BURST == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Noise, or a head that goes wrong at some byte.
+/// Sends requests whose head is cut at a random byte and followed by random bytes.
 async fn send_malformed_requests(to: &str, rng: &mut StdRng) {
     for _ in 0..CONNECTION_COUNT {
         let Ok(mut stream) = TcpStream::connect(to).await else { continue };
@@ -69,7 +69,7 @@
         let at = rng.random_range(0..bytes.len());
         bytes.truncate(at);
         bytes.extend(random_bytes(rng, 4_000));
-        // It may answer and close before all is written.
+        // The node may respond and close before all is written.
         let _ = stream.write_all(&bytes).await;
         let _ = stream.shutdown().await;
         let mut answer = Vec::new();
@@ -77,10 +77,11 @@
     }
 }
 
-/// Memory that a node has, in kilobytes.
+/// Returns the resident memory of a node's process, in kilobytes.
 fn resident_memory_kb(gateway: &Gateway, node: usize) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.pid(node))).expect("it runs");
-    let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("it is told");
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", gateway.pid(node))).expect("the node runs");
+    let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("VmRSS is listed");
     line.split_whitespace().nth(1).and_then(|s| s.parse().ok()).expect("a number")
 }
 
@@ -101,7 +102,7 @@
         assert!(!gateway.log(node).contains("panicked"), "seed {seed}\n{}", gateway.log(node));
     }
     let growth = resident_memory_kb(&gateway, 0).saturating_sub(before);
-    assert!(growth < MAX_GROWTH_KB, "seed {seed}: {growth} kB more\n{}", gateway.logs());
+    assert!(growth < MAX_GROWTH_KB, "seed {seed}: memory grew by {growth} kB\n{}", gateway.logs());
     assert_eq!(gateway.ready_status(0).await, 200, "seed {seed}\n{}", gateway.logs());
 }
 
--- a/node/tests/test_gateway_resuming.rs
+++ b/node/tests/test_gateway_resuming.rs
@@ -1,4 +1,4 @@
-//! Streams that may be resumed go on at another engine after the last event that the caller has.
+//! Resumable streams continue on another engine after the last event that the caller received.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::gateway_environment::send;
 use crate::gateway_environment::tag;
 
-/// Events of the stand-in's generations.
+/// Number of events in a generation of the stand-in engine.
 const EVENTS: u64 = 60;
 
-/// What the engines do with the stream, one after the other as they get it.
+/// The faults of successive engines that receive the stream.
 struct FaultCase {
     name: &'static str,
     faults: &'static [StreamFault],
 }
 
-/// Longer than the objective, after which the engine is doubted, and shorter than twice that, after
-/// which it is left.
+/// Longer than the latency objective, after which the engine is suspect, and shorter than twice the
+/// objective, after which the stream is sent to another engine.
 const RESPONSE_DELAY: Duration = Duration::from_millis(750);
 
 const FAULT_CASES: [FaultCase; 14] = [
@@ -54,15 +54,16 @@
     models.iter().flat_map(|model| model.replica.seen()).collect()
 }
 
-/// The signature of the engine whose head went to the caller.
+/// Returns the signature of the engine whose response head was sent to the caller.
 fn first_engine_signature(logs: &str) -> Option<String> {
     let begins = logs.lines().find(|line| line.contains("event=stream_begins"))?;
     let engine = begins.split_whitespace().find_map(|word| word.strip_prefix("upstream="))?;
     Some(format!("sig-{engine}"))
 }
 
-/// Each event comes once, whole and in order, whatever becomes of the engines; an end comes only
-/// after the last one; the head is the first engine's; and no more engines are asked than the route allows.
+/// Whatever faults the engines have, the caller receives each event once, whole and in order, and an end only
+/// after the last event. The head is that of the first engine, and no more engines are tried than the route
+/// allows.
 #[tokio::test]
 async fn test_resumed_streams_have_no_gaps_or_repeats() {
     let mut rows = Vec::new();
@@ -90,7 +91,7 @@
             called.whole,
             seen.len()
         ));
-        gateway.until("all is quiet", async || models.iter().all(|m| m.replica.running() == 0)).await;
+        gateway.until("no generation runs", async || models.iter().all(|m| m.replica.running() == 0)).await;
     }
     insta::assert_snapshot!(rows.join("\n"), @r#"
     none: status 200, whole true, events Some(60), engines 1, resumed after []
@@ -110,8 +111,8 @@
     "#);
 }
 
-/// A caller that comes back names the last event that it has: on a resumable route the engine gets
-/// to know it, on others it is for the system alone.
+/// A caller that reconnects sends the ID of the last event that it received. On a resumable route the header
+/// is forwarded to the engine, on other routes it is not.
 #[tokio::test]
 async fn test_last_event_id_of_a_caller_reaches_the_engine_on_resumable_routes() {
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
@@ -127,8 +128,8 @@
     assert_eq!(named, [true, false]);
 }
 
-/// A caller that came back and whose engine breaks before an event goes on after the event that it
-/// named, and not from the first.
+/// If the engine of a reconnected caller breaks off before it sends an event, the stream is resumed after the
+/// event in the caller's `last-event-id`, not from the first event.
 #[tokio::test]
 async fn test_a_reconnected_stream_resumes_after_a_break() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(2).await;
@@ -139,7 +140,7 @@
     assert_eq!((called.whole, called.last_event_after(40)), (true, Some(EVENTS)), "{}", gateway.logs());
 }
 
-/// A stream that may not be resumed ends where its engine breaks.
+/// A stream that is not resumable ends where its engine breaks it off.
 #[tokio::test]
 async fn test_non_resumable_streams_are_not_retried() {
     let (gateway, _bookings, models) = Gateway::with_replicas(3).await;
@@ -152,14 +153,14 @@
     }
 }
 
-/// Nobody is asked to go on for a caller that has left.
+/// No engine is asked to resume a stream whose caller has disconnected.
 #[tokio::test]
 async fn test_a_stream_is_not_resumed_after_its_caller_disconnected() {
     let (gateway, _bookings, models) = Gateway::with_replicas(2).await;
     gateway.engines.set_stream_faults([StreamFault::StallsAfter(7)]);
-    let answer = send(&gateway.front(0), tag("r-1")).await.expect("it begins");
+    let answer = send(&gateway.front(0), tag("r-1")).await.expect("the stream begins");
     drop(answer);
-    gateway.until("it ends", async || models.iter().all(|m| m.replica.running() == 0)).await;
+    gateway.until("the generation ends", async || models.iter().all(|m| m.replica.running() == 0)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(received_requests(&models).len(), 1);
 }
--- a/node/tests/test_gateway_silent.rs
+++ b/node/tests/test_gateway_silent.rs
@@ -1,4 +1,4 @@
-//! Connections that fall silent for good, without a reset, while new ones work.
+//! Connections that stop carrying data for good, without a reset, while new connections work.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -20,24 +20,24 @@
 use crate::gateway_environment::request;
 use crate::gateway_environment::tag;
 
-/// How long the callers of these tests wait for a plain call.
+/// The deadline of plain calls in these tests.
 const CALL_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Calls at once that leave a node with as many unused connections to each replica as it keeps.
+/// Concurrent calls after which a node has as many idle connections to each replica as it keeps.
 const WARM_UP_CALLS: usize = 24;
-/// An answered connection is used again after a short rest; this is longer.
+/// Longer than the short delay after which a connection is reused once its response was received.
 const REUSE_DELAY: Duration = Duration::from_millis(60);
-/// Callers leave a stream after so long a silence.
+/// Callers abandon a stream after this long without an event.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time for news of the store to reach a node whose old connections are silent: some pulses, each
-/// of which shows within half a second whether the store answers.
+/// The longest time until a store change reaches a node whose old connections are silent: a few pulses,
+/// each of which shows within half a second whether the store responds.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(5);
-/// The longest wait of a watch, and some seconds.
+/// The longest duration of a watch plus some seconds.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(40);
-/// The kernel's mark for a socket whose next timer is a keep-alive probe, in `/proc/net/tcp`.
+/// The prefix of the timer field in `/proc/net/tcp` for a socket whose next timer is a keep-alive probe.
 const KEEP_ALIVE_TIMER: &str = "02:";
 
-/// A node whose replicas of plain calls are behind proxies, with unused connections to all.
+/// Starts a node whose replicas of plain calls are behind proxies, with idle connections to all of them.
 async fn with_unused_connections(replicas: usize) -> (Gateway, Vec<RunningReplica>, Vec<FaultyProxy>) {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
@@ -71,9 +71,9 @@
     (called, began.elapsed())
 }
 
-/// Unused connections to both replicas had fallen silent. Calls that may repeat were sent on one
-/// after the other of them, waited there until their deadline and came to nothing, though a new
-/// connection answers within some milliseconds: three of the six calls ended with 504 after 1.5 s.
+/// Guards against repeatable calls that wait on silent idle connections until their deadline, although a new
+/// connection responds within some milliseconds: without a retry, three of the six calls end with 504 after
+/// 1.5 s.
 #[tokio::test]
 async fn test_repeatable_calls_are_retried_after_silent_connections() {
     let (gateway, _replicas, proxies) = with_unused_connections(2).await;
@@ -83,10 +83,10 @@
         let (called, took) = timed_call(&gateway, "/read/x", &format!("r-{n}")).await;
         rows.push((called.status, took < CALL_DEADLINE.mul_f64(0.7)));
     }
-    assert_eq!(rows, vec![(200, true); 6], "statuses, and whether in time\n{}", gateway.logs());
+    assert_eq!(rows, vec![(200, true); 6], "statuses, and whether each call was in time\n{}", gateway.logs());
 }
 
-/// The same with a single replica: a new connection to it answers, so the call is sent there again.
+/// With a single replica, the call is retried there on a new connection.
 #[tokio::test]
 async fn test_a_call_is_retried_at_the_only_replica() {
     let (gateway, replicas, proxies) = with_unused_connections(1).await;
@@ -98,9 +98,9 @@
     assert_eq!(arrivals.count(), 1);
 }
 
-/// What is sent on a silent connection may have run, so a call that runs at most once fails with
-/// the first one. Those that followed were sent on the other silent connections to the same
-/// replica, and failed too: three of the eight calls to two replicas.
+/// A call sent on a silent connection may have run, so a call that runs at most once is not retried and
+/// fails. Guards against later calls that fail on the other silent connections to the same replica: without
+/// this, three of the eight calls to two replicas fail.
 #[tokio::test]
 async fn test_one_silent_connection_retires_all_kept_connections_to_its_replica() {
     let (gateway, replicas, proxies) = with_unused_connections(2).await;
@@ -113,11 +113,11 @@
     assert!(failed <= replicas.len(), "{failed} of 8 failed\n{}", gateway.logs());
     let seen: Vec<_> = replicas.iter().flat_map(|running| running.replica.seen()).collect();
     let ids: HashSet<_> = seen.iter().filter_map(|seen| seen.header("leadstage-request-id")).collect();
-    assert_eq!(ids.len(), seen.len(), "nothing is sent twice");
+    assert_eq!(ids.len(), seen.len(), "no call is sent twice");
 }
 
-/// A replica that never answers what came on a kept connection looks the same: the call is sent to
-/// the other one while there is time for its answer.
+/// A replica that never responds on a kept connection is indistinguishable from a silent connection: the call
+/// is sent to the other replica while there is time for its response.
 #[tokio::test]
 async fn test_calls_are_retried_at_another_replica_before_their_deadline() {
     let (gateway, replicas, _proxies) = with_unused_connections(2).await;
@@ -128,7 +128,7 @@
     }
 }
 
-/// A node with two engines behind proxies, whose generations have `events`.
+/// Starts a node with two engines behind proxies, whose generations have `events` events.
 async fn with_engines(events: u64) -> (Gateway, Vec<RunningReplica>, Vec<FaultyProxy>) {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
@@ -143,24 +143,24 @@
     (gateway, models, proxies)
 }
 
-/// Waits until a stream has run for a while, and silences all open connections to engines.
+/// Waits until a stream has run for a while, then silences all open connections to engines.
 async fn silence_running_stream(gateway: &Gateway, models: &[RunningReplica], proxies: &[FaultyProxy]) {
-    gateway.until("it runs", async || models.iter().any(|model| model.replica.running() > 0)).await;
+    gateway.until("a generation runs", async || models.iter().any(|model| model.replica.running() > 0)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     proxies.iter().for_each(FaultyProxy::silence_open);
 }
 
-/// The longest silence between two events of the node's only stream, by its log, which a thread of its
-/// own writes: the line may come after the caller has its answer.
+/// Returns the longest gap between two events of the node's only stream, from the node's log. A separate
+/// thread writes the log, so the line may appear after the caller has received its response.
 async fn longest_gap(gateway: &Gateway) -> Duration {
-    gateway.until("its end is logged", async || gateway.log(0).contains("gap_ms=")).await;
+    gateway.until("the end of the stream is logged", async || gateway.log(0).contains("gap_ms=")).await;
     let log = gateway.log(0);
     let gap = log.split("gap_ms=").nth(1).and_then(|rest| rest.split_whitespace().next());
-    gap.and_then(|gap| gap.parse().ok()).map(Duration::from_millis).expect("it is logged")
+    gap.and_then(|gap| gap.parse().ok()).map(Duration::from_millis).expect("the gap is logged")
 }
 
-/// A stream's connection falls silent midway while its engine goes on and is well: a resumable
-/// stream goes on at the other engine before its caller leaves.
+/// A stream's connection falls silent midway while its engine is healthy and continues the generation: a
+/// resumable stream is resumed on the other engine before its caller abandons it.
 #[tokio::test]
 async fn test_a_resumable_stream_on_a_silent_connection_is_resumed_in_time() {
     let (gateway, models, proxies) = with_engines(60).await;
@@ -171,11 +171,10 @@
     assert!(gap < CALLER_TIMEOUT, "silent for {gap:?}\n{}", gateway.logs());
 }
 
-/// The connection of a stream that may not be resumed fell silent midway, and the box that dropped
-/// its bytes went on acknowledging them. Its engine made the rest into the void; the node waited for
-/// it until the route's timeout and cut the stream off, though a new connection to the engine
-/// worked all the while and a copy of the generation's memory counts as the same run: 19 of 200 events
-/// reached the caller, and its stream broke after 8.0 s.
+/// The connection of a non-resumable stream falls silent midway, while the device that drops its bytes still
+/// acknowledges them. Guards against waiting for the lost events until the route's timeout: 19 of 200 events
+/// reach the caller, and its stream breaks after 8.0 s, although a new connection to the engine works and a
+/// copy of the generation's KV cache memory counts as the same run.
 #[tokio::test]
 async fn test_a_non_resumable_stream_is_moved_off_a_silent_connection() {
     let (gateway, models, proxies) = with_engines(200).await;
@@ -188,14 +187,14 @@
     let fresh = seen.iter().filter(|seen| seen.header("kv-from").is_none()).count();
     assert_eq!(fresh, 1, "a generation starts once");
     let used = models.iter().filter(|model| !model.replica.seen().is_empty()).count();
-    assert_eq!(used, 1, "it goes on where it ran: the other engine may be full");
+    assert_eq!(used, 1, "the generation continues where it ran: the other engine may be full");
     let running: usize = models.iter().map(|model| model.replica.running()).sum();
-    assert_eq!(running, 0, "no engine works on it any more");
+    assert_eq!(running, 0, "no engine still runs the generation");
 }
 
-/// An engine that makes no events for a while, as it is busy or slow, has the same silence to show.
-/// Its generation stays: to move it costs the link and the other engine's memory, and the caller
-/// gains nothing.
+/// An engine that produces no events for a while because it is busy or slow looks like a silent connection.
+/// Its generation is not moved: a move costs bandwidth and memory of the other engine, and the caller gains
+/// nothing.
 #[tokio::test]
 async fn test_a_stream_whose_engine_stalls_is_not_moved() {
     let (gateway, models, _proxies) = with_engines(200).await;
@@ -206,9 +205,9 @@
     assert_eq!(copies, 0, "{}", gateway.logs());
 }
 
-/// A watch that waited at the store had lost its connection to silence; the pulse beside it opened
-/// a new one and called the store well. News of the store came when the watch ended by itself: a
-/// configuration was in force 30.8 s after it was stored.
+/// The connection of a waiting store watch falls silent, while the pulse opens a new connection and finds
+/// the store healthy. Guards against store changes that arrive only when the watch ends by itself: a
+/// configuration is then in force 30.8 s after it was stored.
 #[tokio::test]
 async fn test_store_changes_arrive_although_a_watch_is_silent() {
     let mut gateway = Gateway::start().await;
@@ -217,7 +216,7 @@
     let proxy = FaultyProxy::start(&gateway.own_store_ip(), gateway.store_address()).await;
     gateway.start_node_at(proxy.address);
     gateway.until_ready(0).await;
-    gateway.until("it watches", async || gateway.log(0).contains("event=store_watch")).await;
+    gateway.until("the node watches the store", async || gateway.log(0).contains("event=store_watch")).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     proxy.silence_open();
     let mut new_config = config(2);
@@ -230,25 +229,25 @@
     assert!(put.elapsed() < MAX_UPDATE_DELAY, "in force after {:?}\n{}", put.elapsed(), gateway.logs());
 }
 
-/// An address as `/proc/net/tcp` writes it.
+/// Formats an address as in `/proc/net/tcp`.
 fn proc_net_address(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else {
-        panic!("{address} is not of IPv4");
+        panic!("{address} is not an IPv4 address");
     };
     format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
 }
 
-/// Whether the kernel is to probe the server's socket of a connection.
+/// Returns whether the kernel will send keep-alive probes on the server's socket of a connection.
 fn has_keep_alive_timer(server: SocketAddr, client: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("readable");
     let endpoints = format!("{} {} ", proc_net_address(server), proc_net_address(client));
-    let line = table.lines().find(|line| line.contains(&endpoints)).expect("it is open");
+    let line = table.lines().find(|line| line.contains(&endpoints)).expect("the connection is open");
     line.split_whitespace().any(|word| word.starts_with(KEEP_ALIVE_TIMER))
 }
 
-/// Sockets that callers, the balancer, operators and other nodes open to a node may fall silent for
-/// good. Those of the ports that answer from what is at hand (the balancer's, the nodes', the
-/// operators') were not probed, so they stayed open until the process ended and took descriptors.
+/// Connections from callers, the balancer, operators and other nodes may fall silent for good. Guards against
+/// ports without keep-alive probes, whose silent connections stay open and hold descriptors until the process
+/// ends: those of the balancer, the nodes and the operators, which respond from local state.
 #[tokio::test]
 async fn test_every_port_sends_keep_alive_probes() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
@@ -260,7 +259,7 @@
     ];
     let mut probed = Vec::new();
     for (port, address) in ports {
-        let stream = TcpStream::connect(&address).await.expect("it listens");
+        let stream = TcpStream::connect(&address).await.expect("the port listens");
         tokio::time::sleep(REUSE_DELAY).await;
         let endpoints = (stream.peer_addr().expect("open"), stream.local_addr().expect("open"));
         probed.push((port, has_keep_alive_timer(endpoints.0, endpoints.1)));
--- a/node/tests/test_gateway_slow_readers.rs
+++ b/node/tests/test_gateway_slow_readers.rs
@@ -1,4 +1,5 @@
-//! Callers and replicas that read slowly: what a node holds for them is bounded, and others are served beside them.
+//! Callers and replicas that read slowly: a node buffers a bounded amount for them, and serves other callers
+//! meanwhile.
 
 use std::time::Duration;
 
@@ -22,17 +23,17 @@
 use crate::gateway_environment::config;
 use crate::gateway_environment::request;
 
-/// Memory of the smallest VM of all deployments, in 10^6 bytes.
+/// Memory of the smallest VM in any deployment, in 10^6 bytes.
 const MEMORY_MB: usize = 88;
 const SLOW_CALLER_COUNT: usize = 300;
 const ENGINES: usize = 12;
-/// A caller that is refused comes back after this.
+/// Delay after which a refused caller retries.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// What a slow caller reads in a second.
+/// Bytes that a slow caller reads per second.
 const SLOW_BYTES_PER_SECOND: usize = 1_000;
 
-/// A fleet of one small node, whose plain service answers `/read/` with so many bytes, and whose generations have
-/// events of so many.
+/// Starts a fleet of one small node, whose plain service responds to `/read/` with `response_bytes` bytes,
+/// and whose generations have events of `event_bytes` bytes.
 async fn small_node(
     response_bytes: usize,
     event_bytes: usize,
@@ -57,28 +58,28 @@
     (gateway, booking, models)
 }
 
-/// The memory of a node's process, in 10^6 bytes.
+/// Returns the resident memory of the node's process, in 10^6 bytes.
 fn memory_mb(gateway: &Gateway) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.pid(0))).expect("it runs");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.pid(0))).expect("the node runs");
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("a size");
     let kb: usize = line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number");
     kb * 1_024 / 1_000_000
 }
 
-/// What the node holds by its own count.
+/// Returns the number of buffered bytes in the node's metrics.
 async fn held_bytes(gateway: &Gateway) -> usize {
     let metrics = call(&gateway.metrics(0), request("GET", "/metrics", "", "")).await;
     let line = metrics.body.lines().find(|line| line.starts_with("leadstage_gateway_held_bytes"));
     line.and_then(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).map_or(0, |held| held as usize)
 }
 
-/// A caller on a connection with a small window, which reads slowly for a time, or until it
+/// Runs a caller on a connection with a small receive window, which reads slowly for `duration` or until it
 /// is refused. Returns the status line.
 async fn slow_caller(address: String, req: String, duration: Duration) -> String {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("a small window");
-    let mut stream = socket.connect(address.parse().expect("an address")).await.expect("it connects");
-    stream.write_all(req.as_bytes()).await.expect("it is sent");
+    let mut stream = socket.connect(address.parse().expect("an address")).await.expect("the node accepts");
+    stream.write_all(req.as_bytes()).await.expect("the request is sent");
     let mut buf = vec![0; SLOW_BYTES_PER_SECOND];
     let mut head = String::new();
     let until = tokio::time::Instant::now() + duration;
@@ -112,8 +113,8 @@
     )
 }
 
-/// The same for one that comes back as long as it is refused: 300 streams at once are more than engines on a busy machine
-/// read in time. Its last status line.
+/// Runs a slow caller that retries as long as it is refused, because 300 concurrent streams are more than
+/// engines on a busy machine prefill in time. Returns the last status line.
 async fn retrying_slow_caller(address: String, req: String, duration: Duration) -> String {
     let until = tokio::time::Instant::now() + duration;
     loop {
@@ -144,13 +145,13 @@
     callers
 }
 
-/// Answers that nobody takes fit into the bound: everybody is served.
+/// Unread responses fit into the bound on buffered bytes, so all callers are served.
 #[tokio::test]
 async fn test_callers_are_served_beside_slow_readers() {
     for (make_request, engines_are_free) in
         [(plain_request as fn(usize) -> String, true), (stream_request, false)]
     {
-        // 40 kB each: 12 MB for all, of 18 from which on requests are refused.
+        // 40 kB each: 12 MB in total; requests are refused from 18 MB on.
         let (gateway, _booking, _models) = small_node(40_000, 650).await;
         let slow = retrying_slow_callers(&gateway, make_request, Duration::from_secs(6));
         let mut peak = 0;
@@ -173,7 +174,7 @@
     }
 }
 
-/// Answers of which all together would take more than the VM has: what would go beyond is refused, and it has not run.
+/// The responses together exceed the memory of the VM: calls beyond the bound are refused and have not run.
 #[tokio::test]
 async fn test_held_bytes_are_bounded_and_excess_calls_refused() {
     let (gateway, booking, _models) = small_node(1_200_000, 0).await;
@@ -194,17 +195,18 @@
         peak = (peak.0.max(memory_mb(&gateway)), peak.1.max(held_bytes(&gateway).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(refused > 0, "nothing was refused, {peak:?}");
+    assert!(refused > 0, "no call was refused, {peak:?}");
     assert!(peak.0 < MEMORY_MB, "{peak:?}");
     assert!(peak.1 > 1_000_000 && peak.1 <= MEMORY_MB * 300_000, "{peak:?}");
     slow.join_all().await;
     let is_served = async || gateway.status_of(0, "/book/x", KEY).await == 200;
     gateway.until("calls are served again", is_served).await;
     let is_freed = async || held_bytes(&gateway).await < 1_000_000;
-    gateway.until("nothing is held any more", is_freed).await;
+    gateway.until("no bytes are buffered", is_freed).await;
 }
 
-/// A replica takes 1 kB of large bodies in a second: they are held once, and no more than the bound.
+/// A replica reads 1 kB of large request bodies per second: each body is buffered once, and the total stays
+/// within the bound.
 #[tokio::test]
 async fn test_bodies_for_a_slow_replica_are_bounded() {
     let (gateway, booking, _models) = small_node(10, 0).await;
@@ -212,14 +214,14 @@
     let address = slow.local_addr().expect("an address");
     tokio::spawn(async move {
         loop {
-            let (stream, _) = slow.accept().await.expect("it accepts");
+            let (stream, _) = slow.accept().await.expect("the listener accepts");
             tokio::spawn(read_body_slowly(stream));
         }
     });
     gateway.store.put("servers", "slow-1", replica_entry(BOOKING, address, "hall-1", "ready"));
     gateway.store.delete("servers", &booking.replica.id);
     let listed = async || gateway.log(0).contains("upstream=slow-1");
-    gateway.until("it is listed", listed).await;
+    gateway.until("the replica is listed", listed).await;
     let mut callers = JoinSet::new();
     for n in 0..100 {
         let front = gateway.front(0);
--- a/node/tests/test_gateway_soak.rs
+++ b/node/tests/test_gateway_soak.rs
@@ -1,10 +1,10 @@
-//! A randomized soak of the gateway: real nodes, faults from outside in series and
-//! overlapping, and the promises checked from what callers and replicas see.
+//! A randomized soak test of the gateway: real nodes under injected faults, consecutive and overlapping. The
+//! delivery guarantees are checked against what callers and replicas observe.
 //!
-//! A seed fixes the schedule. CI plays [`REGRESSION_SEEDS`]; more seeds by hand:
+//! A seed determines the schedule. CI runs [`REGRESSION_SEEDS`]; to run more seeds:
 //! `LEADSTAGE_SOAK_SEEDS=1..50 cargo test --release -p leadstage-node --test runner soak`.
-//! `LEADSTAGE_SOAK_NODES=100` plays them with as many nodes; 3 by default. A failed run prints
-//! its seed and the nodes' logs.
+//! `LEADSTAGE_SOAK_NODES=100` runs them with that many nodes (default 3). A failed run prints its seed and
+//! the logs of the nodes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,43 +38,43 @@
 use crate::gateway_environment::request;
 use crate::gateway_environment::tag;
 
-/// Seeds that CI plays: the first, and each that ever failed with a line on its cause.
+/// Seeds that CI runs: the first seed, and each seed that failed, with a line on the cause of its failure.
 const REGRESSION_SEEDS: &[u64] = &[1];
-/// Nodes of the fleet by default.
+/// Number of nodes unless `LEADSTAGE_SOAK_NODES` is set.
 const DEFAULT_NODES: usize = 3;
-/// Engines, and clients of each kind.
+/// Number of engines, and of plain replicas.
 const ENGINE_COUNT: usize = 4;
 const STREAM_CLIENTS: usize = 6;
 const CALL_CLIENTS: usize = 4;
 const TAG_CLIENTS: usize = 3;
-/// Attempts of one caller whose stream may be resumed, and engines that each may be sent to.
+/// Attempts of a caller per resumable stream, and engines that each attempt may be sent to.
 const TAG_ATTEMPTS: u64 = 3;
-/// Events of a generation.
+/// Number of events in a generation.
 const EVENTS: u64 = 60;
-/// How long faults come.
+/// How long faults are injected.
 const FAULT_DURATION: Duration = Duration::from_secs(5);
 
-/// What a caller saw of a request.
+/// A request and its result as the caller observed it.
 struct CallRecord {
     id: String,
-    /// The last event that it had from earlier attempts.
+    /// The last event received in earlier attempts.
     from: u64,
     called: Called,
 }
 
-/// What a client asks for.
+/// The kind of requests that a client sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientKind {
     Streams,
     Calls,
-    /// Streams that may be resumed: it comes back after a break.
+    /// Resumable streams: the client reconnects after a break.
     Tags,
 }
 
-/// What all callers saw.
+/// The results of all requests.
 type CallLog = Arc<Mutex<Vec<CallRecord>>>;
 
-/// Replicas that ever ran; what they saw is looked at in the end.
+/// All replicas of the run, including replaced ones; their received requests are checked at the end.
 type Replicas = Vec<Arc<GatewayReplica>>;
 
 struct SoakRun {
@@ -86,9 +86,9 @@
     proxy: FaultyProxy,
     engines_started: usize,
     config_version: u64,
-    /// The random numbers of what replicas say and the store goes through.
+    /// Random numbers for replica announcements and store restores, apart from those of the faults.
     event_rng: SmallRng,
-    /// What the store may come back from.
+    /// A copy of the store from which it may be restored.
     copy: Option<Copy>,
 }
 
@@ -125,7 +125,7 @@
         Duration::from_millis(self.rng.random_range(from..to))
     }
 
-    /// One fault; some last beyond the next.
+    /// Injects one random fault; some faults last until after the next one is injected.
     async fn inject_fault(&mut self) {
         let node = self.random_index(nodes());
         match self.random_index(14) {
@@ -206,8 +206,8 @@
         self.restart_exited_nodes();
     }
 
-    /// Beside the faults: an engine says in its answers that it leaves, a plain replica turns requests away and asks for
-    /// rest, the store comes back from a copy.
+    /// Applies a random event that is not a fault: an engine announces in its responses that it leaves, a
+    /// plain replica refuses requests and asks for a back-off, or the store is restored from a copy.
     fn apply_random_event(&mut self) {
         let at = self.event_rng.random_range(0..ENGINE_COUNT);
         match self.event_rng.random_range(0..10) {
@@ -224,7 +224,8 @@
         }
     }
 
-    /// The operator and the replicas write again what they wrote since, and what is gone goes again.
+    /// Restores the store, then repeats the writes of the operator and the replicas since the copy, and the
+    /// deletions.
     fn restore_store(&mut self, copy: Copy) {
         self.gateway.store.come_back_from(copy);
         self.gateway.store.put("config", "main", config(self.config_version));
@@ -236,7 +237,7 @@
         removed.for_each(|name| self.gateway.store.delete("servers", &name));
     }
 
-    /// An engine dies without a word, and another one comes.
+    /// Replaces an engine that dies without announcing it.
     async fn replace_engine(&mut self, at: usize) {
         self.engines_started += 1;
         let id = format!("model-{}", self.engines_started);
@@ -246,7 +247,7 @@
         self.all_replicas.push(self.engines[at].replica.clone());
     }
 
-    /// The platform starts a process that ended again.
+    /// Restarts exited node processes, as the platform does.
     fn restart_exited_nodes(&mut self) {
         for node in 0..nodes() {
             if self.gateway.ended(node).is_some() {
@@ -255,13 +256,13 @@
         }
     }
 
-    /// Ends all faults and waits until every node serves.
+    /// Clears all faults and waits until every node serves requests.
     async fn recover(&mut self) {
         self.gateway.store.set_fault(StoreFault::None);
         self.proxy.set(LinkFault::None);
         self.gateway.engines.set_stream_faults([]);
         self.bookings.iter().for_each(|running| running.replica.set_fault(ReplicaFault::None));
-        // Engines that were told to leave are replaced.
+        // Leaving engines are replaced.
         for at in 0..self.engines.len() {
             self.replace_engine(at).await;
         }
@@ -273,18 +274,14 @@
                 if status == 200 && self.gateway.ready_status(node).await == 200 {
                     break;
                 }
-                assert!(
-                    Instant::now() < deadline,
-                    "node {node} does not serve again\n{}",
-                    self.gateway.logs()
-                );
+                assert!(Instant::now() < deadline, "node {node} does not recover\n{}", self.gateway.logs());
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
     }
 }
 
-/// Asks again and again through random nodes until the end.
+/// Sends requests through random nodes until the given time.
 async fn client(
     addresses: Vec<String>,
     name: String,
@@ -328,14 +325,15 @@
     }
 }
 
-/// The promises, from what callers and replicas saw.
+/// Checks the delivery guarantees against the results of callers and the requests that replicas received.
+/// Returns the number of results by status.
 fn check_guarantees(
     seed: u64,
     log: &[CallRecord],
     all_replicas: &Replicas,
 ) -> Result<BTreeMap<u16, usize>, String> {
     let mut arrivals: BTreeMap<String, usize> = BTreeMap::new();
-    // Whatever a replica turned away has not run there.
+    // Requests that a replica refused have not run there.
     let mut turned_away: BTreeMap<String, usize> = BTreeMap::new();
     for replica in all_replicas {
         for id in replica.turned_away() {
@@ -357,21 +355,21 @@
             |what: &str| Err(format!("seed {seed}: {id}: {what}: {called:?}, arrived {arrived} times"));
         let max_arrivals = if id.starts_with("tag") { TAG_ATTEMPTS as usize } else { 1 };
         if arrived > max_arrivals {
-            return fail("ran more often than it may");
+            return fail("ran more often than allowed");
         }
         if matches!(called.status, 408 | 421 | 429 | 503) && arrived > 0 {
-            return fail("said not to have run");
+            return fail("reported as not run, but a replica received it");
         }
         if called.status == 200 && !id.starts_with("call") {
             let Some(last) = called.last_event_after(*from) else {
-                return fail("not just its events");
+                return fail("events with a gap or a repeat");
             };
             if called.whole != (last == EVENTS) {
-                return fail("whole, or not, against its events");
+                return fail("completeness contradicts the events");
             }
         }
         if called.status == 200 && id.starts_with("call") && called.whole && !called.body.ends_with(id) {
-            return fail("another request's answer");
+            return fail("response to another request");
         }
     }
     Ok(statuses)
--- a/node/tests/test_gateway_stop.rs
+++ b/node/tests/test_gateway_stop.rs
@@ -1,5 +1,5 @@
-//! The end of a gateway node: what callers sent is answered or was not taken, and the last lines
-//! of the log come out.
+//! Shutdown of a gateway node: each request is either answered or not accepted, and the last lines of the log
+//! are written.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -21,17 +21,17 @@
 use crate::gateway_environment::chat;
 use crate::gateway_environment::config;
 
-/// A node without open requests ends about 2.3 s after the signal. Connections that came this
-/// long after it are not closed as unused before.
+/// Time from the signal until callers connect. A node without open requests exits about 2.3 s after the
+/// signal, and connections accepted this late are not closed as idle before that.
 const CONNECT_DELAY: Duration = Duration::from_millis(1_500);
-/// What is sent then comes before the node decides to end, with time to spare.
+/// Time from the signal until requests are sent that safely arrive before the node decides to exit.
 const EARLY_SEND_DELAY: Duration = Duration::from_millis(2_000);
-/// What is sent from then on meets the node's end.
+/// Time from the signal after which requests may arrive while the node exits.
 const LATE_SEND_DELAY: Duration = Duration::from_millis(2_200);
-/// Bytes that a pipe holds for its reader.
+/// Capacity of a pipe, in bytes.
 const PIPE_CAPACITY_BYTES: usize = 64 << 10;
 
-/// A call as the bytes that a caller sends.
+/// Returns a call as the bytes that a caller sends.
 fn call_bytes(id: &str) -> String {
     format!(
         "POST /book/x HTTP/1.1\r\nhost: h.example\r\nleadstage-request-id: {id}\r\n\
@@ -39,14 +39,14 @@
     )
 }
 
-/// Reads until the node closes the connection, however it does that.
+/// Reads until the node closes or resets the connection.
 async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text).await;
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// Whether an answer is a success with its whole body.
+/// Returns whether a response is a success with its complete body.
 fn is_complete_success(answer: &str) -> bool {
     let Some((head, body)) = answer.split_once("\r\n\r\n") else {
         return false;
@@ -55,10 +55,10 @@
     head.starts_with("HTTP/1.1 200") && length == Some(&*body.len().to_string())
 }
 
-/// A node that stopped as planned lost calls: it looked at its open requests, found none, and
-/// served its port for 50 ms more, then ended with what had come meanwhile. Seen where a call came
-/// on a kept connection 38 ms after the last stream's end, 3 s after the signal: it reached its
-/// replica, and 27 ms later the process was gone, without an answer.
+/// Guards against calls lost in a planned stop: a node that finds no open requests, serves its port for 50 ms
+/// more and then exits drops the calls that arrive meanwhile. For example, a call on a kept connection, 38 ms
+/// after the end of the last stream and 3 s after the signal, reaches its replica, and 27 ms later the
+/// process exits without a response.
 #[tokio::test]
 async fn test_calls_at_the_end_of_a_stop_are_answered_or_not_accepted() {
     let (mut gateway, bookings, _models) = Gateway::with_replicas(1).await;
@@ -68,12 +68,12 @@
     tokio::time::sleep_until(began + CONNECT_DELAY).await;
     let mut calls = JoinSet::new();
     for n in 0..18 {
-        let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
+        let mut stream = TcpStream::connect(gateway.front(0)).await.expect("the node listens");
         calls.spawn(async move {
-            // The pauses between the calls let the node find none open, at one place or another.
+            // The gaps between the calls let the node find no open call at different points of its stop.
             tokio::time::sleep_until(began + LATE_SEND_DELAY + n * Duration::from_millis(110)).await;
             let id = format!("r-{n}");
-            // Where the connection is closed by now, nothing is taken.
+            // On a connection that is closed by now, no call is accepted.
             let _ = stream.write_all(call_bytes(&id).as_bytes()).await;
             let answer = read_to_end(&mut stream).await;
             is_complete_success(&answer).then_some(id)
@@ -85,31 +85,31 @@
         seen.iter().filter_map(|seen| seen.header("leadstage-request-id").map(str::to_owned)).collect();
     received.sort();
     answered.sort();
-    assert_eq!(received, answered, "reached the replica, and were answered");
+    assert_eq!(received, answered, "calls that reached the replica, and answered calls");
     assert!(gateway.end_of(0).await, "the stop is no failure");
 }
 
-/// The end of an answer to a call of which a node has only the part before `split` when it
-/// decides to end.
+/// Returns the response to a call of which the node has received only the part before `split` when it decides
+/// to exit.
 async fn response_to_a_call_split_at(split: &str) -> String {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
     gateway.signal(0, "-TERM");
     let began = tokio::time::Instant::now();
     tokio::time::sleep_until(began + CONNECT_DELAY).await;
-    let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
+    let mut stream = TcpStream::connect(gateway.front(0)).await.expect("the node listens");
     let call = call_bytes("r-1");
-    let (first, rest) = call.split_at(call.find(split).expect("a part of it"));
-    // The head may take 1 s.
+    let (first, rest) = call.split_at(call.find(split).expect("the call contains it"));
+    // A request head may take 1 s to arrive.
     tokio::time::sleep_until(began + EARLY_SEND_DELAY).await;
-    stream.write_all(first.as_bytes()).await.expect("it is open");
+    stream.write_all(first.as_bytes()).await.expect("the connection is open");
     tokio::time::sleep_until(began + EARLY_SEND_DELAY + Duration::from_millis(700)).await;
-    // Where the node is gone the answer is empty.
+    // If the node has exited, the response is empty.
     let _ = stream.write_all(rest.as_bytes()).await;
     read_to_end(&mut stream).await
 }
 
-/// Nor did a node that ended know of requests of which it had read a part of the head: it closed
-/// their connections, and a caller can't know how far it had read.
+/// Guards against a node that exits without regard to requests of which it has read a part of the head. It
+/// closes their connections, and the callers can't know how much it has read.
 #[tokio::test]
 async fn test_a_call_with_a_partial_head_at_the_end_of_a_stop_is_served() {
     let answer = response_to_a_call_split_at("leadstage-request-id").await;
@@ -122,12 +122,12 @@
     assert!(is_complete_success(&answer), "{answer:?}");
 }
 
-/// A call counted as open only until its answer was handed over to be written. A node that stopped
-/// cut what its callers had not read 50 ms later, beyond what the system holds for them.
+/// Guards against a stop that counts a call as open only until its response is passed on to be written. The
+/// node then cuts off what callers have not read 50 ms later, beyond what the socket buffers hold.
 #[tokio::test]
 async fn test_a_stopping_node_completes_slowly_read_responses() {
     let (mut gateway, bookings, _models) = Gateway::with_replicas(1).await;
-    // Both sockets together held 3.6 MB of it, on loopback.
+    // On loopback, the buffers of both sockets hold 3.6 MB of it.
     bookings[0].replica.set_fault(ReplicaFault::Long(4_000_000));
     gateway.signal(0, "-TERM");
     let began = tokio::time::Instant::now();
@@ -135,24 +135,25 @@
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(16 << 10).expect("a size");
     let front = gateway.front(0).parse().expect("an address");
-    let mut stream = socket.connect(front).await.expect("it listens");
+    let mut stream = socket.connect(front).await.expect("the node listens");
     tokio::time::sleep_until(began + EARLY_SEND_DELAY).await;
-    stream.write_all(call_bytes("r-1").as_bytes()).await.expect("it is open");
-    // A caller that reads nothing for 1.5 s counts as gone.
+    stream.write_all(call_bytes("r-1").as_bytes()).await.expect("the connection is open");
+    // A caller that reads nothing for 1.5 s is considered disconnected.
     tokio::time::sleep_until(began + EARLY_SEND_DELAY + Duration::from_millis(800)).await;
     let answer = read_to_end(&mut stream).await;
-    assert!(is_complete_success(&answer), "{} bytes came", answer.len());
+    assert!(is_complete_success(&answer), "{} bytes received", answer.len());
     assert!(gateway.end_of(0).await, "the stop is no failure");
 }
 
-/// A stopping node took streams by what their callers expected, which is often far too little: a
-/// stream that came 4.4 s after the signal was cut with the process 3.3 s later. While the balancer
-/// still sends callers, the estimate counts; after that, the most that the stream may make.
+/// Guards against a stopping node that accepts streams by the callers' length estimates, which are often far
+/// too low: a stream that arrives 4.4 s after the signal is cut off when the process exits 3.3 s later. The
+/// estimate applies while the balancer still routes callers to the node, and the maximum length of the stream
+/// after that.
 #[tokio::test]
 async fn test_a_stopping_node_refuses_streams_that_may_outlast_it() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
-    // 15 ms an event: it lasts 3.3 s, and the node ends 5.75 s after the signal at the latest.
+    // 15 ms per event: a stream lasts 3.3 s, and the node exits at most 5.75 s after the signal.
     let _model = gateway.start_replica(MODEL, "model-1", 220).await;
     let node = gateway.start_node();
     gateway.until_ready(node).await;
@@ -164,18 +165,19 @@
         late.headers_mut().insert("length-hint", "40".parse().expect("valid"));
         gateway.call(node, late).await
     });
-    assert_eq!(first.events(), Some(220), "it ends before the node does: {first:?}");
+    assert_eq!(first.events(), Some(220), "the stream ends before the node exits: {first:?}");
     assert_eq!((late.status, late.code()), (503, 2108), "{late:?}");
     assert!(gateway.end_of(node).await, "the stop is no failure");
 }
 
-/// A stream that waits for an engine while its node stops, and gets one when it can no longer end before
-/// the node does: it was begun and cut. It has not run, so its caller is sent to another node.
+/// Guards against a stream that waits for an engine while its node stops, gets one when it can no longer end
+/// before the node exits, and is started and cut off. It must not be started, so that its caller can be sent
+/// to another node.
 #[tokio::test]
 async fn test_a_stopping_node_refuses_queued_streams_that_may_outlast_it() {
     let mut gateway = Gateway::start().await;
     gateway.store.put("config", "main", config(1));
-    // 15 ms an event: each lasts 3.3 s, and the engine has room for one.
+    // 15 ms per event: each stream lasts 3.3 s, and the engine has room for one.
     let model = gateway.start_replica(MODEL, "model-1", 220).await;
     let node = gateway.start_node();
     gateway.until_ready(node).await;
@@ -191,14 +193,14 @@
         tokio::time::sleep(Duration::from_millis(1_600)).await;
         gateway.call(node, chat_with_usage("r-2", "2000,2000")).await
     });
-    assert_eq!(first.events(), Some(220), "it ends before the node does: {first:?}");
+    assert_eq!(first.events(), Some(220), "the stream ends before the node exits: {first:?}");
     assert_eq!((queued.status, queued.code()), (503, 2108), "{queued:?}\n{}", gateway.logs());
-    assert_eq!(model.replica.seen().len(), 1, "the second was sent to no engine");
+    assert_eq!(model.replica.seen().len(), 1, "the second stream was sent to no engine");
     assert!(gateway.end_of(node).await, "the stop is no failure");
 }
 
-/// The line that tells of a stop's end was never seen, in seven runs of a fleet with stops all day:
-/// lines are written by a thread of their own, and what it had not written was lost.
+/// Guards against losing the log line for the end of a stop: a separate thread writes the log, and lines that
+/// it has not written when the process exits are lost.
 #[tokio::test]
 async fn test_nodes_log_the_end_of_their_stop() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
@@ -215,10 +217,15 @@
             nodes_without_line.push(n);
         }
     }
-    assert_eq!(nodes_without_line, [0; 0], "nodes that did not say that they stopped\n{}", gateway.logs());
+    assert_eq!(
+        nodes_without_line,
+        [0; 0],
+        "nodes that did not log the end of their stop\n{}",
+        gateway.logs()
+    );
 }
 
-/// Beyond 300 lines a second lines are left out, and the last ones of a busy node were among them.
+/// Lines beyond 300 per second are dropped. Guards against dropping the last lines of a busy node.
 #[tokio::test]
 async fn test_a_busy_node_logs_the_end_of_its_stop() {
     let (mut gateway, _bookings, _models) = Gateway::with_replicas(1).await;
@@ -228,13 +235,13 @@
     std::fs::write(gateway.settings_path(0), short_stop).expect("writable");
     gateway.start_again(0);
     gateway.until_ready(0).await;
-    // A second begins with the first line that follows.
+    // The next line starts a new second of the rate limit.
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    let mut stream = TcpStream::connect(gateway.front(0)).await.expect("it listens");
+    let mut stream = TcpStream::connect(gateway.front(0)).await.expect("the node listens");
     let began = Instant::now();
     let refused_calls = "GET /nowhere/ HTTP/1.1\r\nhost: h.example\r\n\r\n".repeat(499);
     let last = "GET /nowhere/ HTTP/1.1\r\nhost: h.example\r\nconnection: close\r\n\r\n";
-    stream.write_all((refused_calls + last).as_bytes()).await.expect("it is open");
+    stream.write_all((refused_calls + last).as_bytes()).await.expect("the connection is open");
     let answers = read_to_end(&mut stream).await;
     assert_eq!(answers.matches("HTTP/1.1 404").count(), 500);
     gateway.signal(0, "-TERM");
@@ -243,42 +250,45 @@
     assert!(log.contains("event=stopped"), "{}", gateway.logs());
     let written = log.matches("event=refused").count();
     let seconds = began.elapsed().as_secs() as usize + 1;
-    assert!(written <= 300 * seconds + 40, "the bound on lines holds but for the last: {written}");
+    assert!(
+        written <= 300 * seconds + 40,
+        "the rate limit applies to all lines but the last ones: {written}"
+    );
 }
 
-/// The reason why a node failed was lost in the same way.
+/// Guards against losing the log line with the reason of a failure when the process exits.
 #[tokio::test]
 async fn test_failing_nodes_log_the_reason() {
     let mut gateway = Gateway::start().await;
     let mut nodes_without_line = Vec::new();
     for n in 0..12 {
-        // The callers' port is the traffic thread's, the balancer's the control thread's.
+        // The traffic thread binds the callers' port, the control thread the balancer's port.
         let address = if n % 2 == 0 { gateway.front(n) } else { gateway.ready(n) };
-        let _bound_port = TcpListener::bind(address).expect("it is free");
+        let _bound_port = TcpListener::bind(address).expect("the port is free");
         gateway.start_node();
         assert!(!gateway.end_of(n).await, "a port is taken");
         if !gateway.log(n).contains("event=failed") {
             nodes_without_line.push(n);
         }
     }
-    assert_eq!(nodes_without_line, [0; 0], "nodes that did not say why\n{}", gateway.logs());
+    assert_eq!(nodes_without_line, [0; 0], "nodes that did not log the reason\n{}", gateway.logs());
 }
 
-/// Whoever collects the logs may have stopped reading: the end does not wait for it.
+/// A log collector may have stopped reading: the exit does not wait for it.
 #[tokio::test]
 async fn test_an_unread_log_pipe_does_not_delay_the_exit() {
     let gateway = Gateway::start().await;
-    let _bound_port = TcpListener::bind(gateway.front(0)).expect("it is free");
+    let _bound_port = TcpListener::bind(gateway.front(0)).expect("the port is free");
     let yaml = gateway.settings(0, gateway.store_address(), "");
     std::fs::write(gateway.settings_path(0), yaml).expect("writable");
     let (_reader, mut writer) = std::io::pipe().expect("a pipe");
-    writer.write_all(&[b'\n'; PIPE_CAPACITY_BYTES]).expect("it holds so much");
+    writer.write_all(&[b'\n'; PIPE_CAPACITY_BYTES]).expect("the pipe has this capacity");
     let mut command = Command::new(env!("CARGO_BIN_EXE_leadstaged"));
     command.arg("--config").arg(gateway.settings_path(0));
     command.stdout(writer).stderr(Stdio::null()).stdin(Stdio::null());
     let began = Instant::now();
-    let ended = tokio::task::spawn_blocking(move || command.status().expect("it runs")).await;
+    let ended = tokio::task::spawn_blocking(move || command.status().expect("the node runs")).await;
     assert_eq!(ended.expect("no panic").code(), Some(1));
     let took = began.elapsed();
-    assert!(took < Duration::from_secs(2), "it waits for 200 ms at most, and took {took:?}");
+    assert!(took < Duration::from_secs(2), "the exit waits for 200 ms at most, and took {took:?}");
 }
--- a/node/tests/test_gateway_streams.rs
+++ b/node/tests/test_gateway_streams.rs
@@ -1,4 +1,4 @@
-//! Streams through the gateway interface: one generation, whatever happens to its engines.
+//! Streams through the gateway interface: each stream has one generation, whatever faults its engines have.
 
 use std::time::Duration;
 
@@ -18,38 +18,39 @@
 use crate::gateway_environment::chat;
 use crate::gateway_environment::config;
 
-/// Events of the stand-in's generations.
+/// Number of events in a generation of the stand-in engine.
 const EVENTS: u64 = 60;
 
-/// When a fault strikes, counted in events of the generation.
+/// The number of generated events after which a fault is injected.
 const FAULT_AFTER_EVENTS: u64 = 20;
 
-/// What happens to a stream at its engine.
+/// A fault of the engine that runs a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// The engine says that it leaves.
+    /// The engine announces that it leaves.
     Leaves,
-    /// It leaves, and copies from it find no room.
+    /// The engine leaves, and no other engine has room for a copy.
     LeavesWithoutRoom,
-    /// It leaves, its copies hang, and it dies.
+    /// The engine leaves, its copies hang, and it dies.
     DiesWhileCopying,
-    /// It leaves and stops the generation, but never answers the call.
+    /// The engine leaves and stops the generation, but never responds to the stop call.
     StopHangs,
-    /// It dies without a word.
+    /// The engine dies without announcing it.
     Dies,
-    /// It leaves, and the other engines answer with errors where the generation is to go on.
+    /// The engine leaves, and the other engines respond with errors when asked to resume the generation.
     TargetsFail,
-    /// It and the engine that the generation moved to leave one after the other.
+    /// The engine leaves, and then so does the engine to which the generation moved.
     LeavesTwice,
 }
 
+/// Waits until an engine has generated about `event_count` events, and returns it.
 async fn wait_for_running_engine<'a>(
     gateway: &Gateway,
     models: &'a mut [RunningReplica],
     event_count: u64,
 ) -> &'a mut RunningReplica {
-    gateway.until("it runs", async || models.iter().any(|m| m.replica.running() > 0)).await;
-    let at = models.iter().position(|m| m.replica.running() > 0).expect("it runs");
+    gateway.until("a generation runs", async || models.iter().any(|m| m.replica.running() > 0)).await;
+    let at = models.iter().position(|m| m.replica.running() > 0).expect("a generation runs");
     let pause = models[at].replica.pace * event_count as u32;
     tokio::time::sleep(pause).await;
     &mut models[at]
@@ -79,25 +80,28 @@
             for other in models.iter().filter(|m| m.replica.id != first) {
                 other.replica.set_copy_fault(CopyFault::ResumeFails);
             }
-            let engine = models.iter().find(|m| m.replica.id == first).expect("it runs");
+            let engine = models.iter().find(|m| m.replica.id == first).expect("a generation runs");
             gateway.drain(MODEL, engine);
         }
         Fault::LeavesTwice => {
             let first = engine.replica.id.clone();
             gateway.drain(MODEL, engine);
             gateway
-                .until("it moved", async || {
+                .until("the generation moved", async || {
                     models.iter().any(|m| m.replica.id != first && m.replica.running() > 0)
                 })
                 .await;
-            let second =
-                models.iter().find(|m| m.replica.id != first && m.replica.running() > 0).expect("it moved");
+            let second = models
+                .iter()
+                .find(|m| m.replica.id != first && m.replica.running() > 0)
+                .expect("the generation moved");
             gateway.drain(MODEL, second);
         }
     }
 }
 
-/// Plays one fault; returns what the caller saw and how many engines ran the generation.
+/// Runs a stream with one fault. Returns the caller's result, how many engines ran the generation, and the
+/// logs.
 async fn run_with_fault(fault: Fault) -> (Called, usize, String) {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(3).await;
     let (called, ()) =
@@ -108,7 +112,7 @@
     (called, starts.count(), gateway.logs())
 }
 
-/// Whatever happens: events without a gap or a repeat, an end only after the last one, and
+/// With each fault, the events have no gap or repeat, the end comes only after the last event, and there is
 /// one generation.
 #[tokio::test]
 async fn test_streams_survive_engine_faults_without_gaps_or_repeats() {
@@ -143,21 +147,21 @@
 async fn test_a_generation_ends_when_its_caller_disconnects() {
     let (gateway, _bookings, models) = Gateway::with_replicas(1).await;
     let (connection, res) =
-        crate::gateway_environment::send(&gateway.front(0), chat("r-1")).await.expect("it begins");
+        crate::gateway_environment::send(&gateway.front(0), chat("r-1")).await.expect("the stream begins");
     assert_eq!(models[0].replica.running(), 1);
     drop((connection, res));
-    gateway.until("it ends", async || models[0].replica.running() == 0).await;
+    gateway.until("the generation ends", async || models[0].replica.running() == 0).await;
     assert_eq!(models[0].replica.left(), ["r-1"]);
 }
 
-/// What the engines do, one after the other, with a stream and with the calls to go on with it.
+/// The faults of successive requests to engines: the stream and the calls that resume it.
 struct RefusalCase {
     name: &'static str,
     faults: &'static [StreamFault],
 }
 
-/// A generation that was stopped to be moved is asked for at the engine with its copy, and at the
-/// one where it stopped.
+/// A generation that was stopped to be moved can be resumed on the target engine, which has its copy, and on
+/// the source engine, where it stopped.
 const REFUSAL_CASES: [RefusalCase; 4] = [
     RefusalCase {
         name: "the target turns it away, then the source does",
@@ -183,10 +187,9 @@
     },
 ];
 
-/// A stream broke for its caller although its generation lay whole in the memory of two engines:
-/// it was stopped to be moved, the engine with its copy was full for a moment and turned it away,
-/// the engine that it came from did too, and neither was asked again. Logs of busy engines showed
-/// it: two refusals at the target and one at the source within 8 ms, then the end "engine lost".
+/// Guards against breaking a stream whose complete generation is in the memory of two engines. It was stopped
+/// to be moved, the briefly full target refuses it, the source does too, and neither is asked again. The logs
+/// then show two refusals at the target and one at the source within 8 ms, followed by the end "engine lost".
 #[tokio::test]
 async fn test_a_stopped_generation_is_retried_until_an_engine_resumes_it() {
     let mut rows = Vec::new();
@@ -207,15 +210,15 @@
     ");
 }
 
-/// More calls to go on with a generation than are made while its caller waits.
+/// More than the number of resume calls that are sent while the caller waits.
 const REFUSAL_COUNT: usize = 100;
 
-/// A stream broke for its caller while its engine ran the generation: the call that was to stop it
-/// found no connection, as a large configuration filled the node's link for a second, and the
-/// missing answer was taken for a stop that was made. The engine with the copy could not be
-/// reached either, and the one that still ran the generation answered 503 to the request to go on.
-/// The log told "stop_unanswered: no connection: timed out", then "not sent: timed out" and "503",
-/// and the engine made events until the node hung up.
+/// Guards against breaking a stream whose engine still runs the generation. The stop call gets no connection,
+/// for example because a large configuration saturates the node's link for a second, and the missing response
+/// is mistaken for a completed stop. The engine with the copy is unreachable too, and the engine that still
+/// runs the generation responds with 503 to the resume call. The log then has "stop_unanswered: no
+/// connection: timed out", "not sent: timed out" and "503", and the engine generates events until the node
+/// disconnects.
 #[tokio::test]
 async fn test_a_generation_continues_if_its_stop_was_never_sent() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
@@ -230,18 +233,18 @@
     assert!(called.whole, "{:?} events\n{}", called.events(), gateway.logs());
     assert_eq!(called.events(), Some(EVENTS));
     let asked: usize = models.iter().map(|m| m.replica.seen().len()).sum();
-    assert_eq!(asked, 1, "no engine is asked to go on with what still runs\n{}", gateway.logs());
+    assert_eq!(asked, 1, "no engine is asked to resume a generation that still runs\n{}", gateway.logs());
 }
 
-/// How much later than the stream breaks the stop of its generation is answered.
+/// Time from the break of the stream until the response to the stop call.
 const STOP_RESPONSE_DELAY: Duration = Duration::from_millis(200);
-/// How long the engine with the copy takes to answer.
+/// Time until the engine with the copy responds to the resume call.
 const RESUME_RESPONSE_DELAY: Duration = Duration::from_millis(800);
 
-/// A generation stayed on an engine that leaves, and would have broken with it: the answer to its
-/// stop at the engine before came while the next one was being asked to go on, lay unread until
-/// the stream ran there, and was then taken for the end of the move that had just begun. The log
-/// told "replica_leaves" for the second engine, and no copy from it after that.
+/// Guards against a generation that stays on a leaving engine and breaks with it. The response to its stop at
+/// the first engine arrives while the second engine is asked to resume it, is read only when the stream runs
+/// there, and is mistaken for the end of the move that has just begun. The log then has "replica_leaves" for
+/// the second engine, and no copy from it after that.
 #[tokio::test]
 async fn test_a_late_answer_to_a_stop_does_not_end_the_next_move() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(3).await;
@@ -253,21 +256,20 @@
         gateway.drain(MODEL, first);
         let is_asked_to_resume =
             |m: &RunningReplica| m.replica.id != first_id && !m.replica.seen().is_empty();
-        gateway.until("it is to go on", async || models.iter().any(is_asked_to_resume)).await;
-        let second = models.iter().find(|m| is_asked_to_resume(m)).expect("it is to go on");
+        gateway.until("an engine got a resume call", async || models.iter().any(is_asked_to_resume)).await;
+        let second = models.iter().find(|m| is_asked_to_resume(m)).expect("an engine got a resume call");
         gateway.drain(MODEL, second);
     };
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), leave_twice);
     assert!(called.whole, "{}", gateway.logs());
     assert_eq!(called.events(), Some(EVENTS));
     let engines = models.iter().filter(|m| !m.replica.seen().is_empty()).count();
-    assert_eq!(engines, 3, "it left the second engine too\n{}", gateway.logs());
+    assert_eq!(engines, 3, "the generation moved off the second engine too\n{}", gateway.logs());
 }
 
-/// A caller got the first events of a stream with the end of a whole one: its engine sent them
-/// without a length, so that the connection's end was the stream's, and the connection ended as the
-/// generation was stopped to be moved. Found by reading; the log told "stream_end: done" with 33
-/// of 60 events.
+/// Guards against sending a caller the first events of a stream as if the stream were complete. The engine
+/// sends them without a length, so the end of the connection marks the end of the stream, and the connection
+/// ends when the generation is stopped to be moved. The log then has "stream_end: done" with 33 of 60 events.
 #[tokio::test]
 async fn test_a_stopped_unframed_stream_is_resumed() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
@@ -278,7 +280,7 @@
     assert_eq!(called.events(), Some(EVENTS), "{}", gateway.logs());
 }
 
-/// The same stream, left alone, ends with its connection.
+/// An unframed stream that is not stopped ends with its connection.
 #[tokio::test]
 async fn test_an_unframed_stream_ends_with_its_connection() {
     let (gateway, _bookings, _models) = Gateway::with_replicas(1).await;
@@ -288,23 +290,22 @@
     assert_eq!(called.events(), Some(EVENTS));
 }
 
-/// How long an engine that leaves takes no connections.
+/// How long a leaving engine accepts no connections.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(150);
 
-/// A generation stayed on an engine that leaves and would have broken with it: the first call that
-/// was to copy it found no connection, as when other traffic fills the node's link, and the engine
-/// was taken to be gone, though its stream ran on. The log told "copy outcome=Err(Connect(..))" and
-/// no copy after that.
+/// Guards against a generation that stays on a leaving engine and breaks with it. The first copy call gets no
+/// connection, for example because other traffic saturates the node's link, and the engine is considered dead
+/// although its stream continues. The log then has "copy outcome=Err(Connect(..))", and no copy after that.
 #[tokio::test]
 async fn test_a_generation_moves_off_a_briefly_unreachable_engine() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
     let leave = async {
         let engine = wait_for_running_engine(&gateway, &mut models, FAULT_AFTER_EVENTS).await;
-        let server = engine.server.as_ref().expect("it serves");
+        let server = engine.server.as_ref().expect("the replica serves");
         server.close_port.notify_one();
         tokio::time::sleep(engine.replica.pace).await;
         gateway.drain(MODEL, engine);
-        gateway.until("it is to leave", async || gateway.log(0).contains("event=replica_leaves")).await;
+        gateway.until("the engine leaves", async || gateway.log(0).contains("event=replica_leaves")).await;
         tokio::time::sleep(UNREACHABLE_FOR).await;
         server.open_port.notify_one();
     };
@@ -312,36 +313,40 @@
     assert!(called.whole, "{}", gateway.logs());
     assert_eq!(called.events(), Some(EVENTS));
     let engines = models.iter().filter(|m| !m.replica.seen().is_empty()).count();
-    assert_eq!(engines, 2, "it left the engine\n{}", gateway.logs());
+    assert_eq!(engines, 2, "the generation moved off the engine\n{}", gateway.logs());
 }
 
-/// Longer than engines that turn a generation away are asked, and shorter than a caller waits.
+/// Longer than the time for which refusing engines are retried, and shorter than a caller waits.
 const BOTH_UNREACHABLE_FOR: Duration = Duration::from_millis(1_800);
 
-/// Where the configuration has the route of `chat`.
+/// Index of the `chat` route in the configuration.
 const CHAT_ROUTE_INDEX: usize = 2;
-/// Callers wait four times as long for an event: 6 s.
+/// Callers wait for an event four times as long: 6 s.
 const TARGET_LATENCY_MS: u64 = 1_500;
 
-/// A stream broke for its caller although two engines kept its generation's memory and nobody had
-/// turned it away: neither could be reached for a moment longer than engines that refuse are asked,
-/// while its caller would have waited some seconds more for the next event.
+/// Guards against breaking a stream although two engines hold its generation's KV cache memory and neither
+/// has refused it. Both are unreachable for slightly longer than refusing engines are retried, while the
+/// caller would wait some seconds more for the next event.
 #[tokio::test]
 async fn test_a_stopped_generation_waits_for_unreachable_engines() {
     let (gateway, _bookings, mut models) = Gateway::with_replicas(2).await;
     let mut long_latency_config = config(2);
     long_latency_config["routes"][CHAT_ROUTE_INDEX]["targetLatencyMs"] = TARGET_LATENCY_MS.into();
     gateway.store.put("config", "main", long_latency_config);
-    gateway.until("version 2", async || gateway.log(0).contains("event=config_in_force version=2")).await;
+    gateway
+        .until("version 2 is in force", async || gateway.log(0).contains("event=config_in_force version=2"))
+        .await;
     let leave = async {
         let first = wait_for_running_engine(&gateway, &mut models, FAULT_AFTER_EVENTS).await;
         first.replica.set_copy_fault(CopyFault::StopClosesPort);
         let first_id = first.replica.id.clone();
         let (first, second): (Vec<_>, Vec<_>) = models.iter().partition(|m| m.replica.id == first_id);
-        let servers = [first[0], second[0]].map(|m| m.server.as_ref().expect("it serves"));
+        let servers = [first[0], second[0]].map(|m| m.server.as_ref().expect("the replica serves"));
         servers[1].close_port.notify_one();
         gateway.drain(MODEL, first[0]);
-        gateway.until("it is out of reach", async || gateway.log(0).contains("event=move_failed")).await;
+        gateway
+            .until("the engine is unreachable", async || gateway.log(0).contains("event=move_failed"))
+            .await;
         tokio::time::sleep(BOTH_UNREACHABLE_FOR).await;
         for server in servers {
             server.open_port.notify_one();
@@ -352,9 +357,9 @@
     assert_eq!(called.events(), Some(EVENTS));
 }
 
-/// A caller took 40 kB a second of a stream of 13 MB a second. The node waited until the caller had
-/// taken what was there, and did not look at the time meanwhile: the engine worked on the stream for
-/// 20.6 s, though its caller had told that it waits 3 s at most.
+/// Guards against a node that does not check the deadline while it waits for a slow caller. If a caller reads
+/// 40 kB/s of a stream of 13 MB/s, the engine works on the stream for 20.6 s, although the caller set a
+/// deadline of 3 s.
 #[tokio::test]
 async fn test_a_slowly_read_stream_ends_at_its_deadline() {
     let mut gateway = Gateway::start().await;
@@ -364,23 +369,23 @@
     gateway.start_node();
     gateway.until_ready(0).await;
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(4_096).expect("it is small");
+    socket.set_recv_buffer_size(4_096).expect("a small buffer");
     let front = gateway.front(0).parse().expect("an address");
-    let mut stream = socket.connect(front).await.expect("it listens");
+    let mut stream = socket.connect(front).await.expect("the node listens");
     let head = format!(
         "POST /chat/x HTTP/1.1\r\nhost: h.example\r\nleadstage-request-id: r-1\r\n\
          leadstage-deadline-ms: 3000\r\nauthorization: Token {KEY}\r\nleadstage-model: m\r\n\
          leadstage-token-usage: 100,2000\r\ncontent-length: 0\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).await.expect("it is taken");
+    stream.write_all(head.as_bytes()).await.expect("the request is sent");
     let began = Instant::now();
-    gateway.until("it runs", async || model.replica.running() > 0).await;
+    gateway.until("a generation runs", async || model.replica.running() > 0).await;
     let mut buf = [0; 2_048];
     while model.replica.running() > 0 && began.elapsed() < PATIENCE {
-        let taken = stream.read(&mut buf).await.expect("it is open");
+        let taken = stream.read(&mut buf).await.expect("the connection is open");
         assert_ne!(taken, 0, "the stream goes on");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let took = began.elapsed();
-    assert!(took < Duration::from_secs(4), "left after {took:?}\n{}", gateway.logs());
+    assert!(took < Duration::from_secs(4), "ended after {took:?}\n{}", gateway.logs());
 }
