--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -1,6 +1,6 @@
-//! What a decision costs, and how that grows with engines and running generations.
+//! Benchmarks the cost of a placement decision and how it scales with engines and running generations.
 //!
-//! `cargo bench -p leadstage-lib --bench decision`; the figures are in docs/BENCHMARKS.md.
+//! `cargo bench -p leadstage-lib --bench decision`; the results are in docs/BENCHMARKS.md.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -31,11 +31,11 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Placements measured for each size.
+/// Decisions measured for each configuration.
 const ROUNDS: u64 = 20_000;
-/// Engines that a lead weighs for one generation at most.
+/// Maximum number of engines that a lead considers for one generation.
 const MOST_CONSIDERED: usize = 64;
-/// Organisations that the requests are spread over.
+/// Number of organisations that the requests are distributed over.
 const ORGANISATIONS: u64 = 260;
 
 fn main() {
@@ -56,7 +56,8 @@
     [0, 8 << 10, 1 << 20, 4 << 20].into_iter().for_each(measure_names);
 }
 
-/// Microseconds that the gateway's choice of an engine takes which weighs as many as a lead does.
+/// Mean time in microseconds of the gateway's choice of an engine, with as many candidates as a lead
+/// considers.
 fn measure_choice(engines: u32, generations: u64, admit_by_peak: bool) -> f64 {
     let engine_id = |at: u32| -> UpstreamId { format!("engine-{at}").into() };
     let record = |at: u32| ReplicaRecord {
@@ -102,8 +103,8 @@
     began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
 }
 
-/// What it costs to name a request: the quick name for each that ends well, the fingerprint once anything
-/// speaks against one.
+/// Measures the two hashes of a request: the fast hash, computed for every request that succeeds, and the
+/// fingerprint, computed once there is evidence against a request.
 fn measure_names(body_bytes: usize) {
     let body = vec![7; body_bytes];
     let parts = RequestParts {
@@ -140,8 +141,8 @@
     }
 }
 
-/// A pool with so many generations running, so large that none has to wait; `waiting`
-/// more are then too large for any engine.
+/// Measures the events of a pool with `running` generations, on engines large enough that none of them
+/// waits. A further `waiting` requests are too large for any engine and stay in the queue.
 fn measure(engines: usize, running: u64, waiting: u64) {
     let mut policy = PoolPolicy::new(Objective::TokenGap, &Bounds::default());
     policy.max_wait = Duration::from_secs(600);
--- a/lib/benches/policy.rs
+++ b/lib/benches/policy.rs
@@ -1,8 +1,8 @@
-//! The measuring loop of the placement policy: one pool of stepped engines in virtual
-//! time, driven through the pool's event interface.
+//! Simulates the placement policy in virtual time: one pool of step-by-step engine models, driven through the
+//! pool's event interface.
 //!
 //! `cargo bench -p leadstage-lib --bench policy -- --experiment FILE`; docs/BENCHMARKS.md
-//! describes the file and the columns. The same file gives the same bytes.
+//! describes the file and the columns. The output is deterministic: the same file gives the same bytes.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -32,9 +32,9 @@
 use placers::Placer;
 use totals::Totals;
 
-/// A gap between two tokens of a stream longer than this is a stall.
+/// A longer gap between two tokens of a stream counts as a stall.
 const STALL: Duration = Duration::from_millis(250);
-/// Ends reach the placer this much later, as the product sends them in batches.
+/// Delay until the placer is notified of an end, as the gateway sends ends in batches.
 const END_DELAY: Duration = Duration::from_millis(100);
 /// Time between two reports of running generations, as in the product.
 const PROGRESS: Duration = Duration::from_millis(3000);
@@ -235,7 +235,7 @@
         }
     }
 
-    /// A step's tokens are there when the step is over.
+    /// Runs one engine step. Its tokens are produced when the step ends.
     fn step(&mut self, now: Timestamp, engine: usize) {
         if self.dead[engine] || self.engines[engine].is_idle() {
             self.stepping[engine] = false;
@@ -277,7 +277,7 @@
         state.in_time += u64::from(at <= self.x.duration);
     }
 
-    /// The first engine that is alive dies. What has no token starts anew; the rest is lost.
+    /// Kills the first live engine. Its generations without a token are placed again; the others are lost.
     fn kill(&mut self, now: Timestamp) {
         let Some(engine) = self.dead.iter().position(|dead| !dead) else { return };
         self.dead[engine] = true;
--- a/lib/benches/policy/experiment.rs
+++ b/lib/benches/policy/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment file of the measuring loop.
+//! The experiment file of the placement policy simulation.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// Its name.
+    /// Identifier of the organisation.
     pub name: OrganisationId,
-    /// Its fair part of the engines.
+    /// Weight of its fair share of the engines.
     pub share: f64,
-    /// Its part of the offered requests; `share` if not given.
+    /// Weight of its part of the offered requests; defaults to `share`.
     pub offered: Option<f64>,
 }
 
-/// Sizes of the engines.
+/// Capacity and step timing of the engines.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSizes {
@@ -50,7 +50,7 @@
     }
 }
 
-/// The file.
+/// Contents of the experiment file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
@@ -80,13 +80,13 @@
     pub policies: Vec<String>,
     #[serde(default, deserialize_with = "durations")]
     pub kill_engine_at: Vec<Duration>,
-    /// Requests that wait at most, for every policy.
+    /// Maximum number of waiting requests, for every policy.
     #[serde(default = "usual_queue")]
     pub max_queue: usize,
-    /// Time that a request waits for its start at most, for every policy.
+    /// Maximum time that a request waits for its start, for every policy.
     #[serde(default = "usual_wait", with = "humantime_serde")]
     pub max_wait: Duration,
-    /// Accepted chance of overflow; the bundle's default if not given.
+    /// Accepted probability of overflow; defaults to the bundle's default.
     pub overflow_chance: Option<f64>,
 }
 
@@ -132,8 +132,8 @@
 }
 
 impl Experiment {
-    /// Reads the file that the command line names; `None` where it names none, as when
-    /// `cargo test` or `cargo bench` runs all targets.
+    /// Reads the file named on the command line. Returns `None` if there is none, as when `cargo test` or
+    /// `cargo bench` runs all targets.
     pub fn from_args() -> Result<Option<Experiment>, Box<dyn std::error::Error>> {
         let mut path = None;
         let mut args = lexopt::Parser::from_env();
@@ -151,7 +151,7 @@
         Ok(Some(serde_saphyr::from_str(&std::fs::read_to_string(path)?)?))
     }
 
-    /// The sizes and the speed of an engine.
+    /// Configuration of an engine, including its slowdown.
     pub fn engine_config(&self, engine: usize) -> EngineConfig {
         let sizes = self.engine;
         EngineConfig {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The sizes as the engines report them.
+    /// Limits as reported by the engines.
     pub fn limits(&self) -> EngineLimits {
         EngineLimits {
             blocks: self.engine.blocks,
@@ -206,20 +206,20 @@
         self.organisations[0].name.clone()
     }
 
-    /// The index of a request's organisation.
+    /// Returns the index of a request's organisation.
     pub fn organisation_index(&self, request: &PlaceRequest) -> usize {
         self.organisations.iter().position(|o| o.name == request.organisation).unwrap_or(0)
     }
 
-    /// The worst relative distance of an organisation's served tokens from its fair part
-    /// of all that were served: by share, but none more than it asked for.
+    /// Returns the largest relative deviation of an organisation's served tokens from its fair share of all
+    /// served tokens, where shares are weighted and no organisation is allotted more than it requested.
     pub fn share_error(&self, served: &[u64], asked: &[u64]) -> f64 {
         let fair = self.fair_parts(served.iter().sum::<u64>() as f64, asked);
         let errors = served.iter().zip(&fair).filter(|(_, fair)| **fair > 0.0);
         errors.map(|(served, fair)| (*served as f64 / fair - 1.0).abs()).fold(0.0, f64::max)
     }
 
-    /// Max-min fair parts of `left` tokens, weighted by share.
+    /// Max-min fair allocation of `remaining` tokens, weighted by share.
     fn fair_parts(&self, mut left: f64, asked: &[u64]) -> Vec<f64> {
         let mut parts = vec![0.0; asked.len()];
         let mut open: Vec<usize> = (0..asked.len()).collect();
--- a/lib/benches/policy/placers.rs
+++ b/lib/benches/policy/placers.rs
@@ -1,8 +1,8 @@
-//! The policies under measurement: leadstage's pool, the same with known lengths, and
-//! the baselines, which send a request on at once.
+//! The policies under test: leadstage's pool, the same pool with known output lengths (the oracle), and the
+//! baselines, which forward each request immediately.
 //!
-//! The baselines see the same load reports and ends, know what they placed since the
-//! latest report, and have the same bounds on the queue and the wait.
+//! The baselines receive the same load reports and ends, track what they placed since the latest report,
+//! and have the same limits on queue length and waiting time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,14 +24,14 @@
 
 use crate::experiment::Experiment;
 
-/// What a policy decided.
+/// A decision of a policy.
 pub enum Decision {
     Start { generation: u64, engine: usize, priority: i32 },
     Refuse { generation: u64 },
     Priority { generation: u64, engine: usize, priority: i32 },
 }
 
-/// A policy.
+/// A placement policy.
 pub enum Placer {
     Lead { pool: Box<Pool>, actions: Vec<PoolAction>, knows_lengths: bool },
     Baseline(Baseline),
@@ -44,7 +44,7 @@
     PowerOfTwo,
 }
 
-/// A baseline.
+/// A baseline policy.
 pub struct Baseline {
     kind: Kind,
     up: Vec<bool>,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Offers a request; its length is told to the oracle only.
+    /// Offers a request. Only the oracle is given its output length.
     pub fn place(&mut self, now: Timestamp, mut request: PlaceRequest, output: u64) {
         match self {
             Placer::Lead { knows_lengths, .. } => {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A first token came; the baselines see it at once.
+    /// Handles the first token of a generation, of which the baselines are notified immediately.
     pub fn on_first_token(&mut self, generation: u64) {
         if let Placer::Baseline(baseline) = self {
             baseline.unstarted.remove(&generation);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A call to the engine failed.
+    /// Handles a failed call to the engine.
     pub fn on_failing(&mut self, now: Timestamp, engine: usize) {
         match self {
             Placer::Lead { .. } => self.handle(now, PoolEvent::EngineLeaving(engine_id(engine))),
@@ -232,8 +232,8 @@
         self.decisions.push(Decision::Start { generation, engine, priority: 0 });
     }
 
-    /// The least memory in use by the latest report with what was placed since, then
-    /// the fewest that wait.
+    /// Returns the engine with the fewest waiting requests; ties are broken by the fewest blocks used,
+    /// counting the prompt blocks of requests placed since the latest report.
     fn emptiest(&self, engines: impl Iterator<Item = usize>) -> usize {
         let load = |engine: &usize| {
             let report = &self.reports[*engine];
--- a/lib/benches/policy/totals.rs
+++ b/lib/benches/policy/totals.rs
@@ -1,4 +1,4 @@
-//! What a run of the measuring loop adds up, and its line of the table.
+//! Totals of one simulation run, and their row of the CSV output.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::experiment::Experiment;
 
-/// The table's first line.
+/// The CSV header.
 pub const HEADER: &str = "policy,offered,completed,refused,preemptions_per_1000,stall_ms_per_generation,\
     token_gap_p50_ms,token_gap_p99_ms,token_gap_max_ms,first_token_p50_ms,first_token_p95_ms,\
     goodput_tokens_per_s,share_error";
 
-/// The sums of one policy's run.
+/// Totals of the simulation of one policy.
 pub struct Totals {
     pub offered: u64,
     pub completed: u64,
--- a/scripts/common.sh
+++ b/scripts/common.sh
@@ -1,9 +1,9 @@
-# Sourced by the scripts that run processes: where the programs are, a network of their
-# own in 127.0.0.0/8, and the processes that they started, which end with the script.
+# Sourced by scripts that run processes. Locates the programs, picks a private network in
+# 127.0.0.0/8, and tracks the started processes, which are killed when the script exits.
 
 pids=()
 
-# Ends all that was started, by process id.
+# Kills all started processes by process ID.
 stop_all() {
     local pid
     for pid in "${pids[@]}"; do kill -KILL "$pid" 2>/dev/null || true; done
@@ -17,7 +17,8 @@
 }
 trap clean_up EXIT
 
-# Builds all programs with PROFILE (debug or release) and sets bin to their folder.
+# build PROFILE: builds all programs with PROFILE (debug or release) and sets `bin` to their
+# directory.
 build() {
     local flags=()
     if [ "$1" = release ]; then flags=(--release); fi
@@ -27,14 +28,15 @@
     bin=$target/$1
 }
 
-# Sets net to the first three parts of addresses that another run is unlikely to use, and
-# work to an empty folder.
+# Sets `net` to the first three octets of a random loopback network, so that concurrent runs are
+# unlikely to collide, and `work` to a new temporary directory.
 own_net() {
     net=127.$((RANDOM % 200 + 20)).$((RANDOM % 250 + 2))
     work=$(mktemp -d)
 }
 
-# start NAME COMMAND...: runs a process with its output in $work/NAME.log; its id is in pid.
+# start NAME COMMAND...: starts a background process, redirects its output to $work/NAME.log, and
+# sets `pid` to its process ID.
 start() {
     local name=$1
     shift
--- a/scripts/compare-plays.sh
+++ b/scripts/compare-plays.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Compares the rows of two runs of scripts/play-seeds.sh over the plays that both have: the mean
-# difference of worth (second less first) for each day and over all, with its standard error.
+# Compares the rows of two runs of scripts/play-seeds.sh over the plays that are in both. Prints the
+# mean difference of worth (second minus first) with its standard error, for each day and overall.
 #
 # Usage: scripts/compare-plays.sh ROWS-BEFORE ROWS-AFTER
 set -euo pipefail
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# The whole path on one machine: builds, starts the stand-ins and two nodes as
-# separate processes on loopback, rolls a bundle out, streams through each node,
-# makes a plain call that may not repeat, shows the status, and stops everything.
-# Exit code 0 only if every step was right.
+# End-to-end demonstration on one machine: builds, starts the stand-ins and two nodes as separate
+# processes on loopback, rolls out a bundle, streams through each node, makes a non-repeatable plain
+# call, shows the status, and stops everything. Exits with 0 only if every step succeeded.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/measure-ablation.sh
+++ b/scripts/measure-ablation.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Plays days of the users' bench with each mechanism of the policy switched off alone, and with all
-# on, with the same seeds, and prints for each the mean difference of worth and its standard error.
-# The switches are those of the settings (docs/CONFIG.md); nothing is built anew.
+# Ablation study: plays days of the users' bench with all mechanisms of the policy enabled, and with
+# each one disabled in turn, using the same seeds. Prints the mean difference of worth and its
+# standard error for each. The switches are settings (docs/CONFIG.md), so nothing is rebuilt.
 #
 # Usage: scripts/measure-ablation.sh WHY SITE DAYS SEEDS [SWITCH...]
-#   the first four as for scripts/play-seeds.sh; SWITCH: names of switches, all by default
-# Run it in a scratch copy of the repository: it changes the template of the settings.
+#   The first four are as for scripts/play-seeds.sh. SWITCH: names of switches; all by default.
+# Run it in a scratch copy of the repository, as it modifies the settings template.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/measure-node.sh
+++ b/scripts/measure-node.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Measures what a node adds to an engine's first token and to the time between tokens,
-# side by side in one run, and its memory and control cost. Loopback only; about a minute.
+# Measures the latency that a node adds to the first token and between tokens, compared with direct
+# calls to the engine in the same run, and the node's memory and control cost. Loopback only; takes
+# about a minute.
 #
 # Usage: [REMOTE_LEAD=1] scripts/measure-node.sh [RATE] [TOKENS] [SECONDS]
-# With REMOTE_LEAD a second node leads the pool, and what the two tell each other is counted.
-# By default 100 requests a second each way, 200 tokens of 50 ms: 1000 open streams and
-# 20000 tokens a second through the node.
+# With REMOTE_LEAD a second node leads the pool, and the traffic between the two nodes is counted.
+# Defaults: 100 requests per second directly and 100 through the node, with 200 tokens each at
+# 50 ms: 1000 open streams and 20000 tokens per second through the node.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 rate=${1:-200}
@@ -58,7 +59,7 @@
 "$bin/leadstage" bundle roll-out "$work/bundle.json" --platform "$net.1:9000" >/dev/null
 for _ in $(seq 100); do curl -sf "http://$net.11:8081/readyz" >/dev/null && break; sleep 0.1; done
 sleep 2
-# Bytes that the peer connections have carried, both ways.
+# Prints the bytes carried by the peer connections in both directions.
 peer_bytes() {
     ss -tni "dst $net.12:8082 or dst $net.11:8082" | grep -o 'bytes_\(sent\|received\):[0-9]*' | awk -F: '{ sum += $2 } END { print sum + 0 }'
 }
--- a/scripts/measure-policy.sh
+++ b/scripts/measure-policy.sh
@@ -1,13 +1,12 @@
 #!/usr/bin/env bash
-# Measures the placement policy over lognormal, Pareto and bimodal output lengths at
-# 70, 90 and 110 % of capacity, and prints a Markdown table of means over the seeds:
-# the best baseline of each cell, leadstage, and the oracle that knows the lengths.
+# Measures the placement policy with lognormal, Pareto and bimodal output lengths at 70, 90 and
+# 110 % of capacity. Prints a Markdown table of means over the seeds: the best baseline of each cell,
+# leadstage, and the oracle, which knows the output lengths.
 #
 # Usage: scripts/measure-policy.sh [token_gap|stall] [SEEDS]
 #
-# Capacity is the rate at which the best baseline refuses 1 % of the requests over
-# 300 s (12 engines of the default sizes), found by bisection: 15.5, 93.6 and 9.1
-# requests a second.
+# Capacity is the rate at which the best baseline refuses 1 % of the requests over 300 s (12 engines
+# of the default sizes), found by bisection: 15.5, 93.6 and 9.1 requests per second.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 objective=${1:-token_gap}
--- a/scripts/measure-recovery.sh
+++ b/scripts/measure-recovery.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what failures cost at today's size, 9 nodes and 15 engines in three halls: work
-# lost, and for how long requests fail. Load goes through six nodes; faults come 5 s into
-# the load. Loopback only; about two minutes.
+# Measures the cost of failures in a fleet of 9 nodes and 15 engines in three halls: the work lost,
+# and how long requests fail. Load goes through the six nodes that lead no pool; faults are injected
+# 5 s into the load. Loopback only; takes about two minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/common.sh
@@ -39,7 +39,7 @@
     sleep 5
 }
 
-# The nodes that lead a pool now, as 0-based indexes.
+# Prints the 0-based indexes of the nodes that currently lead a pool.
 leads() {
     local n
     for n in $(seq 9); do
@@ -63,7 +63,7 @@
     local name=$1
     shift
     fleet
-    # Load goes through nodes that lead nothing, so that all leads can be killed.
+    # Load goes through nodes that lead no pool, so that all leads can be killed.
     mapfile -t spared < <(leads)
     local args=() n
     for n in 0 1 2 3 4 5 6 7 8; do
--- a/scripts/measure-scale.sh
+++ b/scripts/measure-scale.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Measures what control costs as the fleet grows: processor time, memory and network of a
-# node at rest, calls to the object API, and the time until a bundle is in force on all
-# nodes. Loopback only, at most about a hundred small processes, about five minutes.
+# Measures the cost of control as the fleet grows: processor time, memory and network traffic of an
+# idle node, calls to the object API, and the time until a bundle is in force on all nodes. Loopback
+# only, at most about a hundred small processes; takes about five minutes.
 #
 # Usage: scripts/measure-scale.sh [NODES ENGINES ORGANISATIONS MODELS]
-# Without arguments it walks the sizes of docs/CAPACITY.md. Prints CSV.
+# Without arguments, measures the sizes in docs/CAPACITY.md. Prints CSV.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/common.sh
@@ -16,7 +16,7 @@
 calls() { curl -sf "http://$net.1:9000/stand-in/calls"; }
 field() { grep -o "\"$1\":[0-9]*" | cut -d: -f2; }
 
-# Clock ticks that the control threads, which are the main threads, have used.
+# Prints the clock ticks used by the control threads, which are the main threads of the nodes.
 control_ticks() {
     local sum=0 node
     for node in "${node_pids[@]}"; do
--- a/scripts/play-days.sh
+++ b/scripts/play-days.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Plays our own days of trouble on the users' bench and prints a row for each.
+# Plays this project's own days with faults on the users' bench and prints a row for each.
 #
 # Usage: scripts/play-days.sh WHY [PATTERN]
-#   WHY      a line for the bench's journal
-#   PATTERN  a regular expression for the names of days; all by default
-# KIT names the folder of the users' system pages, BENCH their bench, and SITES the sites. DAYS names the
-# folder of days where it is not a site's own: those of najem-flota-grown fit najem-flota-large.
+#   WHY      reason for the run, a line in the bench's journal
+#   PATTERN  a regular expression for the names of days; all days by default
+# Environment variables: KIT is the directory of the users' system pages, BENCH the program of their
+# bench, SITES the sites, and AT_ONCE the number of days played concurrently. DAYS is the directory
+# of days if it is not the site's own: the days of najem-flota-grown also fit najem-flota-large.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/play-seeds.sh
+++ b/scripts/play-seeds.sh
@@ -1,17 +1,18 @@
 #!/usr/bin/env bash
 # Plays days of the users' bench with several seeds each and prints a row for each play and the
-# means: worth, its share served, and of the most precious kind of request how many were asked
-# for, late, refused and not served.
-# One day with one seed says little: the same code differs by 0.05 and more between seeds.
+# means: worth, the served share, and for the most valuable kind of request the numbers requested,
+# late, refused and failed. A single seed is not enough: the worth of the same code varies by 0.05
+# or more between seeds.
 #
 # Usage: scripts/play-seeds.sh WHY SITE DAYS [SEEDS] [FIRST]
-#   WHY    a line for the bench's journal
+#   WHY    reason for the run, a line in the bench's journal
 #   SITE   the name of a site, such as bahla-ci, or a site file
-#   DAYS   names of days, or TOML files, between blanks; "trouble" stands for the standard five
-#   SEEDS  how many seeds; 12 by default
+#   DAYS   names of days or TOML files, separated by spaces; "trouble" stands for the five standard days
+#   SEEDS  number of seeds; 12 by default
 #   FIRST  the first seed; 1 by default
-# KIT names the folder of the users' system pages, BENCH their bench, ROWS a file that takes the
-# rows of the plays (for scripts/compare-plays.sh), and AT_ONCE how many days are played at once.
+# Environment variables: KIT is the directory of the users' system pages, BENCH the program of their
+# bench, ROWS the output file for the rows of the plays (for scripts/compare-plays.sh), and AT_ONCE
+# the number of plays that run concurrently.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -45,7 +46,8 @@
 for day in $days; do
     name=$(basename "$day")
     for ((seed = first; seed < first + seeds; seed++)); do
-        # The first row of the table of kinds is the most precious one: asked, in aim, late, refused, failed.
+        # The first row of the table of kinds is the most valuable one. Its columns: asked, in aim,
+        # late, refused, failed.
         awk -v site="$site" -v day="$name" -v seed="$seed" '
             /^ *(MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|GONE|LOST|ROUTE|DRAIN|CONFIG|ORDER|RECOVER)/ { broken = broken " " $1 }
             match($0, /BROKEN: [A-Z]+/) { broken = broken " " substr($0, RSTART + 8, RLENGTH - 8) }
--- a/scripts/regenerate.sh
+++ b/scripts/regenerate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Makes proto/src/peer_capnp.rs anew. Needs the capnp program
-# (apt-get install capnproto) and capnpc (cargo install capnpc); builds do not.
+# Regenerates proto/src/peer_capnp.rs. Requires the capnp program (apt-get install capnproto) and
+# capnpc (cargo install capnpc), which are not needed for builds.
 set -euo pipefail
 cd "$(dirname "$0")/../proto/schema"
 capnp compile -o rust:../src peer.capnp
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The formatter's check, clippy with warnings as errors, the check that io_uring
-# stays off, and all tests. Needs nothing outside the repository but the registry.
+# Runs the formatting check, clippy with warnings as errors, a check that the io_uring features are
+# off, and all tests. Needs nothing outside the repository except the registry.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -18,8 +18,8 @@
 fi
 
 echo "== tests"
-# Tests that are known to fail for a real fault: one a line, its name first. They are skipped by their whole path, as
-# a name alone also skips every test whose name contains it.
+# KNOWN-RED.txt lists tests that fail because of a known fault, one per line, with the test name
+# first. They are skipped by full path, as a bare name also skips every test whose name contains it.
 skips=()
 if [ -f KNOWN-RED.txt ]; then
     while IFS='|' read -r name cause; do
