--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -34,7 +34,7 @@
 /// Decisions measured for each configuration.
 const ROUNDS: u64 = 20_000;
 /// Maximum number of engines that a lead considers for one generation.
-const MOST_CONSIDERED: usize = 64;
+const MAX_CONSIDERED: usize = 64;
 /// Number of organisations that the requests are distributed over.
 const ORGANISATIONS: u64 = 260;
 
@@ -44,16 +44,16 @@
     }
     println!("engines,running,waiting,place_us,end_us,progress_us,tick_us");
     for (engines, running) in [(6, 375), (16, 1_000), (32, 2_000), (64, 4_000), (64, 1_000), (128, 8_000)] {
-        measure(engines, running, 0);
+        measure_pool(engines, running, 0);
     }
-    measure(64, 4_000, 200);
+    measure_pool(64, 4_000, 200);
     println!("engines,generations,choice_by_growth_us,choice_by_peak_us");
     for (engines, generations) in [(60, 300), (128, 1_000)] {
         let [by_growth, by_peak] = [false, true].map(|by_peak| measure_choice(engines, generations, by_peak));
         println!("{engines},{generations},{by_growth:.1},{by_peak:.1}");
     }
     println!("body_bytes,quick_name_us,fingerprint_us");
-    [0, 8 << 10, 1 << 20, 4 << 20].into_iter().for_each(measure_names);
+    [0, 8 << 10, 1 << 20, 4 << 20].into_iter().for_each(measure_request_hashes);
 }
 
 /// Mean time in microseconds of the gateway's choice of an engine, with as many candidates as a lead
@@ -74,14 +74,14 @@
     let policy = Policy { admit_by_peak, ..Policy::default() };
     let mut table = ReplicaTable::new(policy);
     table.on_list((0..engines).map(record).collect(), false, Duration::ZERO);
-    let mut book = LoadTracker::new(policy);
+    let mut tracker = LoadTracker::new(policy);
     let size = GenerationSize { prompt: 2_000, expected: 700 };
     for run in 0..generations {
         let replica = engine_id((run % u64::from(engines)) as u32);
-        let of = table.get(&replica).expect("it is listed").clone();
+        let listed = table.get(&replica).expect("replica is in the list").clone();
         let produced = (run * 37 % 700) as u32;
-        let run_there = Run { replica, size: Some(size), produced, copied_from: None };
-        book.add(RunKey { entry: "node".into(), run }, run_there, &of, Duration::ZERO);
+        let tracked_run = Run { replica, size: Some(size), produced, copied_from: None };
+        tracker.add(RunKey { entry: "node".into(), run }, tracked_run, &listed, Duration::ZERO);
     }
     let engine = EngineTraits {
         batch: 24,
@@ -95,17 +95,17 @@
     let hall = "hall".into();
     let request = EngineRequest { size, engine: &engine, hall: &hall, produced: 0, moves: false };
     let mut rng = SmallRng::seed_from_u64(1);
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..ROUNDS {
-        let considered = table.sample("model", &hall, MOST_CONSIDERED, &mut rng, |_| true);
-        black_box(book.choose_engine(considered.into_iter(), &request, Duration::ZERO, &mut rng));
+        let considered = table.sample("model", &hall, MAX_CONSIDERED, &mut rng, |_| true);
+        black_box(tracker.choose_engine(considered.into_iter(), &request, Duration::ZERO, &mut rng));
     }
-    began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
+    started.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
 }
 
 /// Measures the two hashes of a request: the fast hash, computed for every request that succeeds, and the
 /// fingerprint, computed once there is evidence against a request.
-fn measure_names(body_bytes: usize) {
+fn measure_request_hashes(body_bytes: usize) {
     let body = vec![7; body_bytes];
     let parts = RequestParts {
         method: "POST",
@@ -114,19 +114,19 @@
         organisation: "org-1",
         body: &body,
     };
-    let sound = RecentSuccesses::default();
+    let recent_successes = RecentSuccesses::default();
     let rounds = (1 << 26) / (body_bytes as u32 + 4_096);
-    let micros = |began: Instant| began.elapsed().as_secs_f64() * 1e6 / f64::from(rounds);
-    let began = Instant::now();
+    let micros = |started: Instant| started.elapsed().as_secs_f64() * 1e6 / f64::from(rounds);
+    let started = Instant::now();
     for _ in 0..rounds {
-        black_box(sound.hash(black_box(&parts)));
+        black_box(recent_successes.hash(black_box(&parts)));
     }
-    let quick = micros(began);
-    let began = Instant::now();
+    let fast_hash_us = micros(started);
+    let started = Instant::now();
     for _ in 0..rounds {
         black_box(Fingerprint::of(black_box(&parts)));
     }
-    println!("{body_bytes},{quick:.2},{:.2}", micros(began));
+    println!("{body_bytes},{fast_hash_us:.2},{:.2}", micros(started));
 }
 
 fn request(generation: u64) -> PlaceRequest {
@@ -143,7 +143,7 @@
 
 /// Measures the events of a pool with `running` generations, on engines large enough that none of them
 /// waits. A further `waiting` requests are too large for any engine and stay in the queue.
-fn measure(engines: usize, running: u64, waiting: u64) {
+fn measure_pool(engines: usize, running: u64, waiting: u64) {
     let mut policy = PoolPolicy::new(Objective::TokenGap, &Bounds::default());
     policy.max_wait = Duration::from_secs(600);
     let mut pool = Pool::new(policy, 1);
@@ -164,13 +164,13 @@
         let large = PlaceRequest { prompt_tokens: u32::MAX, ..request(1 << 40 | extra) };
         pool.handle(now, PoolEvent::Place(large), &mut actions);
     }
-    let mut spent = [Duration::ZERO; 5];
+    let mut elapsed_by_event = [Duration::ZERO; 5];
     for round in 0..ROUNDS {
         now += Duration::from_millis(2);
         let mut timed = |slot: usize, event: PoolEvent, actions: &mut Vec<PoolAction>| {
             let start = Instant::now();
             pool.handle(now, event, actions);
-            spent[slot] += start.elapsed();
+            elapsed_by_event[slot] += start.elapsed();
         };
         actions.clear();
         timed(0, PoolEvent::Place(request(running + round)), &mut actions);
@@ -182,7 +182,7 @@
             timed(3, PoolEvent::Tick, &mut actions);
         }
     }
-    let micros = |slot: usize, count: u64| spent[slot].as_secs_f64() * 1e6 / count as f64;
+    let micros = |slot: usize, count: u64| elapsed_by_event[slot].as_secs_f64() * 1e6 / count as f64;
     println!(
         "{engines},{running},{waiting},{:.2},{:.2},{:.2},{:.2}",
         micros(0, ROUNDS),
--- a/lib/benches/policy.rs
+++ b/lib/benches/policy.rs
@@ -33,19 +33,20 @@
 use totals::Totals;
 
 /// A longer gap between two tokens of a stream counts as a stall.
-const STALL: Duration = Duration::from_millis(250);
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 /// Delay until the placer is notified of an end, as the gateway sends ends in batches.
 const END_DELAY: Duration = Duration::from_millis(100);
-/// Time between two reports of running generations, as in the product.
-const PROGRESS: Duration = Duration::from_millis(3000);
-/// Time between two ticks and between two reads of an engine's load, as in the product.
-const TICK: Duration = Duration::from_millis(100);
-const LOAD_READ: Duration = Duration::from_millis(1_000);
-/// After the last arrival, streams may end for this long.
-const DRAIN: Duration = Duration::from_secs(900);
+/// Interval between progress reports of running generations, as in the gateway.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(3000);
+/// Interval between ticks, as in the gateway.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between reads of an engine's load, as in the gateway.
+const LOAD_READ_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time limit for open streams to end after the last arrival.
+const MAX_DRAIN: Duration = Duration::from_secs(900);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Event {
     Step(usize),
     Arrive,
     Tick,
@@ -62,120 +63,122 @@
     arrived: Timestamp,
     engine: Option<usize>,
     tokens: u32,
-    last: Timestamp,
-    in_time: u64,
+    last_token: Timestamp,
+    tokens_in_time: u64,
 }
 
-struct Run<'a> {
-    x: &'a Experiment,
+struct Simulation<'a> {
+    experiment: &'a Experiment,
     placer: Placer,
     engines: Vec<EngineModel>,
     stepping: Vec<bool>,
     dead: Vec<bool>,
     open: BTreeMap<u64, Generation>,
-    queue: BinaryHeap<Reverse<(Timestamp, u64, What)>>,
-    ordinal: u64,
+    queue: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
+    sequence: u64,
     rng: SmallRng,
-    out: Totals,
+    totals: Totals,
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let Some(x) = Experiment::from_args()? else {
+    let Some(experiment) = Experiment::from_args()? else {
         return Ok(());
     };
     println!("{}", totals::HEADER);
-    for policy in &x.policies {
-        let mut run = Run::new(&x, Placer::new(policy, &x)?);
-        run.run();
-        println!("{policy},{}", run.out.row(&x));
+    for policy in &experiment.policies {
+        let mut simulation = Simulation::new(&experiment, Placer::new(policy, &experiment)?);
+        simulation.run();
+        println!("{policy},{}", simulation.totals.row(&experiment));
     }
     Ok(())
 }
 
-impl<'a> Run<'a> {
-    fn new(x: &'a Experiment, placer: Placer) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(experiment: &'a Experiment, placer: Placer) -> Self {
         let engines: Vec<EngineModel> =
-            (0..x.engines).map(|e| EngineModel::new(x.engine_config(e))).collect();
+            (0..experiment.engines).map(|e| EngineModel::new(experiment.engine_config(e))).collect();
         let count = engines.len();
-        let mut run = Run {
-            x,
+        let mut simulation = Simulation {
+            experiment,
             placer,
             engines,
             stepping: vec![false; count],
             dead: vec![false; count],
             open: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            ordinal: 0,
-            rng: SmallRng::seed_from_u64(x.seed),
-            out: Totals::new(x.organisations.len()),
+            sequence: 0,
+            rng: SmallRng::seed_from_u64(experiment.seed),
+            totals: Totals::new(experiment.organisations.len()),
         };
         for engine in 0..count {
-            run.placer.on_engine(engine, x.limits());
-            run.at(LOAD_READ.mul_f64(engine as f64 / count as f64), What::ReadLoad(engine));
+            simulation.placer.on_engine(engine, experiment.limits());
+            simulation
+                .schedule(LOAD_READ_INTERVAL.mul_f64(engine as f64 / count as f64), Event::ReadLoad(engine));
         }
-        run.at(Duration::ZERO, What::Tick);
-        run.at(PROGRESS, What::Progress);
-        run.at(Duration::ZERO, What::Arrive);
-        x.kill_engine_at.iter().for_each(|at| run.at(*at, What::Kill));
-        run
+        simulation.schedule(Duration::ZERO, Event::Tick);
+        simulation.schedule(PROGRESS_INTERVAL, Event::Progress);
+        simulation.schedule(Duration::ZERO, Event::Arrive);
+        experiment.kill_engine_at.iter().for_each(|at| simulation.schedule(*at, Event::Kill));
+        simulation
     }
 
-    fn at(&mut self, time: Timestamp, what: What) {
-        self.ordinal += 1;
-        self.queue.push(Reverse((time, self.ordinal, what)));
+    fn schedule(&mut self, time: Timestamp, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((time, self.sequence, event)));
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((now, _, what))) = self.queue.pop() {
-            let over = now > self.x.duration && (self.open.is_empty() || now > self.x.duration + DRAIN);
-            if over {
+        while let Some(Reverse((now, _, event))) = self.queue.pop() {
+            let is_over = now > self.experiment.duration
+                && (self.open.is_empty() || now > self.experiment.duration + MAX_DRAIN);
+            if is_over {
                 return;
             }
-            match what {
-                What::Step(engine) => self.step(now, engine),
-                What::Arrive => self.arrive(now),
-                What::Tick => {
+            match event {
+                Event::Step(engine) => self.step(now, engine),
+                Event::Arrive => self.on_arrival(now),
+                Event::Tick => {
                     self.placer.tick(now);
-                    self.at(now + TICK, What::Tick);
+                    self.schedule(now + TICK_INTERVAL, Event::Tick);
                 }
-                What::Progress => {
+                Event::Progress => {
                     let running = self.open.values().filter(|g| g.engine.is_some());
                     running.for_each(|g| self.placer.on_progress(now, g.request.generation, g.tokens));
-                    self.at(now + PROGRESS, What::Progress);
+                    self.schedule(now + PROGRESS_INTERVAL, Event::Progress);
                 }
-                What::ReadLoad(engine) if self.dead[engine] => self.placer.on_gone(now, engine),
-                What::ReadLoad(engine) => {
+                Event::ReadLoad(engine) if self.dead[engine] => self.placer.on_gone(now, engine),
+                Event::ReadLoad(engine) => {
                     let load = self.engines[engine].load();
                     let step = load.step.as_micros() as u64;
                     let values = [load.running as u64, load.waiting as u64, load.used_blocks, step];
-                    self.at(now + self.x.load_report_lag, What::Load(engine, values));
-                    self.at(now + LOAD_READ, What::ReadLoad(engine));
+                    self.schedule(now + self.experiment.load_report_lag, Event::Load(engine, values));
+                    self.schedule(now + LOAD_READ_INTERVAL, Event::ReadLoad(engine));
                 }
-                What::Load(engine, [running, waiting, used_blocks, step]) => {
+                Event::Load(engine, [running, waiting, used_blocks, step]) => {
                     let (running, waiting) = (running as u32, waiting as u32);
                     let report =
                         LoadReport { running, waiting, used_blocks, step: Duration::from_micros(step) };
                     self.placer.on_load(now, engine, report);
                 }
-                What::Ended(generation, tokens, finished) => {
+                Event::Ended(generation, tokens, finished) => {
                     let how = if finished { EndKind::Finished } else { EndKind::Lost };
                     self.placer.on_end(now, generation, tokens, how);
                 }
-                What::Kill => self.kill(now),
+                Event::Kill => self.kill_engine(now),
             }
-            self.carry_out(now);
+            self.apply_decisions(now);
         }
     }
 
-    fn arrive(&mut self, now: Timestamp) {
-        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.x.rate;
+    fn on_arrival(&mut self, now: Timestamp) {
+        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.experiment.rate;
         let next = now + Duration::from_secs_f64(gap);
-        if next <= self.x.duration {
-            self.at(next, What::Arrive);
+        if next <= self.experiment.duration {
+            self.schedule(next, Event::Arrive);
         }
-        let (request, output) = self.x.draw(&mut self.rng);
-        self.out.offered += 1;
-        self.out.asked[self.x.organisation_index(&request)] += output;
+        let (request, output) = self.experiment.draw(&mut self.rng);
+        self.totals.offered += 1;
+        self.totals.requested[self.experiment.organisation_index(&request)] += output;
         let generation = request.generation;
         let state = Generation {
             request: request.clone(),
@@ -183,14 +186,14 @@
             arrived: now,
             engine: None,
             tokens: 0,
-            last: now,
-            in_time: 0,
+            last_token: now,
+            tokens_in_time: 0,
         };
         self.open.insert(generation, state);
         self.placer.place(now, request, output);
     }
 
-    fn carry_out(&mut self, now: Timestamp) {
+    fn apply_decisions(&mut self, now: Timestamp) {
         for decision in self.placer.take_decisions() {
             match decision {
                 Decision::Start { generation, engine, priority } => {
@@ -204,7 +207,7 @@
                     if let Some(engine) = refused.engine {
                         self.engines[engine].cancel(generation);
                     }
-                    self.out.refused += 1;
+                    self.totals.refused += 1;
                 }
                 Decision::Priority { generation, engine, priority } => {
                     self.engines[engine].set_priority(generation, priority);
@@ -231,7 +234,7 @@
         });
         if !self.stepping[engine] {
             self.stepping[engine] = true;
-            self.at(now, What::Step(engine));
+            self.schedule(now, Event::Step(engine));
         }
     }
 
@@ -242,48 +245,49 @@
             return;
         }
         let outcome = self.engines[engine].step();
-        let done = now + outcome.duration;
-        for event in outcome.events {
-            match event {
-                EngineEvent::Token { generation, index } => self.token(done, generation, index),
-                EngineEvent::Preempted { .. } => self.out.preemptions += 1,
+        let step_end = now + outcome.duration;
+        for engine_event in outcome.events {
+            match engine_event {
+                EngineEvent::Token { generation, index } => self.on_token(step_end, generation, index),
+                EngineEvent::Preempted { .. } => self.totals.preemptions += 1,
                 EngineEvent::Finished { generation, .. } => {
                     let Some(state) = self.open.remove(&generation) else { continue };
-                    self.out.completed += 1;
-                    self.out.goodput += state.in_time;
-                    self.out.served[self.x.organisation_index(&state.request)] += state.in_time;
-                    self.at(done + END_DELAY, What::Ended(generation, state.tokens, true));
+                    self.totals.completed += 1;
+                    self.totals.goodput += state.tokens_in_time;
+                    self.totals.served[self.experiment.organisation_index(&state.request)] +=
+                        state.tokens_in_time;
+                    self.schedule(step_end + END_DELAY, Event::Ended(generation, state.tokens, true));
                 }
                 EngineEvent::PrefixStored { .. } | EngineEvent::PrefixEvicted { .. } => {}
             }
         }
-        self.at(done, What::Step(engine));
+        self.schedule(step_end, Event::Step(engine));
     }
 
-    fn token(&mut self, at: Timestamp, generation: u64, index: u64) {
+    fn on_token(&mut self, at: Timestamp, generation: u64, index: u64) {
         let Some(state) = self.open.get_mut(&generation) else { return };
         if index == 0 {
-            let _ = self.out.first.record((at - state.arrived).as_micros() as u64);
+            let _ = self.totals.first_token.record((at - state.arrived).as_micros() as u64);
             self.placer.on_first_token(generation);
         } else {
-            let gap = at - state.last;
-            let _ = self.out.gaps.record(gap.as_micros() as u64);
-            if gap > STALL {
-                self.out.stall += gap;
+            let gap = at - state.last_token;
+            let _ = self.totals.token_gaps.record(gap.as_micros() as u64);
+            if gap > STALL_THRESHOLD {
+                self.totals.stall += gap;
             }
         }
         state.tokens += 1;
-        state.last = at;
-        state.in_time += u64::from(at <= self.x.duration);
+        state.last_token = at;
+        state.tokens_in_time += u64::from(at <= self.experiment.duration);
     }
 
     /// Kills the first live engine. Its generations without a token are placed again; the others are lost.
-    fn kill(&mut self, now: Timestamp) {
+    fn kill_engine(&mut self, now: Timestamp) {
         let Some(engine) = self.dead.iter().position(|dead| !dead) else { return };
         self.dead[engine] = true;
-        let on_it: Vec<u64> =
+        let affected: Vec<u64> =
             self.open.iter().filter(|(_, g)| g.engine == Some(engine)).map(|(id, _)| *id).collect();
-        for generation in on_it {
+        for generation in affected {
             let Some(mut state) = self.open.remove(&generation) else { continue };
             self.placer.on_end(now, generation, state.tokens, EndKind::Lost);
             if state.tokens == 0 {
--- a/lib/benches/policy/experiment.rs
+++ b/lib/benches/policy/experiment.rs
@@ -66,11 +66,11 @@
     #[serde(default = "one_second", with = "humantime_serde")]
     pub load_report_lag: Duration,
     pub rate: f64,
-    #[serde(default = "usual_prompts")]
+    #[serde(default = "default_prompts")]
     prompts: Lengths,
-    #[serde(default = "usual_outputs")]
+    #[serde(default = "default_outputs")]
     outputs: Lengths,
-    #[serde(default = "usual_max_output")]
+    #[serde(default = "default_max_output")]
     max_output: u64,
     #[serde(default = "one_organisation")]
     pub organisations: Vec<Organisation>,
@@ -81,10 +81,10 @@
     #[serde(default, deserialize_with = "durations")]
     pub kill_engine_at: Vec<Duration>,
     /// Maximum number of waiting requests, for every policy.
-    #[serde(default = "usual_queue")]
+    #[serde(default = "default_max_queue")]
     pub max_queue: usize,
     /// Maximum time that a request waits for its start, for every policy.
-    #[serde(default = "usual_wait", with = "humantime_serde")]
+    #[serde(default = "default_max_wait", with = "humantime_serde")]
     pub max_wait: Duration,
     /// Accepted probability of overflow; defaults to the bundle's default.
     pub overflow_chance: Option<f64>,
@@ -98,23 +98,23 @@
     Duration::from_secs(1)
 }
 
-fn usual_prompts() -> Lengths {
+fn default_prompts() -> Lengths {
     Lengths::Lognormal { median: 400.0, p99: 8_000.0 }
 }
 
-fn usual_outputs() -> Lengths {
+fn default_outputs() -> Lengths {
     Lengths::Lognormal { median: 200.0, p99: 4_000.0 }
 }
 
-fn usual_max_output() -> u64 {
+fn default_max_output() -> u64 {
     30_000
 }
 
-fn usual_queue() -> usize {
+fn default_max_queue() -> usize {
     200
 }
 
-fn usual_wait() -> Duration {
+fn default_max_wait() -> Duration {
     Duration::from_secs(10)
 }
 
@@ -195,11 +195,11 @@
 
     fn draw_organisation(&self, rng: &mut SmallRng) -> OrganisationId {
         let offered = |o: &Organisation| o.offered.unwrap_or(o.share);
-        let all: f64 = self.organisations.iter().map(offered).sum();
-        let mut left = rng.random::<f64>() * all;
+        let total_offered: f64 = self.organisations.iter().map(offered).sum();
+        let mut remaining = rng.random::<f64>() * total_offered;
         for organisation in &self.organisations {
-            left -= offered(organisation);
-            if left <= 0.0 {
+            remaining -= offered(organisation);
+            if remaining <= 0.0 {
                 return organisation.name.clone();
             }
         }
@@ -213,31 +213,31 @@
 
     /// Returns the largest relative deviation of an organisation's served tokens from its fair share of all
     /// served tokens, where shares are weighted and no organisation is allotted more than it requested.
-    pub fn share_error(&self, served: &[u64], asked: &[u64]) -> f64 {
-        let fair = self.fair_parts(served.iter().sum::<u64>() as f64, asked);
+    pub fn share_error(&self, served: &[u64], requested: &[u64]) -> f64 {
+        let fair = self.fair_allocation(served.iter().sum::<u64>() as f64, requested);
         let errors = served.iter().zip(&fair).filter(|(_, fair)| **fair > 0.0);
         errors.map(|(served, fair)| (*served as f64 / fair - 1.0).abs()).fold(0.0, f64::max)
     }
 
     /// Max-min fair allocation of `remaining` tokens, weighted by share.
-    fn fair_parts(&self, mut left: f64, asked: &[u64]) -> Vec<f64> {
-        let mut parts = vec![0.0; asked.len()];
-        let mut open: Vec<usize> = (0..asked.len()).collect();
+    fn fair_allocation(&self, mut remaining: f64, requested: &[u64]) -> Vec<f64> {
+        let mut allocation = vec![0.0; requested.len()];
+        let mut open: Vec<usize> = (0..requested.len()).collect();
         while !open.is_empty() {
             let shares: f64 = open.iter().map(|at| self.organisations[*at].share).sum();
-            let part = |at: usize| left * self.organisations[at].share / shares;
-            let content: Vec<usize> =
-                open.iter().copied().filter(|at| asked[*at] as f64 <= part(*at)).collect();
-            if content.is_empty() {
-                open.iter().for_each(|at| parts[*at] = part(*at));
-                return parts;
+            let fair_share = |at: usize| remaining * self.organisations[at].share / shares;
+            let satisfied: Vec<usize> =
+                open.iter().copied().filter(|at| requested[*at] as f64 <= fair_share(*at)).collect();
+            if satisfied.is_empty() {
+                open.iter().for_each(|at| allocation[*at] = fair_share(*at));
+                return allocation;
             }
-            for at in &content {
-                parts[*at] = asked[*at] as f64;
+            for at in &satisfied {
+                allocation[*at] = requested[*at] as f64;
             }
-            left -= content.iter().map(|at| asked[*at] as f64).sum::<f64>();
-            open.retain(|at| !content.contains(at));
+            remaining -= satisfied.iter().map(|at| requested[*at] as f64).sum::<f64>();
+            open.retain(|at| !satisfied.contains(at));
         }
-        parts
+        allocation
     }
 }
--- a/lib/benches/policy/placers.rs
+++ b/lib/benches/policy/placers.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum BaselineKind {
     RoundRobin,
     LeastLoaded,
     PowerOfTwo,
@@ -46,10 +46,10 @@
 
 /// A baseline policy.
 pub struct Baseline {
-    kind: Kind,
+    kind: BaselineKind,
     up: Vec<bool>,
     reports: Vec<LoadReport>,
-    since_report: Vec<u64>,
+    blocks_since_report: Vec<u64>,
     block_tokens: u64,
     unstarted: BTreeMap<u64, Timestamp>,
     max_queue: usize,
@@ -64,42 +64,42 @@
 }
 
 fn engine_index(id: &UpstreamId) -> usize {
-    id.parse().expect("made by engine_id")
+    id.parse().expect("identifier was made by engine_id")
 }
 
 impl Placer {
-    pub fn new(name: &str, x: &Experiment) -> Result<Placer, String> {
+    pub fn new(name: &str, experiment: &Experiment) -> Result<Placer, String> {
         let kind = match name {
-            "round_robin" => Kind::RoundRobin,
-            "least_loaded" => Kind::LeastLoaded,
-            "power_of_two" => Kind::PowerOfTwo,
-            "leadstage" | "oracle" => return Ok(Placer::lead(name == "oracle", x)),
+            "round_robin" => BaselineKind::RoundRobin,
+            "least_loaded" => BaselineKind::LeastLoaded,
+            "power_of_two" => BaselineKind::PowerOfTwo,
+            "leadstage" | "oracle" => return Ok(Placer::lead(name == "oracle", experiment)),
             other => return Err(format!("unknown policy {other}")),
         };
         Ok(Placer::Baseline(Baseline {
             kind,
             up: Vec::new(),
             reports: Vec::new(),
-            since_report: Vec::new(),
+            blocks_since_report: Vec::new(),
             block_tokens: 1,
             unstarted: BTreeMap::new(),
-            max_queue: x.max_queue,
-            max_wait: x.max_wait,
+            max_queue: experiment.max_queue,
+            max_wait: experiment.max_wait,
             next: 0,
-            rng: SmallRng::seed_from_u64(x.seed ^ 1),
+            rng: SmallRng::seed_from_u64(experiment.seed ^ 1),
             decisions: Vec::new(),
         }))
     }
 
-    fn lead(lengths_known: bool, x: &Experiment) -> Placer {
-        let mut policy = PoolPolicy::new(x.objective, &Bounds::default());
-        policy.max_queue = x.max_queue;
-        policy.max_wait = x.max_wait;
-        policy.overflow_chance = x.overflow_chance.unwrap_or(policy.overflow_chance);
-        policy.shares = x.organisations.iter().map(|o| (o.name.clone(), o.share)).collect();
+    fn lead(lengths_known: bool, experiment: &Experiment) -> Placer {
+        let mut policy = PoolPolicy::new(experiment.objective, &Bounds::default());
+        policy.max_queue = experiment.max_queue;
+        policy.max_wait = experiment.max_wait;
+        policy.overflow_chance = experiment.overflow_chance.unwrap_or(policy.overflow_chance);
+        policy.shares = experiment.organisations.iter().map(|o| (o.name.clone(), o.share)).collect();
         policy.lengths_known = lengths_known;
         Placer::Lead {
-            pool: Box::new(Pool::new(policy, x.seed)),
+            pool: Box::new(Pool::new(policy, experiment.seed)),
             actions: Vec::new(),
             knows_lengths: lengths_known,
         }
@@ -119,7 +119,7 @@
             Placer::Baseline(baseline) => {
                 baseline.up.push(true);
                 baseline.reports.push(LoadReport::default());
-                baseline.since_report.push(0);
+                baseline.blocks_since_report.push(0);
                 baseline.block_tokens = u64::from(limits.block_tokens);
             }
         }
@@ -164,7 +164,7 @@
             Placer::Lead { .. } => self.handle(now, PoolEvent::Load { engine: engine_id(engine), report }),
             Placer::Baseline(baseline) => {
                 baseline.reports[engine] = report;
-                baseline.since_report[engine] = 0;
+                baseline.blocks_since_report[engine] = 0;
             }
         }
     }
@@ -184,7 +184,7 @@
     pub fn tick(&mut self, now: Timestamp) {
         match self {
             Placer::Lead { .. } => self.handle(now, PoolEvent::Tick),
-            Placer::Baseline(baseline) => baseline.refuse_late(now),
+            Placer::Baseline(baseline) => baseline.refuse_overdue(now),
         }
     }
 
@@ -217,36 +217,36 @@
             return self.decisions.push(Decision::Refuse { generation });
         }
         let engine = match self.kind {
-            Kind::RoundRobin => {
+            BaselineKind::RoundRobin => {
                 self.next += 1;
                 up[self.next % up.len()]
             }
-            Kind::LeastLoaded => self.emptiest(up.iter().copied()),
-            Kind::PowerOfTwo => {
-                let two = [0; 2].map(|_| up[self.rng.random_range(0..up.len())]);
-                self.emptiest(two.into_iter())
+            BaselineKind::LeastLoaded => self.least_loaded(up.iter().copied()),
+            BaselineKind::PowerOfTwo => {
+                let candidates = [0; 2].map(|_| up[self.rng.random_range(0..up.len())]);
+                self.least_loaded(candidates.into_iter())
             }
         };
-        self.since_report[engine] += u64::from(request.prompt_tokens).div_ceil(self.block_tokens);
+        self.blocks_since_report[engine] += u64::from(request.prompt_tokens).div_ceil(self.block_tokens);
         self.unstarted.insert(generation, now);
         self.decisions.push(Decision::Start { generation, engine, priority: 0 });
     }
 
     /// Returns the engine with the fewest waiting requests; ties are broken by the fewest blocks used,
     /// counting the prompt blocks of requests placed since the latest report.
-    fn emptiest(&self, engines: impl Iterator<Item = usize>) -> usize {
+    fn least_loaded(&self, engines: impl Iterator<Item = usize>) -> usize {
         let load = |engine: &usize| {
             let report = &self.reports[*engine];
-            (report.waiting, report.used_blocks + self.since_report[*engine])
+            (report.waiting, report.used_blocks + self.blocks_since_report[*engine])
         };
-        engines.min_by_key(load).expect("there is at least one")
+        engines.min_by_key(load).expect("at least one engine is up")
     }
 
-    fn refuse_late(&mut self, now: Timestamp) {
+    fn refuse_overdue(&mut self, now: Timestamp) {
         let max_wait = self.max_wait;
-        let late = self.unstarted.iter().filter(|(_, since)| now.saturating_sub(**since) > max_wait);
-        let late: Vec<u64> = late.map(|(generation, _)| *generation).collect();
-        for generation in late {
+        let overdue = self.unstarted.iter().filter(|(_, since)| now.saturating_sub(**since) > max_wait);
+        let overdue: Vec<u64> = overdue.map(|(generation, _)| *generation).collect();
+        for generation in overdue {
             self.unstarted.remove(&generation);
             self.decisions.push(Decision::Refuse { generation });
         }
--- a/lib/benches/policy/totals.rs
+++ b/lib/benches/policy/totals.rs
@@ -20,14 +20,14 @@
     pub stall: Duration,
     pub goodput: u64,
     pub served: Vec<u64>,
-    pub asked: Vec<u64>,
-    pub gaps: Histogram<u64>,
-    pub first: Histogram<u64>,
+    pub requested: Vec<u64>,
+    pub token_gaps: Histogram<u64>,
+    pub first_token: Histogram<u64>,
 }
 
 impl Totals {
     pub fn new(organisations: usize) -> Self {
-        let histogram = || Histogram::new(4).expect("four digits are allowed");
+        let histogram = || Histogram::new(4).expect("4 is a valid number of significant digits");
         Totals {
             offered: 0,
             completed: 0,
@@ -36,29 +36,29 @@
             stall: Duration::ZERO,
             goodput: 0,
             served: vec![0; organisations],
-            asked: vec![0; organisations],
-            gaps: histogram(),
-            first: histogram(),
+            requested: vec![0; organisations],
+            token_gaps: histogram(),
+            first_token: histogram(),
         }
     }
 
-    pub fn row(&self, x: &Experiment) -> String {
+    pub fn row(&self, experiment: &Experiment) -> String {
         let ms = |micros: u64| micros as f64 / 1_000.0;
-        let per = |value: f64, count: u64| value / count.max(1) as f64;
+        let per_item = |value: f64, count: u64| value / count.max(1) as f64;
         format!(
             "{},{},{},{:.2},{:.2},{:.1},{:.1},{:.1},{:.0},{:.0},{:.1},{:.4}",
             self.offered,
             self.completed,
             self.refused,
-            per(self.preemptions as f64 * 1_000.0, self.completed),
-            per(self.stall.as_secs_f64() * 1_000.0, self.completed),
-            ms(self.gaps.value_at_quantile(0.5)),
-            ms(self.gaps.value_at_quantile(0.99)),
-            ms(self.gaps.max()),
-            ms(self.first.value_at_quantile(0.5)),
-            ms(self.first.value_at_quantile(0.95)),
-            self.goodput as f64 / x.duration.as_secs_f64(),
-            x.share_error(&self.served, &self.asked),
+            per_item(self.preemptions as f64 * 1_000.0, self.completed),
+            per_item(self.stall.as_secs_f64() * 1_000.0, self.completed),
+            ms(self.token_gaps.value_at_quantile(0.5)),
+            ms(self.token_gaps.value_at_quantile(0.99)),
+            ms(self.token_gaps.max()),
+            ms(self.first_token.value_at_quantile(0.5)),
+            ms(self.first_token.value_at_quantile(0.95)),
+            self.goodput as f64 / experiment.duration.as_secs_f64(),
+            experiment.share_error(&self.served, &self.requested),
         )
     }
 }
--- a/scripts/compare-plays.sh
+++ b/scripts/compare-plays.sh
@@ -6,13 +6,13 @@
 set -euo pipefail
 
 awk '
-    function note(key, d) { n[key]++; sum[key] += d; squares[key] += d * d }
+    function note(key, difference) { n[key]++; sum[key] += difference; squares[key] += difference * difference }
     function row(key,    mean, error) {
         mean = sum[key] / n[key]
         error = n[key] > 1 ? sqrt((squares[key] / n[key] - mean * mean) / (n[key] - 1)) : 0
         printf "%-24s %3d plays  %+.4f +- %.4f\n", key, n[key], mean, error
     }
     NR == FNR { before[$1, $2, $3] = $4; next }
-    ($1, $2, $3) in before { d = $4 - before[$1, $2, $3]; note($1 " " $2, d); note("all", d) }
+    ($1, $2, $3) in before { difference = $4 - before[$1, $2, $3]; note($1 " " $2, difference); note("all", difference) }
     END { for (key in n) if (key != "all") row(key); if (n["all"]) row("all") }
 ' "${1:?rows before}" "${2:?rows after}" | sort
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -15,14 +15,14 @@
     exit 1
 }
 
-until_true() { # WHAT COMMAND...
-    local what=$1
+until_true() { # CONDITION COMMAND...
+    local condition=$1
     shift
     for _ in $(seq 150); do
         if "$@" >/dev/null 2>&1; then return 0; fi
         sleep 0.1
     done
-    fail "$what did not come about"
+    fail "timed out waiting for: $condition"
 }
 
 step() { echo "== $1"; }
--- a/scripts/measure-recovery.sh
+++ b/scripts/measure-recovery.sh
@@ -51,7 +51,7 @@
     case $1 in
         engines) kill -KILL "${engines[0]}" "${engines[1]}" "${engines[2]}" ;;
         frozen) kill -STOP "${engines[3]}" "${engines[4]}" ;;
-        leads) for n in "${spared[@]}"; do kill -KILL "${nodes[$n]}"; done ;;
+        leads) for n in "${lead_nodes[@]}"; do kill -KILL "${nodes[$n]}"; done ;;
         platform)
             curl -sf -X POST "http://$net.1:9000/fault/down" >/dev/null
             (sleep 6; curl -sf -X POST "http://$net.1:9000/fault/up" >/dev/null) &
@@ -64,16 +64,16 @@
     shift
     fleet
     # Load goes through nodes that lead no pool, so that all leads can be killed.
-    mapfile -t spared < <(leads)
+    mapfile -t lead_nodes < <(leads)
     local args=() n
     for n in 0 1 2 3 4 5 6 7 8; do
-        case " ${spared[*]} " in *" $n "*) ;; *) args+=(--node "$net.$((n + 11)):8080") ;; esac
+        case " ${lead_nodes[*]} " in *" $n "*) ;; *) args+=(--node "$net.$((n + 11)):8080") ;; esac
     done
-    echo "## $name: ${#spared[@]} nodes lead, load through the other $((9 - ${#spared[@]}))"
+    echo "## $name: ${#lead_nodes[@]} nodes lead, load through the other $((9 - ${#lead_nodes[@]}))"
     "$bin/examples/load" "${args[@]}" --token load-token --rate 40 --tokens 80 --seconds 20 &
     local load=$!
     sleep 5
-    for f in "$@"; do fault "$f"; done
+    for kind in "$@"; do fault "$kind"; done
     wait "$load"
     clean_up
 }
--- a/scripts/measure-scale.sh
+++ b/scripts/measure-scale.sh
@@ -9,8 +9,8 @@
 cd "$(dirname "$0")/.."
 source scripts/common.sh
 build release
-settle=6
-measure=10
+settle_seconds=6
+measure_seconds=10
 
 lo_bytes() { awk '$1 == "lo:" { print $10 }' /proc/net/dev; }
 calls() { curl -sf "http://$net.1:9000/stand-in/calls"; }
@@ -50,12 +50,12 @@
         node_pids+=("$pid")
     done
     roll_out 1
-    sleep "$settle"
+    sleep "$settle_seconds"
     local ticks bytes reads writes before
     ticks=$(control_ticks)
     bytes=$(lo_bytes)
     before=$(calls)
-    sleep "$measure"
+    sleep "$measure_seconds"
     ticks=$(($(control_ticks) - ticks))
     bytes=$(($(lo_bytes) - bytes))
     reads=$(($(calls | field reads) - $(field reads <<<"$before")))
@@ -75,7 +75,7 @@
     last=$(cat "$work"/entry-*.log | grep 'number=2 hash' | grep -o '^\[[^ ]*' | tr -d '[' | sort | tail -n 1)
     local took
     took=$(awk "BEGIN { printf \"%.2f\", $(date -d "$last" +%s.%N) - $accepted }")
-    awk "BEGIN { printf \"%d,%d,%d,%d,%d,%.3f,%.1f,%.2f,%.2f,%.2f,%d,%s\n\", $nodes, $engines, $organisations, $models, $(wc -c <"$work/bundle.yaml"), $ticks / $measure / $nodes, $rss / $nodes / 1024, $bytes / $measure / $nodes / 1024, $reads / $measure, $writes / $measure, $in_force, \"$took\" }"
+    awk "BEGIN { printf \"%d,%d,%d,%d,%d,%.3f,%.1f,%.2f,%.2f,%.2f,%d,%s\n\", $nodes, $engines, $organisations, $models, $(wc -c <"$work/bundle.yaml"), $ticks / $measure_seconds / $nodes, $rss / $nodes / 1024, $bytes / $measure_seconds / $nodes / 1024, $reads / $measure_seconds, $writes / $measure_seconds, $in_force, \"$took\" }"
     clean_up
 }
 
