--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -134,7 +134,7 @@
 async fn test_a_disconnected_caller_is_detected_while_its_replica_is_silent() {
     let (gateway, bookings, _models) = Gateway::with_replicas(1).await;
     bookings[0].replica.set_fault(ReplicaFault::Hangs);
-    let front = gateway.front(0);
+    let front = gateway.client_address(0);
     let calling =
         tokio::spawn(async move { send(&front, request("GET", "/read/x", KEY, "r-left")).await.is_ok() });
     gateway.until("the request to run", async || bookings[0].replica.running() == 1).await;
--- a/node/tests/test_gateway_chosen_nodes.rs
+++ b/node/tests/test_gateway_chosen_nodes.rs
@@ -1,5 +1,5 @@
-//! Places that one node holds, chosen by a hash over who is believed to be alive: what callers get between the moment
-//! at which it ends or is suspended and the belief in its death.
+//! Roles held by one node, which is chosen by a rendezvous hash over the nodes considered alive: what callers
+//! get from the moment at which that node is killed or suspended until the others consider it dead.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,124 +17,127 @@
 use crate::gateway_environment::config;
 use crate::gateway_environment::read;
 use crate::gateway_environment::request;
-use crate::loaded_fleet::BINDS_AFTER;
+use crate::loaded_fleet::LIMIT_APPLIES_AFTER;
 use crate::loaded_fleet::LoadedFleet;
 
 const NODES: usize = 6;
-/// As long as a death may go unbelieved, and a little longer.
-const AWAY_FOR: Duration = Duration::from_millis(4_500);
-/// Nothing goes to a closed hall later than this after it was closed.
+/// Slightly longer than the fleet may take to consider a node dead.
+const UNAVAILABLE_FOR: Duration = Duration::from_millis(4_500);
+/// The time after which no requests are sent to a closed hall.
 const EVACUATED_WITHIN: Duration = Duration::from_secs(5);
 
-/// What happens to the node that holds the place.
+/// What happens to the node that holds the role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Strike {
-    Ends,
-    IsSuspended,
+enum NodeFailure {
+    Killed,
+    Suspended,
 }
 
-impl Strike {
-    const ALL: [Strike; 2] = [Strike::Ends, Strike::IsSuspended];
+impl NodeFailure {
+    const ALL: [NodeFailure; 2] = [NodeFailure::Killed, NodeFailure::Suspended];
 
-    fn strike(self, gateway: &Gateway, node: usize) {
-        gateway.signal(node, if self == Strike::Ends { "-KILL" } else { "-STOP" });
+    fn inject(self, gateway: &Gateway, node: usize) {
+        gateway.signal(node, if self == NodeFailure::Killed { "-KILL" } else { "-STOP" });
     }
 
-    fn end(self, gateway: &Gateway, node: usize) {
-        if self == Strike::IsSuspended {
+    fn recover(self, gateway: &Gateway, node: usize) {
+        if self == NodeFailure::Suspended {
             gateway.signal(node, "-CONT");
         }
     }
 }
 
-/// The node that a name is hashed to.
-fn chosen(gateway: &Gateway, name: &str) -> usize {
+/// The node that the rendezvous hash chooses for a name.
+fn chosen_node(gateway: &Gateway, name: &str) -> usize {
     let peers: Vec<String> = (0..NODES).map(|node| gateway.peer(node)).collect();
     let first = rendezvous::pick(name, &peers).expect("there are nodes");
-    peers.iter().position(|peer| peer == first).expect("one of them")
+    peers.iter().position(|peer| peer == first).expect("the chosen peer is one of the nodes")
 }
 
-/// A rate for each node but one.
+/// The same rate for all nodes except one, which gets no requests.
 fn rates_without(node: usize, rate: f64) -> Vec<f64> {
     (0..NODES).map(|other| if other == node { 0.0 } else { rate }).collect()
 }
 
-/// A lead that is silent is passed over by each node that asks it.
+/// Each node skips a lead that does not answer its requests.
 #[tokio::test]
-async fn test_streams_begin_while_the_lead_of_their_service_is_away() {
-    for strike in Strike::ALL {
+async fn test_streams_start_while_the_lead_of_their_service_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start_with(MODEL, NODES, 4, 20, |yaml| yaml).await;
-        let lead = chosen(&fleet.gateway, MODEL);
-        strike.strike(&fleet.gateway, lead);
-        let answers = fleet.load(&rates_without(lead, 3.0), AWAY_FOR, chat).await;
-        strike.end(&fleet.gateway, lead);
+        let lead = chosen_node(&fleet.gateway, MODEL);
+        failure.inject(&fleet.gateway, lead);
+        let answers = fleet.load(&rates_without(lead, 3.0), UNAVAILABLE_FOR, chat).await;
+        failure.recover(&fleet.gateway, lead);
         for answer in &answers {
             let is_whole = answer.called.whole && answer.called.events() == Some(20);
-            assert!(is_whole, "{strike:?} {answer:?}\n{}", fleet.gateway.logs());
+            assert!(is_whole, "{failure:?} {answer:?}\n{}", fleet.gateway.logs());
         }
     }
 }
 
-/// Whoever grants what a replica's limit allows is replaced by a substitute, whose grants and its own later ones keep
-/// to the limit together.
+/// A substitute replaces the node that grants shares of a replica's limit. Its grants and the later ones of
+/// the original node stay within the limit together.
 #[tokio::test]
-async fn test_a_limit_is_kept_while_who_grants_it_is_away() {
-    for strike in Strike::ALL {
+async fn test_a_limit_is_kept_while_its_granting_node_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
         let limits = [4.0];
-        let binds = fleet.name_limits(&limits);
-        let granter = chosen(&fleet.gateway, "booking-1");
-        let rates = rates_without(granter, 8.0);
-        fleet.load(&rates, BINDS_AFTER, read).await;
-        strike.strike(&fleet.gateway, granter);
-        let away = Instant::now();
-        fleet.load(&rates, AWAY_FOR, read).await;
-        strike.end(&fleet.gateway, granter);
+        let binds = fleet.announce_limits(&limits);
+        let granting_node = chosen_node(&fleet.gateway, "booking-1");
+        let rates = rates_without(granting_node, 8.0);
+        fleet.load(&rates, LIMIT_APPLIES_AFTER, read).await;
+        failure.inject(&fleet.gateway, granting_node);
+        let failed_at = Instant::now();
+        fleet.load(&rates, UNAVAILABLE_FOR, read).await;
+        failure.recover(&fleet.gateway, granting_node);
         fleet.load(&rates, Duration::from_secs(4), read).await;
-        fleet.assert_all_kept(&limits, binds);
-        let got = fleet.arrivals(0, away).into_iter().filter(|at| *at < away + AWAY_FOR).count();
-        assert!(got > 0, "{strike:?}: nobody used the limit\n{}", fleet.gateway.logs());
+        fleet.assert_limits_kept(&limits, binds);
+        let got =
+            fleet.arrivals(0, failed_at).into_iter().filter(|at| *at < failed_at + UNAVAILABLE_FOR).count();
+        assert!(got > 0, "{failure:?}: no request used the limit\n{}", fleet.gateway.logs());
     }
 }
 
-/// The standbys of who follows the store first tell all others what it would have told.
+/// The standbys of the first store watcher announce to all other nodes what it would have announced.
 #[tokio::test]
-async fn test_halls_are_closed_in_time_while_who_follows_the_store_is_away() {
-    for strike in Strike::ALL {
+async fn test_halls_are_closed_in_time_while_the_first_store_watcher_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
         let gateway = &fleet.gateway;
-        let first = chosen(gateway, "store watchers");
-        strike.strike(gateway, first);
+        let first_watcher = chosen_node(gateway, "store watchers");
+        failure.inject(gateway, first_watcher);
         let closed_at = Instant::now();
         gateway.store.put("evacuations", "hall-1", json!({}));
-        for node in (0..NODES).filter(|node| *node != first) {
-            gateway.until("it is known", async || closed_halls(gateway, node).await == ["hall-1"]).await;
+        for node in (0..NODES).filter(|node| *node != first_watcher) {
+            gateway
+                .until("the hall is closed", async || closed_halls(gateway, node).await == ["hall-1"])
+                .await;
         }
         let known_after = closed_at.elapsed();
-        strike.end(gateway, first);
-        assert!(known_after < EVACUATED_WITHIN, "{strike:?}: {known_after:?}\n{}", gateway.logs());
+        failure.recover(gateway, first_watcher);
+        assert!(known_after < EVACUATED_WITHIN, "{failure:?}: {known_after:?}\n{}", gateway.logs());
         gateway
-            .until("the first knows, too", async || {
-                strike == Strike::Ends || closed_halls(gateway, first).await == ["hall-1"]
+            .until("the first watcher knows that the hall is closed", async || {
+                failure == NodeFailure::Killed || closed_halls(gateway, first_watcher).await == ["hall-1"]
             })
             .await;
     }
 }
 
-/// A new configuration reaches all nodes in that time, too.
+/// A new configuration reaches all other nodes while the first store watcher is unavailable, too.
 #[tokio::test]
-async fn test_a_configuration_spreads_while_who_follows_the_store_is_away() {
-    for strike in Strike::ALL {
+async fn test_a_configuration_spreads_while_the_first_store_watcher_is_unavailable() {
+    for failure in NodeFailure::ALL {
         let fleet = LoadedFleet::start(BOOKING, NODES, 2).await;
         let gateway: Arc<Gateway> = fleet.gateway.clone();
-        let first = chosen(&gateway, "store watchers");
-        strike.strike(&gateway, first);
+        let first_watcher = chosen_node(&gateway, "store watchers");
+        failure.inject(&gateway, first_watcher);
         gateway.store.put("config", "main", config(2));
-        for node in (0..NODES).filter(|node| *node != first) {
+        for node in (0..NODES).filter(|node| *node != first_watcher) {
             let has_it = async || gateway.node_status(node).await.bundle == Some(2);
             gateway.until("each node has the configuration", has_it).await;
         }
-        strike.end(&gateway, first);
+        failure.recover(&gateway, first_watcher);
     }
 }
 
--- a/node/tests/test_gateway_fleet.rs
+++ b/node/tests/test_gateway_fleet.rs
@@ -254,7 +254,7 @@
         req.headers_mut().insert("leadstage-token-usage", "30000,2000".parse().expect("valid"));
         req
     };
-    let front = gateway.front(0);
+    let front = gateway.client_address(0);
     let running = crate::gateway_environment::send(&front, large("r-1")).await;
     let running =
         running.unwrap_or_else(|err| panic!("the generation does not start: {err}\n{}", gateway.logs()));
@@ -284,7 +284,7 @@
         while gateway.ready_status(node).await != 200 {
             tokio::task::yield_now().await;
         }
-        if let Err(err) = tokio::net::TcpStream::connect(gateway.front(node)).await {
+        if let Err(err) = tokio::net::TcpStream::connect(gateway.client_address(node)).await {
             refused.push(format!("node {node}: {err}"));
         }
         gateway.kill(node);
--- a/node/tests/test_gateway_foreign_entries.rs
+++ b/node/tests/test_gateway_foreign_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of other writers in the store: they name no replica to use, and the others hold.
+//! Invalid entries in the store: no replica is used because of them, and valid entries stay in effect.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::KEY;
 
-/// A sound entry with one field changed, or without it where there is no value.
-fn changed(mut entry: Value, field: &str, value: Option<Value>) -> Value {
+/// The entry with `field` set to `value`, or without the field if there is no value.
+fn with_field(mut entry: Value, field: &str, value: Option<Value>) -> Value {
     let fields = entry.as_object_mut().expect("an object");
     match value {
         Some(value) => drop(fields.insert(field.to_owned(), value)),
@@ -21,25 +21,25 @@
 }
 
 #[tokio::test]
-async fn test_foreign_entries_name_no_replica_and_the_others_hold() {
+async fn test_invalid_entries_are_ignored_and_valid_ones_stay_in_effect() {
     let (gateway, bookings, _models) = Gateway::with_replicas(2).await;
     let foreign = gateway.start_replica(BOOKING, "foreign", 1).await;
     let address = foreign.server.as_ref().expect("it serves").address;
-    let sound = || replica_entry(BOOKING, address, "hall-1", "ready");
+    let valid = || replica_entry(BOOKING, address, "hall-1", "ready");
     let mut entries = vec![json!("\u{fffd}\u{0}"), json!(7), json!([1, 2]), Value::Null, json!({})];
     for field in ["service", "address", "zone", "version", "slots", "state", "coldRemainingMs", "sequence"] {
-        entries.push(changed(sound(), field, None));
-        entries.push(changed(sound(), field, Some(json!({"of": "another type"}))));
+        entries.push(with_field(valid(), field, None));
+        entries.push(with_field(valid(), field, Some(json!({"of": "another type"}))));
     }
-    entries.push(changed(sound(), "state", Some(json!("resting"))));
-    entries.push(changed(sound(), "service", Some(json!("unheard of"))));
-    entries.push(changed(sound(), "born", Some(json!(1.5))));
+    entries.push(with_field(valid(), "state", Some(json!("resting"))));
+    entries.push(with_field(valid(), "service", Some(json!("unheard of"))));
+    entries.push(with_field(valid(), "born", Some(json!(1.5))));
     for (n, entry) in entries.into_iter().enumerate() {
         gateway.store.put("servers", &format!("foreign-{n}"), entry.clone());
-        // A replica's own entry that someone has overwritten names none either.
+        // A valid entry of a replica that is overwritten by an invalid one is not used either.
         gateway.store.put("servers", "foreign", entry);
     }
-    gateway.until("they were read", async || gateway.log(0).contains("name=foreign-20")).await;
+    gateway.until("the entries were read", async || gateway.log(0).contains("name=foreign-20")).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     let before = foreign.replica.received_requests().len();
     for _ in 0..20 {
@@ -48,9 +48,9 @@
     assert_eq!(foreign.replica.received_requests().len(), before, "{}", gateway.logs());
     assert!(
         bookings.iter().all(|booking| !booking.replica.received_requests().is_empty()),
-        "the others hold"
+        "the other replicas are still used"
     );
-    // A node that starts reads them in a list.
+    // A node that starts reads the invalid entries in a list response.
     let mut gateway = gateway;
     let second = gateway.start_node();
     gateway.until_ready(second).await;
@@ -58,10 +58,10 @@
         assert_eq!(gateway.status_of(second, "/read/x", KEY).await, 200);
     }
     assert_eq!(foreign.replica.received_requests().len(), before, "{}", gateway.logs());
-    // Its own next entry names it again.
-    gateway.store.put("servers", "foreign", sound());
+    // The next valid entry of the replica puts it into use again.
+    gateway.store.put("servers", "foreign", valid());
     gateway
-        .until("it is used again", async || {
+        .until("the replica is used again", async || {
             gateway.status_of(0, "/read/x", KEY).await;
             foreign.replica.received_requests().len() > before
         })
--- a/node/tests/test_gateway_upgrade_soak.rs
+++ b/node/tests/test_gateway_upgrade_soak.rs
@@ -1,8 +1,9 @@
-//! A randomized soak of upgrades: good and bad versions, while nodes are killed, suspended, stopped and started again and the
-//! store comes and goes, in series and overlapping.
+//! A randomized soak test of upgrades to good and bad versions, while nodes are killed, suspended, stopped
+//! and restarted and the store becomes unavailable and available again, in sequence and overlapping.
 //!
-//! A seed fixes the schedule; odd ones play a version that turns bad. CI plays a few; more by hand, of which each test takes its
-//! own: `LEADSTAGE_UPGRADE_SOAK_SEEDS=1..50 cargo test -p leadstage-node --test runner upgrade_soak -- --nocapture`.
+//! A seed determines the schedule; odd seeds run a version that begins to fail. CI runs a few seeds. More are
+//! run by hand, and each test takes those that belong to it: `LEADSTAGE_UPGRADE_SOAK_SEEDS=1..50
+//! cargo test -p leadstage-node --test runner upgrade_soak -- --nocapture`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,24 +25,25 @@
 use crate::gateway_environment::read;
 use crate::upgraded_fleet::UpgradedFleet;
 
-/// Seeds that CI plays: one, and each that ever failed.
+/// Seeds that CI runs: one, and each that has failed.
 const BAD_VERSIONS: &[u64] = &[1, 19];
-/// 6, 16, 30, 34 and 48: given up as slow, by answers to what had queued up at nodes that were suspended.
+/// 6, 16, 30, 34 and 48 guard against reverting a good version as slow because of the answers to requests
+/// that queued up at suspended nodes.
 const GOOD_VERSIONS: &[u64] = &[2, 6, 16, 30, 34, 48];
 const NODES: usize = 6;
 const REPLICAS: usize = 4;
-const WITHIN: Duration = Duration::from_secs(6);
-/// Time between two calls to a node.
+const ORDER_DURATION: Duration = Duration::from_secs(6);
+/// The time between two calls to a node.
 const CALL_EVERY: Duration = Duration::from_millis(40);
-/// Faults come until so long after the order.
+/// How long after the order faults are injected.
 const FAULTS_FOR: Duration = Duration::from_secs(7);
-/// The operator knows the end so long after the last fault, whatever there was.
-const CONCLUDED_WITHIN: Duration = Duration::from_secs(40);
+/// The time after the last fault within which the outcome is reported, whatever faults there were.
+const FINISHED_WITHIN: Duration = Duration::from_secs(40);
 
 struct UpgradeSoak {
     fleet: UpgradedFleet,
     rng: SmallRng,
-    /// Nodes that are suspended, with until when.
+    /// Suspended nodes and the times at which they resume.
     suspended: Vec<(usize, Instant)>,
 }
 
@@ -50,11 +52,12 @@
         Arc::get_mut(&mut self.fleet.fleet.gateway).expect("no other holder")
     }
 
-    /// One fault; some last beyond the next. Nodes that others depend on are struck as often as all others together.
-    fn strike(&mut self) {
-        let chosen = [self.fleet.judges()[0], self.fleet.judges()[1], self.fleet.first_watcher()];
+    /// Injects one fault; some last longer than the time to the next one. With a probability of one half,
+    /// a node fault is aimed at a node that others depend on, and at any node otherwise.
+    fn inject_fault(&mut self) {
+        let special_nodes = [self.fleet.judges()[0], self.fleet.judges()[1], self.fleet.first_watcher()];
         let node = match self.rng.random_bool(0.5) {
-            true => chosen[self.rng.random_range(0..chosen.len())],
+            true => special_nodes[self.rng.random_range(0..special_nodes.len())],
             false => self.rng.random_range(0..NODES),
         };
         let is_suspended = self.suspended.iter().any(|(suspended, _)| *suspended == node);
@@ -71,12 +74,12 @@
         }
     }
 
-    /// The platform starts processes that ended again, and suspensions end.
-    fn tend(&mut self, now: Instant) {
-        let over: Vec<usize> =
+    /// Resumes nodes whose suspension is over, and restarts processes that have ended, as the platform does.
+    fn restore_nodes(&mut self, now: Instant) {
+        let expired: Vec<usize> =
             self.suspended.iter().filter(|(_, until)| *until <= now).map(|(node, _)| *node).collect();
         self.suspended.retain(|(_, until)| *until > now);
-        for node in over {
+        for node in expired {
             if self.gateway().ended(node).is_none() {
                 self.gateway().signal(node, "-CONT");
             }
@@ -84,25 +87,25 @@
         for node in 0..NODES {
             if self.gateway().ended(node).is_some() {
                 self.suspended.retain(|(suspended, _)| *suspended != node);
-                self.gateway().start_again(node);
+                self.gateway().restart_node(node);
             }
         }
     }
 
-    async fn strike_until(&mut self, until: Instant) {
+    async fn inject_faults_until(&mut self, until: Instant) {
         while Instant::now() < until {
-            self.strike();
-            self.tend(Instant::now());
+            self.inject_fault();
+            self.restore_nodes(Instant::now());
             let pause = Duration::from_millis(self.rng.random_range(100..700));
             tokio::time::sleep(pause).await;
         }
         self.gateway().store.set_fault(StoreFault::None);
-        self.tend(until + Duration::from_secs(3_600));
+        self.restore_nodes(until + Duration::from_secs(3_600));
     }
 }
 
-/// Calls a node again and again; a call that finds nobody there is another caller's.
-async fn client(front: String, node: usize) {
+/// Sends calls to a node continuously, and ignores their outcome.
+async fn send_calls(front: String, node: usize) {
     let mut calls = JoinSet::new();
     for n in 0_u64.. {
         let (front, req) = (front.clone(), read(&format!("{node}-{n}")));
@@ -112,66 +115,68 @@
     }
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let is_bad = seed % 2 == 1;
-    let turns_bad_at = Duration::from_millis(rng.random_range(0..4_000));
+    let fails_after = Duration::from_millis(rng.random_range(0..4_000));
     let bad = PartialFault { fault: ReplicaFault::Fails, every_nth: 2, prefix: "/".to_owned() };
     let fleet = UpgradedFleet::start(BOOKING, NODES, REPLICAS).await;
     let mut soak = UpgradeSoak { fleet, rng, suspended: Vec::new() };
     let mut clients = JoinSet::new();
-    (0..NODES).for_each(|node| drop(clients.spawn(client(soak.fleet.gateway().front(node), node))));
-    soak.fleet.order(WITHIN, None).await;
-    let ordered = Instant::now();
+    (0..NODES)
+        .for_each(|node| drop(clients.spawn(send_calls(soak.fleet.gateway().client_address(node), node))));
+    soak.fleet.start_upgrade(ORDER_DURATION, None).await;
+    let ordered_at = Instant::now();
     let new: Vec<Arc<GatewayReplica>> =
         soak.fleet.new.iter().map(|running| running.replica.clone()).collect();
-    let turns_bad = AbortOnDropHandle::new(tokio::spawn(async move {
-        tokio::time::sleep_until((ordered + turns_bad_at).into()).await;
+    let failing = AbortOnDropHandle::new(tokio::spawn(async move {
+        tokio::time::sleep_until((ordered_at + fails_after).into()).await;
         if is_bad {
             new.iter().for_each(|replica| replica.set_partial_fault(bad.clone()));
         }
-        ordered.elapsed()
+        ordered_at.elapsed()
     }));
-    soak.strike_until(ordered + FAULTS_FOR).await;
-    let concluded = soak.fleet.conclude(CONCLUDED_WITHIN).await;
-    let told = soak.fleet.since_order(concluded.at);
-    let turned_bad_at = turns_bad.await.expect("it turns bad");
-    println!("seed {seed}: bad {is_bad}, from {turned_bad_at:?} on; {} by {told:?}", concluded.state);
+    soak.inject_faults_until(ordered_at + FAULTS_FOR).await;
+    let outcome = soak.fleet.finish_order(FINISHED_WITHIN).await;
+    let reported_after = soak.fleet.since_order(outcome.at);
+    let failed_after = failing.await.expect("the task that sets the fault ends");
+    println!("seed {seed}: bad {is_bad}, from {failed_after:?} on; {} by {reported_after:?}", outcome.state);
     println!("{}", soak.fleet.gateway().lines_with("event=upgrade_judged"));
     let logs = || format!("seed {seed}\n{}", soak.fleet.logs());
     match is_bad {
         true => {
-            assert_eq!(concluded.state, "rolled_back", "{}", logs());
-            soak.fleet.assert_exposure(concluded.at);
-            // All nodes know by then; what they sent before has arrived.
+            assert_eq!(outcome.state, "rolled_back", "{}", logs());
+            soak.fleet.assert_exposure(outcome.at);
+            // By then all nodes know the outcome, and the requests that they sent before it have arrived.
             tokio::time::sleep(Duration::from_secs(3)).await;
-            soak.fleet.assert_gets_nothing(&concluded);
+            soak.fleet.assert_no_later_requests(&outcome);
         }
-        false => assert_eq!(concluded.state, "succeeded", "{}", logs()),
+        false => assert_eq!(outcome.state, "succeeded", "{}", logs()),
     }
 }
 
-fn seeds(of_ci: &[u64], is_own: impl Fn(u64) -> bool) -> Vec<u64> {
+fn seeds(ci_seeds: &[u64], is_selected: impl Fn(u64) -> bool) -> Vec<u64> {
     let Ok(text) = std::env::var("LEADSTAGE_UPGRADE_SOAK_SEEDS") else {
-        return of_ci.to_vec();
+        return ci_seeds.to_vec();
     };
     let (first, last) = text.split_once("..").unwrap_or((&text, &text));
     let number = |text: &str| text.parse().expect("LEADSTAGE_UPGRADE_SOAK_SEEDS is N or N..M");
-    (number(first)..=number(last)).filter(|seed| is_own(*seed)).collect()
+    (number(first)..=number(last)).filter(|seed| is_selected(*seed)).collect()
 }
 
-/// Guards against a success of a bad version, more than its share, and requests to it after it was given up.
+/// Guards against a success of a bad version, requests to it beyond the exposure bounds, and requests to it
+/// after it was reverted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_upgrade_soak_of_bad_versions() {
     for seed in seeds(BAD_VERSIONS, |seed| seed % 2 == 1) {
-        play(seed).await;
+        run_seed(seed).await;
     }
 }
 
-/// Guards against a good version that is given up.
+/// Guards against reverting a good version.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_upgrade_soak_of_good_versions() {
     for seed in seeds(GOOD_VERSIONS, |seed| seed % 2 == 0) {
-        play(seed).await;
+        run_seed(seed).await;
     }
 }
--- a/node/tests/upgraded_fleet.rs
+++ b/node/tests/upgraded_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in which the operator upgrades a service under load: new replicas run beside the old ones, and the operator ends
-//! one of the two as soon as the order's status says which.
+//! A fleet in which the operator upgrades a service under load: new replicas run beside the old ones, and the
+//! operator stops one of the two sets once the status of the upgrade order says which.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,43 +16,43 @@
 
 use crate::gateway_environment::Gateway;
 use crate::gateway_environment::RunningReplica;
-use crate::loaded_fleet::Answer;
 use crate::loaded_fleet::LoadedFleet;
+use crate::loaded_fleet::TimedCall;
 
-/// The share and the number of requests that a bad version may get.
+/// The share of all requests that a bad version may get, and the number that it may get in addition.
 const EXPOSURE_SHARE: f64 = 0.2;
 const EXPOSURE_SLACK: f64 = 20.0;
-/// A version that was given up gets nothing after this: news take some tenths of a second.
-const REVERTED_EVERYWHERE: Duration = Duration::from_secs(2);
-/// Events of a generation.
+/// The time after which a reverted version gets no more requests: announcements take some tenths of a second.
+const REVERTED_WITHIN: Duration = Duration::from_secs(2);
+/// The number of events of a generation.
 const EVENTS: u64 = 150;
 
-/// The fleet.
+/// A fleet with an upgrade in progress.
 pub struct UpgradedFleet {
-    /// Its nodes, store and old replicas.
+    /// The nodes, the store and the old replicas.
     pub fleet: LoadedFleet,
-    /// The service.
+    /// The service that is upgraded.
     service: &'static str,
     /// The new replicas.
     pub new: Vec<RunningReplica>,
-    /// When the operator gave the order.
-    ordered: Instant,
+    /// When the order was put into the store.
+    ordered_at: Instant,
 }
 
-/// When an order's status first said what became of it.
+/// The final state of an order and the time at which its status first reported it.
 #[derive(Debug)]
-pub struct Concluded {
-    /// `succeeded` or `rolled_back`; whatever it says last where the time is over.
+pub struct OrderOutcome {
+    /// `succeeded` or `rolled_back`, or the last state seen if the wait timed out.
     pub state: String,
-    /// When.
+    /// When the state was first seen.
     pub at: Instant,
 }
 
 impl UpgradedFleet {
-    /// So many nodes, with as many old replicas of a service as new ones are started later.
+    /// Starts the nodes and the old replicas of the service; an upgrade starts as many new replicas.
     pub async fn start(service: &'static str, nodes: usize, replicas: usize) -> UpgradedFleet {
-        let fleet = LoadedFleet::start_with(service, nodes, replicas, EVENTS, with_exposure).await;
-        UpgradedFleet { fleet, service, new: Vec::new(), ordered: Instant::now() }
+        let fleet = LoadedFleet::start_with(service, nodes, replicas, EVENTS, with_exposure_bounds).await;
+        UpgradedFleet { fleet, service, new: Vec::new(), ordered_at: Instant::now() }
     }
 
     /// The fleet's nodes and store.
@@ -60,12 +60,12 @@
         &self.fleet.gateway
     }
 
-    /// Nodes in the order in which they are asked to judge an upgrade of the service.
+    /// The nodes in the order in which they become judge of an upgrade of the service.
     pub fn judges(&self) -> Vec<usize> {
         self.ranked(&format!("judge of {}", self.service))
     }
 
-    /// The node that follows the store first.
+    /// The first of the nodes that watch the store.
     pub fn first_watcher(&self) -> usize {
         self.ranked("store watchers")[0]
     }
@@ -76,35 +76,36 @@
         nodes
     }
 
-    /// Starts a node that reaches the store and none of the other nodes.
-    pub async fn start_cut_off_node(&mut self) -> usize {
+    /// Starts a node that can reach the store but no other node.
+    pub async fn start_isolated_node(&mut self) -> usize {
         let gateway = Arc::get_mut(&mut self.fleet.gateway).expect("no load is running");
-        let nobody = format!("{}:7001", gateway.own_store_ip());
-        let seed = gateway.front(0);
+        let unreachable = format!("{}:7001", gateway.own_store_ip());
+        let seed = gateway.client_address(0);
         let node = gateway.start_node_with(|yaml| {
-            with_exposure(yaml).replace(&format!("seeds: ['{seed}']"), &format!("seeds: ['{nobody}']"))
+            with_exposure_bounds(yaml)
+                .replace(&format!("seeds: ['{seed}']"), &format!("seeds: ['{unreachable}']"))
         });
         gateway.until_ready(node).await;
         node
     }
 
-    /// Sleeps until so long after the order.
-    pub async fn at(&self, since_order: Duration) {
-        tokio::time::sleep_until((self.ordered + since_order).into()).await;
+    /// Sleeps until the given time after the order.
+    pub async fn sleep_until(&self, since_order: Duration) {
+        tokio::time::sleep_until((self.ordered_at + since_order).into()).await;
     }
 
-    /// From now on the new version answers like this.
+    /// Applies the fault to all new replicas; returns the current time.
     pub fn set_fault(&self, fault: &PartialFault) -> Instant {
         self.new.iter().for_each(|running| running.replica.set_partial_fault(fault.clone()));
         Instant::now()
     }
 
-    /// Time since the order.
+    /// The time from the order to `at`.
     pub fn since_order(&self, at: Instant) -> Duration {
-        at.saturating_duration_since(self.ordered)
+        at.saturating_duration_since(self.ordered_at)
     }
 
-    /// Requests that the new version got from a moment on.
+    /// The arrival times of requests at the new version, starting at `from`.
     pub fn new_arrivals(&self, from: Instant) -> Vec<Instant> {
         let arrivals = self.new.iter().flat_map(|running| running.replica.received_requests());
         let mut arrivals: Vec<Instant> = arrivals.map(|seen| seen.at).filter(|at| *at >= from).collect();
@@ -112,20 +113,20 @@
         arrivals
     }
 
-    /// Asserts that the new version gets nothing any more so long after it turned bad.
-    pub fn assert_given_up_within(&self, turned_bad: Instant, within: Duration) {
-        let arrivals = self.new_arrivals(turned_bad);
-        let last = arrivals.last().map_or(Duration::ZERO, |at| at.duration_since(turned_bad));
+    /// Asserts that the new version gets no requests later than `within` after it began to fail.
+    pub fn assert_reverted_within(&self, failing_since: Instant, within: Duration) {
+        let arrivals = self.new_arrivals(failing_since);
+        let last = arrivals.last().map_or(Duration::ZERO, |at| at.duration_since(failing_since));
         assert!(
             last <= within,
-            "the new version got {} requests, the last {last:?} after it turned bad\n{}",
+            "the new version got {} requests, the last {last:?} after it began to fail\n{}",
             arrivals.len(),
             self.logs()
         );
     }
 
-    /// Gives an order, and starts as many new replicas as there are old ones.
-    pub async fn order(&mut self, within: Duration, fault: Option<PartialFault>) {
+    /// Puts an order into the store, and starts as many new replicas as there are old ones.
+    pub async fn start_upgrade(&mut self, within: Duration, fault: Option<PartialFault>) {
         self.put_order(within.as_secs_f64());
         for n in 0..self.fleet.replicas.len() {
             let id = format!("{}-new-{n}", self.service);
@@ -140,26 +141,26 @@
 
     /// Puts the order into the store.
     pub fn put_order(&mut self, within_s: f64) {
-        self.ordered = Instant::now();
+        self.ordered_at = Instant::now();
         let order = json!({"service": self.service, "targetVersion": "v2", "durationS": within_s});
         self.gateway().store.put("rollouts", self.service, order);
     }
 
     fn list(&self, running: &RunningReplica, version: &str, state: &str) {
-        let address = running.server.as_ref().expect("it serves").address;
+        let address = running.server.as_ref().expect("the replica is serving").address;
         let mut entry = replica_entry(self.service, address, "hall-1", state);
         entry["version"] = version.into();
         self.gateway().store.put("servers", &running.replica.id, entry);
     }
 
-    /// What the order's status says.
+    /// The status of the order.
     pub fn status(&self) -> Value {
         self.gateway().store.status("rollouts", self.service).unwrap_or_default()
     }
 
-    /// Waits until the status is final, and ends the old replicas at once if the order succeeded. The wait ends
-    /// in any case after `at_most`.
-    pub async fn conclude(&mut self, at_most: Duration) -> Concluded {
+    /// Waits until the status is final, but no longer than `at_most`. If the order succeeded, stops the old
+    /// replicas at once.
+    pub async fn finish_order(&mut self, at_most: Duration) -> OrderOutcome {
         let until = Instant::now() + at_most;
         let state = loop {
             let state = self.status()["state"].as_str().unwrap_or_default().to_owned();
@@ -175,75 +176,75 @@
                 self.fleet.gateway.store.delete("servers", &running.replica.id);
             }
         }
-        Concluded { state, at }
+        OrderOutcome { state, at }
     }
 
-    /// Requests that old and new replicas got between the order and `until`.
-    pub fn got(&self, until: Instant) -> (usize, usize) {
-        let of = |running: &[RunningReplica]| {
+    /// The number of requests that old and new replicas got between the order and `until`.
+    pub fn request_counts(&self, until: Instant) -> (usize, usize) {
+        let count = |running: &[RunningReplica]| {
             let arrivals = running.iter().flat_map(|running| running.replica.received_requests());
-            arrivals.filter(|seen| seen.at >= self.ordered && seen.at < until).count()
+            arrivals.filter(|seen| seen.at >= self.ordered_at && seen.at < until).count()
         };
-        (of(&self.fleet.replicas), of(&self.new))
+        (count(&self.fleet.replicas), count(&self.new))
     }
 
-    /// Asserts that a bad version got no more than it may until `until`.
+    /// Asserts that the new version got no more requests before `until` than the exposure bounds allow.
     pub fn assert_exposure(&self, until: Instant) {
-        let (old, new) = self.got(until);
+        let (old, new) = self.request_counts(until);
         let allowed = EXPOSURE_SHARE * (old + new) as f64 + EXPOSURE_SLACK;
         assert!(
             new as f64 <= allowed,
-            "{new} of {} went to the new version, {allowed} may\n{}",
+            "{new} of {} requests went to the new version, {allowed} are allowed\n{}",
             old + new,
             self.logs()
         );
     }
 
-    /// Asserts that a version that was given up gets nothing a moment later.
-    pub fn assert_gets_nothing(&self, concluded: &Concluded) {
-        let from = concluded.at + REVERTED_EVERYWHERE;
+    /// Asserts that the reverted version gets no requests later than [`REVERTED_WITHIN`] after the outcome.
+    pub fn assert_no_later_requests(&self, outcome: &OrderOutcome) {
+        let from = outcome.at + REVERTED_WITHIN;
         let arrivals = self.new.iter().flat_map(|running| running.replica.received_requests());
         let late = arrivals.filter(|seen| seen.at >= from).count();
-        assert_eq!(late, 0, "requests went to a version that was given up\n{}", self.logs());
+        assert_eq!(late, 0, "requests went to a reverted version\n{}", self.logs());
     }
 
-    /// All that the logs say of upgrades, and their last lines.
+    /// All log lines about upgrades, followed by the last lines of all logs.
     pub fn logs(&self) -> String {
         let gateway = self.gateway();
         format!("{}\n{}", gateway.lines_with("event=upgrade_"), gateway.logs())
     }
 
-    /// Puts calls to each node at so many a second for a time, beside what else is done.
+    /// Sends `per_second` requests to each node in the background for the given time.
     pub fn load(
         &self,
         per_second: f64,
         lasts: Duration,
-        make: fn(&str) -> Request<Full<Bytes>>,
-    ) -> tokio::task::JoinHandle<Vec<Answer>> {
-        self.load_each(vec![per_second; self.fleet.gateway.nodes()], lasts, make)
+        make_request: fn(&str) -> Request<Full<Bytes>>,
+    ) -> tokio::task::JoinHandle<Vec<TimedCall>> {
+        self.load_with_rates(vec![per_second; self.fleet.gateway.nodes()], lasts, make_request)
     }
 
-    /// The same, with a rate for each node.
-    pub fn load_each(
+    /// Like [`UpgradedFleet::load`], with a separate rate for each node.
+    pub fn load_with_rates(
         &self,
         per_second: Vec<f64>,
         lasts: Duration,
-        make: fn(&str) -> Request<Full<Bytes>>,
-    ) -> tokio::task::JoinHandle<Vec<Answer>> {
+        make_request: fn(&str) -> Request<Full<Bytes>>,
+    ) -> tokio::task::JoinHandle<Vec<TimedCall>> {
         let fleet = LoadedFleet { gateway: self.fleet.gateway.clone(), replicas: Vec::new() };
-        tokio::spawn(async move { fleet.load(&per_second, lasts, make).await })
+        tokio::spawn(async move { fleet.load(&per_second, lasts, make_request).await })
     }
 }
 
-/// Settings that name what a bad version may get.
-fn with_exposure(yaml: String) -> String {
+/// Adds the exposure bounds to the settings of a node.
+fn with_exposure_bounds(yaml: String) -> String {
     let bounds =
         format!("retry_slack: 100, exposure_share: {EXPOSURE_SHARE}, exposure_slack: {EXPOSURE_SLACK}");
     yaml.replace("retry_slack: 100", &bounds)
 }
 
-/// One of so many requests on a path meets a fault.
-pub fn fault(
+/// A fault that affects one of `every_nth` requests whose path starts with `prefix`.
+pub fn partial_fault(
     fault: leadstage_testutils::gateway_replica::ReplicaFault,
     every_nth: usize,
     prefix: &str,
@@ -251,8 +252,9 @@
     Some(PartialFault { fault, every_nth, prefix: prefix.to_owned() })
 }
 
-/// The share of the answers that are good.
-pub fn good(answers: &[Answer]) -> f64 {
-    let good = answers.iter().filter(|answer| answer.called.status == 200 && answer.called.whole).count();
-    good as f64 / answers.len().max(1) as f64
+/// The share of the answers that are successful and complete.
+pub fn success_share(answers: &[TimedCall]) -> f64 {
+    let successful =
+        answers.iter().filter(|answer| answer.called.status == 200 && answer.called.whole).count();
+    successful as f64 / answers.len().max(1) as f64
 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# The whole path on one machine: builds, starts the stand-ins and two nodes as
-# separate processes on loopback, rolls a bundle out, streams through each node,
-# makes a plain call that may not repeat, shows the status, and stops everything.
-# Exit code 0 only if every step was right.
+# End-to-end demonstration on one machine: builds, starts the stand-ins and two nodes as separate
+# processes on loopback, rolls out a bundle, streams through each node, makes a non-repeatable plain
+# call, shows the status, and stops everything. Exits with 0 only if every step succeeded.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -16,14 +15,14 @@
     exit 1
 }
 
-until_true() { # WHAT COMMAND...
-    local what=$1
+until_true() { # CONDITION COMMAND...
+    local condition=$1
     shift
     for _ in $(seq 150); do
         if "$@" >/dev/null 2>&1; then return 0; fi
         sleep 0.1
     done
-    fail "$what did not come about"
+    fail "timed out waiting for: $condition"
 }
 
 step() { echo "== $1"; }
--- a/scripts/measure-recovery.sh
+++ b/scripts/measure-recovery.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what failures cost at today's size, 9 nodes and 15 engines in three halls: work
-# lost, and for how long requests fail. Load goes through six nodes; faults come 5 s into
-# the load. Loopback only; about two minutes.
+# Measures the cost of failures in a fleet of 9 nodes and 15 engines in three halls: the work lost,
+# and how long requests fail. Load goes through the six nodes that lead no pool; faults are injected
+# 5 s into the load. Loopback only; takes about two minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/common.sh
@@ -39,7 +39,7 @@
     sleep 5
 }
 
-# The nodes that lead a pool now, as 0-based indexes.
+# Prints the 0-based indexes of the nodes that currently lead a pool.
 leads() {
     local n
     for n in $(seq 9); do
@@ -51,7 +51,7 @@
     case $1 in
         engines) kill -KILL "${engines[0]}" "${engines[1]}" "${engines[2]}" ;;
         frozen) kill -STOP "${engines[3]}" "${engines[4]}" ;;
-        leads) for n in "${spared[@]}"; do kill -KILL "${nodes[$n]}"; done ;;
+        leads) for n in "${lead_nodes[@]}"; do kill -KILL "${nodes[$n]}"; done ;;
         platform)
             curl -sf -X POST "http://$net.1:9000/fault/down" >/dev/null
             (sleep 6; curl -sf -X POST "http://$net.1:9000/fault/up" >/dev/null) &
@@ -63,17 +63,17 @@
     local name=$1
     shift
     fleet
-    # Load goes through nodes that lead nothing, so that all leads can be killed.
-    mapfile -t spared < <(leads)
+    # Load goes through nodes that lead no pool, so that all leads can be killed.
+    mapfile -t lead_nodes < <(leads)
     local args=() n
     for n in 0 1 2 3 4 5 6 7 8; do
-        case " ${spared[*]} " in *" $n "*) ;; *) args+=(--node "$net.$((n + 11)):8080") ;; esac
+        case " ${lead_nodes[*]} " in *" $n "*) ;; *) args+=(--node "$net.$((n + 11)):8080") ;; esac
     done
-    echo "## $name: ${#spared[@]} nodes lead, load through the other $((9 - ${#spared[@]}))"
+    echo "## $name: ${#lead_nodes[@]} nodes lead, load through the other $((9 - ${#lead_nodes[@]}))"
     "$bin/examples/load" "${args[@]}" --token load-token --rate 40 --tokens 80 --seconds 20 &
     local load=$!
     sleep 5
-    for f in "$@"; do fault "$f"; done
+    for kind in "$@"; do fault "$kind"; done
     wait "$load"
     clean_up
 }
