--- a/lib/src/gateway/health_polls.rs
+++ b/lib/src/gateway/health_polls.rs
@@ -1,8 +1,8 @@
 //! Schedules health checks of engines while the store may not report that they leave.
 //!
 //! An engine is polled again some time after its last answer, and never by two polls at once. Answers take
-//! effect immediately: an engine ends about 1.5 s after its notice, and each 100 ms decides on half a
-//! generation that is copied to another engine in time or lost.
+//! effect immediately: an engine ends about 1.5 s after its notice, and a copy takes some 200 ms, so each
+//! 100 ms of delay loses half a generation that could have been copied to another engine.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/lib/src/gateway/inventory.rs
+++ b/lib/src/gateway/inventory.rs
@@ -33,9 +33,9 @@
     /// larger single request gets a part of its own. Requests with ids up to `last` that are not listed
     /// have ended.
     ///
-    /// While the inventory had to fit into a single datagram of 16 kB, a lead received nothing from a
-    /// node with more than some 600 generations: a restarted lead knew 0 of 50 generations at engines
-    /// with names of 400 bytes after 6 s.
+    /// A single datagram of 16 kB cannot hold the inventory of a node with more than some 600 generations,
+    /// and the lead would receive nothing from such a node. With inventories in one datagram, a restarted
+    /// lead knows 0 of 50 generations at engines with names of 400 bytes after 6 s.
     pub fn parts(runs: Vec<(RunId, Run)>, last: RunId, max_bytes: usize) -> Vec<Inventory> {
         let mut parts = Vec::new();
         let (mut first, mut part, mut bytes) = (0, Vec::new(), 0);
--- a/lib/src/gateway/lead_queue.rs
+++ b/lib/src/gateway/lead_queue.rs
@@ -25,7 +25,7 @@
 use crate::ids::Timestamp;
 
 /// Maximum number of generations that are skipped in one pass. Each costs a choice among all engines, and
-/// the gain of eight over two is within the variation between days.
+/// the gain of eight over two is within the variation between modelled days.
 const MAX_SKIPPED: usize = 4;
 
 /// The engines on which generations can be placed.
--- a/lib/src/gateway/limit_grants.rs
+++ b/lib/src/gateway/limit_grants.rs
@@ -118,9 +118,9 @@
 
     /// Accumulates grants from the moment at which a replica announced a limit. A node that begins to
     /// grant later than that starts with no saved grants, as another node may have granted before.
-    pub fn accrue_from(&mut self, replica: &UpstreamId, named_at: Timestamp, now: Timestamp) {
-        if now < named_at + FIRST_REQUEST_WITHIN && !self.accounts.contains_key(replica) {
-            let from = named_at.max(STARTUP_DELAY).min(now);
+    pub fn accrue_from(&mut self, replica: &UpstreamId, announced_at: Timestamp, now: Timestamp) {
+        if now < announced_at + FIRST_REQUEST_WITHIN && !self.accounts.contains_key(replica) {
+            let from = announced_at.max(STARTUP_DELAY).min(now);
             self.accounts.insert(replica.clone(), Account::new(from));
         }
     }
@@ -201,7 +201,7 @@
     ///
     /// A pause in proportion to the number of nodes leaves the turns of nodes with few calls unused, and
     /// the grants that accumulate meanwhile are lost: 0.71 of a limit are used where three nodes receive
-    /// 30, 8 and 1 calls a second, and 0.82 with turns (least of 400 runs of 8 s,
+    /// 30, 8 and 1 calls a second, and 0.82 with turns (minimum of 400 runs of 8 s,
     /// `test_gateway_limit_regular_calls`).
     fn pause(&mut self, rate: PerSecond, urgency: u8, now: Timestamp) -> Duration {
         if rate <= 0.0 {
--- a/lib/src/gateway/load.rs
+++ b/lib/src/gateway/load.rs
@@ -34,6 +34,7 @@
 /// prefill has ended. A generation that would wait longer there waits at the lead, which can still let
 /// others go first and choose another engine.
 pub const MAX_QUEUED_PREFILL: Duration = Duration::from_millis(300);
+
 /// The size of a generation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct GenerationSize {
@@ -68,8 +69,8 @@
 pub struct LoadTracker {
     /// The mechanisms that are enabled.
     pub policy: Policy,
-    /// The requests of each replica, stored together: a choice looks at all requests of some tens of
-    /// engines.
+    /// The requests of each replica, stored together: a choice examines all requests of some tens
+    /// of engines.
     by_replica: BTreeMap<UpstreamId, Vec<(RunKey, Run)>>,
     /// The replica of each request, by entry node. Each of hundreds of nodes reports its own requests
     /// to a lead several times a second.
@@ -334,7 +335,7 @@
 }
 
 /// Largest number of tokens that generations are expected to hold together at any time. All of them
-/// produce tokens equally fast, so when one ends, each of those that go on has grown by that one's
+/// produce tokens equally fast, so when one ends, each generation that still runs has grown by that one's
 /// remaining tokens.
 pub fn expected_peak(mut growths: Vec<Growth>) -> f64 {
     growths.sort_by(|a, b| b.remaining.total_cmp(&a.remaining));
@@ -346,7 +347,7 @@
     peaks.fold(0.0, f64::max)
 }
 
-/// Growth of a generation. One that should have ended already is expected to go on for a while.
+/// Growth of a generation. One that should have ended already is expected to continue for a while.
 fn growth(size: GenerationSize, produced: u32, tokens_per_second: f64) -> Growth {
     let remaining = f64::from(size.expected.saturating_sub(produced)).max(MIN_GROWTH_S * tokens_per_second);
     Growth { held: f64::from(size.prompt) + f64::from(produced), remaining }
--- a/lib/src/gateway/peers_by_hall.rs
+++ b/lib/src/gateway/peers_by_hall.rs
@@ -15,7 +15,7 @@
 
 /// One gossip target in this many is picked from all halls.
 const ANY_HALL_RATIO: usize = 4;
-/// Known nodes of its own hall below which a node picks all gossip targets from all halls.
+/// Number of known nodes of its own hall below which a node picks all gossip targets from all halls.
 const MIN_NEAR: usize = 8;
 
 /// The other nodes that are considered up.
--- a/lib/src/gateway/rebalance.rs
+++ b/lib/src/gateway/rebalance.rs
@@ -2,8 +2,8 @@
 //! one of them: a move costs its caller some 20 ms, a preemption seconds.
 //!
 //! An engine is too full if its expected peak exceeds the limit for new generations. Judged by
-//! near-term use instead, engines that were just filled gave some generations away again: in two
-//! modelled fleets at 1.14 and 1.4 times their load there were 624 and 2,168 moves a day, compared with
+//! near-term use instead, engines that have just been filled give some generations away again: in two
+//! modelled fleets at 1.14 and 1.4 times their load there are 624 and 2,168 moves a day, compared with
 //! 557 and 1,979 by the expected peak, with as many generations served.
 
 use std::collections::HashMap;
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -28,10 +28,10 @@
 /// Why a replica is considered to be leaving.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LeavingSign {
-    /// Its entry says so.
+    /// Its entry lists it as leaving.
     #[display("listed as leaving")]
     Listed,
-    /// It announces so in its responses, or in its answer to a health check.
+    /// It announced this in a response, or in its answer to a health check.
     #[display("says so in its answers")]
     Announced,
     /// Its entry was removed while the list was followed.
@@ -123,7 +123,7 @@
         self.leaving.is_none() && self.backoff_until <= now
     }
 
-    /// Notes that it stays cold for at least this long. Zero changes nothing.
+    /// Records that it stays cold for at least this long. Zero changes nothing.
     pub(super) fn on_cold(&mut self, cold: Duration, now: Timestamp) {
         if !cold.is_zero() {
             self.warm_at = self.warm_at.max(now + cold);
--- a/lib/src/gateway/replica_backoffs.rs
+++ b/lib/src/gateway/replica_backoffs.rs
@@ -99,8 +99,8 @@
 
     /// The replicas of a service that are in back-off, with the remaining time of each.
     pub fn of_service(&self, service: &str, now: Timestamp) -> impl Iterator<Item = (&UpstreamId, Duration)> {
-        let its = self.backoffs.iter().filter(move |(_, backoff)| *backoff.service == *service);
-        its.filter_map(move |(id, backoff)| {
+        let matching = self.backoffs.iter().filter(move |(_, backoff)| *backoff.service == *service);
+        matching.filter_map(move |(id, backoff)| {
             let remaining = self.remaining(&Incarnation { id: id.clone(), born: backoff.born }, now)?;
             Some((id, remaining))
         })
--- a/lib/src/gateway/replica_catch_up.rs
+++ b/lib/src/gateway/replica_catch_up.rs
@@ -42,7 +42,7 @@
 pub struct ReplicaCatchUp {
     /// Whether a fetch is in progress.
     is_fetching: bool,
-    /// The time before which no fetch is started because a busy node asked for a delay; updates may arrive
+    /// The time before which no fetch is started because a busy node requested a delay; updates may arrive
     /// earlier.
     fetch_not_before: Timestamp,
     /// Since when peers have known a later revision.
--- a/lib/src/gateway/replica_rate_limiter.rs
+++ b/lib/src/gateway/replica_rate_limiter.rs
@@ -52,7 +52,7 @@
         };
         match placed_by {
             PlacedBy::Lead => {
-                self.accrue_since_named(replica, now);
+                self.accrue_since_announced(replica, now);
                 self.grants.may_grant(replica, limit, 0, now)
             }
             PlacedBy::Node => self.permits.has_permit(replica, limit, now, rng),
@@ -90,7 +90,7 @@
     /// no grant.
     pub fn grant(&mut self, replica: &UpstreamId, role: GranterRole, urgency: u8, now: Timestamp) -> Grant {
         if role == GranterRole::Primary {
-            self.accrue_since_named(replica, now);
+            self.accrue_since_announced(replica, now);
         }
         match self.limits.limit(replica) {
             Some(limit) => self.grants.request(replica, limit, role, urgency, now),
@@ -98,24 +98,24 @@
         }
     }
 
-    fn accrue_since_named(&mut self, replica: &UpstreamId, now: Timestamp) {
-        if let Some(named_at) = self.limits.limited_since(replica) {
-            self.grants.accrue_from(replica, named_at, now);
+    fn accrue_since_announced(&mut self, replica: &UpstreamId, now: Timestamp) {
+        if let Some(announced_at) = self.limits.limited_since(replica) {
+            self.grants.accrue_from(replica, announced_at, now);
         }
     }
 
     /// Returns the delay after which a refused caller retries when all replicas of its service have
-    /// limits, which add up to `named`. Callers retry at different times, at the interval that one node's
-    /// share of the limits allows between requests.
+    /// limits, which add up to `total_limit`. Callers retry at different times, at the interval that one
+    /// node's share of the limits allows between requests.
     pub fn next_retry_delay(
         &mut self,
         service: &ServiceId,
-        named: PerSecond,
+        total_limit: PerSecond,
         nodes: usize,
         now: Timestamp,
     ) -> Duration {
         let max_delay = MAX_RETRY_DELAY.as_secs_f64();
-        let interval = (nodes as f64 / (named * GRANTED_FRACTION)).min(max_delay);
+        let interval = (nodes as f64 / (total_limit * GRANTED_FRACTION)).min(max_delay);
         let last = self.retry_times.get(service).copied().unwrap_or_default().max(now);
         let at = (last + Duration::from_secs_f64(interval)).min(now + MAX_RETRY_DELAY);
         self.retry_times.insert(service.clone(), at);
--- a/lib/src/gateway/replica_updates.rs
+++ b/lib/src/gateway/replica_updates.rs
@@ -35,7 +35,7 @@
 /// Updates that change more than this share of the replicas are not sent: fetching the list takes less data
 /// than changes that are forwarded several times.
 const MAX_CHANGED_SHARE: f64 = 0.2;
-/// Up to this number of parts an update is sent in any case, in a fleet of any size.
+/// Updates with up to this number of parts are always sent, in a fleet of any size.
 const ALWAYS_SENT_PARTS: usize = 2;
 /// Maximum number of incomplete updates to keep track of; the changes of the others are fetched.
 const MAX_INCOMPLETE_UPDATES: usize = 32;
@@ -72,9 +72,9 @@
 }
 
 impl ReplicaUpdate {
-    /// Splits the update into messages, leaving replicas first. Returns `None` if so many changes affect so
-    /// large a share of the replicas that the nodes had better fetch the list from each other: each message
-    /// between nodes carries the revision that its sender knows.
+    /// Splits the update into messages, leaving replicas first. Returns `None` if the update has many parts
+    /// and changes a large share of the replicas: nodes then fetch the list from each other instead, as each
+    /// message between nodes carries the revision up to which its sender knows the replicas.
     pub fn into_parts(mut self, replicas: usize) -> Option<Vec<ReplicaUpdate>> {
         let changes = self.added.len() + self.leaving.len();
         let count = changes.div_ceil(MAX_CHANGES_PER_MESSAGE).max(1);
--- a/lib/src/gateway/replicas.rs
+++ b/lib/src/gateway/replicas.rs
@@ -342,7 +342,7 @@
         self.build_list(at, true, self.iter())
     }
 
-    /// Returns what a node lacks that knows the replicas up to `known`: the changes since then, or the
+    /// Returns what a node that knows the replicas up to `known` lacks: the changes since then, or the
     /// whole list if these are no longer known. This node knows the replicas up to `at`.
     pub fn since(&self, at: Revision, known: Revision) -> ReplicaList {
         if known < self.forgotten_up_to {
--- a/lib/src/gateway/token_pace.rs
+++ b/lib/src/gateway/token_pace.rs
@@ -45,10 +45,10 @@
         if span < MIN_SPAN {
             return;
         }
-        let made = f64::from(tokens.saturating_sub(previous.tokens));
+        let produced = f64::from(tokens.saturating_sub(previous.tokens));
         *previous = sample;
         let guess = DecayingMean::new(DEFAULT_TOKENS_PER_SECOND, NEWEST_WEIGHT);
-        self.services.entry(service.clone()).or_insert(guess).observe(made / span.as_secs_f64());
+        self.services.entry(service.clone()).or_insert(guess).observe(produced / span.as_secs_f64());
     }
 
     /// Drops a generation that is gone.
--- a/lib/src/gateway/upgrade.rs
+++ b/lib/src/gateway/upgrade.rs
@@ -208,7 +208,7 @@
                 known.began = known.began.min(began);
                 known.advance(announced.stage, now)
             }
-            // An older announcement does not know the current set of orders.
+            // Only an announcement at a later revision may add or replace an order.
             _ if !is_newer => false,
             _ => {
                 let upgrade =
--- a/lib/src/gateway/waiting.rs
+++ b/lib/src/gateway/waiting.rs
@@ -195,7 +195,7 @@
         self.queue.remove(at)
     }
 
-    /// Records that a generation was placed without waiting.
+    /// Records the placement of a generation that was not overdue, such as one that did not wait.
     pub fn on_direct_placement(&mut self) {
         self.since_overdue = self.since_overdue.saturating_add(1);
     }
