--- a/lib/src/gateway/startup_read.rs
+++ b/lib/src/gateway/startup_read.rs
@@ -1,7 +1,7 @@
 //! Decides whether a node that has just started reads the state that all nodes need from the store.
 //!
-//! After a power failure all nodes start at once. The list of ten thousand replicas takes some
-//! megabytes at the store, and a tenth of that from node to node. If all nodes read it, the link of the store
+//! After a power failure all nodes start at once. The list of ten thousand replicas takes some megabytes
+//! at the store, and a tenth of that from node to node. If all nodes read it, the link of the store
 //! carries nothing else for many seconds. So seed nodes read it and other nodes receive it from them.
 //! As seeds may be gone, any node may read it in the end, but only a few of all nodes at a time.
 
