--- a/lib/src/code.rs
+++ b/lib/src/code.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 
-/// Whether a request ran, as far as leadstage can know.
+/// Whether a request ran, as far as leadstage can determine.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Ran {
     /// The request did not run and will not run.
--- a/lib/src/engine_tracker.rs
+++ b/lib/src/engine_tracker.rs
@@ -162,7 +162,7 @@
     }
 
     /// Returns the tokens that the engine's memory holds, less the half block that each generation wastes on
-    /// average and the tokens held by generations that this lead does not know.
+    /// average and the tokens held by generations that this lead does not track.
     pub fn usable_tokens(&self) -> f64 {
         let block_tokens = f64::from(self.limits.block_tokens);
         let wasted = block_tokens * 0.5 * (self.runs.len() + 1) as f64;
@@ -259,7 +259,7 @@
     }
 
     /// Applies the engine's own report: its step time, and the memory used by generations that this lead does
-    /// not know. As the report lags, only the excess that three consecutive reports show is counted. The
+    /// not track. As the report lags, only the excess that three consecutive reports show is counted. The
     /// first report counts at once, so that a new lead does not overload an engine that an earlier lead has
     /// filled.
     pub fn apply_load_report(&mut self, report: &LoadReport, now: Timestamp) {
--- a/lib/src/pool_event.rs
+++ b/lib/src/pool_event.rs
@@ -119,7 +119,7 @@
     Withdraw(GenerationId),
     /// An entry sends a full report of a running generation.
     Running(RunningReport),
-    /// An entry reports the progress of a generation that the lead knows.
+    /// An entry reports the progress of a generation that the lead tracks.
     Progress {
         /// The generation.
         generation: GenerationId,
--- a/lib/src/rendezvous.rs
+++ b/lib/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: all nodes that know the same members pick the same one.
+//! Rendezvous hashing: all nodes with the same set of members pick the same one.
 
 /// Picks the member with the highest weight for `key`; `None` if there are no members.
 pub fn pick<'a, T: AsRef<str>>(key: &str, members: impl IntoIterator<Item = &'a T>) -> Option<&'a T> {
--- a/lib/src/start_rate.rs
+++ b/lib/src/start_rate.rs
@@ -6,7 +6,7 @@
 
 /// Time over which starts are counted before they enter the moving average.
 const WINDOW: Duration = Duration::from_secs(2);
-/// Weight of the previous average when a window is added; the window's rate has the rest.
+/// Weight of the previous average when a window is added; the window's rate has the remaining weight.
 const OLD_RATE_WEIGHT: f64 = 0.7;
 
 /// An exponential moving average of the rate of starts, measured only while there is a queue.
--- a/lib/tests/limit_windows.rs
+++ b/lib/tests/limit_windows.rs
@@ -6,7 +6,7 @@
 /// Length of the window in which requests are counted.
 pub const WINDOW_S: f64 = 4.0;
 
-/// Returns the number of requests max_allowed in a window under a limit.
+/// Returns the number of requests that are allowed in a window under a limit.
 pub fn max_allowed(limit: f64) -> usize {
     (limit * 1.5 * WINDOW_S + 5.0) as usize
 }
--- a/lib/tests/test_gateway_closed_halls.rs
+++ b/lib/tests/test_gateway_closed_halls.rs
@@ -162,8 +162,8 @@
             if self.nodes[watcher].next_poll <= self.now {
                 self.nodes[watcher].next_poll = self.now + POLL_INTERVAL;
                 let age = MAX_POLL_AGE.mul_f64(self.rng.random());
-                let seen = self.store.as_of(self.now.saturating_sub(age)).clone();
-                self.apply(watcher, seen);
+                let polled = self.store.as_of(self.now.saturating_sub(age)).clone();
+                self.apply(watcher, polled);
             }
         }
         for node in 0..self.nodes.len() {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// A watcher's changes may start before the revision that it already known: the last change of each
+    /// A watcher's changes may start before the revision that it already has: the last change of each
     /// hall decides.
     #[test]
     fn test_partly_known_changes_give_the_same_result(
--- a/lib/tests/test_gateway_cold_start.rs
+++ b/lib/tests/test_gateway_cold_start.rs
@@ -63,15 +63,15 @@
             arrivals.entry(replica.clone()).or_default().push(now + MAX_TRANSIT.mul_f64(rng.random()));
         }
     }
-    let mut most = 0;
+    let mut peak = 0;
     for times in arrivals.values_mut() {
         times.sort();
         let in_second = |from: &Duration| {
             times.iter().filter(|at| **at >= *from && **at < *from + Duration::from_secs(1)).count()
         };
-        most = most.max(times.iter().map(in_second).max().unwrap_or(0));
+        peak = peak.max(times.iter().map(in_second).max().unwrap_or(0));
     }
-    (most, arrivals.values().map(Vec::len).sum())
+    (peak, arrivals.values().map(Vec::len).sum())
 }
 
 #[test]
--- a/lib/tests/test_gateway_config_text.rs
+++ b/lib/tests/test_gateway_config_text.rs
@@ -12,13 +12,13 @@
 fn text(version: u64, routes: u64) -> Bytes {
     let mut text = format!("{{\"version\":{version},\"routes\":[");
     for n in 0..routes {
-        let word = n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let hash = n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         write!(
             text,
-            "{{\"name\":\"r-{word:016x}\",\"host\":\"h{}.example\",\"pathPrefix\":\"/{:x}/\",\"kind\":\"idempotent\",\
+            "{{\"name\":\"r-{hash:016x}\",\"host\":\"h{}.example\",\"pathPrefix\":\"/{:x}/\",\"kind\":\"idempotent\",\
              \"service\":\"booking\",\"timeoutMs\":800,\"targetLatencyMs\":300,\"priority\":2,\"maxAttempts\":2,\"public\":false}},",
             n % 7,
-            word >> 24,
+            hash >> 24,
         )
         .expect("String accepts all writes");
     }
--- a/lib/tests/test_gateway_fleet_spread.rs
+++ b/lib/tests/test_gateway_fleet_spread.rs
@@ -55,7 +55,7 @@
     Message(usize, PackedUpdate),
     /// Another message arrives at a node.
     Other(usize),
-    Ask {
+    Query {
         node: usize,
         from: usize,
     },
@@ -70,7 +70,7 @@
     share: f64,
     progress: UpdateProgress,
     relay: UpdateRelay,
-    lack: ReplicaCatchUp,
+    catch_up: ReplicaCatchUp,
     transfer_slots: TransferSlots,
     link_free: Duration,
     core_free: Duration,
@@ -108,7 +108,7 @@
                 share,
                 progress,
                 relay: UpdateRelay::default(),
-                lack: ReplicaCatchUp::new(&mut rng),
+                catch_up: ReplicaCatchUp::new(&mut rng),
                 transfer_slots: TransferSlots::new(transfer_slots::max_concurrent(link * 1e6)),
                 link_free: Duration::ZERO,
                 core_free: Duration::ZERO,
@@ -206,11 +206,11 @@
             match self.events.remove(&event).expect("event is queued") {
                 Event::Message(node, packed) => self.on_message(node, &packed, now),
                 Event::Other(node) => self.on_other(node, now),
-                Event::Ask { node, from } => self.on_ask(node, from, now),
+                Event::Query { node, from } => self.on_query(node, from, now),
                 Event::Answer { node, from } => {
                     let slot_time = LATENCY;
                     self.nodes[from].transfer_slots.release(slot_time);
-                    self.nodes[node].lack.on_answer();
+                    self.nodes[node].catch_up.on_answer();
                     self.nodes[node].progress.on_known(UPDATE_REVISION);
                     self.check_updated(node, now);
                 }
@@ -222,7 +222,7 @@
         let node = &mut self.nodes[node];
         if node.progress.at() >= UPDATE_REVISION {
             node.updated_at.get_or_insert(now);
-            node.lack.on_update();
+            node.catch_up.on_update();
         }
     }
 
@@ -251,7 +251,7 @@
         if self.rng.random_bool(self.case.lost) {
             return;
         }
-        let theirs = self.nodes[from].progress.at();
+        let peer_revision = self.nodes[from].progress.at();
         let source = match (self.peers[to % HALLS.len()].has_enough_in_hall(), hall(from) == hall(to)) {
             (true, true) => Source::Near,
             (true, false) => Source::Far,
@@ -259,14 +259,16 @@
         };
         let node = &mut self.nodes[to];
         let own = node.progress.at();
-        if let Some(pause) = node.lack.on_peer_revision(theirs, own, source, self.case.replicas, now) {
-            self.schedule(now + pause, Event::Ask { node: to, from });
+        if let Some(pause) =
+            node.catch_up.on_peer_revision(peer_revision, own, source, self.case.replicas, now)
+        {
+            self.schedule(now + pause, Event::Query { node: to, from });
         }
     }
 
-    fn on_ask(&mut self, node: usize, from: usize, now: Duration) {
+    fn on_query(&mut self, node: usize, from: usize, now: Duration) {
         if self.nodes[node].progress.at() >= UPDATE_REVISION {
-            return self.nodes[node].lack.on_answer();
+            return self.nodes[node].catch_up.on_answer();
         }
         let now = self.handle(from, now + 2 * LATENCY);
         match self.nodes[from].transfer_slots.try_acquire() {
@@ -279,7 +281,7 @@
             }
             Err(after) => {
                 let own = self.nodes[node].progress.at();
-                self.nodes[node].lack.on_busy(after, own, now);
+                self.nodes[node].catch_up.on_busy(after, own, now);
             }
         }
     }
@@ -356,22 +358,22 @@
     for case in cases {
         let Case { nodes, replicas, leaving, lost } = case;
         let runs: Vec<Summary> = (0..seeds).map(|seed| simulate(case, seed)).collect();
-        let middle = |of: fn(&Summary) -> f64| median(runs.iter().map(of).collect());
-        let most = runs.iter().map(|run| run.all).fold(0.0, f64::max);
+        let median_of = |of: fn(&Summary) -> f64| median(runs.iter().map(of).collect());
+        let slowest = runs.iter().map(|run| run.all).fold(0.0, f64::max);
         let fetched = median(runs.iter().map(|run| run.fetched as f64).collect());
         writeln!(
             table,
-            "{nodes:5} {replicas:8} {leaving:7} {lost:4}: {:.2} {:.2} {:.2}; {most:.2}; {:6.0} {:5.1} {:.2}; {fetched}",
-            middle(|run| run.half),
-            middle(|run| run.nearly_all),
-            middle(|run| run.all),
-            middle(|run| run.bytes),
-            middle(|run| run.bytes) / update_bytes(case),
-            middle(|run| run.far),
+            "{nodes:5} {replicas:8} {leaving:7} {lost:4}: {:.2} {:.2} {:.2}; {slowest:.2}; {:6.0} {:5.1} {:.2}; {fetched}",
+            median_of(|run| run.half),
+            median_of(|run| run.nearly_all),
+            median_of(|run| run.all),
+            median_of(|run| run.bytes),
+            median_of(|run| run.bytes) / update_bytes(case),
+            median_of(|run| run.far),
         )
         .expect("String accepts all writes");
-        let (all, far) = (middle(|run| run.all), middle(|run| run.far));
-        assert!(all <= 1.0 && most <= 2.0, "{case:?}: {all:.2} s, {most:.2} s at the most\n{table}");
+        let (all, far) = (median_of(|run| run.all), median_of(|run| run.far));
+        assert!(all <= 1.0 && slowest <= 2.0, "{case:?}: {all:.2} s, {slowest:.2} s at the most\n{table}");
         assert!(nodes < 100 || far < 0.5, "{case:?}: {far:.2} of the bytes come from other halls");
     }
     if std::env::var_os("LEADSTAGE_SPREAD_SEEDS").is_some() {
--- a/lib/tests/test_gateway_full_engines.rs
+++ b/lib/tests/test_gateway_full_engines.rs
@@ -214,12 +214,13 @@
         };
         let terms = QueueTerms { priority, in_time, may_wait, tokens: 0.0 };
         let mut queue = self.take_queue();
-        let asked = queue.ask(caller, &terms, self, self.now);
-        assert!(!matches!(asked, QueueReply::Refused(..)), "without a forecast of room nothing is refused");
+        let reply = queue.ask(caller, &terms, self, self.now);
+        assert!(!matches!(reply, QueueReply::Refused(..)), "without a forecast of room nothing is refused");
         self.queue = queue;
     }
 
-    /// Takes the queue out, to be put back after it has settled with the engines of this model.
+    /// Takes the queue out of the model, because calls of the queue borrow the model as their engines. The
+    /// caller puts it back.
     fn take_queue(&mut self) -> LeadQueue<Caller> {
         std::mem::replace(&mut self.queue, LeadQueue::new(Policy::default()))
     }
--- a/lib/tests/test_gateway_judges_model.rs
+++ b/lib/tests/test_gateway_judges_model.rs
@@ -379,20 +379,20 @@
     let outcomes: Vec<Outcome> = (0..requested_seeds().unwrap_or(1))
         .map(|seed| simulate(count, scheme, is_bad, disturbance, seed))
         .collect();
-    let most = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).fold(0.0, f64::max);
+    let max_of = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).fold(0.0, f64::max);
     let succeeded = outcomes.iter().filter(|outcome| outcome.succeeded_at.is_some()).count();
     let reverted = outcomes.iter().filter(|outcome| outcome.reverted_at.is_some()).count();
-    let succeeded_by = most(|outcome| outcome.succeeded_at.unwrap_or(0.0));
-    let sent = most(|outcome| outcome.sent as f64) / count as f64 / SIMULATED_S;
+    let succeeded_by = max_of(|outcome| outcome.succeeded_at.unwrap_or(0.0));
+    let sent = max_of(|outcome| outcome.sent as f64) / count as f64 / SIMULATED_S;
     let version = if is_bad { "bad" } else { "good" };
     let judging = outcomes.iter().map(|outcome| outcome.judging).max().unwrap_or_default();
     let text = format!(
         "{count:4} {:<12} {version:<4} {:<14} succeeded {succeeded}, reported by {succeeded_by:4.1} s; reverted {reverted}; {:3.0} exposed, the last {:3.1} s after; {sent:.2} messages per second and node, at most {:.0} at one node in a step; judging {judging:?}",
         format!("{scheme:?}"),
         format!("{disturbance:?}"),
-        most(|outcome| f64::from(outcome.exposed)),
-        most(|outcome| outcome.last_exposed),
-        most(|outcome| outcome.longest_inbox as f64),
+        max_of(|outcome| f64::from(outcome.exposed)),
+        max_of(|outcome| outcome.last_exposed),
+        max_of(|outcome| outcome.longest_inbox as f64),
     );
     Row { text, outcomes }
 }
--- a/lib/tests/test_gateway_limit_model.rs
+++ b/lib/tests/test_gateway_limit_model.rs
@@ -240,12 +240,12 @@
     }
     arrivals.retain(|at| *at >= LIMIT_APPLIES_S);
     arrivals.sort_by(f64::total_cmp);
-    let most = limit_windows::max_within(&arrivals, limit_windows::WINDOW_S);
+    let peak = limit_windows::max_within(&arrivals, limit_windows::WINDOW_S);
     let saved_in_pause = if case == Case::Pause { MAX_SAVED_IN_PAUSE } else { 0.0 };
     let idle = if case == Case::Pause { FAULT_ENDS_S - FAULT_BEGINS_S } else { 0.0 };
     let allowance = limit * (DURATION_S - LIMIT_APPLIES_S - idle);
     Figures {
-        peak_ratio: most as f64 / limit_windows::max_allowed(limit) as f64,
+        peak_ratio: peak as f64 / limit_windows::max_allowed(limit) as f64,
         used: arrivals.len() as f64 / allowance,
         used_with_saved: arrivals.len() as f64 / (allowance + saved_in_pause),
         messages: method.messages() as f64 / (DURATION_S - CALLS_BEGIN_S),
--- a/lib/tests/test_gateway_limit_regular_calls.rs
+++ b/lib/tests/test_gateway_limit_regular_calls.rs
@@ -68,7 +68,7 @@
 }
 
 /// Returns when each replica receives requests. A call requests a grant for one replica; calls without a
-/// grant go elsewhere.
+/// grant go to other replicas.
 fn granted(urgency: u8, seed: u64) -> [Vec<Duration>; LIMITS.len()] {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut limiters = CALLS_PER_SECOND.map(|_| limiter());
--- a/lib/tests/test_gateway_load.rs
+++ b/lib/tests/test_gateway_load.rs
@@ -130,7 +130,7 @@
 fn test_expected_peak() {
     assert_eq!(peak_of(&[]), 0.0);
     assert_eq!(peak_of(&[(3_000, 700)]), 3_700.0);
-    // The first ends when both have grown by 100; the second goes on alone.
+    // The first ends when both have grown by 100; the second continues alone.
     assert_eq!(peak_of(&[(3_000, 100), (1_000, 700)]), 4_200.0);
     assert_eq!(peak_of(&[(100, 100), (1_000, 700)]), 1_700.0);
 }
@@ -142,11 +142,11 @@
         growths in proptest::collection::vec((0..5_000_u32, 0..300_u32), 0..24)
     ) {
         let held = |step: u32| -> u32 {
-            let there = growths.iter().filter(|(_, remaining)| *remaining >= step);
-            there.map(|(now, _)| now + step).sum()
+            let running = growths.iter().filter(|(_, remaining)| *remaining >= step);
+            running.map(|(now, _)| now + step).sum()
         };
-        let most = (0..=300).map(held).max().unwrap_or_default();
-        prop_assert_eq!(peak_of(&growths), f64::from(most));
+        let peak = (0..=300).map(held).max().unwrap_or_default();
+        prop_assert_eq!(peak_of(&growths), f64::from(peak));
     }
 }
 
@@ -288,21 +288,21 @@
 }
 
 proptest! {
-    /// A lead that receives an inventory in parts, in any order, has the same knowledge as one that
-    /// receives it whole. If a part is lost, only the knowledge of its requests stays as it was.
+    /// A lead that receives an inventory in parts, in any order, ends up with the same runs as one
+    /// that receives it whole. If a part is lost, only the runs that it covers stay as they were.
     #[test]
     fn test_inventory_parts_match_the_whole(
         before in proptest::collection::btree_set(0u64..60, 0..40),
         now in proptest::collection::btree_set(0u64..60, 0..40),
         last in 0u64..60,
-        most_bytes in 0usize..400,
+        max_bytes in 0usize..400,
         lost in 0usize..10,
         order in any::<u64>(),
     ) {
         let engines = table(&[("e1", "a")]);
         let entry: VmId = "n".into();
         let runs: Vec<_> = now.iter().map(|n| (*n, run("e1", 100, 100, 40))).collect();
-        let known_after = |parts: &[Inventory]| {
+        let runs_after = |parts: &[Inventory]| {
             let mut tracker = LoadTracker::default();
             for n in &before {
                 assign(&mut tracker, &engines, key(*n), run("e1", 100, 100, 0));
@@ -312,16 +312,16 @@
             }
             tracker.runs_of_entry(&entry).map(|(n, run)| (n, run.produced)).collect::<Vec<_>>()
         };
-        let whole = known_after(&[Inventory { runs: runs.clone(), ids: 0..=last }]);
-        let mut parts = Inventory::parts(runs, last, most_bytes);
+        let whole = runs_after(&[Inventory { runs: runs.clone(), ids: 0..=last }]);
+        let mut parts = Inventory::parts(runs, last, max_bytes);
         parts.shuffle(&mut SmallRng::seed_from_u64(order));
-        prop_assert_eq!(&known_after(&parts), &whole);
+        prop_assert_eq!(&runs_after(&parts), &whole);
         let lost = parts.remove(lost % parts.len());
         let is_lost = |n: &u64| lost.ids.contains(n) || lost.runs.iter().any(|(run, _)| run == n);
         let mut expected: Vec<_> = whole.into_iter().filter(|(n, _)| !is_lost(n)).collect();
         expected.extend(before.iter().filter(|n| is_lost(n)).map(|n| (*n, 0)));
         expected.sort();
-        prop_assert_eq!(known_after(&parts), expected);
+        prop_assert_eq!(runs_after(&parts), expected);
     }
 }
 
--- a/lib/tests/test_gateway_low_limit.rs
+++ b/lib/tests/test_gateway_low_limit.rs
@@ -26,7 +26,7 @@
 /// A medium urgency, which requires 1.4 saved grants.
 const URGENCY: u8 = 4;
 /// When the replica announces its limit.
-const NAMED_AT: Duration = Duration::from_secs(20);
+const ANNOUNCED_AT: Duration = Duration::from_secs(20);
 /// How long a newly limited replica is avoided.
 const AVOIDED_FOR: Duration = Duration::from_secs(3);
 const DURATION: Duration = Duration::from_secs(32);
@@ -45,7 +45,7 @@
 
 fn limiter() -> ReplicaRateLimiter {
     let mut limiter = ReplicaRateLimiter::default();
-    let times = ResponseTimes { sent: NAMED_AT, received: NAMED_AT };
+    let times = ResponseTimes { sent: ANNOUNCED_AT, received: ANNOUNCED_AT };
     limiter.limits.on_answer(&Incarnation { id: replica(), born: 1 }, LimitReport::Named(LIMIT), times);
     limiter.set_nodes(NODES, Duration::ZERO);
     limiter
@@ -55,7 +55,7 @@
 fn granted(seed: u64) -> Vec<Duration> {
     let rng = &mut StdRng::seed_from_u64(seed);
     let mut limiters: Vec<ReplicaRateLimiter> = (0..NODES).map(|_| limiter()).collect();
-    let takes_effect = NAMED_AT + AVOIDED_FOR;
+    let takes_effect = ANNOUNCED_AT + AVOIDED_FOR;
     let mut calls: Vec<(Duration, usize)> = Vec::new();
     for node in 0..NODES {
         let first = rng.random_range(FIRST_REQUEST_S.0..FIRST_REQUEST_S.1);
@@ -91,7 +91,7 @@
             "seed {seed}: {max_in_window} in a window"
         );
         // There is a margin: the last required grant does not come at the very end.
-        let last = granted[needed - 1] - NAMED_AT - AVOIDED_FOR;
+        let last = granted[needed - 1] - ANNOUNCED_AT - AVOIDED_FOR;
         assert!(last <= DURATION - Duration::from_secs(1), "seed {seed}: the last needed one after {last:?}");
     }
 }
@@ -101,6 +101,6 @@
 #[test]
 fn test_a_node_that_takes_over_has_no_saved_grants() {
     let mut limiter = limiter();
-    let grant = limiter.grant(&replica(), GranterRole::Primary, 0, NAMED_AT + Duration::from_secs(30));
+    let grant = limiter.grant(&replica(), GranterRole::Primary, 0, ANNOUNCED_AT + Duration::from_secs(30));
     assert!(!grant.granted, "{grant:?}");
 }
--- a/lib/tests/test_gateway_replica_updates.rs
+++ b/lib/tests/test_gateway_replica_updates.rs
@@ -137,7 +137,7 @@
     const NODES: usize = 66;
     const FAN_OUT: usize = 4;
     /// Far more messages than correct forwarding sends; a few rounds of repeated forwarding would reach it.
-    const FAR_TOO_MANY: usize = 100_000;
+    const MESSAGE_STORM: usize = 100_000;
     let update = ReplicaUpdate {
         before: 262,
         at: 267,
@@ -151,7 +151,7 @@
     let mut messages = 0;
     while let Some(node) = in_flight.pop() {
         messages += 1;
-        assert!(messages < FAR_TOO_MANY, "message storm");
+        assert!(messages < MESSAGE_STORM, "message storm");
         let is_new = !std::mem::replace(&mut knows[node], true);
         if relays[node].should_forward(&update, is_new) {
             in_flight.extend((0..FAN_OUT).map(|_| rng.random_range(0..NODES)));
--- a/lib/tests/test_gateway_restarts.rs
+++ b/lib/tests/test_gateway_restarts.rs
@@ -71,8 +71,8 @@
     let later = NOW + Duration::from_secs(5);
     assert!(table.get("a").is_some_and(|a| a.is_cold(NOW) && !a.is_cold(later)));
     for is_whole in [true, false] {
-        let handed = ReplicaList { is_whole, ..list.clone() };
-        assert_eq!(table.on_peer_list(handed, later), ListChange::default());
+        let fetched = ReplicaList { is_whole, ..list.clone() };
+        assert_eq!(table.on_peer_list(fetched, later), ListChange::default());
         assert!(table.get("a").is_some_and(|a| !a.is_cold(later)));
     }
     let mut change = ListChange::default();
@@ -86,18 +86,20 @@
     let mut table = ReplicaTable::default();
     entry(&mut table, record_started_at(100));
     entry(&mut table, record("b", false));
-    let mut book = LoadTracker::new(Policy::default());
+    let mut tracker = LoadTracker::new(Policy::default());
     let size = Some(GenerationSize { prompt: 3_000, expected: 700 });
     let runs = [("a", None), ("b", Some("a")), ("b", None)];
     let keys: Vec<RunKey> = (0..3).map(|run| RunKey { entry: "n".into(), run }).collect();
     for (key, (at, from)) in keys.iter().zip(runs) {
         let run = Run { replica: at.into(), size, produced: 0, copied_from: from.map(Into::into) };
-        book.add(key.clone(), run, table.get(at).expect("known"), NOW);
+        tracker.add(key.clone(), run, table.get(at).expect("known"), NOW);
     }
-    assert_eq!((book.copies_from("a"), book.prefill.wait("a", NOW) > Duration::ZERO), (1, true));
-    book.on_restarted("a");
-    assert!(book.get(&keys[0]).is_none() && book.get(&keys[1]).is_some() && book.get(&keys[2]).is_some());
-    assert_eq!((book.copies_from("a"), book.prefill.wait("a", NOW)), (0, Duration::ZERO));
+    assert_eq!((tracker.copies_from("a"), tracker.prefill.wait("a", NOW) > Duration::ZERO), (1, true));
+    tracker.on_restarted("a");
+    assert!(
+        tracker.get(&keys[0]).is_none() && tracker.get(&keys[1]).is_some() && tracker.get(&keys[2]).is_some()
+    );
+    assert_eq!((tracker.copies_from("a"), tracker.prefill.wait("a", NOW)), (0, Duration::ZERO));
 }
 
 /// A report about some incarnation of a replica.
--- a/lib/tests/test_gateway_revision.rs
+++ b/lib/tests/test_gateway_revision.rs
@@ -62,8 +62,8 @@
     let mut gone = ListChange::default();
     table.on_unlisted("a", SECOND, &mut gone);
     table.on_missing("b", Duration::ZERO);
-    let lapsed = table.tick(3 * SECOND, 30 * SECOND);
-    assert_eq!(lapsed.leaving, ["b".into()]);
+    let expired_change = table.tick(3 * SECOND, 30 * SECOND);
+    assert_eq!(expired_change.leaving, ["b".into()]);
     assert!(table.on_sign(&record("c", false).incarnation(), LeavingSign::ReportedByPeer, SECOND));
     for id in ["a", "b", "c"] {
         table.set_changed_at(&change(id), revision::in_era(0, 90));
--- a/lib/tests/test_gateway_trial_evidence.rs
+++ b/lib/tests/test_gateway_trial_evidence.rs
@@ -76,12 +76,12 @@
             other.add_report(from, report);
         }
         prop_assert_eq!(target_answers(&one), target_answers(&other));
-        let mut most = std::collections::BTreeMap::new();
+        let mut highest = std::collections::BTreeMap::new();
         for (n, started, count) in reports {
-            let known = most.entry((n, started)).or_insert(0);
+            let known = highest.entry((n, started)).or_insert(0);
             *known = count.max(*known);
         }
-        prop_assert_eq!(target_answers(&one), most.values().sum::<u32>());
+        prop_assert_eq!(target_answers(&one), highest.values().sum::<u32>());
     }
 }
 
@@ -97,10 +97,10 @@
     assert_eq!(evidence.coverage(&fleet(1..5, 10), secs(1.5)), Coverage::Most);
 }
 
-/// Guards against the smaller side of a network partition, or a node that has just started, taking itself
-/// for the whole fleet.
+/// Guards against a node that considers itself and the few nodes that it sees the whole fleet, because it is
+/// on the smaller side of a network partition or has just started.
 #[test]
-fn test_a_small_side_of_a_cut_is_not_the_fleet() {
+fn test_a_small_side_of_a_partition_is_not_the_fleet() {
     let mut evidence = TrialEvidence::default();
     evidence.add_report(node(1), report(1, 1.0, 1));
     assert_eq!(evidence.coverage(&fleet(1..2, 2), secs(0.5)), Coverage::Most);
--- a/lib/tests/test_gateway_upgrade_model.rs
+++ b/lib/tests/test_gateway_upgrade_model.rs
@@ -187,21 +187,21 @@
         }
     }
     let bound = BOUNDS.share * REQUESTS_PER_S * WITHIN_S + BOUNDS.slack;
-    let knows = |node: &Node| node.stages.last().map_or(0.0, |(at, _)| *at);
-    let known_to_all_s = fleet.iter().map(knows).fold(decided, f64::max);
+    let learned_at = |node: &Node| node.stages.last().map_or(0.0, |(at, _)| *at);
+    let known_to_all_s = fleet.iter().map(learned_at).fold(decided, f64::max);
     Outcome { exposed, bound, stage: upgrade.stage, known_to_all_s, answers_seen }
 }
 
 fn row(nodes: usize, method: ShareMethod, fault: Fault) -> (String, Vec<Outcome>) {
     let outcomes: Vec<Outcome> = (0..SEEDS).map(|seed| simulate(nodes, method, fault, seed)).collect();
-    let most = outcomes.iter().map(|o| f64::from(o.exposed) / o.bound).fold(0.0, f64::max);
+    let max_exposure = outcomes.iter().map(|o| f64::from(o.exposed) / o.bound).fold(0.0, f64::max);
     let stage = |stage: Stage| outcomes.iter().filter(|o| o.stage == stage).count();
     let mut times: Vec<f64> = outcomes.iter().map(|o| o.known_to_all_s).collect();
     times.sort_by(f64::total_cmp);
     let answers_seen =
         outcomes.iter().map(|o| f64::from(o.answers_seen)).sum::<f64>() / outcomes.len() as f64;
     let text = format!(
-        "{nodes:4}  {:<10} {:<17} exposed {most:.2} of the bound at most; proven {:2}, reverted {:2}, on trial {:2}; known to all after {:.1} s, {:.1} at most; {answers_seen:.0} answers seen",
+        "{nodes:4}  {:<10} {:<17} exposed {max_exposure:.2} of the bound at most; proven {:2}, reverted {:2}, on trial {:2}; known to all after {:.1} s, {:.1} at most; {answers_seen:.0} answers seen",
         format!("{method:?}"),
         format!("{fault:?}"),
         stage(Stage::Proven),
--- a/lib/tests/test_gateway_watchers_model.rs
+++ b/lib/tests/test_gateway_watchers_model.rs
@@ -77,7 +77,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Message {
-    Probe { nodes: usize, hears_watchers: bool, known: Vec<Node> },
+    Probe { nodes: usize, receives_pulses: bool, known: Vec<Node> },
     Answer { nodes: usize, known: Vec<Node> },
     Pulse { watcher: Node, number: PulseNumber, answers: bool },
 }
@@ -86,15 +86,15 @@
 enum Event {
     Start { node: Node },
     Sample,
-    Tick { node: Node, life: u32 },
+    Tick { node: Node, incarnation: u32 },
     Arrives { from: Node, to: Node, has_contents: bool, message: Message },
-    Fetched { node: Node, life: u32 },
-    Pulse { node: Node, life: u32, term: u32 },
-    Watch { node: Node, life: u32, term: u32 },
+    Fetched { node: Node, incarnation: u32 },
+    Pulse { node: Node, incarnation: u32, term: u32 },
+    Watch { node: Node, incarnation: u32, term: u32 },
 }
 
 struct State {
-    life: u32,
+    incarnation: u32,
     started: Option<Time>,
     watchers: Watchers,
     known: BTreeMap<Node, Time>,
@@ -139,7 +139,7 @@
         let ids: Vec<VmId> =
             (0..nodes).map(|n| VmId::from(format!("10.{}.0.{}:7200", n % 5 + 1, n + 9))).collect();
         let state = |id: &VmId| State {
-            life: 0,
+            incarnation: 0,
             started: None,
             watchers: Watchers::new(id.clone()),
             known: BTreeMap::new(),
@@ -215,33 +215,43 @@
         self.now - self.states[node].started.unwrap_or(self.now)
     }
 
-    fn is_current_life(&self, node: Node, life: u32) -> bool {
-        self.states[node].started.is_some() && self.states[node].life == life
+    fn is_current_incarnation(&self, node: Node, incarnation: u32) -> bool {
+        self.states[node].started.is_some() && self.states[node].incarnation == incarnation
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Start { node } => self.start(node),
             Event::Sample => self.sample(),
-            Event::Tick { node, life } if self.is_current_life(node, life) => self.tick(node),
+            Event::Tick { node, incarnation } if self.is_current_incarnation(node, incarnation) => {
+                self.tick(node)
+            }
             Event::Arrives { from, to, has_contents, message } if self.states[to].started.is_some() => {
                 self.on_message(from, to, has_contents, message)
             }
-            Event::Fetched { node, life } if self.is_current_life(node, life) => self.on_store_contents(node),
-            Event::Pulse { node, life, term } if self.is_term(node, life, term) => self.pulse(node),
-            Event::Watch { node, life, term } if self.is_term(node, life, term) => self.watch(node),
+            Event::Fetched { node, incarnation } if self.is_current_incarnation(node, incarnation) => {
+                self.on_store_contents(node)
+            }
+            Event::Pulse { node, incarnation, term } if self.is_term(node, incarnation, term) => {
+                self.pulse(node)
+            }
+            Event::Watch { node, incarnation, term } if self.is_term(node, incarnation, term) => {
+                self.watch(node)
+            }
             _ => {}
         }
     }
 
-    fn is_term(&self, node: Node, life: u32, term: u32) -> bool {
-        self.is_current_life(node, life) && self.states[node].role.is_some() && self.states[node].term == term
+    fn is_term(&self, node: Node, incarnation: u32, term: u32) -> bool {
+        self.is_current_incarnation(node, incarnation)
+            && self.states[node].role.is_some()
+            && self.states[node].term == term
     }
 
     fn start(&mut self, node: Node) {
         let nodes = self.ids.len();
         let state = &mut self.states[node];
-        state.life += 1;
+        state.incarnation += 1;
         state.started = Some(self.now);
         state.watchers = Watchers::new(self.ids[node].clone());
         state.known =
@@ -273,8 +283,8 @@
     }
 
     fn tick(&mut self, node: Node) {
-        let life = self.states[node].life;
-        self.push(self.now + TICK, Event::Tick { node, life });
+        let incarnation = self.states[node].incarnation;
+        self.push(self.now + TICK, Event::Tick { node, incarnation });
         let alive = self.alive(node);
         self.contact_seed(node);
         let due = self.now.saturating_sub(self.states[node].last_probe) >= PROBE_INTERVAL;
@@ -295,11 +305,11 @@
             state.term += 1;
             self.counts.became_watcher += 1;
             let term = self.states[node].term;
-            self.push(self.now, Event::Pulse { node, life, term });
+            self.push(self.now, Event::Pulse { node, incarnation, term });
             for purpose in ["list", "list"] {
                 self.call(node, purpose);
             }
-            self.push(self.now, Event::Watch { node, life, term });
+            self.push(self.now, Event::Watch { node, incarnation, term });
         }
     }
 
@@ -327,8 +337,8 @@
     fn probe(&mut self, node: Node, target: Node) {
         let (nodes, known) = self.gossip(node);
         let uptime = self.uptime(node);
-        let hears_watchers = self.states[node].watchers.fresh_pulses(uptime).next().is_some();
-        self.send(node, target, Message::Probe { nodes, hears_watchers, known });
+        let receives_pulses = self.states[node].watchers.fresh_pulses(uptime).next().is_some();
+        self.send(node, target, Message::Probe { nodes, receives_pulses, known });
     }
 
     fn send(&mut self, from: Node, to: Node, message: Message) {
@@ -348,20 +358,20 @@
 
     fn on_message(&mut self, from: Node, to: Node, has_contents: bool, message: Message) {
         let uptime = self.uptime(to);
-        let life = self.states[to].life;
+        let incarnation = self.states[to].incarnation;
         let state = &mut self.states[to];
         state.has_contact = true;
         state.known.insert(from, self.now);
         state.watchers.on_contact(uptime);
         if has_contents && state.contents_at.is_none() {
-            self.push(self.now + FETCH_TIME, Event::Fetched { node: to, life });
+            self.push(self.now + FETCH_TIME, Event::Fetched { node: to, incarnation });
         }
         match message {
-            Message::Probe { nodes, hears_watchers, known } => {
+            Message::Probe { nodes, receives_pulses, known } => {
                 self.on_gossip(to, nodes, known);
                 let (nodes, known) = self.gossip(to);
                 self.send(to, from, Message::Answer { nodes, known });
-                if !hears_watchers {
+                if !receives_pulses {
                     self.send_fresh_pulses(to, from);
                 }
             }
@@ -397,7 +407,7 @@
     }
 
     fn pulse(&mut self, node: Node) {
-        let (life, term) = (self.states[node].life, self.states[node].term);
+        let (incarnation, term) = (self.states[node].incarnation, self.states[node].term);
         let answers = self.scenario.answers(self.ids.len(), node, self.now);
         self.call(node, "pulse");
         self.number += 1;
@@ -406,12 +416,12 @@
         let uptime = self.uptime(node);
         self.states[node].watchers.on_own_pulse(state, uptime);
         self.spread(node, FIRST_FAN_OUT, &Message::Pulse { watcher: node, number, answers });
-        self.push(self.now + PULSE_INTERVAL, Event::Pulse { node, life, term });
+        self.push(self.now + PULSE_INTERVAL, Event::Pulse { node, incarnation, term });
     }
 
     /// Watches both kinds of objects: each watch runs into its timeout, or fails and is retried.
     fn watch(&mut self, node: Node) {
-        let (life, term) = (self.states[node].life, self.states[node].term);
+        let (incarnation, term) = (self.states[node].incarnation, self.states[node].term);
         let Some(role) = self.states[node].role else { return };
         for purpose in ["watch", "watch"] {
             self.call(node, purpose);
@@ -421,7 +431,7 @@
             self.on_store_contents(node);
         }
         let pause = if answers { role.watch_timeout() } else { Duration::from_secs(1) };
-        self.push(self.now + pause, Event::Watch { node, life, term });
+        self.push(self.now + pause, Event::Watch { node, incarnation, term });
     }
 
     fn lose_power(&mut self) {
@@ -530,12 +540,12 @@
                     continue;
                 }
                 // Without any seed, nodes never discover each other and each watches the store itself.
-                let most = if scenario.no_seeds { nodes } else { nodes.min(MAX_WATCHERS_AT_END) };
+                let max_watching = if scenario.no_seeds { nodes } else { nodes.min(MAX_WATCHERS_AT_END) };
                 let model = simulate(nodes, scenario, seed);
                 let counts = &model.counts;
                 let what = format!("{name}, {nodes} nodes, seed {seed}: {counts:?}");
                 assert!(counts.longest_unwatched <= MAX_UNWATCHED, "{what}");
-                assert!(model.watching().len() <= most, "{what}");
+                assert!(model.watching().len() <= max_watching, "{what}");
                 assert!(
                     model.states.iter().all(|state| state.started.is_none() || state.contents_at.is_some()),
                     "{what}"
@@ -545,8 +555,8 @@
     }
 }
 
-/// After a start, nodes listen and wait for a few turns. Later, three watchers that fall silent together are
-/// detected after 2 s, and turns begin 3 s after the last pulse.
+/// After a start, nodes listen and wait for a few turns. Later, three watchers that stop sending pulses
+/// together are detected after 2 s, and turns begin 3 s after the last pulse.
 const MAX_UNWATCHED: Duration = Duration::from_secs(6);
 /// In steady state the first few nodes watch, and one that was cut off may not have stopped yet.
 const MAX_WATCHERS_AT_END: usize = WATCHERS + 1;
--- a/lib/tests/test_membership_start.rs
+++ b/lib/tests/test_membership_start.rs
@@ -17,7 +17,7 @@
 use rand::rngs::SmallRng;
 
 /// Time limit of a call.
-const CALL_LIMIT: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two ticks of a process that is not delayed.
 const TICK: Duration = Duration::from_millis(100);
 /// Simulated time of each run.
@@ -169,8 +169,11 @@
                     self.views[vm].next_updates()
                 });
                 let arrival = now + self.random(self.load.max_one_way);
-                let (at, updates) =
-                    if arrival > sent + CALL_LIMIT { (sent + CALL_LIMIT, None) } else { (arrival, answer) };
+                let (at, updates) = if arrival > sent + CALL_TIMEOUT {
+                    (sent + CALL_TIMEOUT, None)
+                } else {
+                    (arrival, answer)
+                };
                 self.schedule(at.max(now), from, Event::Answer { target: vm, updates, requester });
             }
             Event::Answer { target, updates, requester } => self.on_answer(vm, target, updates, requester),
--- a/lib/tests/test_rollout.rs
+++ b/lib/tests/test_rollout.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn test_loser_is_told_by_whom_and_at_which_number() {
+fn test_loser_gets_the_winning_operator_and_number() {
     let mut store = Store::default();
     let mut first = Operator::new(envelope(5, "amina"));
     let mut second = Operator::new(envelope(5, "luka"));
