--- a/lib/tests/test_gateway_full_engines.rs
+++ b/lib/tests/test_gateway_full_engines.rs
@@ -75,7 +75,7 @@
     Never,
     /// Requests that no engine can prefill soon, ordered by urgency and arrival.
     ByArrival,
-    /// The same, but requests that can no longer begin in time go behind the others.
+    /// As for `ByArrival`, but requests that can no longer begin in time go behind the others.
     ByTurn,
 }
 
--- a/lib/tests/test_gateway_limit_model.rs
+++ b/lib/tests/test_gateway_limit_model.rs
@@ -84,7 +84,7 @@
         now: Timestamp,
         rng: &mut StdRng,
     ) -> bool;
-    /// The granting node answers a node's request, if that may request, too late.
+    /// Requests a grant for a node that may request one; the granting node's answer arrives too late.
     fn on_late_answer(&mut self, node: usize, granter: usize, now: Timestamp, rng: &mut StdRng);
     /// The number of messages so far.
     fn messages(&self) -> u64;
@@ -99,15 +99,15 @@
 
 impl Method for Grants {
     fn new(nodes: usize, limit: f64) -> Self {
-        let of = Incarnation { id: "r".into(), born: 1 };
+        let incarnation = Incarnation { id: "r".into(), born: 1 };
         let limiter = |_| {
             let mut limiter = ReplicaRateLimiter::default();
             let times = ResponseTimes { sent: Duration::ZERO, received: Duration::ZERO };
-            limiter.limits.on_answer(&of, LimitReport::Named(limit), times);
+            limiter.limits.on_answer(&incarnation, LimitReport::Named(limit), times);
             limiter.set_nodes(nodes, Duration::ZERO);
             limiter
         };
-        Grants { limiters: (0..nodes).map(limiter).collect(), replica: of.id.clone(), messages: 0 }
+        Grants { limiters: (0..nodes).map(limiter).collect(), replica: incarnation.id.clone(), messages: 0 }
     }
 
     fn on_fleet_change(&mut self, seen: impl Fn(usize) -> usize, now: Timestamp) {
@@ -200,7 +200,7 @@
     peak_ratio: f64,
     /// The used fraction of the limit.
     used: f64,
-    /// The same, where the limit includes the grants saved during a pause.
+    /// The used fraction of the limit plus the grants that may be saved during a pause.
     used_with_saved: f64,
     /// Messages a second.
     messages: f64,
--- a/lib/tests/test_gateway_replicas.rs
+++ b/lib/tests/test_gateway_replicas.rs
@@ -63,7 +63,8 @@
     assert_eq!(usable(&table, seconds(13)), ["a"]);
 }
 
-/// The same for an entry whose removal was reported while the store was disturbed.
+/// An entry whose removal is reported while the store is disturbed gets the same grace period, counted from
+/// the first report.
 #[test]
 fn test_grace_period_counts_from_the_first_absence() {
     let mut table = ReplicaTable::default();
@@ -90,7 +91,8 @@
     assert_eq!(usable(&table, seconds(3)), ["a"]);
 }
 
-/// Also if the replica was considered to be leaving before because of a weaker sign.
+/// An announcement stays in force even if the replica was considered to be leaving before because of a weaker
+/// sign.
 #[test]
 fn test_no_entry_revokes_an_announcement() {
     let mut table = ReplicaTable::default();
@@ -107,8 +109,8 @@
     assert_eq!((change, usable(&table, seconds(3))), (ListChange::default(), Vec::new()));
 }
 
-/// Such a replica keeps serving while the store is unavailable, and its old entry may still exist. It is
-/// forgotten once its entry is gone, or when it must have ended.
+/// A replica that announced that it is leaving keeps serving while the store is unavailable, and its old
+/// entry may still exist. It is forgotten once its entry is gone, or when it must have ended.
 #[test]
 fn test_announced_replica_is_kept_while_it_may_serve() {
     let mut table = ReplicaTable::default();
