--- a/node/src/filters/limit.rs
+++ b/node/src/filters/limit.rs
@@ -59,23 +59,23 @@
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, read_up_to(body, 0)).await;
 }
 
-/// Reads a body of at most `most` bytes. A larger one is refused only after it was read to its end: a
+/// Reads a body of at most `max_bytes` bytes. A larger one is refused only after it was read to its end: a
 /// connection that is closed with unread bytes is reset, and the caller does not receive the refusal.
-async fn read_up_to(body: RequestBody, most: usize) -> Result<Bytes, Refusal> {
+async fn read_up_to(body: RequestBody, max_bytes: usize) -> Result<Bytes, Refusal> {
     let mut body = std::pin::pin!(body);
     let mut buf = BytesMut::new();
     let mut read: usize = 0;
     while let Some(chunk) = body.as_mut().data().await {
         let chunk = chunk.map_err(|_| Refusal::with_detail(Code::BadRequest, "the body broke off"))?;
         read += chunk.len();
-        if read <= most {
+        if read <= max_bytes {
             buf.extend_from_slice(&chunk);
-        } else if read > most + MAX_DISCARDED_BYTES {
+        } else if read > max_bytes + MAX_DISCARDED_BYTES {
             break;
         }
     }
-    if read > most {
-        let detail = format!("the body has more than {most} bytes");
+    if read > max_bytes {
+        let detail = format!("the body has more than {max_bytes} bytes");
         return Err(Refusal::with_detail(Code::BodyTooLarge, detail));
     }
     Ok(buf.freeze())
--- a/node/src/gateway/control/placement_state/eligible.rs
+++ b/node/src/gateway/control/placement_state/eligible.rs
@@ -24,8 +24,8 @@
 use crate::gateway::control::placement_state::PlacementState;
 use crate::gateway::peers::peer_message::Wanted;
 
-/// Maximum number of replicas that are evaluated for a request: the best of these is close to the best of
-/// all.
+/// Maximum number of replicas that are evaluated for a request: the best of a sample of this size is
+/// close to the best of all.
 pub(super) const MAX_CANDIDATES: usize = 64;
 
 /// The conditions that exclude replicas from a request regardless of their load.
--- a/node/src/gateway/control/store_watcher.rs
+++ b/node/src/gateway/control/store_watcher.rs
@@ -30,8 +30,8 @@
 use crate::gateway::shared::Shared;
 use crate::shared::unix_millis;
 
-/// Time without an answer after which the store is considered away; a slow store takes a quarter of a
-/// second.
+/// Time without an answer after which the store is considered unavailable; a slow store takes a quarter of
+/// a second.
 const PULSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time without an answer after which the store is considered late. An answer usually takes about 4 ms, and
 /// a busy node some tens of milliseconds until it processes one.
@@ -92,8 +92,8 @@
         let configuration =
             follow::follow::<Configuration>(shared.clone(), ToControl::Configuration, options(false));
         let replicas = follow::follow::<Replicas>(shared.clone(), ToControl::Replicas, options(true));
-        // Pulses read the closed halls as well. In calm operation of 66 nodes this takes 387 calls to the
-        // store instead of 411.
+        // Pulses read the closed halls as well. Without faults, 66 nodes then make 387 calls to the store
+        // instead of 411.
         let with_other_source = || FollowOptions { has_other_source: true, ..options(false) };
         let closed_halls =
             follow::follow::<Evacuations>(shared.clone(), ToControl::ClosedHalls, with_other_source());
@@ -115,7 +115,7 @@
     }
 }
 
-/// Checks periodically whether the store answers: a pending watch looks the same when the store is away.
+/// Checks periodically whether the store answers: a pending watch does not show that it is unavailable.
 /// Each check costs a tenth of a usual call. It reads the closed halls, as they were some seconds ago, so
 /// that a closed hall is noticed even if the answer of its watch was lost.
 async fn pulse(shared: Arc<Shared>) {
--- a/node/src/gateway/ingress/caller_port.rs
+++ b/node/src/gateway/ingress/caller_port.rs
@@ -100,8 +100,8 @@
     let mut connection = std::pin::pin!(builder.serve_connection(io, service));
     let mut closing = std::pin::pin!(async {
         stop::wait_to_close_idle(&shared).await;
-        // Closing while the head of a request is half read would leave the caller in doubt about the
-        // request.
+        // If the connection closed while the head of a request is partly read, the caller could not tell
+        // whether the request was run.
         activity.wait_while_reading_head().await;
     });
     let mut limit_exceeded = std::pin::pin!(activity.limit_exceeded(|| limits(&shared)));
--- a/node/src/gateway/ingress/plain.rs
+++ b/node/src/gateway/ingress/plain.rs
@@ -56,8 +56,8 @@
         }
         let mut placed = place(traffic, req, &tried).await;
         if placed.is_err() && choice == ConnectionChoice::New {
-            // No other replica has room. The connection was in doubt, not the replica, so any replica may
-            // be used again.
+            // No other replica has room. Only the connection was suspected of a fault, not the replica, so
+            // any replica may be used again.
             placed = place(traffic, req, &[]).await;
         }
         let run = match placed {
--- a/node/src/gateway/observability/metrics.rs
+++ b/node/src/gateway/observability/metrics.rs
@@ -219,7 +219,7 @@
         self.peer_bytes_sum.load(Ordering::Relaxed)
     }
 
-    /// Counts a run that broke at its replica, by whether it is held against its request.
+    /// Counts a run that broke at its replica, by whether it counts against its request.
     pub fn on_broken_run(&self, held_against_request: bool) {
         self.broken_runs.add(1, &[KeyValue::new("held", held_against_request)]);
     }
--- a/node/src/gateway/request.rs
+++ b/node/src/gateway/request.rs
@@ -85,7 +85,7 @@
     pub service: ServiceId,
     /// When it was received.
     pub received_at: Instant,
-    /// The same on the clock since the VM's boot, which goes on while the VM is suspended.
+    /// Time from the VM's boot until it was received, including suspensions of the VM.
     received_since_boot: Timestamp,
     /// The caller's deadline or the route's timeout, whichever is shorter.
     timeout: Duration,
@@ -103,7 +103,7 @@
         headers::text(&self.headers, &headers::REQUEST_ID).unwrap_or("")
     }
 
-    /// Identifies it and all requests that are like it. The first call costs a hash of the body.
+    /// The fingerprint, which all requests with equal [`Self::parts`] share. The first call hashes the body.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| Fingerprint::of(&self.parts()))
     }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Time since it was received, including suspensions of the VM: the caller's time goes on meanwhile.
+    /// Time since it was received, including suspensions of the VM, during which the caller keeps waiting.
     fn age(&self) -> Duration {
         clock::since_boot().saturating_sub(self.received_since_boot)
     }
--- a/node/src/gateway/start.rs
+++ b/node/src/gateway/start.rs
@@ -73,8 +73,8 @@
     let settings = &shared.settings;
     info!(event = "start", vm = &*settings.vm, hall = &*settings.hall, first = settings.first_start, listen:% = settings.listen, version = env!("CARGO_PKG_VERSION"); "leadstaged starts");
     let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
-    // Bound before the node can report itself ready: when the traffic thread bound the port, that came
-    // after the report at 2 to 4 of 20 nodes that started beside other load.
+    // Bound here, before the node can report itself ready. The traffic thread would bind the port too
+    // late: after that report at 2 to 4 of 20 nodes that started on loaded machines.
     let callers = runtime.block_on(bind_tcp(settings.listen))?;
     let callers = callers.into_std().map_err(|source| RunError::Port { address: settings.listen, source })?;
     let traffic = shared.clone();
--- a/node/src/gateway/stop.rs
+++ b/node/src/gateway/stop.rs
@@ -143,8 +143,8 @@
     }
 }
 
-/// Sleeps in short intervals: the platform's time limit goes on while the VM is suspended, and timers do
-/// not.
+/// Sleeps in short intervals: the platform's time limit keeps running while the VM is suspended, but timers
+/// do not.
 async fn sleep_until(shared: &Shared, deadline: Timestamp) {
     loop {
         let left = deadline.saturating_sub(shared.now());
--- a/node/src/gateway/upstream/connections.rs
+++ b/node/src/gateway/upstream/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to replicas. A connection carries one request at a time and is reused only if nothing
-//! about its state is in doubt.
+//! Connections to replicas. A connection carries one request at a time and is reused only if its
+//! state is known.
 
 use std::cell::Cell;
 use std::cell::RefCell;
--- a/node/src/gateway/upstream/copying.rs
+++ b/node/src/gateway/upstream/copying.rs
@@ -78,8 +78,7 @@
 
 /// Stops a generation at its engine. The call also copies the remaining memory, queued behind all other
 /// copies on these links. A call that could not connect is retried, as nothing was sent: next to a
-/// transfer of a configuration of 282 kB on a link of 10 Mbit/s, no connection could be opened for 0.6 s,
-/// by the log of one stream.
+/// transfer of a configuration of 282 kB on a link of 10 Mbit/s, no connection could be opened for 0.6 s.
 pub async fn stop(source: &ReplicaRecord, id: &str, target: SocketAddr) -> StopAnswer {
     let until = Instant::now() + COPY_TIMEOUT;
     loop {
--- a/node/src/gateway/upstream/exchange.rs
+++ b/node/src/gateway/upstream/exchange.rs
@@ -139,7 +139,7 @@
     choice: ConnectionChoice,
     sent: u32,
 ) -> Result<Exchange, SendError> {
-    // However the replica was chosen, and however long ago: these are the last checks before sending.
+    // Checked again immediately before sending, as the replica may have been chosen some time ago.
     if traffic.is_quarantined(req) {
         return Err(SendError::Quarantined);
     }
--- a/node/src/gateway/upstream/relay.rs
+++ b/node/src/gateway/upstream/relay.rs
@@ -234,9 +234,8 @@
         self.send_to_caller(complete).await
     }
 
-    /// Sends events to the caller's connection until the deadline. Without the timeout, a caller that
-    /// reads large events at 40 kB a second held its engine for 20.6 s instead of the 3 s that it waits,
-    /// by the test of such a caller.
+    /// Sends events to the caller's connection until the deadline. Without the timeout, a caller with a
+    /// deadline of 3 s that reads large events at 40 kB/s held its engine for 20.6 s.
     async fn send_to_caller(&self, events: Bytes) -> Result<(), StreamEnd> {
         let sending = tokio::time::timeout_at(self.req.deadline(), self.tx.send(events));
         sending.await.map_err(|_| StreamEnd::TimedOut)?.map_err(|_| StreamEnd::CallerLeft)
--- a/node/src/gateway/upstream/relay/silent_connection.rs
+++ b/node/src/gateway/upstream/relay/silent_connection.rs
@@ -3,13 +3,13 @@
 //!
 //! Such a stream can be resumed only from its KV cache memory, which the engine frees soon after it has
 //! produced the last event. The kernel notices such a connection after 3 s, and never if a middlebox
-//! between the networks acknowledges what it drops: of 200 events, 19 reached a caller whose stream fell
-//! silent midway, and all 200 with this module, by the test of such a stream.
+//! between the networks acknowledges what it drops: of 200 events of a stream that fell silent midway,
+//! 19 reached the caller without this module, and all 200 with it.
 //!
 //! The generation is stopped at once and resumed at the same engine on a new connection: that engine has
-//! room for it. When it was copied to another engine while it kept running, 373 of 2,456 streams failed
-//! instead of 255, over 15 test runs with two silences of all connections: other engines were full,
-//! or the generation ended before the copy did.
+//! room for it. Copying it to another engine while it keeps running fails more streams (373 of 2,456
+//! instead of 255, over 15 runs in which all connections fell silent twice): other engines are full, or
+//! the generation ends before the copy does.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/node/src/gateway/upstream/suspicion.rs
+++ b/node/src/gateway/upstream/suspicion.rs
@@ -69,8 +69,8 @@
 
     /// Whether a request may be sent to one more replica after a run that broke, although it may end that
     /// replica too. Replicas that broke runs of this attempt but answer a health check have not ended and
-    /// do not count: when two such replicas counted, a stream ended at its second break instead of being
-    /// resumed at a third engine, by the test of all faults.
+    /// do not count: if two such replicas counted, a stream would end at its second break instead of
+    /// being resumed at a third engine.
     pub async fn may_retry_after_loss(&self, req: &CallerRequest) -> bool {
         let ended = self.suspect_status(req).map_or(0, |status| status.ends);
         let broken_at = req.broken_at.lock().expect("no holder panics").clone();
@@ -103,8 +103,8 @@
         self.suspect_status(req).is_some_and(|status| status.is_quarantined())
     }
 
-    /// Refuses a quarantined request. The caller is told when the quarantine ends: until then each
-    /// attempt would be refused again.
+    /// Refuses a quarantined request, with a retry delay until the quarantine ends: each earlier attempt
+    /// would be refused again.
     pub fn refuse_quarantined(&self, req: &CallerRequest) -> Result<(), Refusal> {
         let Some(status) = self.suspect_status(req).filter(SuspectStatus::is_quarantined) else {
             return Ok(());
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -90,7 +90,8 @@
 }
 
 /// Aborts the process when the control thread panics. Otherwise the node would keep running without
-/// control; the fleet handles a dead node better. A panic on a traffic thread ends only one connection.
+/// control; the fleet handles the loss of a node better. A panic on a traffic thread ends only one
+/// connection.
 fn abort_on_control_panic() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
