--- a/node/src/filters/limit.rs
+++ b/node/src/filters/limit.rs
@@ -59,8 +59,9 @@
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, read_up_to(body, 0)).await;
 }
 
-/// Reads a body of at most `max_bytes` bytes. A larger one is refused only after it was read to its end: a
-/// connection that is closed with unread bytes is reset, and the caller does not receive the refusal.
+/// Reads a body of at most `max_bytes` bytes. A larger one is refused only after it was read to its end, or
+/// to [`MAX_DISCARDED_BYTES`] beyond the limit: a connection that is closed with unread bytes is reset, and
+/// the caller does not receive the refusal.
 async fn read_up_to(body: RequestBody, max_bytes: usize) -> Result<Bytes, Refusal> {
     let mut body = std::pin::pin!(body);
     let mut buf = BytesMut::new();
--- a/node/src/gateway/control/upgrade_intake.rs
+++ b/node/src/gateway/control/upgrade_intake.rs
@@ -156,7 +156,7 @@
 
     /// Another node announced its upgrades.
     pub fn on_announced(&mut self, placing: &mut Placing, fleet: &Fleet, announced: AnnouncedUpgrades) {
-        // There is nearly never an upgrade.
+        // The usual case: no upgrade is in progress.
         if announced.upgrades.is_empty() && announced.at <= self.shared.upgrades().at() {
             return;
         }
--- a/node/src/gateway/observability/logging.rs
+++ b/node/src/gateway/observability/logging.rs
@@ -32,9 +32,9 @@
 /// Number of the latest lines over that limit that are kept in case the process ends in the same second.
 /// Otherwise a node that logs 500 lines in its last second does not log that it stopped.
 const MAX_DEFERRED_LINES: usize = 32;
-/// How long the end of a process waits for a reader that is slow or does not read at all. 100 ms
-/// are too short: of twelve processes that failed at startup at the same time, with a load of 28 on 12
-/// cores, two had not had their writer thread scheduled by then.
+/// How long the end of a process waits for a reader that is slow or does not read at all. 100 ms are too
+/// short: of twelve processes that failed at startup at the same time, with a load of 28 on 12 cores, two
+/// had not had their writer thread scheduled by then.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time between two attempts to reach the writer thread while its queue is full.
 const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(5);
--- a/node/src/gateway/observability/status.rs
+++ b/node/src/gateway/observability/status.rs
@@ -54,7 +54,7 @@
 
 fn quarantined(shared: &Shared) -> Vec<String> {
     let crashes = shared.crashes();
-    let quarantined = crashes.iter().filter(|(_, standing)| standing.is_quarantined());
+    let quarantined = crashes.iter().filter(|(_, status)| status.is_quarantined());
     let mut names: Vec<String> = quarantined.map(|(fingerprint, _)| fingerprint.to_string()).collect();
     names.sort();
     names
