--- a/node/src/gateway/control/control_loop.rs
+++ b/node/src/gateway/control/control_loop.rs
@@ -136,8 +136,8 @@
             ToControl::GrantSilent(id) => self.placing.on_grant_silent(&self.fleet, id),
             ToControl::RunBroke(run) => self.crashes.on_break(&self.placing, run),
             ToControl::RunSucceeded(fingerprint) => self.crashes.on_run_succeeded(&self.fleet, fingerprint),
-            ToControl::CheckedAfterBreak(of, shown) => {
-                self.crashes.on_checked_after_break(&self.placing, &self.fleet, &of, shown)
+            ToControl::CheckedAfterBreak(of, result) => {
+                self.crashes.on_checked_after_break(&self.placing, &self.fleet, &of, result)
             }
             ToControl::Suspects(update) => self.crashes.on_store_update(&self.fleet, update),
             ToControl::SuspectStored(of, stored) => self.crashes.on_stored(&self.fleet, of, stored),
@@ -210,7 +210,7 @@
             nodes: self.shared.nodes(),
             suspects: crashes.len(),
             limited: self.shared.limits().len(),
-            quarantined: crashes.values().filter(|standing| standing.is_quarantined()).count(),
+            quarantined: crashes.values().filter(|status| status.is_quarantined()).count(),
             config_age: now.saturating_sub(self.configs.last_update()),
             replicas_age: now.saturating_sub(self.replicas.last_update()),
         };
--- a/node/src/gateway/control/crash_intake.rs
+++ b/node/src/gateway/control/crash_intake.rs
@@ -281,7 +281,7 @@
 fn log_change(fingerprint: Fingerprint, before: &CrashTable, after: &CrashTable) {
     let is_quarantined =
         |table: &CrashTable| table.get(&fingerprint).is_some_and(SuspectStatus::is_quarantined);
-    let ends = after.get(&fingerprint).map_or(0, |standing| standing.ends);
+    let ends = after.get(&fingerprint).map_or(0, |status| status.ends);
     match (is_quarantined(before), is_quarantined(after)) {
         (false, true) => {
             warn!(event = "request_quarantined", fingerprint:% = fingerprint, ends; "several replicas ended under a request; it is quarantined")
