--- a/node/tests/gateway_environment.rs
+++ b/node/tests/gateway_environment.rs
@@ -105,8 +105,8 @@
 pub fn large_config(version: u64, routes: usize) -> Value {
     let mut config = config(version);
     let more = (0..routes as u64).map(|n| {
-        let word = n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        json!({"name": format!("more-{word:016x}"), "host": "h.example", "pathPrefix": format!("/more-{n}/"),
+        let hash = n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        json!({"name": format!("more-{hash:016x}"), "host": "h.example", "pathPrefix": format!("/more-{n}/"),
             "kind": "idempotent", "timeoutMs": 8000, "targetLatencyMs": 500, "priority": 1,
             "service": BOOKING, "maxAttempts": 2, "public": false, "gap_aim_ms": 0})
     });
@@ -387,12 +387,12 @@
         std::fs::read_to_string(self.dir.path().join(format!("node-{node}.log"))).unwrap_or_default()
     }
 
-    /// The lines of all logs that contain `word`, each preceded by its node's number.
-    pub fn lines_with(&self, word: &str) -> String {
+    /// The lines of all logs that contain `text`, each preceded by its node's number.
+    pub fn lines_with(&self, text: &str) -> String {
         let lines = (0..self.nodes.len()).flat_map(|node| {
             let log = self.log(node);
             let lines: Vec<String> =
-                log.lines().filter(|line| line.contains(word)).map(|line| format!("{node} {line}")).collect();
+                log.lines().filter(|line| line.contains(text)).map(|line| format!("{node} {line}")).collect();
             lines
         });
         lines.collect::<Vec<_>>().join("\n")
--- a/node/tests/loaded_fleet.rs
+++ b/node/tests/loaded_fleet.rs
@@ -22,7 +22,7 @@
 /// A window may hold `OVERSHOOT` times the requests that the limit allows, and `SLACK` requests more.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Least share of a replica's limit that is used while there are enough requests.
+/// Minimum share of a replica's limit that is used while there are enough requests.
 const MIN_USED_SHARE: f64 = 0.75;
 
 /// A fleet with replicas of one service.
--- a/node/tests/test_gateway_config_delivery.rs
+++ b/node/tests/test_gateway_config_delivery.rs
@@ -148,8 +148,8 @@
     pair.own_store.put("config", "main", large_config(2, MAX_ROUTES));
     let ip = pair.gateway.replicas_ip();
     for port in 9..12 {
-        let gone: SocketAddr = format!("{ip}:{port}").parse().expect("an address");
-        send_config_announcement(gone, 2, 0, pair.peer(pair.outdated)).await;
+        let dead_node: SocketAddr = format!("{ip}:{port}").parse().expect("an address");
+        send_config_announcement(dead_node, 2, 0, pair.peer(pair.outdated)).await;
     }
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     let took = pair.time_until_fetched().await;
@@ -306,8 +306,8 @@
     let node = gateway.start_node_at(server.address);
     gateway.until_ready(node).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let gone: SocketAddr = format!("{}:9", gateway.replicas_ip()).parse().expect("an address");
-    send_config_announcement(gone, 99, 0, gateway.peer(node).parse().expect("an address")).await;
+    let dead_node: SocketAddr = format!("{}:9", gateway.replicas_ip()).parse().expect("an address");
+    send_config_announcement(dead_node, 99, 0, gateway.peer(node).parse().expect("an address")).await;
     tokio::time::sleep(DETECTION_TIME).await;
     assert!(gateway.log(node).contains("liveness=Dead"), "{}", gateway.logs());
     let before = counting.lists.load(Ordering::Relaxed);
--- a/node/tests/test_gateway_large_config.rs
+++ b/node/tests/test_gateway_large_config.rs
@@ -1,10 +1,10 @@
 //! Large configurations over slow links.
 //!
-//! Guards against time limits on a whole transfer that ignore its size. With limits of 0.6 s for a fetch from
-//! another node and 1 s for a read of the store, each attempt that ran out of time started again from
-//! nothing. On links of 10 Mbit/s, where 830 kB take 0.66 s at best, these attempts filled the links, so that
-//! ever fewer transfers completed: some nodes kept serving a replaced configuration, without the added
-//! routes. Changes of up to 555 kB still reached all nodes within 3 s.
+//! Guards against time limits on a whole transfer that ignore its size. With limits of 0.6 s for a fetch
+//! from another node and 1 s for a read of the store, each attempt that ran out of time started again from
+//! the beginning. On links of 10 Mbit/s, where 830 kB take 0.66 s at best, these attempts filled the
+//! links, so that ever fewer transfers completed: some nodes kept serving a replaced configuration,
+//! without the added routes. Changes of up to 555 kB still reached all nodes within 3 s.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/node/tests/test_gateway_replica_limits.rs
+++ b/node/tests/test_gateway_replica_limits.rs
@@ -166,8 +166,12 @@
     let began = Instant::now();
     let answers = fleet.load(&[8.0; NODES], LIMIT_APPLIES_AFTER + MEASURED_FOR, read).await;
     assert_all_served(&answers, &fleet);
-    let most = fleet.max_arrivals_within(2, began, Duration::from_secs(1));
-    assert!((1..=COLD_RATE_PER_S as usize).contains(&most), "{most} in a second\n{}", fleet.gateway.logs());
+    let max_arrivals = fleet.max_arrivals_within(2, began, Duration::from_secs(1));
+    assert!(
+        (1..=COLD_RATE_PER_S as usize).contains(&max_arrivals),
+        "{max_arrivals} in a second\n{}",
+        fleet.gateway.logs()
+    );
 }
 
 /// The limit of a replica on all nodes together is removed from its answers to callers.
--- a/node/tests/test_gateway_streams.rs
+++ b/node/tests/test_gateway_streams.rs
@@ -233,8 +233,13 @@
     let (called, ()) = tokio::join!(gateway.call(0, chat("r-chat")), leave);
     assert!(called.whole, "{:?} events\n{}", called.events(), gateway.logs());
     assert_eq!(called.events(), Some(EVENTS));
-    let asked: usize = models.iter().map(|m| m.replica.received_requests().len()).sum();
-    assert_eq!(asked, 1, "no engine is asked to resume a generation that still runs\n{}", gateway.logs());
+    let request_count: usize = models.iter().map(|m| m.replica.received_requests().len()).sum();
+    assert_eq!(
+        request_count,
+        1,
+        "no engine is asked to resume a generation that still runs\n{}",
+        gateway.logs()
+    );
 }
 
 /// Time from the break of the stream until the response to the stop call.
@@ -384,7 +389,7 @@
     let mut buf = [0; 2_048];
     while model.replica.running() > 0 && began.elapsed() < WAIT_TIMEOUT {
         let taken = stream.read(&mut buf).await.expect("the connection is open");
-        assert_ne!(taken, 0, "the stream goes on");
+        assert_ne!(taken, 0, "the stream continues");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let took = began.elapsed();
--- a/node/tests/test_streams.rs
+++ b/node/tests/test_streams.rs
@@ -285,10 +285,10 @@
     run_cases(Step::Streaming).await;
 }
 
-/// A node is requested to place a generation right after the lead was killed, before it has noticed that
-/// itself. Its next review of the pools that it leads must not drop the new pool while the request waits
-/// for the engines' first load reports, or the request is never answered. Suspended engines prolong that
-/// wait; if it takes too long, the caller gets `Retry-After`.
+/// A node receives a request to place a generation right after the lead was killed, before it has noticed
+/// that itself. Its next review of the pools that it leads must not drop the new pool while the request
+/// waits for the engines' first load reports, or the request is never answered. Suspended engines prolong
+/// that wait; if it takes too long, the caller gets `Retry-After`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_pool_review_keeps_a_new_pool_with_a_waiting_request() {
     let args = ["--step-us", STEP_US].map(str::to_owned).into();
--- a/testutils/examples/fleet.rs
+++ b/testutils/examples/fleet.rs
@@ -1,8 +1,8 @@
-//! Simulates days of a fleet of engines.
+//! Simulates a fleet of engines, once for each seed.
 //!
 //! Usage: `fleet EXPERIMENT.yaml [--seeds N] [--first N] [--load FACTOR]`. Prints the share of the possible
-//! value that was earned, as the mean of the days with its standard error, and the outcomes of the requests
-//! of each kind. `--load` multiplies the requests per second.
+//! value that was earned, as the mean over the seeds with its standard error, and the outcomes of the
+//! requests of each kind. `--load` multiplies the requests per second.
 
 use std::process::ExitCode;
 
@@ -38,7 +38,7 @@
     for path in paths {
         let mut experiment = Experiment::parse(&std::fs::read_to_string(&path)?)?;
         experiment.kinds.iter_mut().for_each(|kind| kind.per_second *= load);
-        let days = std::thread::scope(|scope| {
+        let results = std::thread::scope(|scope| {
             let simulations: Vec<_> = (first..first + seeds)
                 .map(|seed| {
                     scope.spawn({
@@ -53,7 +53,7 @@
                 .collect::<Vec<_>>()
         });
         println!("{path}, {seeds} days, load {load}");
-        print!("{}", report::table(&experiment, &days));
+        print!("{}", report::table(&experiment, &results));
     }
     Ok(())
 }
--- a/testutils/src/fleet_model.rs
+++ b/testutils/src/fleet_model.rs
@@ -1,5 +1,5 @@
 //! A discrete-event model of a fleet of engines and of the lead that places generations on them, without a
-//! network and without a clock: a day of 60 engines takes about a second.
+//! network and without a clock: a simulation of 60 engines takes about a second.
 //!
 //! The engines are those of [`crate::engine_model`]: batches in steps, chunked prefill beside decoding,
 //! memory in blocks, preemption. The lead is the code of `leadstage-lib`: its load tracker, choice of
--- a/testutils/src/fleet_model/experiment.rs
+++ b/testutils/src/fleet_model/experiment.rs
@@ -1,4 +1,4 @@
-//! Parameters of a modelled day, read from an experiment file.
+//! Parameters of a simulation, read from an experiment file.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::engine_model::EngineConfig;
 use crate::lengths::Lengths;
 
-/// A day of a fleet.
+/// A fleet, its requests and its policy.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
--- a/testutils/src/fleet_model/lead.rs
+++ b/testutils/src/fleet_model/lead.rs
@@ -160,7 +160,7 @@
 }
 
 impl Fleet {
-    /// Handles an engine's entry in the list, which may be listed as leaving.
+    /// Handles an engine's entry in the replica list; `leaving` is the state in the entry.
     pub fn on_entry(&mut self, id: &UpstreamId, leaving: bool, now: Timestamp) {
         let record = ReplicaRecord {
             id: id.clone(),
--- a/testutils/src/fleet_model/report.rs
+++ b/testutils/src/fleet_model/report.rs
@@ -1,4 +1,4 @@
-//! Results of a modelled day from the callers' point of view.
+//! Results of a simulation from the callers' point of view.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     pub gaps: (Duration, u32),
 }
 
-/// The results of a day.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DayReport {
     /// Results by kind, in the experiment's order.
@@ -113,29 +113,34 @@
     (mean, (variance / count).sqrt())
 }
 
-/// Formats the results of several days of an experiment.
-pub fn table(experiment: &Experiment, days: &[DayReport]) -> String {
+/// Formats the results of several simulations of an experiment.
+pub fn table(experiment: &Experiment, results: &[DayReport]) -> String {
     let mut text = String::new();
     let (mean, error) =
-        mean_and_error(&days.iter().map(|day| day.earned_share(experiment)).collect::<Vec<f64>>());
-    let mean_of = |value: fn(&DayReport) -> f64| days.iter().map(value).sum::<f64>() / days.len() as f64;
+        mean_and_error(&results.iter().map(|result| result.earned_share(experiment)).collect::<Vec<f64>>());
+    let mean_of =
+        |value: fn(&DayReport) -> f64| results.iter().map(value).sum::<f64>() / results.len() as f64;
     writeln!(
         text,
         "earned {mean:.3} +- {error:.3}; fill {:.2}; preempted {:.0}, moved {:.0}, refusals {:.0} a day",
         mean_of(DayReport::mean_memory_use),
-        mean_of(|day| day.preempted as f64),
-        mean_of(|day| day.moved as f64),
-        mean_of(|day| day.refusals as f64),
+        mean_of(|result| result.preempted as f64),
+        mean_of(|result| result.moved as f64),
+        mean_of(|result| result.refusals as f64),
     )
     .expect("writing to a string cannot fail");
     for (index, kind) in experiment.kinds.iter().enumerate() {
-        let sum =
-            |count: fn(&KindReport) -> usize| days.iter().map(|day| count(&day.kinds[index])).sum::<usize>();
+        let sum = |count: fn(&KindReport) -> usize| {
+            results.iter().map(|result| count(&result.kinds[index])).sum::<usize>()
+        };
         let all = KindReport {
-            first_events: days.iter().flat_map(|day| day.kinds[index].first_events.iter().copied()).collect(),
+            first_events: results
+                .iter()
+                .flat_map(|result| result.kinds[index].first_events.iter().copied())
+                .collect(),
             ..KindReport::default()
         };
-        let gaps = days.iter().map(|day| day.kinds[index].gaps);
+        let gaps = results.iter().map(|result| result.kinds[index].gaps);
         let (time, count) = gaps.fold((Duration::ZERO, 0), |(time, count), (t, c)| (time + t, count + c));
         writeln!(
             text,
--- a/testutils/src/fleet_model/simulation.rs
+++ b/testutils/src/fleet_model/simulation.rs
@@ -1,4 +1,4 @@
-//! Simulates a modelled day.
+//! The discrete-event simulation of an experiment.
 
 mod callers;
 mod engines;
@@ -24,7 +24,7 @@
 use crate::fleet_model::report::DayReport;
 use crate::fleet_model::report::KindReport;
 
-/// Time at which the day starts: clocks of a fleet don't start at 0.
+/// Time at which the simulation starts: clocks of a fleet don't start at 0.
 const START: Duration = Duration::from_secs(100);
 /// Time between two passes of the lead.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
@@ -99,7 +99,7 @@
     rng: SmallRng,
 }
 
-/// Simulates one day with a seed.
+/// Simulates an experiment; the seed determines all random values.
 pub fn simulate(experiment: &Experiment, seed: u64) -> DayReport {
     let mut simulation = Simulation {
         experiment,
--- a/testutils/src/gateway_replica.rs
+++ b/testutils/src/gateway_replica.rs
@@ -26,7 +26,7 @@
 
 /// Time from the start of a request that crashes the replica to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
-/// Time after which a port that was told to close is closed.
+/// Time within which the server closes its port after it is notified.
 const PORT_CLOSE_DELAY: Duration = Duration::from_millis(20);
 
 /// How a replica handles requests.
--- a/testutils/tests/test_fleet_model.rs
+++ b/testutils/tests/test_fleet_model.rs
@@ -1,5 +1,5 @@
-//! The model of a fleet: results match loads that can be calculated by hand, and the results of a short day
-//! of each shape don't change.
+//! The model of a fleet: results match loads that can be calculated by hand, and the results of a short
+//! simulation of each experiment don't change.
 
 use leadstage_lib::gateway::policy::Policy;
 use leadstage_testutils::fleet_model;
@@ -25,7 +25,7 @@
     experiment
 }
 
-fn simulate_days(experiment: &Experiment) -> Vec<DayReport> {
+fn simulate_seeds(experiment: &Experiment) -> Vec<DayReport> {
     SEEDS.map(|seed| fleet_model::simulate(experiment, seed)).collect()
 }
 
@@ -42,22 +42,22 @@
     mut experiment: Experiment,
     switch_off: impl Fn(&mut Policy),
 ) -> (Experiment, Vec<DayReport>, Vec<DayReport>) {
-    let with = simulate_days(&experiment);
+    let with = simulate_seeds(&experiment);
     switch_off(&mut experiment.policy);
-    let without = simulate_days(&experiment);
+    let without = simulate_seeds(&experiment);
     (experiment, with, without)
 }
 
 /// Returns the mean share of the possible value that was earned.
-fn earned_share(experiment: &Experiment, days: &[DayReport]) -> f64 {
-    days.iter().map(|day| day.earned_share(experiment)).sum::<f64>() / days.len() as f64
+fn earned_share(experiment: &Experiment, results: &[DayReport]) -> f64 {
+    results.iter().map(|result| result.earned_share(experiment)).sum::<f64>() / results.len() as f64
 }
 
 #[test]
 fn test_a_short_day_of_each_shape() {
     let tables = SHAPES.map(|(name, yaml)| {
         let experiment = shortened(yaml, 0.25);
-        format!("{name}\n{}", report::table(&experiment, &simulate_days(&experiment)))
+        format!("{name}\n{}", report::table(&experiment, &simulate_seeds(&experiment)))
     });
     insta::assert_snapshot!(tables.join("\n"));
 }
@@ -70,27 +70,28 @@
 }
 
 /// An engine's memory holds six long streams if they end one after the other, but overflows if all started
-/// recently. Admission by the memory in use plus three seconds' growth admits five. Over 20 days each at 1,
+/// recently. Admission by the memory in use plus three seconds' growth admits five. Over 20 seeds each at 1,
 /// 1.14 and 1.3 times the usual load, that earned 0.938, 0.761 and 0.666 of the possible value, and admission
-/// by the expected peak 0.990, 0.842 and 0.720. This test simulates three days of half the fleet.
+/// by the expected peak 0.990, 0.842 and 0.720. This test simulates half the fleet with three seeds.
 #[test]
 fn test_admission_by_the_expected_peak_serves_more() {
     let (experiment, by_peak, by_growth) =
         with_and_without(overloaded(1.14), |policy| policy.admit_by_peak = false);
     let [earned_by_peak, earned_by_growth] =
-        [&by_peak, &by_growth].map(|days| earned_share(&experiment, days));
+        [&by_peak, &by_growth].map(|results| earned_share(&experiment, results));
     assert!(earned_by_peak > earned_by_growth + 0.02, "{earned_by_peak} {earned_by_growth}");
-    let in_time = |days: &[DayReport]| {
-        days.iter().flat_map(|day| &day.kinds).map(|report| report.in_time).sum::<usize>()
+    let in_time = |results: &[DayReport]| {
+        results.iter().flat_map(|result| &result.kinds).map(|report| report.in_time).sum::<usize>()
     };
     assert!(in_time(&by_peak) > in_time(&by_growth));
-    let preempted: usize = by_peak.iter().map(|day| day.preempted).sum();
+    let preempted: usize = by_peak.iter().map(|result| result.preempted).sum();
     assert!(preempted < 10 * by_peak.len(), "{preempted}");
 }
 
-/// A long prompt that no engine has memory for blocks shorter prompts that would fit. Over 20 days each at
+/// A long prompt that no engine has memory for blocks shorter prompts that would fit. Over 20 seeds each at
 /// 1.14 and 1.3 times the usual load, 0.840 and 0.723 of the possible value were earned that way, and 0.864
-/// and 0.736 where up to four queued requests are skipped. This test simulates three days of half the fleet.
+/// and 0.736 where up to four queued requests are skipped. This test simulates half the fleet with three
+/// seeds.
 #[test]
 fn test_skipping_long_prompts_serves_more() {
     let (experiment, with, without) = with_and_without(overloaded(1.3), |policy| policy.pass_over = false);
@@ -106,9 +107,12 @@
     for kind in &mut experiment.kinds {
         kind.per_second /= 10.0;
     }
-    for day in simulate_days(&experiment) {
-        assert!(day.kinds.iter().all(|report| report.in_time == report.all() && report.all() > 0), "{day:?}");
-        assert_eq!((day.preempted, day.refusals), (0, 0));
+    for result in simulate_seeds(&experiment) {
+        assert!(
+            result.kinds.iter().all(|report| report.in_time == report.all() && report.all() > 0),
+            "{result:?}"
+        );
+        assert_eq!((result.preempted, result.refusals), (0, 0));
     }
 }
 
@@ -123,13 +127,13 @@
     let prefill_rate = experiment.engines.count as f64 * 7_500.0;
     let kind = &mut experiment.kinds[0];
     kind.per_second = 2.0 * prefill_rate / 2_500.0;
-    for day in simulate_days(&experiment) {
-        let report = &day.kinds[0];
+    for result in simulate_seeds(&experiment) {
+        let report = &result.kinds[0];
         let served = report.in_time + report.late + report.paused;
         let prefilled_tokens = served as f64 * 2_500.0;
         let seconds = experiment.seconds + 6.0;
-        assert!(prefilled_tokens < 1.1 * prefill_rate * seconds, "{day:?}");
-        assert!(report.left + report.refused > report.all() / 5, "{day:?}");
+        assert!(prefilled_tokens < 1.1 * prefill_rate * seconds, "{result:?}");
+        assert!(report.left + report.refused > report.all() / 5, "{result:?}");
     }
 }
 
@@ -141,7 +145,7 @@
     for kind in &mut experiment.kinds {
         kind.per_second /= 4.0;
     }
-    let days = simulate_days(&experiment);
-    assert_eq!(days.iter().flat_map(|day| &day.kinds).map(|report| report.broken).sum::<usize>(), 0);
-    assert!(days.iter().all(|day| day.moved > 0), "{days:?}");
+    let results = simulate_seeds(&experiment);
+    assert_eq!(results.iter().flat_map(|result| &result.kinds).map(|report| report.broken).sum::<usize>(), 0);
+    assert!(results.iter().all(|result| result.moved > 0), "{results:?}");
 }
