--- a/node/tests/test_gateway_slow_readers.rs
+++ b/node/tests/test_gateway_slow_readers.rs
@@ -118,8 +118,8 @@
 async fn retrying_slow_caller(address: String, req: String, duration: Duration) -> String {
     let until = tokio::time::Instant::now() + duration;
     loop {
-        let left = until - tokio::time::Instant::now();
-        let head = slow_caller(address.clone(), req.clone(), left).await;
+        let remaining = until - tokio::time::Instant::now();
+        let head = slow_caller(address.clone(), req.clone(), remaining).await;
         if !head.contains(" 503 ") || tokio::time::Instant::now() >= until {
             return head;
         }
--- a/node/tests/test_gateway_soak.rs
+++ b/node/tests/test_gateway_soak.rs
@@ -334,10 +334,10 @@
 ) -> Result<BTreeMap<u16, usize>, String> {
     let mut arrivals: BTreeMap<String, usize> = BTreeMap::new();
     // Requests that a replica refused have not run there.
-    let mut turned_away: BTreeMap<String, usize> = BTreeMap::new();
+    let mut rejections: BTreeMap<String, usize> = BTreeMap::new();
     for replica in all_replicas {
         for id in replica.rejected_requests() {
-            *turned_away.entry(id).or_default() += 1;
+            *rejections.entry(id).or_default() += 1;
         }
     }
     for seen in all_replicas.iter().flat_map(|replica| replica.received_requests()) {
@@ -350,7 +350,7 @@
     let mut statuses = BTreeMap::new();
     for CallRecord { id, from, called } in log {
         *statuses.entry(called.status).or_default() += 1;
-        let arrived = arrivals.get(id).copied().unwrap_or(0) - turned_away.get(id).copied().unwrap_or(0);
+        let arrived = arrivals.get(id).copied().unwrap_or(0) - rejections.get(id).copied().unwrap_or(0);
         let fail =
             |what: &str| Err(format!("seed {seed}: {id}: {what}: {called:?}, arrived {arrived} times"));
         let max_arrivals = if id.starts_with("tag") { TAG_ATTEMPTS as usize } else { 1 };
--- a/node/tests/test_gateway_upgrade_judges.rs
+++ b/node/tests/test_gateway_upgrade_judges.rs
@@ -168,8 +168,8 @@
     .await;
 }
 
-/// Guards against a node that knows no other node, takes itself for the whole fleet and reports a success by
-/// its own counts.
+/// Guards against a node that knows no other node, treats itself as the whole fleet and reports a success
+/// by its own counts.
 #[tokio::test]
 async fn test_an_isolated_node_reports_no_success() {
     const ORDER_DURATION: Duration = Duration::from_secs(5);
--- a/testutils/src/fleet_model/report.rs
+++ b/testutils/src/fleet_model/report.rs
@@ -114,33 +114,28 @@
 }
 
 /// Formats the results of several simulations of an experiment.
-pub fn table(experiment: &Experiment, results: &[DayReport]) -> String {
+pub fn table(experiment: &Experiment, days: &[DayReport]) -> String {
     let mut text = String::new();
     let (mean, error) =
-        mean_and_error(&results.iter().map(|result| result.earned_share(experiment)).collect::<Vec<f64>>());
-    let mean_of =
-        |value: fn(&DayReport) -> f64| results.iter().map(value).sum::<f64>() / results.len() as f64;
+        mean_and_error(&days.iter().map(|day| day.earned_share(experiment)).collect::<Vec<f64>>());
+    let mean_of = |value: fn(&DayReport) -> f64| days.iter().map(value).sum::<f64>() / days.len() as f64;
     writeln!(
         text,
         "earned {mean:.3} +- {error:.3}; fill {:.2}; preempted {:.0}, moved {:.0}, refusals {:.0} a day",
         mean_of(DayReport::mean_memory_use),
-        mean_of(|result| result.preempted as f64),
-        mean_of(|result| result.moved as f64),
-        mean_of(|result| result.refusals as f64),
+        mean_of(|day| day.preempted as f64),
+        mean_of(|day| day.moved as f64),
+        mean_of(|day| day.refusals as f64),
     )
     .expect("writing to a string cannot fail");
     for (index, kind) in experiment.kinds.iter().enumerate() {
-        let sum = |count: fn(&KindReport) -> usize| {
-            results.iter().map(|result| count(&result.kinds[index])).sum::<usize>()
-        };
+        let sum =
+            |count: fn(&KindReport) -> usize| days.iter().map(|day| count(&day.kinds[index])).sum::<usize>();
         let all = KindReport {
-            first_events: results
-                .iter()
-                .flat_map(|result| result.kinds[index].first_events.iter().copied())
-                .collect(),
+            first_events: days.iter().flat_map(|day| day.kinds[index].first_events.iter().copied()).collect(),
             ..KindReport::default()
         };
-        let gaps = results.iter().map(|result| result.kinds[index].gaps);
+        let gaps = days.iter().map(|day| day.kinds[index].gaps);
         let (time, count) = gaps.fold((Duration::ZERO, 0), |(time, count), (t, c)| (time + t, count + c));
         writeln!(
             text,
--- a/testutils/src/metadata_store.rs
+++ b/testutils/src/metadata_store.rs
@@ -31,7 +31,7 @@
     Refuses,
     /// Serves reads and responds to writes with status 503.
     RefusesWrites,
-    /// Responds to each watch with status 410: the history is gone.
+    /// Responds to each watch with status 410: the history is no longer available.
     LosesHistory,
     /// Responds to each request for a page of a list with the first page.
     RepeatsPage,
