--- a/node/tests/test_gateway_closed_halls.rs
+++ b/node/tests/test_gateway_closed_halls.rs
@@ -105,8 +105,9 @@
         let sent_at = tokio::time::Instant::now();
         let refused = gateway.call(0, req).await;
         assert_eq!((refused.status, refused.code()), (503, 2104), "{refused:?}\n{}", gateway.logs());
-        let back: f64 = refused.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
-        assert!(back >= 2.0, "{back}: must not depend on when an engine becomes free");
+        let retry_after: f64 =
+            refused.header("retry-after").and_then(|after| after.parse().ok()).expect("a time");
+        assert!(retry_after >= 2.0, "{retry_after}: must not depend on when an engine becomes free");
         // The objective is 500 ms: a request held for a quarter of it would count as waiting.
         let refused_after = sent_at.elapsed();
         assert!(refused_after < Duration::from_secs(2), "{refused_after:?}");
