--- a/testutils/src/fleet_model/report.rs
+++ b/testutils/src/fleet_model/report.rs
@@ -1,4 +1,4 @@
-//! Results of a modelled day from the callers' point of view.
+//! Results of a simulation from the callers' point of view.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     pub gaps: (Duration, u32),
 }
 
-/// The results of a day.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DayReport {
     /// Results by kind, in the experiment's order.
@@ -113,7 +113,7 @@
     (mean, (variance / count).sqrt())
 }
 
-/// Formats the results of several days of an experiment.
+/// Formats the results of several simulations of an experiment.
 pub fn table(experiment: &Experiment, days: &[DayReport]) -> String {
     let mut text = String::new();
     let (mean, error) =
