--- a/node/tests/test_gateway_calls.rs
+++ b/node/tests/test_gateway_calls.rs
@@ -117,16 +117,16 @@
     insta::assert_snapshot!(rows.join("\n"), @r"
     None /read/x: 200 sent 1 signed true
     None /book/x: 200 sent 1 signed true
-    NotRun /read/x: 503 sent 2 signed false
-    NotRun /book/x: 503 sent 1 signed false
+    NotExecuted /read/x: 503 sent 2 signed false
+    NotExecuted /book/x: 503 sent 1 signed false
     Fails /read/x: 500 sent 2 signed true
     Fails /book/x: 500 sent 1 signed true
     Breaks /read/x: 502 sent 2 signed false
     Breaks /book/x: 502 sent 1 signed false
-    ForeignAnswer /read/x: 502 sent 2 signed false
-    ForeignAnswer /book/x: 502 sent 1 signed false
-    CutsBody /read/x: 502 sent 2 signed false
-    CutsBody /book/x: 502 sent 1 signed false
+    WrongRequestId /read/x: 502 sent 2 signed false
+    WrongRequestId /book/x: 502 sent 1 signed false
+    TruncatesBody /read/x: 502 sent 2 signed false
+    TruncatesBody /book/x: 502 sent 1 signed false
     ");
 }
 
